--- a/src/core/endings.rs
+++ b/src/controller/completions.rs
@@ -1,9 +1,9 @@
 //! Endings and moves: found out, gathered, and written by the holder of a block.
 
-use super::commits::Payload;
+use super::writes::Payload;
 use super::*;
 use crate::records::BlockRecord;
-use crate::view::Draft;
+use crate::replica::Draft;
 
 /// Above this part of the largest value, a block's list of done tasks is moved to the jobs' keys.
 const FLUSH_ABOVE: f64 = 0.6;
--- a/src/core/formats.rs
+++ b/src/controller/formats.rs
@@ -10,7 +10,7 @@
 
 use super::*;
 use crate::records::{CHAINS_FORMAT, FormatRecord, NEWEST_FORMAT};
-use crate::view::FORMAT;
+use crate::replica::FORMAT;
 
 /// A controller that was seen to run an older version and shows nothing any more is given so long
 /// to come back, in whatever version, ms. One that stays away for ever holds nothing up.
--- a/src/core/lease.rs
+++ b/src/controller/lease.rs
@@ -168,14 +168,14 @@
             guards: vec![self.guard(&key)],
             then: vec![put(&key, &record, Some(permit))],
         };
-        self.submit(Op::Join, txn, commits::Payload::default(), out);
+        self.submit(Op::Join, txn, writes::Payload::default(), out);
     }
 
     /// A full read, begun at `sent`, is complete. Its pages were read one after the other, from
     /// revision `ledger` on and up to `upto`.
     pub fn on_load(
         &mut self,
-        items: Vec<crate::wire::Item>,
+        items: Vec<crate::protocol::Item>,
         ledger: u64,
         upto: u64,
         sent: Ms,
@@ -233,7 +233,7 @@
         if self.frames.is_empty()
             && let Some(frames) = self.view.catalog.clone()
         {
-            self.on_catalog(crate::wire::Catalog { frames });
+            self.on_catalog(crate::protocol::Catalog { frames });
         }
         self.follow_recorded_format();
         self.note_formats(now);
--- a/src/core/merging.rs
+++ b/src/controller/merging.rs
@@ -3,10 +3,10 @@
 //! Each block is written in its own turn, and a turn is the longer the more blocks there are: fewer and
 //! fuller blocks let endings and bindings wait for less time.
 
-use super::commits::Payload;
+use super::writes::Payload;
 use super::*;
 use crate::records::Encoding;
-use crate::view::Draft;
+use crate::replica::Draft;
 
 /// Interval of merges of one controller, ms: each costs two changes, and machines that move to
 /// another block have to show its token first.
--- a/src/core/mod.rs
+++ b/src/controller/mod.rs
@@ -3,41 +3,41 @@
 //! No input or output happens here. The service feeds in what arrived and when, and carries out
 //! the [`Action`]s that come back; tests do the same with fakes.
 
-pub(crate) mod commits;
-pub(crate) mod endings;
+pub(crate) mod completions;
 mod formats;
+mod heartbeats;
 mod lease;
 mod merging;
 mod metrics;
-pub(crate) mod pacing;
+mod observations;
 mod peers;
-mod reports;
-mod runtime;
 mod splitting;
 mod usage;
+pub(crate) mod write_pacing;
+pub(crate) mod writes;
 
+pub(crate) use heartbeats::NO_TOKEN;
 pub use metrics::Counters;
-pub(crate) use reports::NO_TOKEN;
-use runtime::StrayState;
-pub(crate) use runtime::{Fails, MachineInfo, MachineRuntime, PeerState, TaskRuntime};
+use observations::StrayState;
+pub(crate) use observations::{Fails, MachineInfo, MachineRuntime, PeerState, TaskRuntime};
 
 use crate::clock::Ms;
 use crate::collections::{HashMap, HashSet};
-use crate::leader::LeaderState;
+use crate::leadership::LeaderState;
 use crate::names::{ClassIx, FrameIx, HostIx, JobIx, MachineIx, TeamIx, ZoneIx};
-use crate::queue::{Needs, Room};
+use crate::placement::{Needs, Room};
+use crate::protocol::{
+    Cause, Change, Frame, Guard, JobStatus, Json, Leg, LegStatus, MachineNews, NewsList, Order,
+    Orders, PeerNews, Report, Stray, Txn,
+};
 use crate::ranges::RangeSet;
 use crate::records::{CURRENT_FORMAT, LoadRecord, NodeRecord, OwnerRecord, SPILLOVER_FORMAT};
-use crate::settings::Settings;
-use crate::spillover::{CellCall, Spillover};
-use crate::view::{
+use crate::replica::{
     BlockId, Boot, Entry, Job, Machine, Owner, TaskIx, Token, View, block_key, grant_key, job_key,
     load_key, node_key,
 };
-use crate::wire::{
-    Cause, Change, Frame, Guard, JobStatus, Json, Leg, LegStatus, MachineNews, NewsList, Order,
-    Orders, PeerNews, Report, Stray, Txn,
-};
+use crate::settings::Settings;
+use crate::spillover::{CellCall, Spillover};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -77,7 +77,7 @@
     /// Read the final states of jobs from the archive.
     Archived(Vec<String>),
     /// Rent machines.
-    Rent(crate::wire::Rental),
+    Rent(crate::protocol::Rental),
     /// Return machines.
     Return(Vec<String>),
     /// Ask a controller of another cell.
@@ -184,11 +184,11 @@
     pub(crate) reserved: HashSet<Entry>,
     /// What writes that failed may have done all the same, by a copy that had no answer, until the
     /// replica shows whether they did.
-    unseen: Vec<commits::Unseen>,
-    ops: HashMap<Op, commits::InFlight>,
-    op_after: HashMap<Op, pacing::Turn>,
+    unseen: Vec<writes::Unseen>,
+    ops: HashMap<Op, writes::InFlight>,
+    op_after: HashMap<Op, write_pacing::Turn>,
     /// How fast the turns of gathered writes follow one another.
-    speed: pacing::Speed,
+    speed: write_pacing::Speed,
     /// Since when many blocks have no valid grant, and the change of the replica that it was last
     /// judged at.
     unheld_since: Option<Ms>,
@@ -232,7 +232,7 @@
     pub(crate) next_round: Ms,
     pub(crate) lead: LeaderState,
     pub(crate) day_ms: u64,
-    pub(crate) outbox: Vec<(HostIx, crate::wire::Agent)>,
+    pub(crate) outbox: Vec<(HostIx, crate::protocol::Agent)>,
     pub(crate) started: Option<Ms>,
     last_tick: Ms,
     /// When this controller was last kept from looking at what is due.
@@ -305,7 +305,7 @@
             unseen: Vec::new(),
             ops: HashMap::default(),
             op_after: HashMap::default(),
-            speed: pacing::Speed::default(),
+            speed: write_pacing::Speed::default(),
             unheld_since: None,
             unheld_judged: 0,
             next_merge: Ms(0),
@@ -458,7 +458,7 @@
     }
 
     /// The cloud's catalog arrived.
-    pub fn on_catalog(&mut self, catalog: crate::wire::Catalog) {
+    pub fn on_catalog(&mut self, catalog: crate::protocol::Catalog) {
         for f in catalog.frames {
             for y in &f.zones {
                 self.view.names.zones.intern(y);
@@ -512,7 +512,7 @@
             guards: Vec::new(),
             then: vec![put(&key, &record, self.permit)],
         };
-        self.submit(Op::Load, txn, commits::Payload::default(), out);
+        self.submit(Op::Load, txn, writes::Payload::default(), out);
     }
 
     /// What is known of a machine now, from its holder.
@@ -565,7 +565,7 @@
     }
 }
 
-fn task_runtime(leg: &crate::wire::Leg, running_since: Option<Ms>) -> TaskRuntime {
+fn task_runtime(leg: &crate::protocol::Leg, running_since: Option<Ms>) -> TaskRuntime {
     TaskRuntime {
         attempt: leg.attempt,
         status: leg.status,
--- a/src/core/peers.rs
+++ b/src/controller/peers.rs
@@ -1,7 +1,7 @@
 //! What controllers tell each other, who is heard, and who leads.
 
 use super::*;
-use crate::wire::FleetNews;
+use crate::protocol::FleetNews;
 
 /// Least time between two messages that tell the leader of machines that came up, ms.
 const HASTY_MS: u64 = 250;
@@ -122,13 +122,13 @@
             host: self.my_name().to_owned(),
             boot: self.boot.0,
         };
-        let key = crate::view::LEAD;
+        let key = crate::replica::LEAD;
         let txn = Txn {
             guards: vec![self.guard(key)],
             then: vec![put(key, &record, self.permit)],
         };
         info!(before = ?self.view.lead.map(|l| self.view.names.hosts.name(l.host).to_owned()), "asking for the leadership");
-        self.submit(Op::Lead, txn, commits::Payload::default(), out);
+        self.submit(Op::Lead, txn, writes::Payload::default(), out);
     }
 
     /// Whether the leader is to be told now of machines that came up.
--- a/src/core/splitting.rs
+++ b/src/controller/splitting.rs
@@ -1,9 +1,9 @@
 //! Blocks whose values are larger than the state service takes, or will take.
 
-use super::commits::Payload;
+use super::writes::Payload;
 use super::*;
 use crate::records::Encoding;
-use crate::view::{Block, Draft};
+use crate::replica::{Block, Draft};
 
 /// Part of the largest value that a part of a divided block should fill at most: its holder and the
 /// leader need the rest.
--- a/src/core/tests.rs
+++ b/src/controller/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// The types that stories rent.
-pub(crate) fn catalog() -> crate::wire::Catalog {
+pub(crate) fn catalog() -> crate::protocol::Catalog {
     serde_json::from_str(include_str!("../../tests/support/catalog.json")).expect("good")
 }
 
--- a/src/core/commits.rs
+++ b/src/controller/writes.rs
@@ -1,6 +1,6 @@
 //! Transactions under way: sent, settled, paced.
 
-use super::pacing::Turn;
+use super::write_pacing::Turn;
 use super::*;
 
 /// Pause after a write that the service called malformed, ms.
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -6,7 +6,7 @@
 
 use crate::collections::{HashMap, HashSet};
 use crate::names::JobIx;
-use crate::wire::Urgency;
+use crate::protocol::Urgency;
 
 /// What a job asks for on its own account.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/src/api.rs
+++ b/src/http.rs
@@ -1,13 +1,13 @@
 //! HTTP: users, workers and health checks on the public address; peers and operators behind.
 
 use crate::clock::{Clock, Ms};
-use crate::core::{Core, NO_TOKEN, Outcome, Reply};
-use crate::fresh::Fresh;
+use crate::controller::{Core, NO_TOKEN, Outcome, Reply};
 use crate::jobs::{self, Finals, chained};
+use crate::protocol::{JobAnswer, JobStatus, PeerNews, Report, Txn};
+use crate::read_index::Fresh;
 use crate::records::{JobRecord, WaitingRecord};
-use crate::state::{StateClient, StateError};
-use crate::view::View;
-use crate::wire::{JobAnswer, JobStatus, PeerNews, Report, Txn};
+use crate::replica::View;
+use crate::store::{StateClient, StateError};
 use actix_web::http::StatusCode;
 use actix_web::{HttpRequest, HttpResponse, web};
 use parking_lot::Mutex;
--- a/src/api/cells.rs
+++ b/src/http/cells.rs
@@ -1,10 +1,10 @@
 //! Requests of controllers of other cells.
 
 use super::{BODY_BEHIND, Body, Door, READ_WAIT, WRITE_WAIT, refuse, unavailable};
-use crate::core::Outcome;
+use crate::controller::Outcome;
+use crate::protocol::JobSpec;
+use crate::replica::past_key;
 use crate::spillover::{Archived, CellRequest, OfferPlan};
-use crate::view::past_key;
-use crate::wire::JobSpec;
 use actix_web::http::StatusCode;
 use actix_web::{HttpRequest, HttpResponse, web};
 use quillbend_spillover::message::{
--- a/src/api/submission.rs
+++ b/src/http/submission.rs
@@ -1,14 +1,14 @@
 //! Submissions: ordinary jobs, and jobs that name others which have to be done first.
 
 use super::{Door, READ_WAIT, WRITE_WAIT, later, refuse, state_trouble, unavailable};
-use crate::core::Core;
-use crate::core::Outcome;
+use crate::controller::Core;
+use crate::controller::Outcome;
 use crate::jobs::chained::{Acceptance, ChainError, Predecessor, plan_acceptance};
 use crate::jobs::gradual::{Step, Stored, plan_step};
 use crate::jobs::{self, Read};
+use crate::protocol::{JobAnswer, JobStatus, Submission, Txn};
 use crate::records::{Encoding, JobRecord};
-use crate::state::StateError;
-use crate::wire::{JobAnswer, JobStatus, Submission, Txn};
+use crate::store::StateError;
 use actix_web::HttpResponse;
 use actix_web::http::StatusCode;
 use std::time::Duration;
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,10 +1,10 @@
 //! What users may submit, and what they are told. Pure.
 
-use crate::core::Core;
-use crate::queue::Room;
+use crate::controller::Core;
+use crate::placement::Room;
+use crate::protocol::{Change, Guard, JobAnswer, JobSpec, JobStatus, Json, Submission, Txn};
 use crate::records::JobRecord;
-use crate::view::{job_key, past_key, waiting_key};
-use crate::wire::{Change, Guard, JobAnswer, JobSpec, JobStatus, Json, Submission, Txn};
+use crate::replica::{job_key, past_key, waiting_key};
 use std::collections::{HashMap, VecDeque};
 
 pub mod chained;
@@ -146,7 +146,7 @@
             guard(past_key(name)),
             guard(waiting_key(name)),
         ],
-        then: vec![crate::core::put(&job_key(name), record, None)],
+        then: vec![crate::controller::put(&job_key(name), record, None)],
     }
 }
 
--- a/src/jobs/chained.rs
+++ b/src/jobs/chained.rs
@@ -1,11 +1,11 @@
 //! Submissions that name other jobs which have to be done first. Pure.
 
 use super::{accept, is_job_name};
-use crate::core::{Core, put};
+use crate::controller::{Core, put};
+use crate::protocol::{Change, Guard, JobStatus, Json, Txn};
 use crate::records::{JobRecord, NameList, WaitingRecord};
+use crate::replica::{View, job_key, past_key, waiting_key};
 use crate::settings::Settings;
-use crate::view::{View, job_key, past_key, waiting_key};
-use crate::wire::{Change, Guard, JobStatus, Json, Txn};
 use std::collections::HashSet;
 
 /// Conditions that the service takes for each change that it takes in a transaction (PROTOCOL).
--- a/src/jobs/gradual.rs
+++ b/src/jobs/gradual.rs
@@ -10,11 +10,11 @@
     ChainError, GUARDS_PER_CHANGE, Predecessor, absent, accept_withdrawn, names_withdrawn,
     new_waiting_record,
 };
-use crate::core::put;
+use crate::controller::put;
+use crate::protocol::{Change, Guard, Txn};
 use crate::records::{JobRecord, NameList, WaitingRecord};
+use crate::replica::waiting_key;
 use crate::settings::Settings;
-use crate::view::waiting_key;
-use crate::wire::{Change, Guard, Txn};
 
 /// An incomplete job as it is stored.
 #[derive(Debug, Clone, Copy)]
--- a/src/jobs/gradual/tests.rs
+++ b/src/jobs/gradual/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::jobs::tests::GOOD;
 use crate::jobs::{Read, new_record, read};
+use crate::replica::job_key;
 use crate::settings::tests::small;
-use crate::view::job_key;
 
 const NAME: &str = "wk-000412";
 
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -51,7 +51,7 @@
 #[test]
 fn a_job_that_no_machine_or_team_can_carry_is_named_so() {
     let mut core = Core::new(small(), 1);
-    core.on_catalog(crate::core::tests::catalog());
+    core.on_catalog(crate::controller::tests::catalog());
     let Read::Good(s) = read(GOOD.as_bytes()) else {
         panic!("good")
     };
@@ -85,8 +85,8 @@
 }
 
 /// A job as the replica has it, nothing done.
-pub(crate) fn job_of(spec: JobSpec) -> crate::view::Job {
-    let mut view = crate::view::View::default();
+pub(crate) fn job_of(spec: JobSpec) -> crate::replica::Job {
+    let mut view = crate::replica::View::default();
     let txn = accept("wk-000412", &new_record(spec, 1_700_000_000_000));
     view.apply_own(&txn, 1);
     let ix = view.names.jobs.get("wk-000412").expect("known");
--- a/src/leader/binding.rs
+++ b/src/leadership/binding.rs
@@ -341,7 +341,7 @@
         };
         let cpus = |s: &[Slot]| -> f64 { s.iter().map(|s| s.size.cpus - s.used.cpus).sum() };
         let free = cpus(&slots);
-        plan.bindings = queue::plan(&mut slots, &mut jobs, &mut teams, limits, &mut self.rng);
+        plan.bindings = placement::plan(&mut slots, &mut jobs, &mut teams, limits, &mut self.rng);
         debug!(
             machines = slots.len(),
             free,
--- a/src/leader/edits.rs
+++ b/src/leadership/block_edits.rs
@@ -4,8 +4,8 @@
 //! their holders had recorded an ending in between, and the more blocks there are, the surer.
 
 use super::*;
-use crate::queue::Binding;
-use crate::view::{Draft, Machine};
+use crate::placement::Binding;
+use crate::replica::{Draft, Machine};
 
 /// Part of the largest value up to which a block's queues may grow: its holder needs the rest
 /// for the tasks that are done.
@@ -108,7 +108,7 @@
     /// Machines that report, or that an earlier leader rented, and that no block has.
     fn note_strangers(&mut self, now: Ms) {
         let peers = self.peers.values().flat_map(|p| &p.strays);
-        let unknown: Vec<crate::wire::Stray> = self
+        let unknown: Vec<crate::protocol::Stray> = self
             .my_strays(now)
             .into_iter()
             .chain(peers.cloned())
--- a/src/leader/chains.rs
+++ b/src/leadership/job_dependencies.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::records::{CHAINS_FORMAT, DoneTasks, JobRecord, WaitingRecord};
-use crate::view::waiting_key;
+use crate::replica::waiting_key;
 
 /// A job that is incomplete for so long is given up: its user repeats the submission for 60 s
 /// (PROTOCOL, submissions).
--- a/src/leader/machines.rs
+++ b/src/leadership/machines.rs
@@ -12,7 +12,7 @@
 
 /// Whether a machine is dear, given the least prices of a CPU and of a machine.
 fn is_dear(frame: &Frame, spot: bool, cheapest: (f64, f64)) -> bool {
-    per_cpu(frame, spot) > cheapest.0 * fleet::DEAR
+    per_cpu(frame, spot) > cheapest.0 * scaling::DEAR
         || frame.price_of(spot) > cheapest.1 * DEAR_TO_HOLD
 }
 
--- a/src/leader/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,34 +1,34 @@
 //! The leader's duties: grants, machines in and out, bindings, renting; and the rounds of
 //! PackStealLB, which every holder runs for its own machines.
 
+mod archiving;
 mod binding;
-mod chains;
-mod edits;
-mod finishing;
+mod block_edits;
+mod boot_times;
 mod grants;
+mod job_dependencies;
 mod machines;
 mod preemption;
 mod renting;
-mod rounds;
-mod startups;
+mod work_stealing;
 
-use crate::balance::{self, Factors, Levels, Pack, Role};
 use crate::clock::Ms;
 use crate::collections::{HashMap, HashSet};
-use crate::core::commits::Payload;
-use crate::core::endings::TXN_BYTES;
-use crate::core::{Action, Core, Move, Op, needs_of, put};
-use crate::fleet::{self, Demand, Offer, Rented, Rules};
+use crate::controller::completions::TXN_BYTES;
+use crate::controller::writes::Payload;
+use crate::controller::{Action, Core, Move, Op, needs_of, put};
 use crate::names::{FrameIx, HostIx, ImageIx, Index, JobIx, MachineIx, TeamIx, ZoneIx};
-use crate::queue::{self, Candidate, Limits, Room, Slot};
+use crate::placement::{self, Candidate, Limits, Room, Slot};
+use crate::protocol::{Agent, Change, Frame, JobStatus, ListedRig, Rental, Txn, Urgency};
 use crate::ranges::RangeSet;
 use crate::records::OwnerRecord;
-use crate::view::{
+use crate::replica::{
     BlockId, CATALOG, Entry, Job, LEAD, TaskIx, Term, block_key, grant_key, job_key, past_key,
 };
-use crate::wire::{Agent, Change, Frame, JobStatus, ListedRig, Rental, Txn, Urgency};
+use crate::scaling::{self, Demand, Offer, Rented, Rules};
+use crate::stealing::{self, Factors, Levels, Pack, Role};
+use boot_times::StartTimes;
 use rand::Rng;
-use startups::StartTimes;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tracing::{debug, info};
 
@@ -195,6 +195,6 @@
 /// Tasks to be bound, and tasks to be stopped for them.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct BindPlan {
-    bindings: Vec<queue::Binding>,
+    bindings: Vec<placement::Binding>,
     evict: HashMap<MachineIx, Vec<Entry>>,
 }
--- a/src/leader/renting.rs
+++ b/src/leadership/renting.rs
@@ -39,7 +39,7 @@
         // The replica must show what is bound before idleness means anything.
         if self.grace_over(now) {
             self.close_machines(&demand, &fleet, &rules, now);
-            for ix in fleet::give_back(&demand, &fleet, &rules) {
+            for ix in scaling::give_back(&demand, &fleet, &rules) {
                 self.lead.leave.insert(ix);
             }
         }
@@ -86,7 +86,7 @@
                 Some((frame, self.view.names.zones.get(&r.zone)?, r.spot))
             })
             .collect();
-        let orders = fleet::rent(demand, &fleet, &offers, rules, |f, z, s| {
+        let orders = scaling::rent(demand, &fleet, &offers, rules, |f, z, s| {
             refused.get(&(f, z, s)).is_none_or(|&until| now >= until)
                 && !asked.contains(&(f, z, s))
                 && !self.lead.cut_zones.contains(&z)
@@ -129,7 +129,7 @@
             .filter(|m| self.available(m.machine, now))
             .map(|m| (m.clone(), self.used_on(m.machine).cpus))
             .collect();
-        self.lead.closed = fleet::close(demand, &up, rules).into_iter().collect();
+        self.lead.closed = scaling::close(demand, &up, rules).into_iter().collect();
         if now < self.lead.next_consolidation {
             return;
         }
--- a/src/leader/rounds.rs
+++ b/src/leadership/work_stealing.rs
@@ -136,7 +136,7 @@
         let round = self.lead.round.as_ref()?;
         let far = f64::from(hops) > round.all.len() as f64 * factors.hops;
         let known = if far { &round.all } else { &round.victims };
-        let to = balance::target(known, far, thief, route, &factors, &mut self.rng)?;
+        let to = stealing::target(known, far, thief, route, &factors, &mut self.rng)?;
         let name = |m| self.view.names.machines.name(m).to_owned();
         Some(Agent::Steal {
             to: name(to),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,26 +1,26 @@
 //! quillbend: a cluster scheduler whose machines steal packs of work from one another.
 //!
-//! Decisions are plain functions over plain data in [`core`] and the modules it uses; actors in
-//! [`service`] do all input and output. See `docs/design.md` for the safety argument.
+//! Decisions are plain functions over plain data in [`controller`] and the modules it uses; actors in
+//! [`runtime`] do all input and output. See `docs/design.md` for the safety argument.
 #![warn(missing_docs)]
 
-pub mod api;
-pub mod balance;
 pub mod clock;
 pub mod collections;
-pub mod core;
+pub mod controller;
 pub mod dependencies;
-pub mod fleet;
-pub mod fresh;
+pub mod http;
 pub mod jobs;
-pub mod leader;
+pub mod leadership;
 pub mod names;
-pub mod queue;
+pub mod placement;
+pub mod protocol;
 pub mod ranges;
+pub mod read_index;
 pub mod records;
-pub mod service;
+pub mod replica;
+pub mod runtime;
+pub mod scaling;
 pub mod settings;
 pub mod spillover;
-pub mod state;
-pub mod view;
-pub mod wire;
+pub mod stealing;
+pub mod store;
--- a/src/main.rs
+++ b/src/main.rs
@@ -80,7 +80,7 @@
     }
     log();
     let system = actix::System::new();
-    match system.block_on(quillbend::service::run(settings)) {
+    match system.block_on(quillbend::runtime::run(settings)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("quillbend: {e}");
--- a/src/queue.rs
+++ b/src/placement.rs
@@ -2,7 +2,7 @@
 
 use crate::collections::{HashMap, HashSet};
 use crate::names::{FrameIx, ImageIx, JobIx, MachineIx, TeamIx, ZoneIx};
-use crate::wire::Frame;
+use crate::protocol::Frame;
 use rand::Rng;
 use rand::seq::index;
 
--- a/src/fresh.rs
+++ b/src/read_index.rs
@@ -4,9 +4,9 @@
 //! the replica must have come for an answer that is not older than any that was given before.
 //! One such read settles every question then waiting, so that polls cost the budget no read each.
 
+use crate::replica::LEAD;
 use crate::settings::Settings;
-use crate::state::{StateClient, StateError};
-use crate::view::LEAD;
+use crate::store::{StateClient, StateError};
 use parking_lot::Mutex;
 use std::sync::Arc;
 use std::time::Duration;
--- a/src/records.rs
+++ b/src/records.rs
@@ -4,8 +4,8 @@
 //! densely: names front-coded (what a name shares with the one before is a single digit), numbers in
 //! base 36, each machine a short text.
 
+use crate::protocol::{JobSpec, JobStatus, Json};
 use crate::ranges::{RangeSet, write_number};
-use crate::wire::{JobSpec, JobStatus, Json};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
 use std::collections::BTreeMap;
 
--- a/src/view.rs
+++ b/src/replica.rs
@@ -8,11 +8,11 @@
 use crate::names::{
     ClassIx, FrameIx, HostIx, ImageIx, Index, Interner, JobIx, MachineIx, TeamIx, ZoneIx,
 };
+use crate::protocol::{Change, Item, JobStatus, Json, News, Txn};
 use crate::ranges::RangeSet;
 use crate::records::{
     DENSE_FORMAT, DoneTasks, Encoding, FormatRecord, JobRecord, LoadRecord, NodeRecord, OwnerRecord,
 };
-use crate::wire::{Change, Item, JobStatus, Json, News, Txn};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -188,7 +188,7 @@
     /// Leader.
     pub lead: Option<Owner>,
     /// Machine types as kept.
-    pub catalog: Option<Vec<crate::wire::Frame>>,
+    pub catalog: Option<Vec<crate::protocol::Frame>>,
     /// Controllers with a lease.
     pub nodes: HashMap<HostIx, NodeView>,
     /// Grants.
--- a/src/view/blocks.rs
+++ b/src/replica/blocks.rs
@@ -4,9 +4,9 @@
 use super::{Block, BlockId, Entry, Machine, TaskIx, View};
 use crate::collections::HashMap;
 use crate::names::{FrameIx, JobIx, MachineIx, ZoneIx};
+use crate::protocol::JobStatus;
 use crate::ranges::RangeSet;
 use crate::records::{BlockRecord, Listing, MachineRecord};
-use crate::wire::JobStatus;
 use std::collections::BTreeMap;
 
 /// A block's content while a change of it is put together.
--- a/src/view/job.rs
+++ b/src/replica/job.rs
@@ -1,10 +1,10 @@
 //! A job as the replica shows it.
 
 use crate::names::{ClassIx, FrameIx, ImageIx, TeamIx, ZoneIx};
+use crate::protocol::{JobSpec, JobStatus};
 use crate::ranges::RangeSet;
 use crate::ranges::bitmap;
 use crate::records::{BorrowedMark, DoneTasks, Encoding, JobRecord, LentMark, Transfer};
-use crate::wire::{JobSpec, JobStatus};
 use std::sync::Arc;
 
 /// So many tasks of a job may be open in any case.
@@ -101,8 +101,8 @@
     }
 
     /// Room of one task.
-    pub fn room(&self) -> crate::queue::Room {
-        crate::queue::Room {
+    pub fn room(&self) -> crate::placement::Room {
+        crate::placement::Room {
             cpus: self.spec.cpus,
             gpus: self.spec.gpus,
             ram: self.spec.memory_gb,
--- a/src/view/waiting.rs
+++ b/src/replica/waiting.rs
@@ -7,8 +7,8 @@
 use crate::collections::HashMap;
 use crate::dependencies::OwnDemand;
 use crate::names::JobIx;
+use crate::protocol::{JobSpec, JobStatus};
 use crate::records::WaitingRecord;
-use crate::wire::{JobSpec, JobStatus};
 use std::sync::Arc;
 
 /// A job that waits for others.
--- a/src/service.rs
+++ b/src/runtime.rs
@@ -1,15 +1,15 @@
 //! Actors that do the input and output around [`Core`].
 
-use crate::api::{self, Door, Shared};
 use crate::clock::{Clock, Ms, SystemClock};
-use crate::core::{Action, Core, Op, Outcome};
-use crate::fresh::{self, Fresh};
+use crate::controller::{Action, Core, Op, Outcome};
+use crate::http::{self, Door, Shared};
 use crate::jobs::Finals;
+use crate::protocol::{Catalog, ListedRig, PeerNews, Rental, RigList, Rigs, Txn};
+use crate::read_index::{self, Fresh};
+use crate::replica::ROOT;
 use crate::settings::Settings;
 use crate::spillover::CellCall;
-use crate::state::{LeaseAnswer, StateClient, StateError};
-use crate::view::ROOT;
-use crate::wire::{Catalog, ListedRig, PeerNews, Rental, RigList, Rigs, Txn};
+use crate::store::{LeaseAnswer, StateClient, StateError};
 use actix::prelude::*;
 use actix_service::{IntoServiceFactory, Service, ServiceFactory, map_config};
 use actix_web::dev::AppConfig;
@@ -506,7 +506,7 @@
     let door = Door {
         shared: shared.clone(),
         state: state.clone(),
-        pause: fresh::pause(&settings),
+        pause: read_index::pause(&settings),
     };
     let controller = Controller {
         shared: shared.clone(),
@@ -536,11 +536,11 @@
     );
     let open = Rc::new(Cell::new(0));
     let most = settings.connections();
-    let behind = serve(back, api::back(door.clone()), 1000, Rc::new(Cell::new(0)));
+    let behind = serve(back, http::back(door.clone()), 1000, Rc::new(Cell::new(0)));
     actix_rt::spawn(async move {
         if let Err(e) = behind.await {
             error!(error = %e, "the address behind is not served");
         }
     });
-    serve(public, api::public(door), most, open).await
+    serve(public, http::public(door), most, open).await
 }
--- a/src/fleet.rs
+++ b/src/scaling.rs
@@ -1,7 +1,7 @@
 //! Renting and returning: how many machines of which kind. Pure.
 
 use crate::names::{FrameIx, Index, MachineIx, ZoneIx};
-use crate::queue::{Needs, Room};
+use crate::placement::{Needs, Room};
 
 /// A type that can be rented.
 #[derive(Debug, Clone)]
--- a/src/fleet/tests.rs
+++ b/src/scaling/tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of `fleet`.
 
 use super::*;
-use crate::queue::tests::needs;
+use crate::placement::tests::needs;
 
 const RULES: Rules = Rules {
     horizon_s: 60.0,
--- a/src/spillover/borrowing.rs
+++ b/src/spillover/borrowing.rs
@@ -2,10 +2,10 @@
 
 use super::{CellCall, Core};
 use crate::clock::Ms;
-use crate::core::{Action, put};
+use crate::controller::{Action, put};
 use crate::names::JobIx;
-use crate::view::{Job, job_key};
-use crate::wire::{JobStatus, LegStatus, Report, Txn};
+use crate::protocol::{JobStatus, LegStatus, Report, Txn};
+use crate::replica::{Job, job_key};
 use quillbend_spillover::confirmation::Permission;
 use quillbend_spillover::message::{CellAnswer, LoanId, LoanReport, Progress, RequestBody};
 
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -2,12 +2,12 @@
 
 use super::{Batch, CellCall, Core, LentLoan};
 use crate::clock::Ms;
-use crate::core::commits::Payload;
-use crate::core::{Action, put};
+use crate::controller::writes::Payload;
+use crate::controller::{Action, put};
 use crate::names::JobIx;
+use crate::protocol::{Change, JobSpec, JobStatus, Txn};
 use crate::ranges::RangeSet;
-use crate::view::{Job, job_key};
-use crate::wire::{Change, JobSpec, JobStatus, Txn};
+use crate::replica::{Job, job_key};
 use quillbend_spillover::message::{
     CellAnswer, Decision, LoanId, Offer, OfferAnswer, Reason, RequestBody, TransferToken,
 };
--- a/src/spillover/mod.rs
+++ b/src/spillover/mod.rs
@@ -17,12 +17,12 @@
 
 use crate::clock::Ms;
 use crate::collections::HashMap;
-use crate::core::endings::TXN_BYTES;
-use crate::core::{Action, Core};
+use crate::controller::completions::TXN_BYTES;
+use crate::controller::{Action, Core};
 use crate::names::JobIx;
+use crate::protocol::{Change, Guard, HeardLoan, JobSpec, Txn};
 use crate::records::SPILLOVER_FORMAT;
-use crate::view::Job;
-use crate::wire::{Change, Guard, HeardLoan, JobSpec, Txn};
+use crate::replica::Job;
 use quillbend_spillover::confirmation::{Confirmations, Permission};
 use quillbend_spillover::contact::Contact;
 use quillbend_spillover::message::{CellAnswer, CellStatus, LoanId, RequestBody, VERSION};
--- a/src/spillover/serving.rs
+++ b/src/spillover/serving.rs
@@ -3,12 +3,12 @@
 
 use super::{CellRequest, Core};
 use crate::clock::Ms;
-use crate::core::put;
+use crate::controller::put;
 use crate::names::JobIx;
+use crate::protocol::{Change, Guard, JobSpec, JobStatus, Txn};
 use crate::ranges::RangeSet;
 use crate::records::{BorrowedMark, JobRecord, SPILLOVER_FORMAT, Transfer};
-use crate::view::{Job, job_key, past_key, waiting_key};
-use crate::wire::{Change, Guard, JobSpec, JobStatus, Txn};
+use crate::replica::{Job, job_key, past_key, waiting_key};
 use quillbend_spillover::message::{
     CellAnswer, Decision, LoanId, LoanReport, Offer, Progress, Reason, Refusal, RequestBody,
     Standing, StandingAnswer, VERSION,
--- a/src/spillover/tests.rs
+++ b/src/spillover/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of what transfers write together.
 
 use super::Batch;
-use crate::core::put;
-use crate::wire::Guard;
+use crate::controller::put;
+use crate::protocol::Guard;
 
 fn guard(k: &str) -> Guard {
     Guard {
--- a/src/state.rs
+++ b/src/store.rs
@@ -1,9 +1,9 @@
 //! Client of the state service.
 
-use crate::core::Outcome;
+use crate::controller::Outcome;
+use crate::protocol::{Item, ItemList, JobStatus, NewsList, Txn};
 use crate::records::JobRecord;
-use crate::view::past_key;
-use crate::wire::{Item, ItemList, JobStatus, NewsList, Txn};
+use crate::replica::past_key;
 use awc::Client;
 use awc::http::StatusCode;
 use serde::Deserialize;
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -9,9 +9,9 @@
 mod support;
 
 use quillbend::clock::Ms;
+use quillbend::protocol::*;
 use quillbend::records::*;
-use quillbend::view::View;
-use quillbend::wire::*;
+use quillbend::replica::View;
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -131,9 +131,9 @@
         pub state_ok: bool,
         pub short: bool,
         pub heard: Vec<(String, u64)>,
-        pub fleet: Option<quillbend::wire::FleetNews>,
-        pub strays: Vec<quillbend::wire::Stray>,
-        pub agents: Vec<quillbend::wire::Agent>,
+        pub fleet: Option<quillbend::protocol::FleetNews>,
+        pub strays: Vec<quillbend::protocol::Stray>,
+        pub agents: Vec<quillbend::protocol::Agent>,
         pub ratios: Vec<(String, f64)>,
         pub fails: Vec<(String, u32, u64)>,
         #[serde(default)]
--- a/tests/double_starts.rs
+++ b/tests/duplicate_execution.rs
@@ -3,9 +3,9 @@
 
 mod support;
 
+use quillbend::protocol::{Cause, Leg, LegStatus};
 use quillbend::ranges::RangeSet;
 use quillbend::records::BlockRecord;
-use quillbend::wire::{Cause, Leg, LegStatus};
 use support::occupancy::{DoubleStart, double_start};
 use support::{Mood, World};
 
--- a/tests/chains.rs
+++ b/tests/job_dependencies.rs
@@ -3,12 +3,12 @@
 
 mod support;
 
-use quillbend::core::Outcome;
+use quillbend::controller::Outcome;
 use quillbend::jobs::chained::Predecessor;
 use quillbend::jobs::gradual::{Step, Stored, plan_step};
 use quillbend::jobs::new_record;
-use quillbend::view::{job_key, past_key, waiting_key};
-use quillbend::wire::{JobSpec, JobStatus, Urgency};
+use quillbend::protocol::{JobSpec, JobStatus, Urgency};
+use quillbend::replica::{job_key, past_key, waiting_key};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use support::{Mood, PLATFORM, World};
--- a/tests/loopback_cells.rs
+++ b/tests/loopback_cells.rs
@@ -95,7 +95,7 @@
     }
 }
 
-type LoopbackMachine = quillbend::wire::ListedRig;
+type LoopbackMachine = quillbend::protocol::ListedRig;
 
 /// The machines of a cell, named apart from those of all others.
 fn machines_of(cell: usize) -> Vec<LoopbackMachine> {
--- a/tests/addition.rs
+++ b/tests/missed_messages.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use quillbend::clock::Ms;
-use quillbend::wire::{JobStatus, Urgency};
+use quillbend::protocol::{JobStatus, Urgency};
 use support::{Mood, World};
 
 /// A world that has settled: somebody leads and every machine is held and obeys.
@@ -388,7 +388,7 @@
         w.submit(n, spec);
     }
     w.run(60_000);
-    let count = |f: fn(&quillbend::core::Counters) -> u64| -> u64 {
+    let count = |f: fn(&quillbend::controller::Counters) -> u64| -> u64 {
         (0..3).map(|i| f(&w.core(i).counters)).sum()
     };
     let (steals, hops) = (count(|c| c.steals), count(|c| c.hops));
@@ -508,7 +508,7 @@
     let core = &mut w.nodes[i].as_mut().expect("alive").core;
     assert_eq!(core.woken(), std::slice::from_ref(&rig));
     let orders = |reply| match reply {
-        quillbend::core::Reply::Orders(o) => o.orders.len(),
+        quillbend::controller::Reply::Orders(o) => o.orders.len(),
         _ => 0,
     };
     assert_eq!(orders(core.answer_late(&rig, number, clock)), 2, "{job}");
--- a/tests/meetings.rs
+++ b/tests/overlapping_faults.rs
@@ -4,8 +4,8 @@
 mod support;
 
 use quillbend::clock::Ms;
-use quillbend::core::Outcome;
-use quillbend::wire::{JobStatus, Urgency};
+use quillbend::controller::Outcome;
+use quillbend::protocol::{JobStatus, Urgency};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use support::{Mood, World};
@@ -105,7 +105,7 @@
     w.run(20_000);
     let (now, ledger) = (w.clock(i), w.state.ledger());
     let core = &mut w.nodes[i].as_mut().expect("alive").core;
-    let empty = quillbend::wire::NewsList {
+    let empty = quillbend::protocol::NewsList {
         ledger,
         news: Vec::new(),
     };
--- a/tests/nights.rs
+++ b/tests/recovery_at_night.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use quillbend::wire::{JobStatus, Urgency};
+use quillbend::protocol::{JobStatus, Urgency};
 use support::World;
 
 /// Seconds of a story's time until something of a job starts.
--- a/tests/stories.rs
+++ b/tests/scheduling.rs
@@ -4,9 +4,9 @@
 mod support;
 
 use quillbend::clock::Ms;
-use quillbend::core::{Outcome, Reply};
+use quillbend::controller::{Outcome, Reply};
+use quillbend::protocol::JobStatus;
 use quillbend::records::BlockRecord;
-use quillbend::wire::JobStatus;
 use support::{Mood, World};
 
 /// A settled world of three controllers.
--- a/tests/spillover.rs
+++ b/tests/spillover.rs
@@ -3,9 +3,9 @@
 
 mod support;
 
+use quillbend::protocol::JobStatus;
 use quillbend::records::{JobRecord, SPILLOVER_FORMAT, Transfer};
-use quillbend::view::job_key;
-use quillbend::wire::JobStatus;
+use quillbend::replica::job_key;
 use quillbend_spillover::message::{
     CellAnswer, Decision, LoanId, Offer, Reason, Refusal, RequestBody, VERSION,
 };
@@ -336,7 +336,7 @@
     let lent = c.lent(EAST);
     c.cells[NORTH].run_ms = 100_000;
     let mut urgent = c.cells[NORTH].spec(12);
-    urgent.urgency = quillbend::wire::Urgency::Urgent;
+    urgent.urgency = quillbend::protocol::Urgency::Urgent;
     c.cells[NORTH].submit(900, urgent);
     c.until(60_000, "home, or begun there", |c| {
         let begun = |job: &String| c.cells[NORTH].starts_of(job) > 0;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -3,13 +3,13 @@
 #![allow(dead_code)]
 
 use quillbend::clock::Ms;
-use quillbend::core::{Action, Core, Op, Outcome, Reply};
+use quillbend::controller::{Action, Core, Op, Outcome, Reply};
 use quillbend::jobs;
 use quillbend::jobs::chained::{self, Acceptance, Predecessor, plan_acceptance};
+use quillbend::protocol::*;
 use quillbend::records::*;
+use quillbend::replica::{job_key, past_key, waiting_key};
 use quillbend::settings::{Options, Platform, Settings};
-use quillbend::view::{job_key, past_key, waiting_key};
-use quillbend::wire::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
--- a/tests/support/state.rs
+++ b/tests/support/state.rs
@@ -1,7 +1,7 @@
 //! The stand-in of the state service.
 
-use quillbend::core::Outcome;
-use quillbend::wire::{Change, Item, Json, News, NewsList, Txn};
+use quillbend::controller::Outcome;
+use quillbend::protocol::{Change, Item, Json, News, NewsList, Txn};
 use std::collections::{BTreeMap, HashMap};
 
 struct Key {
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -1,6 +1,6 @@
 //! The stand-in of a worker.
 
-use quillbend::wire::{Cause, Leg, LegStatus, ListedRig, Report};
+use quillbend::protocol::{Cause, Leg, LegStatus, ListedRig, Report};
 
 /// A task on a worker.
 pub struct Task {
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -4,10 +4,10 @@
 
 mod support;
 
-use quillbend::core::Outcome;
+use quillbend::controller::Outcome;
+use quillbend::protocol::{Item, JobStatus, Urgency};
 use quillbend::records::{CHAINS_FORMAT, DENSE_FORMAT, NEWEST_FORMAT};
-use quillbend::view::{FORMAT, job_key, past_key};
-use quillbend::wire::{Item, JobStatus, Urgency};
+use quillbend::replica::{FORMAT, job_key, past_key};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use support::{Mood, World};
