--- a/benches/costs.rs
+++ b/benches/costs.rs
@@ -6,7 +6,7 @@
 mod support;
 
 use hdrhistogram::Histogram;
-use quillbend::clock::Ms;
+use quillbend::clock::Timestamp;
 use quillbend::jobs;
 use std::hint::black_box;
 use std::time::Instant;
@@ -61,43 +61,43 @@
 
 fn costs(machines: usize) {
     let mut w = world(machines);
-    let mut report = Cost::new("a worker's report");
+    let mut heartbeat = Cost::new("a worker's report");
     let mut due = Cost::new("a look at what is due, leader");
     let mut long = Cost::new("a peer's long message");
     let mut short = Cost::new("a peer's short message");
     let mut poll = Cost::new("a poll, once the replica is there");
-    let mut news = Cost::new("a tenth of a second of changes");
+    let mut message = Cost::new("a tenth of a second of changes");
     for _ in 0..100 {
-        let before = w.state.ledger();
+        let before = w.state.revision();
         w.step();
-        let now = Ms(w.now);
+        let now = Timestamp(w.now);
         let leader = w.leader().unwrap_or(0);
         for at in (0..w.workers.len()).step_by(machines / 50) {
             w.workers[at].sequence += 1;
-            let r = w.workers[at].report();
-            let Some(holder) = w.holder(&r.rig) else {
+            let r = w.workers[at].heartbeat();
+            let Some(holder) = w.holder(&r.machine) else {
                 continue;
             };
-            if let Some(node) = w.nodes[holder].as_mut() {
-                report.measure(|| node.core.on_report(r, now));
+            if let Some(node) = w.live_controllers[holder].as_mut() {
+                heartbeat.measure(|| node.controller.on_heartbeat(r, now));
             }
         }
-        let list = w.state.news("qb/", before);
+        let list = w.state.events("qb/", before);
         let day = w.now;
-        let Some(node) = w.nodes[leader].as_mut() else {
+        let Some(node) = w.live_controllers[leader].as_mut() else {
             continue;
         };
         // The same changes once more, as another controller would take them in.
-        node.core.view.ledger = before.min(node.core.view.ledger);
-        news.measure(|| node.core.on_news(list, now, now));
-        due.measure(|| node.core.tick(now, day));
-        long.measure(|| node.core.peer_news(true, now));
-        short.measure(|| node.core.peer_news(false, now));
+        node.controller.replica.revision = before.min(node.controller.replica.revision);
+        message.measure(|| node.controller.on_watch_response(list, now, now));
+        due.measure(|| node.controller.tick(now, day));
+        long.measure(|| node.controller.peer_message(true, now));
+        short.measure(|| node.controller.peer_message(false, now));
         poll.measure(|| {
-            let view = &node.core.view;
-            let ix = view.names.jobs.get("wk-000007")?;
-            let job = view.jobs.get(&ix)?;
-            let running = node.core.running(ix);
+            let replica = &node.controller.replica;
+            let job_id = replica.names.jobs.get("wk-000007")?;
+            let job = replica.jobs.get(&job_id)?;
+            let running = node.controller.running(job_id);
             Some(jobs::answer(
                 "wk-000007",
                 job.status,
@@ -107,7 +107,7 @@
         });
     }
     println!("{machines} machines, {} tasks running", w.running());
-    for cost in [&report, &due, &long, &short, &poll, &news] {
+    for cost in [&heartbeat, &due, &long, &short, &poll, &message] {
         cost.show();
     }
 }
@@ -122,10 +122,10 @@
     let mut body = spec;
     body["ref"] = "wk-000412".into();
     let body = body.to_string();
-    let core = w.core(0);
+    let controller = w.controller(0);
     for _ in 0..2000 {
         submission.measure(|| match jobs::read(body.as_bytes()) {
-            jobs::Read::Good(s) => core.never_runs(&s.spec),
+            jobs::Read::Good(s) => controller.never_runs(&s.spec),
             jobs::Read::Bad(..) => unreachable!("the submission is good"),
         });
     }
--- a/crates/spillover/src/confirmation.rs
+++ b/crates/spillover/src/confirmation.rs
@@ -30,7 +30,7 @@
     token: TransferToken,
     lease_ms: u64,
     /// When this controller learned of it.
-    noted: u64,
+    recorded_done: u64,
     /// The latest moment, on this controller's clock, at which the loan surely stood.
     stood_at: Option<u64>,
     over: bool,
@@ -51,15 +51,15 @@
         if known.is_some_and(|k| k.token >= loan.token) {
             return;
         }
-        let fresh = Known {
+        let known_loan = Known {
             token: loan.token,
             lease_ms,
-            noted: now,
+            recorded_done: now,
             stood_at: None,
             over: false,
             acknowledged: false,
         };
-        self.loans.insert(loan.job.clone(), fresh);
+        self.loans.insert(loan.job.clone(), known_loan);
     }
 
     /// Forgets loans that the replica shows no more.
@@ -68,7 +68,7 @@
     }
 
     /// Takes an answer to a question that was sent at `sent` and that told of the loan's end, or not.
-    pub fn on_answer(&mut self, answer: &StandingAnswer, sent: u64, told_end: bool) {
+    pub fn on_answer(&mut self, answer: &StandingAnswer, sent: u64, reported_end: bool) {
         let Some(known) = self.loans.get_mut(&answer.loan.job) else {
             return;
         };
@@ -82,7 +82,7 @@
             }
             Standing::Over => {
                 known.over = true;
-                known.acknowledged |= told_end;
+                known.acknowledged |= reported_end;
             }
             Standing::Unknown => {}
         }
@@ -98,7 +98,7 @@
         }
         match known.stood_at {
             Some(at) if now < at.saturating_add(known.lease_ms) => Permission::Run,
-            None if now.saturating_sub(known.noted) < FIRST_ANSWER_MS => Permission::Wait,
+            None if now.saturating_sub(known.recorded_done) < FIRST_ANSWER_MS => Permission::Wait,
             _ => Permission::Stop,
         }
     }
--- a/crates/spillover/tests/decisions.rs
+++ b/crates/spillover/tests/decisions.rs
@@ -257,11 +257,15 @@
     let recall = |loan: LoanState, room: bool| recall(&loan, room, 15_000, &policy);
     assert_eq!(recall(idle, false), None);
     assert_eq!(recall(idle, true), Some(RecallReason::RoomAtHome));
-    let unheard = LoanState {
+    let missed_acks = LoanState {
         heard: false,
         ..idle
     };
-    assert_eq!(recall(unheard, true), None, "it may not have arrived yet");
+    assert_eq!(
+        recall(missed_acks, true),
+        None,
+        "it may not have arrived yet"
+    );
     let busy = LoanState {
         idle_ms: 9000,
         ..idle
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -4,16 +4,16 @@
 
 /// Milliseconds on a process's own steady clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
-pub struct Ms(pub u64);
+pub struct Timestamp(pub u64);
 
-impl Ms {
+impl Timestamp {
     /// This moment and `ms` milliseconds more.
-    pub fn plus(self, ms: u64) -> Ms {
-        Ms(self.0.saturating_add(ms))
+    pub fn plus(self, ms: u64) -> Timestamp {
+        Timestamp(self.0.saturating_add(ms))
     }
 
     /// Milliseconds since `earlier`, zero if it lies ahead.
-    pub fn since(self, earlier: Ms) -> u64 {
+    pub fn since(self, earlier: Timestamp) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
@@ -21,7 +21,7 @@
 /// Where the time comes from.
 pub trait Clock {
     /// The steady clock.
-    fn now(&self) -> Ms;
+    fn now(&self) -> Timestamp;
     /// Time of day, milliseconds since the epoch.
     fn day_ms(&self) -> u64;
 }
@@ -41,8 +41,8 @@
 }
 
 impl Clock for SystemClock {
-    fn now(&self) -> Ms {
-        Ms(3_600_000 + self.start.elapsed().as_millis() as u64)
+    fn now(&self) -> Timestamp {
+        Timestamp(3_600_000 + self.start.elapsed().as_millis() as u64)
     }
 
     fn day_ms(&self) -> u64 {
--- a/src/controller/formats.rs
+++ b/src/controller/formats.rs
@@ -26,12 +26,12 @@
     /// The format that it reads.
     format: u32,
     /// When it was last seen.
-    seen: Ms,
+    seen: Timestamp,
 }
 
-impl Core {
+impl Controller {
     /// Takes note of the version that a controller runs.
-    pub(crate) fn note_format(&mut self, host: HostIx, format: u32, now: Ms) {
+    pub(crate) fn note_format(&mut self, host: HostId, format: u32, now: Timestamp) {
         if format < self.format {
             let seen = now;
             self.older.insert(host, OlderVersion { format, seen });
@@ -41,10 +41,10 @@
     }
 
     /// Takes note of the versions that the controllers' keys show.
-    pub(crate) fn note_formats(&mut self, now: Ms) {
-        let shown: Vec<(HostIx, u32)> = self
-            .view
-            .nodes
+    pub(crate) fn note_formats(&mut self, now: Timestamp) {
+        let shown: Vec<(HostId, u32)> = self
+            .replica
+            .live_controllers
             .iter()
             .map(|(&host, node)| (host, node.format))
             .collect();
@@ -60,13 +60,13 @@
     /// Guards against an earlier version that is started by mistake: it would see only a part of the
     /// jobs and queues, and act on that. It does nothing at all, and the others replace it.
     pub fn is_outdated(&self) -> bool {
-        self.view.format > NEWEST_FORMAT
+        self.replica.format > NEWEST_FORMAT
     }
 
     /// Says from now on that it reads a newer format than the one it was started with, once that is
     /// recorded: another controller has turned on what needs it.
     pub(crate) fn follow_recorded_format(&mut self) {
-        let recorded = self.view.format;
+        let recorded = self.replica.format;
         if recorded > self.format && self.format >= CURRENT_FORMAT && recorded <= NEWEST_FORMAT {
             self.format = recorded;
         }
@@ -74,9 +74,9 @@
 
     /// Says once that this version cannot serve here.
     pub(crate) fn note_outdated(&mut self) {
-        if !std::mem::replace(&mut self.said_outdated, true) {
+        if !std::mem::replace(&mut self.outdated_logged, true) {
             error!(
-                stored = self.view.format,
+                stored = self.replica.format,
                 read = NEWEST_FORMAT,
                 "values are stored in a newer format: this version cannot serve here"
             );
@@ -84,10 +84,14 @@
     }
 
     /// The newest format that all controllers read which are there, or were a moment ago.
-    pub fn common_format(&self, now: Ms) -> u32 {
+    pub fn common_format(&self, now: Timestamp) -> u32 {
         let lately = self.older.values();
         let lately = lately.filter(|older| now.since(older.seen) < OLDER_GONE_MS);
-        let keys = self.view.nodes.iter().filter(|(host, _)| **host != self.me);
+        let keys = self
+            .replica
+            .live_controllers
+            .iter()
+            .filter(|(host, _)| **host != self.me);
         lately
             .map(|older| older.format)
             .chain(keys.map(|(_, node)| node.format))
@@ -96,23 +100,23 @@
 
     /// Whether jobs may be accepted that wait for others. Once all controllers were seen to read
     /// them this stays so, whatever comes back for a moment.
-    pub fn accepts_waiting(&self, now: Ms) -> bool {
+    pub fn accepts_waiting(&self, now: Timestamp) -> bool {
         self.format >= CHAINS_FORMAT
-            && (self.view.format >= CHAINS_FORMAT || self.common_format(now) >= CHAINS_FORMAT)
+            && (self.replica.format >= CHAINS_FORMAT || self.common_format(now) >= CHAINS_FORMAT)
     }
 
     /// Records the format that all controllers read, as far as the operators let it be written.
-    pub(crate) fn plan_format(&mut self, now: Ms) -> Option<Txn> {
+    pub(crate) fn plan_format(&mut self, now: Timestamp) -> Option<Transaction> {
         let most = self.settings.options.format_most as u32;
         let format = self.common_format(now).min(most);
-        if format <= self.view.format || !self.listened(now) {
+        if format <= self.replica.format || !self.listened(now) {
             return None;
         }
         let record = FormatRecord { format };
         info!(format, "all controllers read this format");
-        Some(Txn {
-            guards: Vec::new(),
-            then: vec![put(FORMAT, &record, None)],
+        Some(Transaction {
+            preconditions: Vec::new(),
+            mutations: vec![put(FORMAT, &record, None)],
         })
     }
 
@@ -120,23 +124,23 @@
     ///
     /// Guards against an older version that leads for a moment: it knows nothing of jobs that
     /// wait, and archives those that they need.
-    pub(crate) fn ask_archive(&mut self, now: Ms, out: &mut Vec<Action>) {
-        if now < self.next_archived || self.view.waiting.jobs.is_empty() {
+    pub(crate) fn ask_archive(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        if now < self.next_archived || self.replica.waiting.jobs.is_empty() {
             return;
         }
         self.next_archived = now.plus(ARCHIVE_MS);
-        let missing = self.view.missing_predecessors().into_iter();
-        let names = missing.map(|job| self.view.names.jobs.name(job).to_owned());
+        let missing = self.replica.missing_predecessors().into_iter();
+        let names = missing.map(|job| self.replica.names.jobs.name(job).to_owned());
         let names: Vec<String> = names.take(ARCHIVE_JOBS).collect();
         if !names.is_empty() {
-            out.push(Action::Archived(names));
+            out.push(Effect::Archived(names));
         }
     }
 
     /// The archive shows the final state of a job.
     pub fn on_archived(&mut self, name: &str, status: JobStatus) {
-        if let Some(job) = self.view.names.jobs.get(name) {
-            self.view.note_archived(job, status);
+        if let Some(job) = self.replica.names.jobs.get(name) {
+            self.replica.note_archived(job, status);
         }
     }
 }
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -15,7 +15,7 @@
 pub(crate) const NO_TOKEN: u64 = 0;
 
 /// What a report is worth.
-enum Worth {
+enum HeartbeatVerdict {
     /// It is old, or must not be answered.
     Nothing,
     /// It may show that a machine which was given up is back.
@@ -28,50 +28,57 @@
 
 /// Whether a report without our token comes from a worker that has begun anew: it is not the
 /// first one, and the numbers rise as time goes on.
-fn begins_anew(runtime: &mut MachineRuntime, r: &Report, now: Ms) -> bool {
-    let number = (r.session, r.sequence);
+fn worker_restarted(runtime: &mut MachineRuntime, r: &Heartbeat, now: Timestamp) -> bool {
+    let number = (r.worker_epoch, r.sequence);
     match runtime.low {
-        Some((session, sequence, at)) if number > (session, sequence) && now.since(at) < 30_000 => {
+        Some((worker_epoch, sequence, at))
+            if number > (worker_epoch, sequence) && now.since(at) < 30_000 =>
+        {
             now.since(at) >= 400
         }
         _ => {
-            runtime.low = Some((r.session, r.sequence, now));
+            runtime.low = Some((r.worker_epoch, r.sequence, now));
             false
         }
     }
 }
 
 /// Whether a report shows another attempt of a task that has not ended.
-fn other_attempt_is_there(r: &Report, leg: &Leg) -> bool {
-    let same_task = r.legs.iter().filter(|l| l.leg == leg.leg);
-    let mut others = same_task.filter(|l| l.attempt != leg.attempt);
-    others.any(|l| l.status != LegStatus::Ended)
+fn shows_another_live_attempt(r: &Heartbeat, reported: &TaskStatus) -> bool {
+    let same_task = r.tasks.iter().filter(|l| l.task == reported.task);
+    let mut others = same_task.filter(|l| l.attempt != reported.attempt);
+    others.any(|l| l.status != TaskPhase::Ended)
 }
 
 /// Machines remembered that report here and are held elsewhere or by nobody. It guards the memory only:
 /// after an end of all controllers every machine of a fleet may come to one of them.
-const MOST_STRAYS: usize = 20_000;
+const MAX_UNOWNED_MACHINES: usize = 20_000;
 
-impl Core {
+impl Controller {
     /// Notes a report of a machine that is not held here.
-    pub(crate) fn stray(&mut self, r: &Report, token: u64, now: Ms) {
-        let fresh = StrayState {
+    pub(crate) fn note_unowned_machine(&mut self, r: &Heartbeat, token: u64, now: Timestamp) {
+        let new_entry = UnownedMachineState {
             first: now,
             last: now,
             newest: (0, 0),
             token,
-            frame: r.frame.clone(),
+            machine_type: r.machine_type.clone(),
             zone: r.zone.clone(),
             spot: r.spot,
         };
-        if self.strays.len() >= MOST_STRAYS && !self.strays.contains_key(&r.rig) {
+        if self.unowned_machines.len() >= MAX_UNOWNED_MACHINES
+            && !self.unowned_machines.contains_key(&r.machine)
+        {
             return;
         }
-        let s = self.strays.entry(r.rig.clone()).or_insert(fresh);
-        if (r.session, r.sequence) <= s.newest && now.since(s.last) < 60_000 {
+        let s = self
+            .unowned_machines
+            .entry(r.machine.clone())
+            .or_insert(new_entry);
+        if (r.worker_epoch, r.sequence) <= s.newest && now.since(s.last) < 60_000 {
             return;
         }
-        s.newest = (r.session, r.sequence);
+        s.newest = (r.worker_epoch, r.sequence);
         if now.since(s.last) > 7000 || s.token != token {
             s.first = now;
             s.token = token;
@@ -80,142 +87,164 @@
     }
 
     /// A worker reports.
-    pub fn on_report(&mut self, r: Report, now: Ms) -> Reply {
-        self.take_report(r, false, now)
+    pub fn on_heartbeat(&mut self, r: Heartbeat, now: Timestamp) -> HeartbeatResponse {
+        self.take_heartbeat(r, false, now)
     }
 
     /// The same for a report since whose arrival the replica has caught up with the state service.
-    pub fn on_confirmed_report(&mut self, r: Report, now: Ms) -> Reply {
-        self.take_report(r, true, now)
+    pub fn on_confirmed_heartbeat(&mut self, r: Heartbeat, now: Timestamp) -> HeartbeatResponse {
+        self.take_heartbeat(r, true, now)
     }
 
-    fn take_report(&mut self, r: Report, confirmed: bool, now: Ms) -> Reply {
-        let known = self.view.names.machines.get(&r.rig);
-        let Some((ix, (_, grant))) = known.and_then(|m| Some((m, self.view.holder(m)?))) else {
-            self.stray(&r, 0, now);
+    fn take_heartbeat(
+        &mut self,
+        r: Heartbeat,
+        confirmed: bool,
+        now: Timestamp,
+    ) -> HeartbeatResponse {
+        let known = self.replica.names.machines.get(&r.machine);
+        let Some((machine_id, (_, grant))) = known.and_then(|m| Some((m, self.replica.holder(m)?)))
+        else {
+            self.note_unowned_machine(&r, 0, now);
             let leader = self
-                .view
-                .lead
+                .replica
+                .leader
                 .filter(|l| l.host != self.me && self.hears(l.host, now));
             self.counters.redirects += 1;
             return match leader {
-                Some(l) => Reply::Elsewhere(Some(self.view.names.hosts.name(l.host).to_owned())),
-                None => Reply::Unavailable,
+                Some(l) => HeartbeatResponse::Elsewhere(Some(
+                    self.replica.names.hosts.name(l.host).to_owned(),
+                )),
+                None => HeartbeatResponse::Unavailable,
             };
         };
         if !self.is_mine(&grant) {
             self.counters.redirects += 1;
-            self.stray(&r, grant.stamp, now);
+            self.note_unowned_machine(&r, grant.mod_revision, now);
             // A holder that is silent to us is not named: the worker would wait for it in vain.
             let name = (grant.host != self.me && self.hears(grant.host, now))
-                .then(|| self.view.names.hosts.name(grant.host).to_owned());
-            return Reply::Elsewhere(name);
+                .then(|| self.replica.names.hosts.name(grant.host).to_owned());
+            return HeartbeatResponse::Elsewhere(name);
         }
-        let block = self.view.machines.get(&ix).map(|m| m.block);
-        if let Some(&(_, holder)) = block.and_then(|b| self.told_granted.get(&b))
+        let block = self.replica.machines.get(&machine_id).map(|m| m.block);
+        if let Some(&(_, holder)) = block.and_then(|b| self.peer_reported_grants.get(&b))
             && holder != self.me
         {
             self.counters.redirects += 1;
-            return Reply::Elsewhere(Some(self.view.names.hosts.name(holder).to_owned()));
+            return HeartbeatResponse::Elsewhere(Some(
+                self.replica.names.hosts.name(holder).to_owned(),
+            ));
         }
         if !self.holds(&grant) {
-            return Reply::Unavailable;
+            return HeartbeatResponse::Unavailable;
         }
-        if !self.has_authority(now) || r.token > grant.stamp {
+        if !self.has_authority(now) || r.token > grant.mod_revision {
             // Without authority, or with a later holder about, an answer would only hold the
             // worker here while its lease runs.
             self.counters.redirects += 1;
-            return Reply::Elsewhere(None);
+            return HeartbeatResponse::Elsewhere(None);
         }
         if self.must_wait_for_confirmation(&r, now) {
-            return Reply::Unavailable;
-        }
-        let mut runtime = self.runtime.remove(&ix).unwrap_or_default();
-        let reply = match self.judge(ix, &mut runtime, &r, confirmed, now) {
-            Worth::Nothing => Reply::Unavailable,
-            Worth::Unconfirmed => Reply::Unconfirmed,
-            Worth::Revival => self.revive(ix, &mut runtime, &r, grant.stamp, now),
-            Worth::Answer => {
-                self.strays.remove(&r.rig);
-                let orders = self.answer(ix, &mut runtime, &r, Token(grant.stamp), now);
+            return HeartbeatResponse::Unavailable;
+        }
+        let mut runtime = self.runtime.remove(&machine_id).unwrap_or_default();
+        let reply = match self.classify_heartbeat(machine_id, &mut runtime, &r, confirmed, now) {
+            HeartbeatVerdict::Nothing => HeartbeatResponse::Unavailable,
+            HeartbeatVerdict::Unconfirmed => HeartbeatResponse::Unconfirmed,
+            HeartbeatVerdict::Revival => {
+                self.revive(machine_id, &mut runtime, &r, grant.mod_revision, now)
+            }
+            HeartbeatVerdict::Answer => {
+                self.unowned_machines.remove(&r.machine);
+                let orders = self.answer(
+                    machine_id,
+                    &mut runtime,
+                    &r,
+                    FencingToken(grant.mod_revision),
+                    now,
+                );
                 runtime.last_ok = Some(now);
-                self.counters.reports += 1;
-                Reply::Orders(Orders {
-                    token: grant.stamp,
+                self.counters.heartbeats += 1;
+                HeartbeatResponse::HeartbeatAck(HeartbeatAck {
+                    token: grant.mod_revision,
                     orders,
                 })
             }
         };
-        self.runtime.insert(ix, runtime);
+        self.runtime.insert(machine_id, runtime);
         reply
     }
 
     /// What a report is worth. Reports may be copies from long ago, of this life of the worker or
     /// of an earlier one.
-    fn judge(
+    fn classify_heartbeat(
         &self,
-        ix: MachineIx,
+        machine_id: MachineId,
         runtime: &mut MachineRuntime,
-        r: &Report,
+        r: &Heartbeat,
         confirmed: bool,
-        now: Ms,
-    ) -> Worth {
-        let number = (r.session, r.sequence);
+        now: Timestamp,
+    ) -> HeartbeatVerdict {
+        let number = (r.worker_epoch, r.sequence);
         if r.token == runtime.token {
             // Made under this grant: the numbers tell which is the newest. A copy renews nothing
             // and proves nothing, and nobody waits for its answer.
-            return match (number > runtime.newest, runtime.lost) {
-                (false, _) => Worth::Nothing,
-                (true, true) => Worth::Revival,
-                (true, false) => Worth::Answer,
+            return match (number > runtime.newest, runtime.presumed_dead) {
+                (false, _) => HeartbeatVerdict::Nothing,
+                (true, true) => HeartbeatVerdict::Revival,
+                (true, false) => HeartbeatVerdict::Answer,
             };
         }
         if runtime.fenced {
             // A worker never forgets a token, so this is a copy, or a worker that began anew.
             // Numbers cannot tell the lives of a worker apart, only a new grant can.
-            if begins_anew(runtime, r, now) && !runtime.anew {
-                info!(rig = r.rig, "a worker began anew");
-                runtime.anew = true;
+            if worker_restarted(runtime, r, now) && !runtime.restarted {
+                info!(machine = r.machine, "a worker began anew");
+                runtime.restarted = true;
             }
-            return Worth::Nothing;
+            return HeartbeatVerdict::Nothing;
         }
         if r.token == NO_TOKEN && !confirmed {
             // Guards against a worker that begins anew and would obey any controller that ever held
             // it, also one whose block was granted to another long ago and whose copy of the queue
             // lists what has moved since. A life of a worker adopts a token only if that was the
             // present one after the life had begun; from then on the token protects it.
-            return Worth::Unconfirmed;
+            return HeartbeatVerdict::Unconfirmed;
         }
-        if runtime.lost {
-            return Worth::Revival;
+        if runtime.presumed_dead {
+            return HeartbeatVerdict::Revival;
         }
         // Until the machine obeys, our answers may or may not reach it. When it still does not
-        // after all this time, they end, so that the lease of what it might run ends too.
-        if self.view.lists_any(ix) && now.since(runtime.since) > self.settings.stranger_gone_ms() {
-            return Worth::Nothing;
+        // after all this time, they end, so that the lease of what it might run completions too.
+        if self.replica.lists_any(machine_id)
+            && now.since(runtime.since) > self.settings.unfenced_gone_ms()
+        {
+            return HeartbeatVerdict::Nothing;
         }
-        Worth::Answer
+        HeartbeatVerdict::Answer
     }
 
     /// A machine that was given up comes back. Its tasks may be bound elsewhere by now, so it
     /// is answered again only once its queue is empty and it shows a session without tasks.
     pub(crate) fn revive(
         &mut self,
-        ix: MachineIx,
+        machine_id: MachineId,
         runtime: &mut MachineRuntime,
-        r: &Report,
+        r: &Heartbeat,
         token: u64,
-        now: Ms,
-    ) -> Reply {
-        if self.view.lists_any(ix) || r.legs.iter().any(|l| l.status != LegStatus::Ended) {
-            return Reply::Unavailable;
+        now: Timestamp,
+    ) -> HeartbeatResponse {
+        if self.replica.lists_any(machine_id)
+            || r.tasks.iter().any(|l| l.status != TaskPhase::Ended)
+        {
+            return HeartbeatResponse::Unavailable;
         }
-        info!(rig = r.rig, "a machine that was given up is back");
+        info!(machine = r.machine, "a machine that was given up is back");
         *runtime = MachineRuntime {
             token,
             since: now,
             newest: if r.token == token {
-                (r.session, r.sequence)
+                (r.worker_epoch, r.sequence)
             } else {
                 runtime.newest
             },
@@ -223,7 +252,7 @@
             last_ok: Some(now),
             ..MachineRuntime::default()
         };
-        Reply::Orders(Orders {
+        HeartbeatResponse::HeartbeatAck(HeartbeatAck {
             token,
             orders: Vec::new(),
         })
@@ -231,36 +260,36 @@
 
     pub(crate) fn answer(
         &mut self,
-        ix: MachineIx,
+        machine_id: MachineId,
         runtime: &mut MachineRuntime,
-        r: &Report,
-        token: Token,
-        now: Ms,
-    ) -> Vec<Order> {
+        r: &Heartbeat,
+        token: FencingToken,
+        now: Timestamp,
+    ) -> Vec<Command> {
         let mut orders = Vec::new();
-        let Some(machine) = self.view.machines.get(&ix) else {
+        let Some(machine) = self.replica.machines.get(&machine_id) else {
             return orders;
         };
         self.note_hearing(runtime, r, now);
         if runtime.heard.is_none() {
             info!(
-                rig = r.rig,
+                machine = r.machine,
                 token = token.0,
-                session = r.session,
+                worker_epoch = r.worker_epoch,
                 "machine reports to us"
             );
         }
-        if r.session > runtime.newest.0 && runtime.newest.0 > 0 {
+        if r.worker_epoch > runtime.newest.0 && runtime.newest.0 > 0 {
             warn!(
-                rig = r.rig,
-                session = r.session,
+                machine = r.machine,
+                worker_epoch = r.worker_epoch,
                 "machine began a new session"
             );
         }
-        let number = (r.session, r.sequence);
+        let number = (r.worker_epoch, r.sequence);
         if r.token == token.0 {
             runtime.newest = number;
-            self.hasty |= !runtime.fenced;
+            self.urgent_update |= !runtime.fenced;
             runtime.fenced = true;
             runtime.heard = Some(now);
         } else if number > runtime.unproven {
@@ -274,74 +303,78 @@
             .map(|s| now.plus((s.max(0.0) * 1000.0) as u64));
         runtime.launched.clear();
         runtime.waits = false;
-        let before = std::mem::take(&mut runtime.legs);
-        let ends_before = self.ends.get(&ix).map_or(&[][..], Vec::as_slice);
-        let ended_before = |e: &Entry| ends_before.iter().any(|x| x.0 == *e);
-        let queue: HashMap<TaskIx, u64> =
+        let before = std::mem::take(&mut runtime.tasks);
+        let ends_before = self
+            .pending_completions
+            .get(&machine_id)
+            .map_or(&[][..], Vec::as_slice);
+        let ended_before = |e: &Binding| ends_before.iter().any(|x| x.0 == *e);
+        let queue: HashMap<TaskId, u64> =
             machine.queue.iter().map(|e| (e.task, e.attempt)).collect();
         // Everything the report shows is taken in, whether or not the machine's type is known: after
         // a restart while the cloud is away, what seemed absent could be stolen and run twice.
         let leaving = machine.leaving
-            || runtime.sick
+            || runtime.quarantined
             || runtime.recall_at.is_some()
-            || runtime.deaf.is_some();
-        let mut clears: Vec<Order> = Vec::new();
+            || runtime.unreachable_since.is_some();
+        let mut clears: Vec<Command> = Vec::new();
         let mut used = Room::default();
-        let mut new_ends: Vec<(Entry, End)> = Vec::new();
-        let mut ratios: Vec<(ClassIx, f64)> = Vec::new();
-        for leg in &r.legs {
-            let ended = leg.status == LegStatus::Ended;
-            let task = self.view.names.task(&leg.leg);
-            let job = task.and_then(|t| self.view.jobs.get(&t.job));
+        let mut new_ends: Vec<(Binding, TaskOutcome)> = Vec::new();
+        let mut ratios: Vec<(ClassId, f64)> = Vec::new();
+        for reported in &r.tasks {
+            let ended = reported.status == TaskPhase::Ended;
+            let task = self.replica.names.task(&reported.task);
+            let job = task.and_then(|t| self.replica.jobs.get(&t.job));
             if let (Some(job), false) = (job, ended) {
                 used.add(&job.room(), 1.0);
             }
-            let listed = task.filter(|t| queue.get(t) == Some(&leg.attempt));
+            let listed = task.filter(|t| queue.get(t) == Some(&reported.attempt));
             let Some(task) = listed else {
                 // Not in the queue: its ending is durable already, or another attempt took its
                 // place. Either way nothing here depends on it any more.
                 if ended {
-                    clears.push(Order::Clear {
-                        leg: leg.leg.clone(),
-                        attempt: leg.attempt,
+                    clears.push(Command::Clear {
+                        task: reported.task.clone(),
+                        attempt: reported.attempt,
                     });
                 } else {
-                    orders.push(Order::Stop {
-                        leg: leg.leg.clone(),
-                        attempt: leg.attempt,
+                    orders.push(Command::Stop {
+                        task: reported.task.clone(),
+                        attempt: reported.attempt,
                         grace_s: 0.0,
                     });
                 }
                 if let Some(task) = task {
-                    runtime.legs.insert(task, task_runtime(leg, None));
+                    runtime.tasks.insert(task, task_runtime(reported, None));
                 }
                 continue;
             };
-            let entry = Entry {
+            let entry = Binding {
                 task,
-                attempt: leg.attempt,
+                attempt: reported.attempt,
             };
-            let was = before.get(&task).filter(|b| b.attempt == leg.attempt);
+            let was = before.get(&task).filter(|b| b.attempt == reported.attempt);
             let since = was
                 .and_then(|b| b.running_since)
-                .or((leg.status == LegStatus::Running).then_some(now));
-            runtime.legs.insert(task, task_runtime(leg, since));
-            if was.is_none_or(|b| b.status != leg.status) {
-                debug!(leg = leg.leg, rig = r.rig, status = ?leg.status, cause = ?leg.cause, "reported");
+                .or((reported.status == TaskPhase::Running).then_some(now));
+            runtime.tasks.insert(task, task_runtime(reported, since));
+            if was.is_none_or(|b| b.status != reported.status) {
+                debug!(reported = reported.task, machine = r.machine, status = ?reported.status, cause = ?reported.cause, "reported");
             }
             if ended {
-                let end = match leg.cause {
-                    Some(Cause::Done) => End::Done,
-                    Some(Cause::Error) => End::Failed,
-                    _ => End::Free,
+                let end = match reported.cause {
+                    Some(ExitReason::Done) => TaskOutcome::Done,
+                    Some(ExitReason::Error) => TaskOutcome::Failed,
+                    _ => TaskOutcome::Free,
                 };
                 // Anything but a completion is believed only if it was reported under our token and
                 // no other attempt is there. A copy from an earlier session may tell of an attempt
                 // that has been started again since.
-                let proven = runtime.fenced && !other_attempt_is_there(r, leg);
-                if !ended_before(&entry) && (end == End::Done || proven) {
-                    if let (Some(job), End::Done, Some(since), Some(was)) = (job, end, since, was)
-                        && was.status == LegStatus::Running
+                let proven = runtime.fenced && !shows_another_live_attempt(r, reported);
+                if !ended_before(&entry) && (end == TaskOutcome::Done || proven) {
+                    if let (Some(job), TaskOutcome::Done, Some(since), Some(was)) =
+                        (job, end, since, was)
+                        && was.status == TaskPhase::Running
                         && job.spec.estimate_s > 0.0
                     {
                         let ran = now.since(since) as f64 / 1000.0;
@@ -352,7 +385,7 @@
                 continue;
             }
             let Some(job) = job else { continue };
-            let name = self.view.names.jobs.name(task.job);
+            let name = self.replica.names.jobs.name(task.job);
             let loan_over = self.permission(job, name, now) == Permission::Stop;
             let stop = if loan_over || self.is_over(task.job, job) {
                 Some(0.0)
@@ -361,7 +394,7 @@
                 let saves = job.spec.checkpoint_s > 0.0;
                 let ran = since.map_or(0, |s| now.since(s)) as f64 / 1000.0;
                 let rest = (self.run_s(job) - ran).max(1.0);
-                if leg.status == LegStatus::Flushing || rest < left * 0.5 {
+                if reported.status == TaskPhase::Flushing || rest < left * 0.5 {
                     None
                 } else if saves {
                     Some(job.spec.save_s.max(left))
@@ -370,17 +403,17 @@
                     (rest > left * 1.5).then_some(0.0)
                 }
             } else if machine.evict.contains(&entry) {
-                (leg.status != LegStatus::Flushing).then_some(job.spec.save_s + 5.0)
-            } else if machine.leaving || runtime.sick {
-                (leg.status != LegStatus::Flushing && job.spec.checkpoint_s > 0.0)
+                (reported.status != TaskPhase::Flushing).then_some(job.spec.save_s + 5.0)
+            } else if machine.leaving || runtime.quarantined {
+                (reported.status != TaskPhase::Flushing && job.spec.checkpoint_s > 0.0)
                     .then_some(job.spec.save_s + 5.0)
             } else {
                 None
             };
             if let Some(grace_s) = stop {
-                orders.push(Order::Stop {
-                    leg: leg.leg.clone(),
-                    attempt: leg.attempt,
+                orders.push(Command::Stop {
+                    task: reported.task.clone(),
+                    attempt: reported.attempt,
                     grace_s,
                 });
             }
@@ -388,7 +421,7 @@
         // A worker that has seen no token yet is only given ours: what it is to start comes once it
         // has shown that it obeys.
         if r.token != NO_TOKEN {
-            let (launches, freed) = self.launch(ix, runtime, used, leaving, now);
+            let (launches, freed) = self.launch(machine_id, runtime, used, leaving, now);
             orders.extend(launches);
             new_ends.extend(freed);
         }
@@ -404,13 +437,13 @@
             orders.append(&mut clears);
         }
         self.count_running(&before, false);
-        self.count_running(&runtime.legs, true);
+        self.count_running(&runtime.tasks, true);
         for (class, ratio) in ratios {
             let r = self.ratios.entry(class).or_insert(ratio.clamp(0.2, 5.0));
             *r += (ratio.clamp(0.2, 5.0) - *r) * 0.05;
         }
         for (entry, end) in new_ends {
-            self.note_end(ix, entry, end, runtime, now);
+            self.note_end(machine_id, entry, end, runtime, now);
         }
         orders
     }
@@ -419,41 +452,41 @@
     /// here any more is freed.
     fn launch(
         &mut self,
-        ix: MachineIx,
+        machine_id: MachineId,
         runtime: &mut MachineRuntime,
         mut used: Room,
         leaving: bool,
-        now: Ms,
-    ) -> (Vec<Order>, Vec<(Entry, End)>) {
+        now: Timestamp,
+    ) -> (Vec<Command>, Vec<(Binding, TaskOutcome)>) {
         let (mut orders, mut freed) = (Vec::new(), Vec::new());
-        let Some(machine) = self.view.machines.get(&ix) else {
+        let Some(machine) = self.replica.machines.get(&machine_id) else {
             return (orders, freed);
         };
         let size = self.size(machine);
-        let mut heads: Vec<&Entry> = machine.queue.iter().collect();
+        let mut heads: Vec<&Binding> = machine.queue.iter().collect();
         heads.sort_by_key(|e| {
-            let job = self.view.jobs.get(&e.task.job);
-            job.map(|j| j.spec.urgency)
+            let job = self.replica.jobs.get(&e.task.job);
+            job.map(|j| j.spec.priority)
         });
         let mut full = leaving;
         for e in heads {
-            let on_it = runtime.legs.contains_key(&e.task) || runtime.launched.contains(&e.task);
-            let ended = self.ended(ix, e);
+            let on_it = runtime.tasks.contains_key(&e.task) || runtime.launched.contains(&e.task);
+            let ended = self.ended(machine_id, e);
             let pending = self
-                .view
+                .replica
                 .jobs
                 .get(&e.task.job)
                 .filter(|j| !self.is_over(e.task.job, j));
             let Some(job) = pending else {
                 if !on_it && runtime.fenced && !ended {
-                    freed.push((*e, End::Free));
+                    freed.push((*e, TaskOutcome::Free));
                 }
                 continue;
             };
             if on_it || self.reserved.contains(e) || ended {
                 continue;
             }
-            let name = self.view.names.jobs.name(e.task.job);
+            let name = self.replica.names.jobs.name(e.task.job);
             let permission = self.permission(job, name, now);
             if permission == Permission::Wait {
                 continue;
@@ -461,7 +494,7 @@
             let loan_over = permission == Permission::Stop;
             if leaving || loan_over || machine.evict.contains(e) {
                 if runtime.fenced {
-                    freed.push((*e, End::Free));
+                    freed.push((*e, TaskOutcome::Free));
                 }
                 continue;
             }
@@ -473,10 +506,14 @@
             used.add(&need, 1.0);
             runtime.launched.insert(e.task);
             self.counters.launches += 1;
-            let leg = self.view.names.leg(e.task);
-            debug!(leg, rig = self.view.names.machines.name(ix), "launching");
+            let task = self.replica.names.task_name(e.task);
+            debug!(
+                task,
+                machine = self.replica.names.machines.name(machine_id),
+                "launching"
+            );
             let attempt = e.attempt;
-            orders.push(Order::Launch { leg, attempt });
+            orders.push(Command::Launch { task, attempt });
         }
         (orders, freed)
     }
@@ -488,13 +525,15 @@
     /// just after its report would wait for the next one. Its answer waits for a part of that
     /// time, as it may (PROTOCOL: workers wait 4 s); it is a full answer all the same, and the
     /// worker's lease counts from when it sent the report.
-    pub fn may_wait(&mut self, rig: &str, number: (u64, u64), now: Ms) -> Option<u64> {
-        let ix = self.view.names.machines.get(rig)?;
-        let runtime = self.runtime.get(&ix)?;
-        let machine = self.view.machines.get(&ix)?;
-        let idle = runtime.legs.values().all(|l| l.status == LegStatus::Ended);
-        let usable =
-            runtime.obeys() && !machine.leaving && !runtime.sick && runtime.recall_at.is_none();
+    pub fn may_wait(&mut self, machine: &str, number: (u64, u64), now: Timestamp) -> Option<u64> {
+        let machine_id = self.replica.names.machines.get(machine)?;
+        let runtime = self.runtime.get(&machine_id)?;
+        let machine = self.replica.machines.get(&machine_id)?;
+        let idle = runtime.tasks.values().all(|l| l.status == TaskPhase::Ended);
+        let usable = runtime.obeys()
+            && !machine.leaving
+            && !runtime.quarantined
+            && runtime.recall_at.is_none();
         if !idle
             || !usable
             || !runtime.launched.is_empty()
@@ -503,35 +542,43 @@
         {
             return None;
         }
-        self.runtime.get_mut(&ix)?.waits = true;
+        self.runtime.get_mut(&machine_id)?.waits = true;
         Some(self.settings.answer_wait_ms())
     }
 
     /// Machines whose answers wait and that have been given tasks since.
-    pub fn woken(&mut self) -> Vec<String> {
-        let woken = std::mem::take(&mut self.woken);
-        let names = woken.iter().map(|&ix| self.view.names.machines.name(ix));
+    pub fn woken_machines(&mut self) -> Vec<String> {
+        let woken_machines = std::mem::take(&mut self.woken_machines);
+        let names = woken_machines
+            .iter()
+            .map(|&machine_id| self.replica.names.machines.name(machine_id));
         names.map(str::to_owned).collect()
     }
 
     /// The answer to a report that was taken in earlier and whose answer has waited since. Between
     /// the two this controller may have lost the block, its authority or the worker's patience.
-    pub fn answer_late(&mut self, rig: &str, number: (u64, u64), now: Ms) -> Reply {
-        let known = self.view.names.machines.get(rig);
-        let held = known.and_then(|ix| Some((ix, self.view.holder(ix)?.1)));
-        let Some((ix, grant)) = held else {
-            return Reply::Unavailable;
+    pub fn answer_late(
+        &mut self,
+        machine: &str,
+        number: (u64, u64),
+        now: Timestamp,
+    ) -> HeartbeatResponse {
+        let known = self.replica.names.machines.get(machine);
+        let held = known.and_then(|job_id| Some((job_id, self.replica.holder(job_id)?.1)));
+        let Some((job_id, grant)) = held else {
+            return HeartbeatResponse::Unavailable;
         };
         if !self.holds(&grant) || !self.has_authority(now) {
-            return Reply::Elsewhere(None);
+            return HeartbeatResponse::Elsewhere(None);
         }
-        let Some(mut runtime) = self.runtime.remove(&ix) else {
-            return Reply::Unavailable;
+        let Some(mut runtime) = self.runtime.remove(&job_id) else {
+            return HeartbeatResponse::Unavailable;
         };
         // Under another token, or after another report, nobody waits for this answer any more.
-        let stands = runtime.token == grant.stamp && runtime.newest == number && runtime.obeys();
-        let machine = self.view.machines.get(&ix);
-        let leaving = machine.is_none_or(|m| m.leaving) || runtime.sick;
+        let stands =
+            runtime.token == grant.mod_revision && runtime.newest == number && runtime.obeys();
+        let machine = self.replica.machines.get(&job_id);
+        let leaving = machine.is_none_or(|m| m.leaving) || runtime.quarantined;
         if stands {
             runtime.waits = false;
         }
@@ -540,34 +587,34 @@
             for job in runtime
                 .launched
                 .iter()
-                .filter_map(|t| self.view.jobs.get(&t.job))
+                .filter_map(|t| self.replica.jobs.get(&t.job))
             {
                 used.add(&job.room(), 1.0);
             }
-            let (orders, freed) = self.launch(ix, &mut runtime, used, false, now);
+            let (orders, freed) = self.launch(job_id, &mut runtime, used, false, now);
             for (entry, end) in freed {
-                self.note_end(ix, entry, end, &mut runtime, now);
+                self.note_end(job_id, entry, end, &mut runtime, now);
             }
-            Reply::Orders(Orders {
-                token: grant.stamp,
+            HeartbeatResponse::HeartbeatAck(HeartbeatAck {
+                token: grant.mod_revision,
                 orders,
             })
         } else {
-            Reply::Unavailable
+            HeartbeatResponse::Unavailable
         };
-        self.runtime.insert(ix, runtime);
+        self.runtime.insert(job_id, runtime);
         reply
     }
 
     /// Whether answers may well be late because this controller is: it was kept from its own
     /// work, or a good part of its machines seem to miss answers at the same time.
-    fn slow(&self, now: Ms) -> bool {
+    fn slow(&self, now: Timestamp) -> bool {
         let missing = self
             .runtime
             .values()
-            .filter(|runtime| runtime.unheard > 0)
+            .filter(|runtime| runtime.missed_acks > 0)
             .count();
-        self.stalled.is_some_and(|at| now.since(at) < 15_000)
+        self.stalled_at.is_some_and(|at| now.since(at) < 15_000)
             || missing > (self.runtime.len() / 10).max(2)
     }
 
@@ -576,20 +623,20 @@
     /// A worker that had our answer comes back to us with its very next report and without
     /// waiting for the answer's time to run out; one that had none goes round the controllers,
     /// shows no launch, and loses its lease although we answer.
-    fn note_hearing(&self, runtime: &mut MachineRuntime, r: &Report, now: Ms) {
+    fn note_hearing(&self, runtime: &mut MachineRuntime, r: &Heartbeat, now: Timestamp) {
         let Some(heard) = runtime.heard else { return };
-        let next = r.session == runtime.newest.0 && r.sequence == runtime.newest.1 + 1;
+        let next = r.worker_epoch == runtime.newest.0 && r.sequence == runtime.newest.1 + 1;
         let in_time = now.since(heard) < self.settings.report_due_ms().max(ANSWER_WAIT_MS);
         let shown = runtime.launched.iter().all(|t| {
-            let leg = self.view.names.leg(*t);
-            r.legs.iter().any(|l| l.leg == leg)
+            let task_name = self.replica.names.task_name(*t);
+            r.tasks.iter().any(|l| l.task == task_name)
         });
         let obeyed = r.token == runtime.token;
         if next && in_time && shown && obeyed {
-            runtime.unheard = 0;
+            runtime.missed_acks = 0;
             runtime.heard_again += 1;
-            if runtime.heard_again >= 3 && runtime.deaf.take().is_some() {
-                info!(rig = r.rig, "answers reach the machine again");
+            if runtime.heard_again >= 3 && runtime.unreachable_since.take().is_some() {
+                info!(machine = r.machine, "answers reach the machine again");
             }
             return;
         }
@@ -597,42 +644,45 @@
         let renewed = runtime
             .last_ok
             .is_some_and(|ok| now.since(ok) < self.settings.worker_gone_ms());
-        if r.session > runtime.newest.0 && renewed {
-            runtime.unheard += 2;
+        if r.worker_epoch > runtime.newest.0 && renewed {
+            runtime.missed_acks += 2;
         } else if !shown
             || !in_time
             || (!obeyed && runtime.last_ok.is_some_and(|ok| ok > runtime.since))
         {
-            runtime.unheard += 1;
+            runtime.missed_acks += 1;
         }
-        if runtime.unheard >= 3 && runtime.deaf.is_none() && !self.slow(now) {
+        if runtime.missed_acks >= 3 && runtime.unreachable_since.is_none() && !self.slow(now) {
             warn!(
-                rig = r.rig,
+                machine = r.machine,
                 "reports come, but answers do not reach the machine"
             );
-            runtime.deaf = Some(now);
+            runtime.unreachable_since = Some(now);
         }
     }
 
     pub(crate) fn note_end(
         &mut self,
-        ix: MachineIx,
-        entry: Entry,
-        end: End,
+        machine_id: MachineId,
+        entry: Binding,
+        end: TaskOutcome,
         runtime: &mut MachineRuntime,
-        now: Ms,
+        now: Timestamp,
     ) {
-        self.ends.entry(ix).or_default().push((entry, end));
+        self.pending_completions
+            .entry(machine_id)
+            .or_default()
+            .push((entry, end));
         let job = entry.task.job;
         match end {
-            End::Done => {
+            TaskOutcome::Done => {
                 runtime.failed.clear();
-                self.fails.remove(&job);
+                self.failure_streaks.remove(&job);
                 // Others wait for it: the leader hears of its last endings soon.
-                self.hasty |= self.view.dependencies.is_needed(job);
+                self.urgent_update |= self.replica.dependencies.is_needed(job);
             }
-            End::Failed => {
-                let f = self.fails.entry(job).or_insert(Fails {
+            TaskOutcome::Failed => {
+                let f = self.failure_streaks.entry(job).or_insert(FailureStreak {
                     count: 0,
                     last: now,
                 });
@@ -644,16 +694,21 @@
                 let mut jobs = runtime.failed.clone();
                 jobs.sort();
                 jobs.dedup();
-                let proven = self.view.jobs.get(&job).is_some_and(|j| !j.done.is_empty());
-                if runtime.failed.len() >= 2 && (jobs.len() >= 2 || proven) && !runtime.sick {
-                    runtime.sick = true;
+                let proven = self
+                    .replica
+                    .jobs
+                    .get(&job)
+                    .is_some_and(|j| !j.done.is_empty());
+                if runtime.failed.len() >= 2 && (jobs.len() >= 2 || proven) && !runtime.quarantined
+                {
+                    runtime.quarantined = true;
                     warn!(
                         failures = runtime.failed.len(),
                         "a machine fails what it starts"
                     );
                 }
             }
-            End::Free => {}
+            TaskOutcome::Free => {}
         }
     }
 }
--- a/src/controller/lease.rs
+++ b/src/controller/lease.rs
@@ -2,47 +2,47 @@
 
 use super::*;
 
-impl Core {
+impl Controller {
     /// A lease was granted to a request sent at `sent`.
-    pub fn on_lease(&mut self, permit: u64, sent: Ms) {
+    pub fn on_lease(&mut self, lease_id: u64, sent: Timestamp) {
         self.lease_busy = false;
         self.state_bad_since = None;
-        // A life ends with its lease, so that nothing granted to the earlier life counts on.
-        if self.permit.is_some() {
-            self.boot = Boot(self.rng.random::<u64>() >> 12);
-            self.view.touch_all();
+        // A life completions with its lease, so that nothing granted to the earlier life counts on.
+        if self.lease_id.is_some() {
+            self.incarnation = Incarnation(self.rng.random::<u64>() >> 12);
+            self.replica.touch_all();
         }
-        self.permit = Some(permit);
+        self.lease_id = Some(lease_id);
         self.joined = false;
         self.renewed = Some(sent);
         self.next_renew = sent.plus(self.renew_ms());
-        info!(permit, boot = self.boot.0, "lease granted");
+        info!(lease_id, incarnation = self.incarnation.0, "lease granted");
     }
 
     /// A renewal sent at `sent` succeeded.
-    pub fn on_renewed(&mut self, permit: u64, sent: Ms) {
+    pub fn on_renewed(&mut self, lease_id: u64, sent: Timestamp) {
         self.lease_busy = false;
         self.state_bad_since = None;
-        if self.permit == Some(permit) {
+        if self.lease_id == Some(lease_id) {
             self.renewed = self.renewed.max(Some(sent));
             self.next_renew = sent.plus(self.renew_ms());
         }
     }
 
     /// The lease is over at the state service.
-    pub fn on_lease_gone(&mut self, permit: u64, now: Ms) {
+    pub fn on_lease_gone(&mut self, lease_id: u64, now: Timestamp) {
         self.lease_busy = false;
-        if self.permit == Some(permit) {
-            warn!(permit, "lease is gone");
+        if self.lease_id == Some(lease_id) {
+            warn!(lease_id, "lease is gone");
             self.joined = false;
             self.renewed = None;
             self.next_renew = now;
-            self.ops.remove(&Op::Join);
+            self.in_flight.remove(&WriteKind::Join);
         }
     }
 
     /// Asking for a lease or a renewal did not succeed.
-    pub fn on_lease_failed(&mut self, now: Ms) {
+    pub fn on_lease_failed(&mut self, now: Timestamp) {
         self.lease_busy = false;
         self.state_bad_since.get_or_insert(now);
         let wait = self.rng.random_range(250..500);
@@ -57,8 +57,8 @@
     ///
     /// Guards against renewals that succeed while the watch hangs, and the reverse: both the
     /// lease and the replica must have been confirmed by requests *sent* within the time.
-    pub fn authority_until(&self) -> Option<Ms> {
-        if !self.joined || !self.view.synced {
+    pub fn authority_until(&self) -> Option<Timestamp> {
+        if !self.joined || !self.replica.synced {
             return None;
         }
         let basis = self.renewed?.min(self.confirmed?);
@@ -66,13 +66,13 @@
     }
 
     /// Whether this controller may act as holder or leader now.
-    pub fn has_authority(&self, now: Ms) -> bool {
+    pub fn has_authority(&self, now: Timestamp) -> bool {
         !self.is_outdated() && self.authority_until().is_some_and(|until| now < until)
     }
 
     /// Whether a key names this controller in its present life.
-    pub(crate) fn is_mine(&self, owner: &Owner) -> bool {
-        owner.host == self.me && owner.boot == self.boot
+    pub(crate) fn is_mine(&self, owner: &Holder) -> bool {
+        owner.host == self.me && owner.incarnation == self.incarnation
     }
 
     /// Whether this controller holds a block by this grant and its replica shows all that earlier
@@ -81,8 +81,8 @@
     /// Guards against an own grant that shows before the watch has brought what was written before
     /// it: the queues would still list tasks that the former holder had given away, and starting
     /// one needs no write that could fail.
-    pub(crate) fn holds(&self, grant: &Owner) -> bool {
-        self.is_mine(grant) && self.view.ledger >= grant.stamp
+    pub(crate) fn holds(&self, grant: &Holder) -> bool {
+        self.is_mine(grant) && self.replica.revision >= grant.mod_revision
     }
 
     /// Whether this controller knows how things stand, if it ever stood still.
@@ -90,8 +90,8 @@
     /// Guards against timers that went on without us: machines and peers seem silent that were
     /// well, and the replica may show a leadership that is over. Nothing is concluded before a
     /// watch that was opened since has answered and the peers have had time to speak.
-    pub(crate) fn awake(&self, now: Ms) -> bool {
-        self.woke.is_none_or(|at| {
+    pub(crate) fn caught_up_after_pause(&self, now: Timestamp) -> bool {
+        self.resumed_at.is_none_or(|at| {
             let seen = self.confirmed.is_some_and(|c| c >= at);
             let period = self.settings.options.peers_period_ms * 2.0;
             seen && now.since(at) > period as u64
@@ -100,26 +100,26 @@
 
     /// How old the replica may be: every change that was made so long ago is in. None before it is
     /// whole.
-    pub(crate) fn replica_age_ms(&self, now: Ms) -> Option<u64> {
-        let whole = self.view.synced && self.view.ledger >= self.wait_ledger;
+    pub(crate) fn replica_age_ms(&self, now: Timestamp) -> Option<u64> {
+        let whole = self.replica.synced && self.replica.revision >= self.plan_after_revision;
         let confirmed = self.confirmed.filter(|_| whole)?;
         Some(now.since(confirmed))
     }
 
     /// Whether the state service has answered lately.
-    pub fn state_ok(&self, now: Ms) -> bool {
+    pub fn state_ok(&self, now: Timestamp) -> bool {
         self.state_bad_since.is_none_or(|s| now.since(s) < 1200)
             && self.confirmed.is_some_and(|c| now.since(c) < 8000)
     }
 
     /// Whether the state service refused something for its budget a moment ago.
-    pub(crate) fn refused_lately(&self, now: Ms) -> bool {
+    pub(crate) fn refused_lately(&self, now: Timestamp) -> bool {
         self.refused_at.is_some_and(|t| now.since(t) < 3000)
     }
 
     /// Whether users should be sent here.
-    pub fn ready(&self, now: Ms) -> bool {
-        if !self.view.synced || !self.catalog_known() || self.permit.is_none() {
+    pub fn ready(&self, now: Timestamp) -> bool {
+        if !self.replica.synced || !self.catalog_known() || self.lease_id.is_none() {
             return false;
         }
         if self.is_outdated() {
@@ -140,171 +140,178 @@
         (self.others.is_empty() || !heard.is_empty()) && heard.iter().all(|p| !p.state_ok)
     }
 
-    pub(crate) fn tick_lease(&mut self, now: Ms, out: &mut Vec<Action>) {
+    pub(crate) fn tick_lease(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if self.lease_busy || now < self.next_renew {
             return;
         }
         self.lease_busy = true;
-        match (self.permit, self.renewed) {
-            (Some(permit), Some(_)) => out.push(Action::Renew { permit }),
-            _ => out.push(Action::NewLease {
+        match (self.lease_id, self.renewed) {
+            (Some(lease_id), Some(_)) => out.push(Effect::Renew { lease_id }),
+            _ => out.push(Effect::NewLease {
                 life_ms: self.settings.block_lease_ms(),
             }),
         }
     }
 
-    pub(crate) fn tick_join(&mut self, now: Ms, out: &mut Vec<Action>) {
-        let Some(permit) = self.permit else { return };
-        if self.joined || self.renewed.is_none() || !self.idle(Op::Join, now) {
+    pub(crate) fn tick_join(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        let Some(lease_id) = self.lease_id else {
+            return;
+        };
+        if self.joined || self.renewed.is_none() || !self.idle(WriteKind::Join, now) {
             return;
         }
         let key = node_key(self.my_name());
-        let record = NodeRecord {
-            boot: self.boot.0,
-            lease: permit,
+        let record = ControllerRecord {
+            incarnation: self.incarnation.0,
+            lease: lease_id,
             format: self.format,
         };
-        let txn = Txn {
-            guards: vec![self.guard(&key)],
-            then: vec![put(&key, &record, Some(permit))],
+        let transaction = Transaction {
+            preconditions: vec![self.precondition(&key)],
+            mutations: vec![put(&key, &record, Some(lease_id))],
         };
-        self.submit(Op::Join, txn, writes::Payload::default(), out);
+        self.submit(
+            WriteKind::Join,
+            transaction,
+            writes::WriteIntent::default(),
+            out,
+        );
     }
 
     /// A full read, begun at `sent`, is complete. Its pages were read one after the other, from
     /// revision `ledger` on and up to `upto`.
     pub fn on_load(
         &mut self,
-        items: Vec<crate::protocol::Item>,
-        ledger: u64,
+        items: Vec<crate::protocol::KeyValue>,
+        revision: u64,
         upto: u64,
-        sent: Ms,
-        now: Ms,
+        sent: Timestamp,
+        now: Timestamp,
     ) {
-        self.view.load(items, ledger);
+        self.replica.load(items, revision);
         // What moved from one page to another in between may be in neither: nothing is planned
         // before the watch has made the replica whole.
-        self.wait_ledger = self.wait_ledger.max(upto);
+        self.plan_after_revision = self.plan_after_revision.max(upto);
         self.confirmed = self.confirmed.max(Some(sent));
-        self.after_view(now);
+        self.after_replica_change(now);
         info!(
-            ledger,
-            jobs = self.view.jobs.len(),
-            machines = self.view.machines.len(),
+            revision,
+            jobs = self.replica.jobs.len(),
+            machines = self.replica.machines.len(),
             "replica read"
         );
     }
 
     /// A watch opened at `sent` answered.
-    pub fn on_news(&mut self, list: NewsList, sent: Ms, now: Ms) {
-        self.speed.note(list.news.len());
-        self.view.apply_news(list.news, list.ledger);
+    pub fn on_watch_response(&mut self, list: WatchResponse, sent: Timestamp, now: Timestamp) {
+        self.write_pace.note(list.events.len());
+        self.replica.apply_watch_events(list.events, list.revision);
         self.confirmed = self.confirmed.max(Some(sent));
-        self.after_view(now);
+        self.after_replica_change(now);
     }
 
     /// Follows up every change of the replica, looking only at what changed.
-    pub(crate) fn after_view(&mut self, now: Ms) {
-        let released: HashSet<JobIx> = self.view.release_left().into_iter().collect();
+    pub(crate) fn after_replica_change(&mut self, now: Timestamp) {
+        let released: HashSet<JobId> = self.replica.release_left().into_iter().collect();
         if !released.is_empty() {
             // The index may come back as another job: nothing may remember it.
-            let stays = |j: &JobIx| !released.contains(j);
+            let stays = |j: &JobId| !released.contains(j);
             for runtime in self.runtime.values_mut() {
-                runtime.legs.retain(|t, _| stays(&t.job));
+                runtime.tasks.retain(|t, _| stays(&t.job));
                 runtime.launched.retain(|t| stays(&t.job));
                 runtime.failed.retain(stays);
             }
-            for ends in self.ends.values_mut() {
-                ends.retain(|(e, _)| stays(&e.task.job));
+            for completions in self.pending_completions.values_mut() {
+                completions.retain(|(e, _)| stays(&e.task.job));
             }
             self.reserved.retain(|e| stays(&e.task.job));
             self.running.retain(|j, _| stays(j));
-            self.fails.retain(|j, _| stays(j));
-            self.told_over.retain(stays);
-            self.lead.forget_jobs(&released);
+            self.failure_streaks.retain(|j, _| stays(j));
+            self.peer_reported_cancellations.retain(stays);
+            self.leadership.forget_jobs(&released);
             for p in self.peers.values_mut() {
-                p.fails.retain(|f| stays(&f.0));
+                p.failure_streaks.retain(|f| stays(&f.0));
                 p.running.retain(|j, _| stays(j));
                 p.done.retain(|j, _| stays(j));
             }
         }
-        self.settle_unseen();
+        self.resolve_unacknowledged();
         // Kept in the state service too, for controllers that start while the cloud is away.
-        if self.frames.is_empty()
-            && let Some(frames) = self.view.catalog.clone()
+        if self.machine_types.is_empty()
+            && let Some(machine_types) = self.replica.catalog.clone()
         {
-            self.on_catalog(crate::protocol::Catalog { frames });
+            self.on_catalog(crate::protocol::Catalog { machine_types });
         }
         self.follow_recorded_format();
         self.note_formats(now);
-        let touched = std::mem::take(&mut self.view.touched);
-        self.note_withdrawn(touched.withdrawn, now);
-        let grants = &self.view.grants;
-        self.told_granted
-            .retain(|id, told| grants.get(id).is_some_and(|g| g.stamp < told.0));
-        for host in touched.loads {
-            self.signs.insert(host, now);
+        let changes = std::mem::take(&mut self.replica.changes);
+        self.note_cancelled(changes.cancelled, now);
+        let grants = &self.replica.grants;
+        self.peer_reported_grants
+            .retain(|id, told| grants.get(id).is_some_and(|g| g.mod_revision < told.0));
+        for host in changes.loads {
+            self.last_load_seen.insert(host, now);
         }
-        for ix in touched.machines {
-            if !self.view.machines.contains_key(&ix) {
-                self.drop_machine(ix);
+        for machine_id in changes.machines {
+            if !self.replica.machines.contains_key(&machine_id) {
+                self.drop_machine(machine_id);
             }
         }
         let mut early_grants = Vec::new();
-        for id in touched.blocks {
+        for id in changes.blocks {
             self.note_size(id);
-            let grant = self.view.grants.get(&id).copied();
+            let grant = self.replica.grants.get(&id).copied();
             let mine = grant.filter(|g| self.is_mine(g));
-            let token = mine.filter(|g| self.holds(g)).map(|g| g.stamp);
+            let token = mine.filter(|g| self.holds(g)).map(|g| g.mod_revision);
             if mine.is_some() && token.is_none() {
                 early_grants.push(id);
             }
-            let machines = self.view.blocks.get(&id).map(|b| b.machines.clone());
-            for ix in machines.unwrap_or_default() {
-                self.follow_machine(ix, token, now);
-                if let Some(runtime) = self.runtime.get_mut(&ix)
+            let machines = self.replica.blocks.get(&id).map(|b| b.machines.clone());
+            for machine_id in machines.unwrap_or_default() {
+                self.follow_machine(machine_id, token, now);
+                if let Some(runtime) = self.runtime.get_mut(&machine_id)
                     && runtime.waits
-                    && self.view.lists_any(ix)
+                    && self.replica.lists_any(machine_id)
                 {
                     runtime.waits = false;
-                    self.woken.push(ix);
+                    self.woken_machines.push(machine_id);
                 }
             }
         }
         // Looked at again with the next change, until the watch has reached their grants.
-        self.view.touched.blocks.extend(early_grants);
+        self.replica.changes.blocks.extend(early_grants);
     }
 
     /// A machine's runtime belongs to one token.
-    fn follow_machine(&mut self, ix: MachineIx, token: Option<u64>, now: Ms) {
+    fn follow_machine(&mut self, machine_id: MachineId, token: Option<u64>, now: Timestamp) {
         let Some(token) = token else {
-            self.drop_machine(ix);
+            self.drop_machine(machine_id);
             return;
         };
         if self
             .runtime
-            .get(&ix)
+            .get(&machine_id)
             .is_none_or(|runtime| runtime.token != token)
         {
             // Conclusions drawn under one token are worth nothing under another: in between
             // somebody else may have held the block and started what we took for unstarted. The
             // grants' stamps guard what is under way already, not what still waits to be sent.
-            let completed = self.completed_in_queue(ix);
-            self.drop_machine(ix);
+            let completed = self.completed_in_queue(machine_id);
+            self.drop_machine(machine_id);
             if !completed.is_empty() {
-                self.ends.insert(ix, completed);
+                self.pending_completions.insert(machine_id, completed);
             }
             let runtime = MachineRuntime {
                 token,
                 since: now,
                 ..MachineRuntime::default()
             };
-            self.runtime.insert(ix, runtime);
-        } else if let Some(ends) = self.ends.get_mut(&ix) {
-            let queue = self.view.machines.get(&ix).map(|m| &m.queue);
-            ends.retain(|(e, _)| queue.is_some_and(|q| q.contains(e)));
-            if ends.is_empty() {
-                self.ends.remove(&ix);
+            self.runtime.insert(machine_id, runtime);
+        } else if let Some(completions) = self.pending_completions.get_mut(&machine_id) {
+            let queue = self.replica.machines.get(&machine_id).map(|m| &m.queue);
+            completions.retain(|(e, _)| queue.is_some_and(|q| q.contains(e)));
+            if completions.is_empty() {
+                self.pending_completions.remove(&machine_id);
             }
         }
     }
@@ -314,30 +321,37 @@
     /// What is done stays done under any token. Guards against a task that is started once more after
     /// its job is done: the leader records the end on this holder's word, and a holder that forgot its
     /// own word and whose replica does not show that end yet would find the task unstarted.
-    fn completed_in_queue(&self, ix: MachineIx) -> Vec<(Entry, End)> {
-        let queue = self.view.machines.get(&ix).map(|m| &m.queue);
-        let ends = self.ends.get(&ix).into_iter().flatten();
-        let completed = ends.filter(|(_, end)| *end == End::Done);
+    fn completed_in_queue(&self, machine_id: MachineId) -> Vec<(Binding, TaskOutcome)> {
+        let queue = self.replica.machines.get(&machine_id).map(|m| &m.queue);
+        let completions = self
+            .pending_completions
+            .get(&machine_id)
+            .into_iter()
+            .flatten();
+        let completed = completions.filter(|(_, end)| *end == TaskOutcome::Done);
         let listed = completed.filter(|(entry, _)| queue.is_some_and(|q| q.contains(entry)));
         listed.copied().collect()
     }
 
     /// Forgets what this controller knew of a machine as its holder.
-    fn drop_machine(&mut self, ix: MachineIx) {
-        if let Some(runtime) = self.runtime.remove(&ix) {
-            self.count_running(&runtime.legs, false);
+    fn drop_machine(&mut self, machine_id: MachineId) {
+        if let Some(runtime) = self.runtime.remove(&machine_id) {
+            self.count_running(&runtime.tasks, false);
         }
-        self.ends.remove(&ix);
-        for mv in self.moves.extract_if(.., |mv| mv.victim == ix) {
-            for e in &mv.entries {
+        self.pending_completions.remove(&machine_id);
+        for task_move in self
+            .moves
+            .extract_if(.., |task_move| task_move.victim == machine_id)
+        {
+            for e in &task_move.entries {
                 self.reserved.remove(e);
             }
         }
     }
 
     /// Keeps count of the tasks that run on the machines held.
-    pub(crate) fn count_running(&mut self, legs: &HashMap<TaskIx, TaskRuntime>, more: bool) {
-        for (task, _) in legs.iter().filter(|l| l.1.status == LegStatus::Running) {
+    pub(crate) fn count_running(&mut self, tasks: &HashMap<TaskId, TaskRuntime>, more: bool) {
+        for (task, _) in tasks.iter().filter(|l| l.1.status == TaskPhase::Running) {
             let n = self.running.entry(task.job).or_default();
             if more {
                 *n += 1;
--- a/src/controller/merging.rs
+++ b/src/controller/merging.rs
@@ -3,10 +3,10 @@
 //! Each block is written in its own turn, and a turn is the longer the more blocks there are: fewer and
 //! fuller blocks let endings and bindings wait for less time.
 
-use super::writes::Payload;
+use super::writes::WriteIntent;
 use super::*;
 use crate::records::Encoding;
-use crate::replica::Draft;
+use crate::replica::BlockEdit;
 
 /// Interval of merges of one controller, ms: each costs two changes, and machines that move to
 /// another block have to show its token first.
@@ -26,10 +26,10 @@
     expected: usize,
 }
 
-impl Core {
+impl Controller {
     /// Number of blocks that have machines.
     pub(crate) fn used_blocks(&self) -> usize {
-        let blocks = self.view.blocks.values();
+        let blocks = self.replica.blocks.values();
         blocks.filter(|b| !b.machines.is_empty()).count()
     }
 
@@ -40,8 +40,8 @@
     }
 
     /// Writes two small blocks held here as one, now and then.
-    pub(super) fn tick_merge(&mut self, now: Ms, out: &mut Vec<Action>) {
-        if now < self.next_merge || self.view.encoding() != Encoding::Dense {
+    pub(super) fn tick_merge(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        if now < self.next_merge || self.replica.encoding() != Encoding::Dense {
             return;
         }
         self.next_merge = now.plus(MERGE_MS);
@@ -51,8 +51,8 @@
         let Some((kept, emptied)) = self.choose_merge(now) else {
             return;
         };
-        if let Some((txn, payload)) = self.plan_merge(kept, emptied) {
-            self.submit(Op::Ends(kept), txn, payload, out);
+        if let Some((transaction, intent)) = self.plan_merge(kept, emptied) {
+            self.submit(WriteKind::Ends(kept), transaction, intent, out);
         }
     }
 
@@ -61,7 +61,7 @@
     /// The machines of the one with the lower token go to the one with the higher token. The other
     /// way round, workers would drop every answer, for they obey no token that is lower than one they
     /// have seen (PROTOCOL, tokens).
-    fn choose_merge(&self, now: Ms) -> Option<(BlockId, BlockId)> {
+    fn choose_merge(&self, now: Timestamp) -> Option<(BlockId, BlockId)> {
         let room = (self.settings.value_bytes() as f64 * PLANNED) as usize;
         let mut small = self.small_blocks(room, now);
         small.sort_by_key(|b| (b.expected, b.id));
@@ -78,21 +78,21 @@
     }
 
     /// The blocks held here, with machines, that no write concerns and that leave room for more.
-    fn small_blocks(&self, room: usize, now: Ms) -> Vec<SmallBlock> {
+    fn small_blocks(&self, room: usize, now: Timestamp) -> Vec<SmallBlock> {
         let mut small = Vec::new();
-        for (&id, block) in &self.view.blocks {
-            let grant = self.view.grants.get(&id).filter(|g| self.holds(g));
+        for (&id, block) in &self.replica.blocks {
+            let grant = self.replica.grants.get(&id).filter(|g| self.holds(g));
             let Some(grant) = grant else { continue };
-            let quiet = self.idle_early(Op::Ends(id), now)
+            let quiet = self.idle_early(WriteKind::Ends(id), now)
                 && !self.block_busy(id)
                 && !self.oversized.contains(&id);
             let machines = block.machines.iter();
-            let known = machines.filter_map(|m| self.view.machines.get(m));
+            let known = machines.filter_map(|m| self.replica.machines.get(m));
             let expected = self.expected_size(known);
             if quiet && !block.machines.is_empty() && expected < room {
                 small.push(SmallBlock {
                     id,
-                    token: grant.stamp,
+                    token: grant.mod_revision,
                     expected,
                 });
             }
@@ -103,27 +103,31 @@
     /// Plans the transaction that moves all machines of a block, with their queues and what was done
     /// on them, into another one. Its conditions are those of every write of a holder, on both blocks
     /// and both grants.
-    fn plan_merge(&self, kept: BlockId, emptied: BlockId) -> Option<(Txn, Payload)> {
-        let (mut draft, mut payload) = self.draft_without_ended(kept);
-        let (other, other_payload) = self.draft_without_ended(emptied);
-        draft.machines.extend(other.machines);
+    fn plan_merge(&self, kept: BlockId, emptied: BlockId) -> Option<(Transaction, WriteIntent)> {
+        let (mut edit, mut intent) = self.draft_without_ended(kept);
+        let (other, other_intent) = self.draft_without_ended(emptied);
+        edit.machines.extend(other.machines);
         for (job, tasks) in &other.done {
-            draft.absorb_done(*job, tasks);
+            edit.absorb_done(*job, tasks);
         }
-        payload.blocks.extend(other_payload.blocks);
-        payload.ends.extend(other_payload.ends);
+        intent.blocks.extend(other_intent.blocks);
+        intent.outcomes.extend(other_intent.outcomes);
         let most = (self.settings.value_bytes() as f64 * FILLED) as usize;
-        let mut txn = Txn::default();
-        for (id, draft) in [(kept, &draft), (emptied, &Draft::default())] {
-            let change = put(&block_key(id), &self.view.seal(draft), None);
+        let mut transaction = Transaction::default();
+        for (id, edit) in [(kept, &edit), (emptied, &BlockEdit::default())] {
+            let change = put(&block_key(id), &self.replica.seal(edit), None);
             if change.value_bytes() > most {
                 return None;
             }
-            txn.guards.push(self.guard(&grant_key(id)));
-            txn.guards.push(self.guard(&block_key(id)));
-            txn.then.push(change);
+            transaction
+                .preconditions
+                .push(self.precondition(&grant_key(id)));
+            transaction
+                .preconditions
+                .push(self.precondition(&block_key(id)));
+            transaction.mutations.push(change);
         }
         info!(block = kept.0, emptied = emptied.0, "merging blocks");
-        Some((txn, payload))
+        Some((transaction, intent))
     }
 }
--- a/src/controller/metrics.rs
+++ b/src/controller/metrics.rs
@@ -6,7 +6,8 @@
 #[derive(Debug, Clone, Default, serde::Serialize)]
 pub struct Counters {
     /// Reports answered with 200.
-    pub reports: u64,
+    #[serde(rename = "reports")]
+    pub heartbeats: u64,
     /// Reports sent elsewhere.
     pub redirects: u64,
     /// Tasks launched.
@@ -38,16 +39,17 @@
     /// Transactions refused for budget or outage.
     pub refused: u64,
     /// Machines given up as lost.
-    pub lost_machines: u64,
+    #[serde(rename = "lost_machines")]
+    pub machines_presumed_dead: u64,
 }
 
-impl Core {
+impl Controller {
     /// Writes the counters to the log.
     pub(super) fn log_metrics(&self) {
         let c = &self.counters;
         info!(
             machines = self.runtime.len(),
-            reports = c.reports,
+            heartbeats = c.heartbeats,
             redirects = c.redirects,
             launches = c.launches,
             done = c.done,
@@ -63,36 +65,36 @@
             conflicts = c.conflicts,
             refused = c.refused,
             unanswered = c.unanswered,
-            lost = c.lost_machines,
+            presumed_dead = c.machines_presumed_dead,
             "counters"
         );
     }
 
     /// A page for operators.
-    pub fn status_page(&self, now: Ms) -> serde_json::Value {
-        let names = &self.view.names;
+    pub fn status_page(&self, now: Timestamp) -> serde_json::Value {
+        let names = &self.replica.names;
         let machines: BTreeMap<&str, serde_json::Value> = self
             .runtime
             .iter()
             .map(|(&m, runtime)| {
-                let queue = self.view.machines.get(&m).map_or(0, |m| m.queue.len());
+                let queue = self.replica.machines.get(&m).map_or(0, |m| m.queue.len());
                 let v = serde_json::json!({
-                    "token": runtime.token, "fenced": runtime.fenced, "lost": runtime.lost, "sick": runtime.sick,
-                    "silentMs": runtime.heard.map(|h| now.since(h)), "tasks": runtime.legs.len(),
+                    "token": runtime.token, "fenced": runtime.fenced, "lost": runtime.presumed_dead, "sick": runtime.quarantined,
+                    "silentMs": runtime.heard.map(|h| now.since(h)), "tasks": runtime.tasks.len(),
                     "queue": queue, "load": self.queue_load(m, now),
                 });
                 (names.machines.name(m), v)
             })
             .collect();
         let mut page = serde_json::json!({
-            "host": self.my_name(), "boot": self.boot.0, "ready": self.ready(now),
-            "authority": self.has_authority(now), "leads": self.leads().map(|l| l.stamp),
-            "leader": self.view.lead.map(|l| names.hosts.name(l.host)),
-            "ledger": self.view.ledger, "jobs": self.view.jobs.len(),
+            "host": self.my_name(), "boot": self.incarnation.0, "ready": self.ready(now),
+            "authority": self.has_authority(now), "leads": self.leads().map(|l| l.mod_revision),
+            "leader": self.replica.leader.map(|l| names.hosts.name(l.host)),
+            "ledger": self.replica.revision, "jobs": self.replica.jobs.len(),
             "machines": machines, "counters": self.counters,
             "waiting": self.waiting_jobs(), "versions": self.versions(),
-            "format": self.view.format, "outdated": self.is_outdated(),
-            "unreadable": self.view.unreadable().collect::<Vec<_>>(),
+            "format": self.replica.format, "outdated": self.is_outdated(),
+            "unreadable": self.replica.unreadable().collect::<Vec<_>>(),
         });
         if let Some(spillover) = self.spillover_page(now) {
             page["spillover"] = spillover;
@@ -102,11 +104,11 @@
 
     /// Each job that waits, with those that it needs and that are not finally done.
     fn waiting_jobs(&self) -> BTreeMap<&str, Vec<&str>> {
-        let names = &self.view.names.jobs;
-        let waiting = self.view.waiting.jobs.keys();
+        let names = &self.replica.names.jobs;
+        let waiting = self.replica.waiting.jobs.keys();
         waiting
             .map(|&job| {
-                let open = self.view.open_predecessors(job);
+                let open = self.replica.open_predecessors(job);
                 (names.name(job), open.map(|p| names.name(p)).collect())
             })
             .collect()
@@ -114,9 +116,9 @@
 
     /// The format that each controller was last seen to write.
     fn versions(&self) -> BTreeMap<&str, u32> {
-        let hosts = &self.view.names.hosts;
-        let nodes = self.view.nodes.iter();
-        let shown = nodes.map(|(&host, node)| (hosts.name(host), node.format));
+        let hosts = &self.replica.names.hosts;
+        let live_controllers = self.replica.live_controllers.iter();
+        let shown = live_controllers.map(|(&host, node)| (hosts.name(host), node.format));
         shown.chain([(self.my_name(), self.format)]).collect()
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -18,23 +18,26 @@
 
 pub(crate) use heartbeats::NO_TOKEN;
 pub use metrics::Counters;
-use observations::StrayState;
-pub(crate) use observations::{Fails, MachineInfo, MachineRuntime, PeerState, TaskRuntime};
+use observations::UnownedMachineState;
+pub(crate) use observations::{FailureStreak, MachineInfo, MachineRuntime, PeerState, TaskRuntime};
 
-use crate::clock::Ms;
+use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
 use crate::leadership::LeaderState;
-use crate::names::{ClassIx, FrameIx, HostIx, JobIx, MachineIx, TeamIx, ZoneIx};
+use crate::names::{ClassId, HostId, JobId, MachineId, MachineTypeId, TeamId, ZoneId};
 use crate::placement::{Needs, Room};
 use crate::protocol::{
-    Cause, Change, Frame, Guard, JobStatus, Json, Leg, LegStatus, MachineNews, NewsList, Order,
-    Orders, PeerNews, Report, Stray, Txn,
+    Command, ExitReason, Heartbeat, HeartbeatAck, JobStatus, Json, MachineSummary, MachineType,
+    Mutation, PeerMessage, Precondition, TaskPhase, TaskStatus, Transaction, UnownedMachine,
+    WatchResponse,
 };
 use crate::ranges::RangeSet;
-use crate::records::{CURRENT_FORMAT, LoadRecord, NodeRecord, OwnerRecord, SPILLOVER_FORMAT};
+use crate::records::{
+    CURRENT_FORMAT, ControllerRecord, HolderRecord, LoadRecord, SPILLOVER_FORMAT,
+};
 use crate::replica::{
-    BlockId, Boot, Entry, Job, Machine, Owner, TaskIx, Token, View, block_key, grant_key, job_key,
-    load_key, node_key,
+    Binding, BlockId, FencingToken, Holder, Incarnation, Job, Machine, Replica, TaskId, block_key,
+    grant_key, job_key, load_key, node_key,
 };
 use crate::settings::Settings;
 use crate::spillover::{CellCall, Spillover};
@@ -45,7 +48,7 @@
 
 /// Something for the service to do.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Action {
+pub enum Effect {
     /// Ask the state service for a lease.
     NewLease {
         /// Its length.
@@ -54,21 +57,21 @@
     /// Renew the lease.
     Renew {
         /// The lease.
-        permit: u64,
+        lease_id: u64,
     },
     /// Send a transaction.
     Commit {
         /// What it is for.
-        op: Op,
+        write_kind: WriteKind,
         /// The transaction.
-        txn: Txn,
+        transaction: Transaction,
     },
     /// Send news to a peer.
     Peer {
         /// The peer.
-        host: HostIx,
+        host: HostId,
         /// The news.
-        news: Box<PeerNews>,
+        message: Box<PeerMessage>,
     },
     /// Read the catalog.
     Catalog,
@@ -77,7 +80,7 @@
     /// Read the final states of jobs from the archive.
     Archived(Vec<String>),
     /// Rent machines.
-    Rent(crate::protocol::Rental),
+    Rent(crate::protocol::RentRequest),
     /// Return machines.
     Return(Vec<String>),
     /// Ask a controller of another cell.
@@ -86,7 +89,7 @@
 
 /// What a transaction is for. At most one of each kind is under way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Op {
+pub enum WriteKind {
     /// Enter the controller's own key.
     Join,
     /// Take the leadership.
@@ -103,7 +106,7 @@
 
 /// How a transaction went.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum CommitOutcome {
     /// Carried out at this revision.
     Done(u64),
     /// A condition failed; the service was at this revision.
@@ -120,9 +123,9 @@
 
 /// Answer to a worker.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Reply {
+pub enum HeartbeatResponse {
     /// 200.
-    Orders(Orders),
+    HeartbeatAck(HeartbeatAck),
     /// 421, naming a controller if one is known to be better.
     Elsewhere(Option<String>),
     /// To be taken in again by [`Core::on_confirmed_report`] once the replica shows everything that
@@ -134,7 +137,7 @@
 
 /// Why a task leaves a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum TaskOutcome {
     /// Completed.
     Done,
     /// Failed on the machine.
@@ -147,108 +150,108 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Move {
     /// From.
-    pub victim: MachineIx,
+    pub victim: MachineId,
     /// To.
-    pub thief: MachineIx,
+    pub thief: MachineId,
     /// Tasks.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<Binding>,
 }
 
 /// The state of one controller.
-pub struct Core {
+pub struct Controller {
     /// Settings.
     pub settings: Settings,
     /// Replica of the shared keys.
-    pub view: View,
+    pub replica: Replica,
     /// This controller.
-    pub me: HostIx,
+    pub me: HostId,
     /// The other controllers.
-    pub others: Vec<HostIx>,
+    pub others: Vec<HostId>,
     /// Counters.
     pub counters: Counters,
-    pub(crate) boot: Boot,
-    permit: Option<u64>,
+    pub(crate) incarnation: Incarnation,
+    lease_id: Option<u64>,
     pub(crate) joined: bool,
-    renewed: Option<Ms>,
-    confirmed: Option<Ms>,
-    next_renew: Ms,
+    renewed: Option<Timestamp>,
+    confirmed: Option<Timestamp>,
+    next_renew: Timestamp,
     lease_busy: bool,
-    state_bad_since: Option<Ms>,
+    state_bad_since: Option<Timestamp>,
     pub(crate) rng: SmallRng,
-    pub(crate) runtime: HashMap<MachineIx, MachineRuntime>,
+    pub(crate) runtime: HashMap<MachineId, MachineRuntime>,
     /// Endings to be recorded, by the machine on which they were found out.
-    ends: HashMap<MachineIx, Vec<(Entry, End)>>,
+    pending_completions: HashMap<MachineId, Vec<(Binding, TaskOutcome)>>,
     /// Tasks that run on the machines held, by job.
-    running: HashMap<JobIx, u32>,
+    running: HashMap<JobId, u32>,
     pub(crate) moves: Vec<Move>,
-    pub(crate) reserved: HashSet<Entry>,
+    pub(crate) reserved: HashSet<Binding>,
     /// What writes that failed may have done all the same, by a copy that had no answer, until the
     /// replica shows whether they did.
-    unseen: Vec<writes::Unseen>,
-    ops: HashMap<Op, writes::InFlight>,
-    op_after: HashMap<Op, write_pacing::Turn>,
+    unacknowledged: Vec<writes::UnacknowledgedWrite>,
+    in_flight: HashMap<WriteKind, writes::InFlightWrite>,
+    next_turn: HashMap<WriteKind, write_pacing::WriteTurn>,
     /// How fast the turns of gathered writes follow one another.
-    speed: write_pacing::Speed,
+    write_pace: write_pacing::WritePace,
     /// Since when many blocks have no valid grant, and the change of the replica that it was last
     /// judged at.
-    unheld_since: Option<Ms>,
+    unheld_since: Option<Timestamp>,
     unheld_judged: u64,
     /// When two small blocks may be merged again.
-    next_merge: Ms,
+    next_merge: Timestamp,
     /// Blocks held here that are to be divided.
     oversized: BTreeSet<BlockId>,
     /// Revision that the replica must reach before the next one of a kind is planned.
-    op_wait: HashMap<Op, u64>,
+    awaited_revisions: HashMap<WriteKind, u64>,
     /// When the state service last refused a write for its budget.
-    refused_at: Option<Ms>,
+    refused_at: Option<Timestamp>,
     /// When a user was last refused for it.
-    user_refused: Option<Ms>,
+    user_refused: Option<Timestamp>,
     /// Machines whose answers wait and that have been given tasks.
-    woken: Vec<MachineIx>,
+    woken_machines: Vec<MachineId>,
     /// Nothing new is planned before the replica is at this revision.
-    wait_ledger: u64,
-    pub(crate) peers: HashMap<HostIx, PeerState>,
+    plan_after_revision: u64,
+    pub(crate) peers: HashMap<HostId, PeerState>,
     /// When each controller's queue totals last arrived by way of the state service.
-    signs: HashMap<HostIx, Ms>,
-    strays: HashMap<String, StrayState>,
+    last_load_seen: HashMap<HostId, Timestamp>,
+    unowned_machines: HashMap<String, UnownedMachineState>,
     /// Jobs that were cancelled lately, and when that became known here.
-    withdrawn: VecDeque<(Ms, String)>,
+    cancelled: VecDeque<(Timestamp, String)>,
     /// Jobs that the replica shows as pending and a peer knows to be cancelled.
-    told_over: HashSet<JobIx>,
+    peer_reported_cancellations: HashSet<JobId>,
     /// Blocks of ours that a peer knows to be granted anew: the token, and the holder.
-    told_granted: HashMap<BlockId, (u64, HostIx)>,
-    pub(crate) fails: HashMap<JobIx, Fails>,
-    pub(crate) ratios: HashMap<ClassIx, f64>,
+    peer_reported_grants: HashMap<BlockId, (u64, HostId)>,
+    pub(crate) failure_streaks: HashMap<JobId, FailureStreak>,
+    pub(crate) ratios: HashMap<ClassId, f64>,
     /// Catalog by index, once known.
-    pub(crate) frames: HashMap<FrameIx, Frame>,
-    next_catalog: Ms,
-    next_peers: Ms,
+    pub(crate) machine_types: HashMap<MachineTypeId, MachineType>,
+    next_catalog: Timestamp,
+    next_peers: Timestamp,
     /// Messages to peers so far: some of them are long.
     peer_turn: u32,
     /// Whether machines can be used of which the leader has not been told yet.
-    hasty: bool,
+    urgent_update: bool,
     /// When it may be told at the earliest.
-    next_hasty: Ms,
-    pub(crate) next_round: Ms,
-    pub(crate) lead: LeaderState,
+    next_urgent_update: Timestamp,
+    pub(crate) next_round: Timestamp,
+    pub(crate) leadership: LeaderState,
     pub(crate) day_ms: u64,
-    pub(crate) outbox: Vec<(HostIx, crate::protocol::Agent)>,
-    pub(crate) started: Option<Ms>,
-    last_tick: Ms,
+    pub(crate) outbox: Vec<(HostId, crate::protocol::StealMessage)>,
+    pub(crate) started: Option<Timestamp>,
+    last_tick: Timestamp,
     /// When this controller was last kept from looking at what is due.
-    stalled: Option<Ms>,
+    stalled_at: Option<Timestamp>,
     /// When this controller went on after it had stood still for so long that others may have
     /// acted in its place.
-    woke: Option<Ms>,
-    next_metrics: Ms,
+    resumed_at: Option<Timestamp>,
+    next_metrics: Timestamp,
     /// Format of stored values that this controller reads.
     pub(crate) format: u32,
     /// Whether it was said that this version is too old for what is stored.
-    said_outdated: bool,
+    outdated_logged: bool,
     /// Controllers that were seen to run an older version.
-    older: HashMap<HostIx, formats::OlderVersion>,
+    older: HashMap<HostId, formats::OlderVersion>,
     /// When the archive may be asked again for jobs that others need.
-    next_archived: Ms,
+    next_archived: Timestamp,
     /// Jobs lent to other cells and borrowed from them.
     pub(crate) spillover: Spillover,
 }
@@ -258,23 +261,23 @@
 /// Interval of the counters in the log, ms.
 const METRICS_MS: u64 = 30_000;
 
-impl Core {
+impl Controller {
     /// A controller that knows nothing yet. `seed` makes its random choices and its life's number.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let mut view = View::default();
-        let me = view.names.hosts.intern(&settings.platform.host_name);
+        let mut replica = Replica::default();
+        let me = replica.names.hosts.intern(&settings.platform.host_name);
         let others = settings
             .platform
             .known
             .iter()
-            .map(|k| view.names.hosts.intern(&k.host_name))
+            .map(|k| replica.names.hosts.intern(&k.host_name))
             .filter(|&h| h != me)
             .collect();
         for team in &settings.platform.settings.teams {
-            view.names.teams.intern(&team.name);
+            replica.names.teams.intern(&team.name);
         }
         let mut rng = SmallRng::seed_from_u64(seed);
-        let boot = Boot(rng.random::<u64>() >> 12);
+        let incarnation = Incarnation(rng.random::<u64>() >> 12);
         let known = &settings.platform.known;
         let peers: Vec<String> = known.iter().map(|k| k.endpoint.clone()).collect();
         let spillover = Spillover::new(settings.spillover.as_ref(), &peers);
@@ -284,64 +287,64 @@
         };
         Self {
             settings,
-            view,
+            replica,
             me,
             others,
             counters: Counters::default(),
-            boot,
-            permit: None,
+            incarnation,
+            lease_id: None,
             joined: false,
             renewed: None,
             confirmed: None,
-            next_renew: Ms(0),
+            next_renew: Timestamp(0),
             lease_busy: false,
             state_bad_since: None,
             rng,
             runtime: HashMap::default(),
-            ends: HashMap::default(),
+            pending_completions: HashMap::default(),
             running: HashMap::default(),
             moves: Vec::new(),
             reserved: HashSet::default(),
-            unseen: Vec::new(),
-            ops: HashMap::default(),
-            op_after: HashMap::default(),
-            speed: write_pacing::Speed::default(),
+            unacknowledged: Vec::new(),
+            in_flight: HashMap::default(),
+            next_turn: HashMap::default(),
+            write_pace: write_pacing::WritePace::default(),
             unheld_since: None,
             unheld_judged: 0,
-            next_merge: Ms(0),
+            next_merge: Timestamp(0),
             oversized: BTreeSet::new(),
-            op_wait: HashMap::default(),
+            awaited_revisions: HashMap::default(),
             refused_at: None,
             user_refused: None,
-            woken: Vec::new(),
-            wait_ledger: 0,
+            woken_machines: Vec::new(),
+            plan_after_revision: 0,
             peers: HashMap::default(),
-            signs: HashMap::default(),
-            strays: HashMap::default(),
-            withdrawn: VecDeque::new(),
-            told_over: HashSet::default(),
-            told_granted: HashMap::default(),
-            fails: HashMap::default(),
+            last_load_seen: HashMap::default(),
+            unowned_machines: HashMap::default(),
+            cancelled: VecDeque::new(),
+            peer_reported_cancellations: HashSet::default(),
+            peer_reported_grants: HashMap::default(),
+            failure_streaks: HashMap::default(),
             ratios: HashMap::default(),
-            frames: HashMap::default(),
-            next_catalog: Ms(0),
-            next_peers: Ms(0),
+            machine_types: HashMap::default(),
+            next_catalog: Timestamp(0),
+            next_peers: Timestamp(0),
             peer_turn: 0,
-            hasty: false,
-            next_hasty: Ms(0),
-            next_round: Ms(0),
-            lead: LeaderState::default(),
+            urgent_update: false,
+            next_urgent_update: Timestamp(0),
+            next_round: Timestamp(0),
+            leadership: LeaderState::default(),
             day_ms: 0,
             outbox: Vec::new(),
             started: None,
-            last_tick: Ms(0),
-            stalled: None,
-            woke: None,
-            next_metrics: Ms(0),
+            last_tick: Timestamp(0),
+            stalled_at: None,
+            resumed_at: None,
+            next_metrics: Timestamp(0),
             format,
-            said_outdated: false,
+            outdated_logged: false,
             older: HashMap::default(),
-            next_archived: Ms(0),
+            next_archived: Timestamp(0),
             spillover,
         }
     }
@@ -358,19 +361,19 @@
 
     /// Whether the machine types are known.
     pub fn catalog_known(&self) -> bool {
-        !self.frames.is_empty()
+        !self.machine_types.is_empty()
     }
 
     /// Does all that is due.
-    pub fn tick(&mut self, now: Ms, day_ms: u64) -> Vec<Action> {
+    pub fn tick(&mut self, now: Timestamp, day_ms: u64) -> Vec<Effect> {
         let mut out = Vec::new();
         self.day_ms = day_ms;
         if self.started.is_some() && now.since(self.last_tick) > STALL_MS {
-            self.stalled = Some(now);
+            self.stalled_at = Some(now);
         }
         if self.started.is_some() && now.since(self.last_tick) > self.silent_ms() {
             warn!(ms = now.since(self.last_tick), "stood still");
-            self.woke = Some(now);
+            self.resumed_at = Some(now);
         }
         let started = *self.started.get_or_insert(now);
         self.last_tick = now;
@@ -385,21 +388,21 @@
         if now >= self.next_catalog {
             let wait = if self.catalog_known() { 30_000 } else { 1000 };
             self.next_catalog = now.plus(wait);
-            out.push(Action::Catalog);
+            out.push(Effect::Catalog);
         }
-        self.adjust_speed(now);
+        self.adjust_write_pace(now);
         self.note_unheld(now);
         self.tick_lease(now, &mut out);
         self.send_again(now, &mut out);
-        if self.view.synced {
+        if self.replica.synced {
             self.tick_join(now, &mut out);
-            if self.has_authority(now) && self.awake(now) {
+            if self.has_authority(now) && self.caught_up_after_pause(now) {
                 self.tick_leadership(now, started, &mut out);
-                self.find_lost(now);
+                self.find_presumed_dead(now);
                 self.tick_holder(now, &mut out);
                 // Others act in place of one that alone is refused; its machines go over to them,
                 // and would seem dead to it.
-                if !self.left_out(now) {
+                if !self.alone_without_store(now) {
                     self.tick_leader(now, &mut out);
                 }
                 self.tick_balance(now, &mut out);
@@ -407,7 +410,7 @@
         }
         self.ask_archive(now, &mut out);
         self.tick_spillover(now, &mut out);
-        if now >= self.next_peers || !self.outbox.is_empty() || self.hasty_due(now) {
+        if now >= self.next_peers || !self.outbox.is_empty() || self.urgent_update_due(now) {
             self.tick_peers(now, &mut out);
         }
         out
@@ -420,7 +423,7 @@
 
     /// Size of a machine; none while its type is unknown.
     pub(crate) fn size(&self, m: &Machine) -> Option<Room> {
-        self.frames.get(&m.frame).map(Room::from)
+        self.machine_types.get(&m.machine_type).map(Room::from)
     }
 
     /// Expected seconds of a task, the owners' estimates corrected by what was observed.
@@ -430,21 +433,21 @@
     }
 
     /// Seconds of work per CPU in a machine's queue, started tasks counted with what is left.
-    pub(crate) fn queue_load(&self, ix: MachineIx, now: Ms) -> f64 {
-        let Some(m) = self.view.machines.get(&ix) else {
+    pub(crate) fn queue_load(&self, machine_id: MachineId, now: Timestamp) -> f64 {
+        let Some(m) = self.replica.machines.get(&machine_id) else {
             return 0.0;
         };
         let Some(size) = self.size(m) else { return 0.0 };
-        let runtime = self.runtime.get(&ix);
+        let runtime = self.runtime.get(&machine_id);
         let work: f64 = m
             .queue
             .iter()
             .filter_map(|e| {
-                let job = self.view.jobs.get(&e.task.job)?;
+                let job = self.replica.jobs.get(&e.task.job)?;
                 let run = self.run_s(job);
-                let leg = runtime.and_then(|runtime| runtime.legs.get(&e.task));
-                let left = match leg {
-                    Some(l) if l.status == LegStatus::Ended => 0.0,
+                let task = runtime.and_then(|runtime| runtime.tasks.get(&e.task));
+                let left = match task {
+                    Some(l) if l.status == TaskPhase::Ended => 0.0,
                     Some(l) => {
                         let ran = l.running_since.map_or(0, |s| now.since(s));
                         (run - ran as f64 / 1000.0).max(run * 0.1)
@@ -459,25 +462,25 @@
 
     /// The cloud's catalog arrived.
     pub fn on_catalog(&mut self, catalog: crate::protocol::Catalog) {
-        for f in catalog.frames {
+        for f in catalog.machine_types {
             for y in &f.zones {
-                self.view.names.zones.intern(y);
+                self.replica.names.zones.intern(y);
             }
-            let ix = self.view.names.frames.intern(&f.label);
-            if self.frames.insert(ix, f).is_none() {
+            let machine_id = self.replica.names.machine_types.intern(&f.label);
+            if self.machine_types.insert(machine_id, f).is_none() {
                 // How much the machines of a block may come to list is known only now.
-                self.view.touch_all();
+                self.replica.touch_all();
             }
         }
     }
 
     /// Publishes this controller's queue totals, for the mean of the next round.
-    pub(crate) fn publish_loads(&mut self, now: Ms, out: &mut Vec<Action>) {
-        if !self.idle(Op::Load, now) {
+    pub(crate) fn publish_loads(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        if !self.idle(WriteKind::Load, now) {
             return;
         }
-        let names = &self.view.names.machines;
-        let mut loads: Vec<(f64, MachineIx)> = self
+        let names = &self.replica.names.machines;
+        let mut loads: Vec<(f64, MachineId)> = self
             .runtime
             .keys()
             .map(|&m| ((self.queue_load(m, now) * 10.0).round() / 10.0, m))
@@ -488,7 +491,7 @@
             sum: loads.iter().map(|l| l.0).sum(),
             machines: BTreeMap::new(),
         };
-        // From both ends inwards, as far as the value has room: those in between neither give
+        // From both completions inwards, as far as the value has room: those in between neither give
         // nor take. A name, a number and what stands between them have 10 bytes to spare here.
         let mut room = self.settings.value_bytes().saturating_sub(100);
         let (mut low, mut high) = (0, loads.len());
@@ -508,67 +511,82 @@
             record.machines.insert(name.to_owned(), loads[at].0);
         }
         let key = load_key(self.my_name());
-        let txn = Txn {
-            guards: Vec::new(),
-            then: vec![put(&key, &record, self.permit)],
+        let transaction = Transaction {
+            preconditions: Vec::new(),
+            mutations: vec![put(&key, &record, self.lease_id)],
         };
-        self.submit(Op::Load, txn, writes::Payload::default(), out);
+        self.submit(
+            WriteKind::Load,
+            transaction,
+            writes::WriteIntent::default(),
+            out,
+        );
     }
 
     /// What is known of a machine now, from its holder.
-    pub(crate) fn machine_info(&self, ix: MachineIx, now: Ms) -> Option<MachineInfo> {
-        let (_, grant) = self.view.holder(ix)?;
+    pub(crate) fn machine_info(
+        &self,
+        machine_id: MachineId,
+        now: Timestamp,
+    ) -> Option<MachineInfo> {
+        let (_, grant) = self.replica.holder(machine_id)?;
         if grant.host == self.me {
-            let runtime = self.runtime.get(&ix)?;
+            let runtime = self.runtime.get(&machine_id)?;
             return Some(MachineInfo {
                 age_ms: runtime.heard.map(|h| now.since(h)),
                 obeys: runtime.obeys(),
                 recalled: runtime.recall_at.is_some(),
-                sick: self.unfit(runtime, now),
-                anew: runtime.anew,
+                quarantined: self.unfit(runtime, now),
+                restarted: runtime.restarted,
             });
         }
         let peer = self.peers.get(&grant.host)?;
         let age = now.since(peer.machines_at?);
-        let news = peer.machines.get(&ix)?;
+        let message = peer.machines.get(&machine_id)?;
         Some(MachineInfo {
-            age_ms: news.age_ms.map(|a| a + age),
-            obeys: news.obeys,
-            recalled: news.recalled,
-            sick: news.sick,
-            anew: news.anew,
+            age_ms: message.age_ms.map(|a| a + age),
+            obeys: message.obeys,
+            recalled: message.recalled,
+            quarantined: message.quarantined,
+            restarted: message.restarted,
         })
     }
 
     /// Load of a machine's queue, as its holder sees it; 0 if that is unknown.
-    pub(crate) fn known_load(&self, ix: MachineIx, now: Ms) -> f64 {
-        match self.view.holder(ix) {
-            Some((_, g)) if g.host == self.me => self.queue_load(ix, now),
+    pub(crate) fn known_load(&self, machine_id: MachineId, now: Timestamp) -> f64 {
+        match self.replica.holder(machine_id) {
+            Some((_, g)) if g.host == self.me => self.queue_load(machine_id, now),
             Some((_, g)) => {
-                let news = self.peers.get(&g.host).and_then(|p| p.machines.get(&ix));
-                news.map_or(0.0, |n| n.load)
+                let message = self
+                    .peers
+                    .get(&g.host)
+                    .and_then(|p| p.machines.get(&machine_id));
+                message.map_or(0.0, |n| n.load)
             }
             None => 0.0,
         }
     }
 
     /// Running tasks of a job as far as this controller has heard, for display.
-    pub fn running(&self, job: JobIx) -> u32 {
+    pub fn running(&self, job: JobId) -> u32 {
         let mine = self.running.get(&job).copied().unwrap_or(0);
         let theirs = self.peers.values().filter_map(|p| p.running.get(&job));
         mine + theirs.sum::<u32>()
     }
 
     /// Whether no task of a job may run any more, as far as this controller knows.
-    pub(crate) fn is_over(&self, ix: JobIx, job: &Job) -> bool {
-        job.status != JobStatus::Pending || self.told_over.contains(&ix)
+    pub(crate) fn is_over(&self, job_id: JobId, job: &Job) -> bool {
+        job.status != JobStatus::Pending || self.peer_reported_cancellations.contains(&job_id)
     }
 }
 
-fn task_runtime(leg: &crate::protocol::Leg, running_since: Option<Ms>) -> TaskRuntime {
+fn task_runtime(
+    task: &crate::protocol::TaskStatus,
+    running_since: Option<Timestamp>,
+) -> TaskRuntime {
     TaskRuntime {
-        attempt: leg.attempt,
-        status: leg.status,
+        attempt: task.attempt,
+        status: task.status,
         running_since,
     }
 }
@@ -578,20 +596,20 @@
     let s = &job.spec;
     Needs {
         room: job.room(),
-        frames: job.frames.clone(),
+        machine_types: job.machine_types.clone(),
         zone: job.zone,
         spot: s.spot,
         one_zone: s.one_zone,
-        zone_most: s.spread.then(|| s.legs.div_ceil(2)),
+        zone_most: s.spread.then(|| s.task_count.div_ceil(2)),
     }
 }
 
 /// A change that writes `value`.
-pub(crate) fn put(key: &str, value: &impl serde::Serialize, permit: Option<u64>) -> Change {
-    Change::Put {
-        put: key.to_owned(),
-        v: Json::of(value),
-        permit,
+pub(crate) fn put(key: &str, value: &impl serde::Serialize, lease_id: Option<u64>) -> Mutation {
+    Mutation::Put {
+        key: key.to_owned(),
+        value: Json::of(value),
+        lease_id,
     }
 }
 
--- a/src/controller/observations.rs
+++ b/src/controller/observations.rs
@@ -1,4 +1,4 @@
-//! What a controller keeps of machines, tasks and peers, and forgets when it ends.
+//! What a controller keeps of machines, tasks and peers, and forgets when it completions.
 
 use super::*;
 
@@ -6,9 +6,9 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TaskRuntime {
     pub attempt: u64,
-    pub status: LegStatus,
+    pub status: TaskPhase,
     /// When it was first seen running.
-    pub running_since: Option<Ms>,
+    pub running_since: Option<Timestamp>,
 }
 
 /// What a holder knows of a machine under one token.
@@ -16,37 +16,37 @@
 pub(crate) struct MachineRuntime {
     pub token: u64,
     /// When the grant became known.
-    pub since: Ms,
+    pub since: Timestamp,
     /// Number of the newest report that showed this token.
     pub newest: (u64, u64),
     /// Number of the newest one that did not.
     pub unproven: (u64, u64),
     /// A report under this token came: no earlier holder is obeyed any more.
     pub fenced: bool,
-    pub heard: Option<Ms>,
-    pub last_ok: Option<Ms>,
-    pub recall_at: Option<Ms>,
-    pub legs: HashMap<TaskIx, TaskRuntime>,
+    pub heard: Option<Timestamp>,
+    pub last_ok: Option<Timestamp>,
+    pub recall_at: Option<Timestamp>,
+    pub tasks: HashMap<TaskId, TaskRuntime>,
     /// Launched in the answer to the newest report.
-    pub launched: HashSet<TaskIx>,
+    pub launched: HashSet<TaskId>,
     /// Jobs that failed here one after the other.
-    pub failed: Vec<JobIx>,
-    pub sick: bool,
-    pub lost: bool,
+    pub failed: Vec<JobId>,
+    pub quarantined: bool,
+    pub presumed_dead: bool,
     /// Answers in a row that did not reach it, and how many did since.
-    pub unheard: u32,
+    pub missed_acks: u32,
     pub heard_again: u32,
     /// Since when answers do not reach it although its reports come.
-    pub deaf: Option<Ms>,
+    pub unreachable_since: Option<Timestamp>,
     /// The latest report without our token after one that showed it: a late copy, or a worker that
     /// has begun anew.
-    pub low: Option<(u64, u64, Ms)>,
+    pub low: Option<(u64, u64, Timestamp)>,
     /// The answer to its newest report waits for a task.
     pub waits: bool,
     /// Since when ended tasks wait to be cleared.
-    pub clear_since: Option<Ms>,
+    pub clear_since: Option<Timestamp>,
     /// Its worker has begun anew: only under a new token do its reports prove anything.
-    pub anew: bool,
+    pub restarted: bool,
 }
 
 impl MachineRuntime {
@@ -54,7 +54,7 @@
     /// one that reports but hears nothing, or of which only old copies of reports come, never
     /// shows our token, or shows launches that do not appear.
     pub fn obeys(&self) -> bool {
-        self.fenced && !self.lost && self.deaf.is_none()
+        self.fenced && !self.presumed_dead && self.unreachable_since.is_none()
     }
 }
 
@@ -68,51 +68,51 @@
     /// Under notice of the cloud.
     pub recalled: bool,
     /// Fails what it starts.
-    pub sick: bool,
+    pub quarantined: bool,
     /// Its worker has begun anew.
-    pub anew: bool,
+    pub restarted: bool,
 }
 
 /// What is known of a peer.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PeerState {
-    pub heard: Option<Ms>,
+    pub heard: Option<Timestamp>,
     /// The life it spoke in.
-    pub boot: Option<Boot>,
+    pub incarnation: Option<Incarnation>,
     pub state_ok: bool,
     /// Since when it says that the state service does not answer it, while it answers us.
-    pub refused_since: Option<Ms>,
+    pub refused_since: Option<Timestamp>,
     /// When it last said that it had to refuse users for the budget of changes.
-    pub short_at: Option<Ms>,
+    pub short_at: Option<Timestamp>,
     /// Ages of what it heard from others when it spoke last.
-    pub hears: HashMap<HostIx, u64>,
+    pub hears: HashMap<HostId, u64>,
     /// What it last said of its machines, and when.
-    pub machines: HashMap<MachineIx, MachineNews>,
-    pub machines_at: Option<Ms>,
+    pub machines: HashMap<MachineId, MachineSummary>,
+    pub machines_at: Option<Timestamp>,
     /// Tasks that run on them.
-    pub running: HashMap<JobIx, u32>,
+    pub running: HashMap<JobId, u32>,
     /// Tasks that were done on them and that it has not recorded yet.
-    pub done: HashMap<JobIx, RangeSet>,
-    pub strays: Vec<Stray>,
-    pub fails: Vec<(JobIx, u32, Ms)>,
+    pub done: HashMap<JobId, RangeSet>,
+    pub unowned_machines: Vec<UnownedMachine>,
+    pub failure_streaks: Vec<(JobId, u32, Timestamp)>,
 }
 
 #[derive(Debug, Clone)]
-pub(crate) struct StrayState {
-    pub first: Ms,
-    pub last: Ms,
+pub(crate) struct UnownedMachineState {
+    pub first: Timestamp,
+    pub last: Timestamp,
     /// Number of its newest report: copies of older ones do not count.
     pub newest: (u64, u64),
     /// The grant it came past; under another one the count begins anew.
     pub token: u64,
-    pub frame: String,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
 }
 
 /// Failures of a job one after the other, as seen by this holder.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Fails {
+pub(crate) struct FailureStreak {
     pub count: u32,
-    pub last: Ms,
+    pub last: Timestamp,
 }
--- a/src/controller/splitting.rs
+++ b/src/controller/splitting.rs
@@ -1,9 +1,9 @@
 //! Blocks whose values are larger than the state service takes, or will take.
 
-use super::writes::Payload;
+use super::writes::WriteIntent;
 use super::*;
 use crate::records::Encoding;
-use crate::replica::{Block, Draft};
+use crate::replica::{Block, BlockEdit};
 
 /// Part of the largest value that a part of a divided block should fill at most: its holder and the
 /// leader need the rest.
@@ -15,19 +15,19 @@
 const DENSE_PART: f64 = 0.6;
 
 /// Two halves of a block's machines and of its list of done tasks.
-fn halves(draft: Draft) -> (Draft, Draft) {
-    let mut first = Draft::default();
-    let mut second = Draft::default();
-    let (machines, done) = (draft.machines.len(), draft.done.len());
-    for (at, (ix, machine)) in draft.machines.into_iter().enumerate() {
+fn halves(edit: BlockEdit) -> (BlockEdit, BlockEdit) {
+    let mut first = BlockEdit::default();
+    let mut second = BlockEdit::default();
+    let (machines, done) = (edit.machines.len(), edit.done.len());
+    for (at, (machine_id, machine)) in edit.machines.into_iter().enumerate() {
         let half = if at * 2 < machines {
             &mut first
         } else {
             &mut second
         };
-        half.machines.insert(ix, machine);
+        half.machines.insert(machine_id, machine);
     }
-    for (at, tasks) in draft.done.into_iter().enumerate() {
+    for (at, tasks) in edit.done.into_iter().enumerate() {
         let half = if at * 2 < done {
             &mut first
         } else {
@@ -38,13 +38,13 @@
     (first, second)
 }
 
-impl Core {
+impl Controller {
     /// Takes note of whether a block that was touched is held here and is to be divided: its value is
     /// too large to be written as it is, or too many machines share it. A version that does not know
     /// of lower limits to come may have filled it.
     pub(crate) fn note_size(&mut self, id: BlockId) {
-        let held = self.view.grants.get(&id).is_some_and(|g| self.holds(g));
-        let block = self.view.blocks.get(&id).filter(|_| held);
+        let held = self.replica.grants.get(&id).is_some_and(|g| self.holds(g));
+        let block = self.replica.blocks.get(&id).filter(|_| held);
         if block.is_some_and(|b| self.is_oversized(b)) {
             self.oversized.insert(id);
         } else {
@@ -59,7 +59,7 @@
     fn is_oversized(&self, block: &Block) -> bool {
         let most = self.settings.value_bytes();
         let machines = block.machines.iter();
-        let known = machines.filter_map(|m| self.view.machines.get(m));
+        let known = machines.filter_map(|m| self.replica.machines.get(m));
         let expected = self.expected_size(known);
         let crowded = expected > (most as f64 * CROWDED) as usize;
         block.bytes > most || (crowded && block.machines.len() > 1)
@@ -67,8 +67,8 @@
 
     /// Bytes that machines may come to fill in their block's value.
     pub(super) fn expected_size<'a>(&self, machines: impl Iterator<Item = &'a Machine>) -> usize {
-        let bytes: usize = machines.map(|m| self.expected_bytes(m.frame)).sum();
-        match self.view.encoding() {
+        let bytes: usize = machines.map(|m| self.expected_bytes(m.machine_type)).sum();
+        match self.replica.encoding() {
             Encoding::Compatible => bytes,
             Encoding::Dense => (bytes as f64 * DENSE_PART) as usize,
         }
@@ -85,62 +85,64 @@
     pub(crate) fn plan_split(
         &self,
         id: BlockId,
-        draft: &Draft,
-        payload: &Payload,
-    ) -> Option<(Txn, Payload)> {
+        edit: &BlockEdit,
+        intent: &WriteIntent,
+    ) -> Option<(Transaction, WriteIntent)> {
         let most = self.settings.value_bytes();
         let roomy = (most as f64 * ROOMY) as usize;
-        let parts = self.divide(draft, roomy);
-        let Some(parts) = parts.or_else(|| self.divide(draft, most)) else {
+        let parts = self.divide(edit, roomy);
+        let Some(parts) = parts.or_else(|| self.divide(edit, most)) else {
             debug!(block = id.0, "a block is too large to be divided yet");
             return None;
         };
-        let mut txn = Txn::default();
-        txn.guards.push(self.guard(&grant_key(id)));
+        let mut transaction = Transaction::default();
+        transaction
+            .preconditions
+            .push(self.precondition(&grant_key(id)));
         let ids = std::iter::once(id).chain(self.unused_blocks());
-        let mut payload = Payload {
+        let mut intent = WriteIntent {
             blocks: Vec::new(),
-            ..payload.clone()
+            ..intent.clone()
         };
-        for (part, v) in ids.zip(parts) {
+        for (part, value) in ids.zip(parts) {
             let put = block_key(part);
-            txn.guards.push(self.guard(&put));
-            txn.then.push(Change::Put {
-                put,
-                v,
-                permit: None,
+            transaction.preconditions.push(self.precondition(&put));
+            transaction.mutations.push(Mutation::Put {
+                key: put,
+                value,
+                lease_id: None,
             });
-            payload.blocks.push(part);
+            intent.blocks.push(part);
         }
         info!(
             block = id.0,
-            parts = payload.blocks.len(),
+            parts = intent.blocks.len(),
             "dividing a block"
         );
-        Some((txn, payload))
+        Some((transaction, intent))
     }
 
     /// Values of the parts of a block, each of so many bytes at most; none if one transaction has
     /// no room for them.
-    fn divide(&self, draft: &Draft, most_bytes: usize) -> Option<Vec<Json>> {
+    fn divide(&self, edit: &BlockEdit, most_bytes: usize) -> Option<Vec<Json>> {
         let most_parts = self.settings.platform.settings.state.txn_ops;
         let mut values = Vec::new();
-        let mut rest = vec![draft.clone()];
-        while let Some(draft) = rest.pop() {
+        let mut rest = vec![edit.clone()];
+        while let Some(edit) = rest.pop() {
             if values.len() + rest.len() >= most_parts {
                 return None;
             }
-            let value = Json::of(&self.view.seal(&draft));
-            let expected = self.expected_size(draft.machines.values());
-            let crowded = expected > most_bytes && draft.machines.len() > 1;
+            let value = Json::of(&self.replica.seal(&edit));
+            let expected = self.expected_size(edit.machines.values());
+            let crowded = expected > most_bytes && edit.machines.len() > 1;
             if value.size() <= most_bytes && !crowded {
                 values.push(value);
                 continue;
             }
-            if draft.machines.len() < 2 && draft.done.len() < 2 {
+            if edit.machines.len() < 2 && edit.done.len() < 2 {
                 return None;
             }
-            let (first, second) = halves(draft);
+            let (first, second) = halves(edit);
             rest.extend([second, first]);
         }
         Some(values)
@@ -148,8 +150,8 @@
 
     /// Numbers of blocks that do not exist and are not being made.
     fn unused_blocks(&self) -> impl Iterator<Item = BlockId> + '_ {
-        let made: HashSet<BlockId> = self.ops_blocks().collect();
+        let made: HashSet<BlockId> = self.blocks_in_flight().collect();
         let all = (0..).map(BlockId);
-        all.filter(move |id| !self.view.blocks.contains_key(id) && !made.contains(id))
+        all.filter(move |id| !self.replica.blocks.contains_key(id) && !made.contains(id))
     }
 }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -9,25 +9,25 @@
 
 #[test]
 fn all_machines_of_a_large_fleet_are_remembered_when_all_come_to_one_controller() {
-    let mut core = Core::new(crate::settings::tests::small(), 1);
-    let report = |n: u32, sequence: u64| Report {
-        rig: format!("m-{n:06}"),
+    let mut controller = Controller::new(crate::settings::tests::small(), 1);
+    let heartbeat = |n: u32, sequence: u64| Heartbeat {
+        machine: format!("m-{n:06}"),
         endpoint: "127.0.0.1:1".into(),
-        frame: "small".into(),
+        machine_type: "small".into(),
         zone: "north".into(),
         spot: false,
-        session: 1,
+        worker_epoch: 1,
         sequence,
         token: 0,
         reclaim_s: None,
-        legs: Vec::new(),
+        tasks: Vec::new(),
     };
-    for (sequence, at) in [(1, Ms(10_000)), (2, Ms(12_000))] {
+    for (sequence, at) in [(1, Timestamp(10_000)), (2, Timestamp(12_000))] {
         for n in 0..4500 {
-            core.stray(&report(n, sequence), 0, at);
+            controller.note_unowned_machine(&heartbeat(n, sequence), 0, at);
         }
     }
-    let strays = core.my_strays(Ms(12_000));
-    assert_eq!(strays.len(), 4500);
-    assert!(strays.iter().all(|s| s.for_ms == 2000));
+    let unowned_machines = controller.unowned_machines_to_report(Timestamp(12_000));
+    assert_eq!(unowned_machines.len(), 4500);
+    assert!(unowned_machines.iter().all(|s| s.for_ms == 2000));
 }
--- a/src/controller/usage.rs
+++ b/src/controller/usage.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-impl Core {
+impl Controller {
     /// Room that a team may still use: its limit without everything bound.
-    pub(crate) fn team_room(&self) -> HashMap<TeamIx, Room> {
+    pub(crate) fn team_room(&self) -> HashMap<TeamId, Room> {
         self.team_room_of(|t| (t.cpus_max, t.gpus_max))
     }
 
@@ -12,18 +12,18 @@
     pub(crate) fn team_room_of(
         &self,
         most: impl Fn(&crate::settings::Team) -> (f64, f64),
-    ) -> HashMap<TeamIx, Room> {
-        let mut room: HashMap<TeamIx, Room> = HashMap::default();
+    ) -> HashMap<TeamId, Room> {
+        let mut room: HashMap<TeamId, Room> = HashMap::default();
         for t in &self.settings.platform.settings.teams {
-            if let Some(ix) = self.view.names.teams.get(&t.name) {
+            if let Some(job_id) = self.replica.names.teams.get(&t.name) {
                 let (cpus, gpus) = most(t);
                 let ram = 0.0;
-                room.insert(ix, Room { cpus, gpus, ram });
+                room.insert(job_id, Room { cpus, gpus, ram });
             }
         }
-        for m in self.view.machines.values() {
+        for m in self.replica.machines.values() {
             for e in &m.queue {
-                if let Some(job) = self.view.jobs.get(&e.task.job)
+                if let Some(job) = self.replica.jobs.get(&e.task.job)
                     && let Some(r) = room.get_mut(&job.team)
                 {
                     r.add(&job.room(), -1.0);
@@ -31,7 +31,7 @@
             }
         }
         for (_, e) in self.binding() {
-            if let Some(job) = self.view.jobs.get(&e.task.job)
+            if let Some(job) = self.replica.jobs.get(&e.task.job)
                 && let Some(r) = room.get_mut(&job.team)
             {
                 r.add(&job.room(), -1.0);
@@ -44,12 +44,12 @@
     ///
     /// Guards against a write that has no answer yet: the rest of a job that must stay together
     /// would be bound in another zone meanwhile.
-    pub(crate) fn zones_of(&self) -> HashMap<JobIx, HashMap<ZoneIx, u32>> {
-        let mut zones: HashMap<JobIx, HashMap<ZoneIx, u32>> = HashMap::default();
-        let listed = self.view.machines.values();
+    pub(crate) fn zones_of(&self) -> HashMap<JobId, HashMap<ZoneId, u32>> {
+        let mut zones: HashMap<JobId, HashMap<ZoneId, u32>> = HashMap::default();
+        let listed = self.replica.machines.values();
         let listed = listed.flat_map(|m| m.queue.iter().map(|e| (m.zone, e)));
-        let coming = self.binding().filter_map(|(ix, e)| {
-            let machine = self.view.machines.get(ix)?;
+        let coming = self.binding().filter_map(|(machine_id, e)| {
+            let machine = self.replica.machines.get(machine_id)?;
             Some((machine.zone, e))
         });
         for (zone, e) in listed.chain(coming) {
--- a/src/controller/write_pacing.rs
+++ b/src/controller/write_pacing.rs
@@ -31,16 +31,16 @@
 
 /// When a kind of write may be planned again.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Turn {
+pub(crate) struct WriteTurn {
     /// The regular turn.
-    pub due: Ms,
+    pub due: Timestamp,
     /// For what others wait for.
-    pub early: Ms,
+    pub early: Timestamp,
 }
 
-impl Turn {
+impl WriteTurn {
     /// A turn before which nothing is planned at all.
-    pub fn at(due: Ms) -> Self {
+    pub fn at(due: Timestamp) -> Self {
         Self { due, early: due }
     }
 }
@@ -50,18 +50,18 @@
 /// A turn is as long as it has to be if every block were written in each. Most are not, and half of
 /// the budget lay idle while endings and bindings waited for their turn.
 #[derive(Debug, Clone)]
-pub(crate) struct Speed {
-    began: Ms,
+pub(crate) struct WritePace {
+    began: Timestamp,
     seen: u64,
     /// Changes a second of all controllers, as the watch shows them.
     used: f64,
     factor: f64,
 }
 
-impl Default for Speed {
+impl Default for WritePace {
     fn default() -> Self {
         Self {
-            began: Ms(0),
+            began: Timestamp(0),
             seen: 0,
             used: 0.0,
             factor: 1.0,
@@ -69,14 +69,14 @@
     }
 }
 
-impl Speed {
+impl WritePace {
     /// The watch showed so many changes.
     pub(crate) fn note(&mut self, changes: usize) {
         self.seen += changes as u64;
     }
 
     /// Looks at the use of a budget of so many changes a second.
-    pub(crate) fn adjust(&mut self, budget: f64, refused: bool, now: Ms) {
+    pub(crate) fn adjust(&mut self, budget: f64, refused: bool, now: Timestamp) {
         let ms = now.since(self.began);
         if ms < LOOK_MS {
             return;
@@ -100,24 +100,25 @@
     }
 }
 
-impl Core {
+impl Controller {
     /// Looks whether many blocks wait for a grant.
     ///
     /// Guards against endings and bindings that use up the budget after several controllers ended
     /// at once: the grants of fifty blocks then took six seconds, and with the time of the restart
     /// the leases of workers ran out.
-    pub(crate) fn note_unheld(&mut self, now: Ms) {
-        if std::mem::replace(&mut self.unheld_judged, self.view.version) == self.view.version {
+    pub(crate) fn note_unheld(&mut self, now: Timestamp) {
+        if std::mem::replace(&mut self.unheld_judged, self.replica.version) == self.replica.version
+        {
             return;
         }
         let valid = |id: &BlockId| {
-            let grant = self.view.grants.get(id);
+            let grant = self.replica.grants.get(id);
             grant.is_some_and(|g| {
-                let node = self.view.nodes.get(&g.host);
-                node.is_some_and(|n| n.boot == g.boot)
+                let node = self.replica.live_controllers.get(&g.host);
+                node.is_some_and(|n| n.incarnation == g.incarnation)
             })
         };
-        let unheld = self.view.blocks.keys().filter(|id| !valid(id)).count();
+        let unheld = self.replica.blocks.keys().filter(|id| !valid(id)).count();
         if unheld < UNHELD_BLOCKS {
             self.unheld_since = None;
         } else {
@@ -126,25 +127,25 @@
     }
 
     /// Whether gathered writes give way to grants.
-    pub(crate) fn grants_first(&self, now: Ms) -> bool {
+    pub(crate) fn grants_first(&self, now: Timestamp) -> bool {
         self.unheld_since
             .is_some_and(|since| now.since(since) < UNHELD_MS)
     }
 
     /// Looks at how much of the budget of changes is used.
-    pub(crate) fn adjust_speed(&mut self, now: Ms) {
+    pub(crate) fn adjust_write_pace(&mut self, now: Timestamp) {
         let budget = self.settings.platform.settings.state.write_rps;
         let refused =
             self.users_refused(now) || self.refused_at.is_some_and(|t| now.since(t) < SHORT_MS);
-        self.speed.adjust(budget, refused, now);
+        self.write_pace.adjust(budget, refused, now);
     }
 
     /// Spreads writes over time: each block has its turn, and what comes in between is gathered for
     /// it.
-    pub(crate) fn pace(&mut self, op: Op, writes: usize, now: Ms) {
-        let share = match op {
-            Op::Ends(_) => ENDINGS,
-            Op::Edit(_) => EDITS,
+    pub(crate) fn pace(&mut self, write_kind: WriteKind, writes: usize, now: Timestamp) {
+        let share = match write_kind {
+            WriteKind::Ends(_) => ENDINGS,
+            WriteKind::Edit(_) => EDITS,
             _ => return,
         };
         let least = self.settings.options.flush_ms as u64;
@@ -152,17 +153,18 @@
         let part = if self.users_refused(now) {
             SHORT_FACTOR
         } else {
-            self.speed.factor()
+            self.write_pace.factor()
         };
         let ms = self.turn_ms(share) * writes as f64 / part;
-        let turn = Turn {
+        let turn = WriteTurn {
             due: now.plus((ms as u64).max(least)),
             early: now.plus(least),
         };
-        self.op_after.insert(op, turn);
-        if self.op_after.len() > 1000 {
-            self.op_after.retain(|_, t| now < t.due);
-            self.op_wait.retain(|_, l| self.view.ledger < *l);
+        self.next_turn.insert(write_kind, turn);
+        if self.next_turn.len() > 1000 {
+            self.next_turn.retain(|_, t| now < t.due);
+            self.awaited_revisions
+                .retain(|_, l| self.replica.revision < *l);
         }
     }
 
@@ -176,16 +178,16 @@
     /// next, together.
     pub(crate) fn turns_s(&self) -> f64 {
         let slowest_ms = self.turn_ms(EDITS) + self.turn_ms(ENDINGS);
-        slowest_ms / self.speed.factor() / 1000.0
+        slowest_ms / self.write_pace.factor() / 1000.0
     }
 
     /// A user's write was refused because the budget of changes was used up.
-    pub fn on_user_refused(&mut self, now: Ms) {
+    pub fn on_user_refused(&mut self, now: Timestamp) {
         self.user_refused = Some(now);
     }
 
     /// Whether some controller had to refuse a user a moment ago, as far as is known here.
-    pub(crate) fn users_refused(&self, now: Ms) -> bool {
+    pub(crate) fn users_refused(&self, now: Timestamp) -> bool {
         let mine = self.user_refused.is_some_and(|t| now.since(t) < SHORT_MS);
         let theirs = self.peers.values();
         mine || theirs
--- a/src/controller/write_pacing/tests.rs
+++ b/src/controller/write_pacing/tests.rs
@@ -3,30 +3,36 @@
 use super::*;
 
 /// The factor after so many seconds with so many changes each.
-fn after(speed: &mut Speed, from: u64, seconds: u64, changes: usize, refused: bool) -> f64 {
+fn after(
+    write_pace: &mut WritePace,
+    from: u64,
+    seconds: u64,
+    changes: usize,
+    refused: bool,
+) -> f64 {
     for second in 1..=seconds {
-        speed.note(changes);
-        speed.adjust(20.0, refused, Ms((from + second) * 1000));
+        write_pace.note(changes);
+        write_pace.adjust(20.0, refused, Timestamp((from + second) * 1000));
     }
-    speed.factor()
+    write_pace.factor()
 }
 
 #[test]
 fn turns_become_shorter_while_little_of_the_budget_is_used_and_longer_again() {
-    let mut speed = Speed::default();
-    let fast = after(&mut speed, 0, 60, 5, false);
+    let mut write_pace = WritePace::default();
+    let fast = after(&mut write_pace, 0, 60, 5, false);
     assert_eq!(fast, MOST_SPEED);
-    let slower = after(&mut speed, 60, 10, 20, false);
+    let slower = after(&mut write_pace, 60, 10, 20, false);
     assert!(slower < fast);
-    let refused = after(&mut speed, 70, 4, 20, true);
+    let refused = after(&mut write_pace, 70, 4, 20, true);
     assert!(refused < slower * 0.5, "{refused} after {slower}");
-    assert_eq!(after(&mut speed, 74, 30, 20, true), 1.0);
+    assert_eq!(after(&mut write_pace, 74, 30, 20, true), 1.0);
 }
 
 #[test]
 fn a_budget_that_is_well_used_leaves_the_speed_as_it_is() {
-    let mut speed = Speed::default();
-    let steady = after(&mut speed, 0, 120, 16, false);
-    assert_eq!(steady, after(&mut speed, 120, 60, 16, false));
+    let mut write_pace = WritePace::default();
+    let steady = after(&mut write_pace, 0, 120, 16, false);
+    assert_eq!(steady, after(&mut write_pace, 120, 60, 16, false));
     assert!(steady < MOST_SPEED);
 }
--- a/src/controller/writes.rs
+++ b/src/controller/writes.rs
@@ -1,6 +1,6 @@
 //! Transactions under way: sent, settled, paced.
 
-use super::write_pacing::Turn;
+use super::write_pacing::WriteTurn;
 use super::*;
 
 /// Pause after a write that the service called malformed, ms.
@@ -8,251 +8,275 @@
 
 /// What a transaction does besides its changes of keys, for the time until it is settled.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Payload {
+pub(crate) struct WriteIntent {
     /// Blocks that it writes.
     pub blocks: Vec<BlockId>,
     /// Endings that it records.
-    pub ends: Vec<(MachineIx, Entry, End)>,
+    pub outcomes: Vec<(MachineId, Binding, TaskOutcome)>,
     /// Moves that it makes.
     pub moves: Vec<Move>,
     /// Tasks that it binds.
-    pub binds: Vec<(MachineIx, Entry)>,
+    pub binds: Vec<(MachineId, Binding)>,
     /// Machines that it puts into a block.
-    pub placed: Vec<MachineIx>,
+    pub placed: Vec<MachineId>,
     /// Jobs that it lends to another cell.
-    pub lent: Vec<JobIx>,
+    pub lent: Vec<JobId>,
 }
 
 /// A transaction that is not settled.
 #[derive(Debug, Clone)]
-pub(crate) struct InFlight {
-    txn: Txn,
+pub(crate) struct InFlightWrite {
+    transaction: Transaction,
     /// An earlier copy may have been, or may yet be, carried out.
     unsure: bool,
     /// When to send it again; none while an answer is awaited.
-    again: Option<Ms>,
-    pub(crate) payload: Payload,
+    again: Option<Timestamp>,
+    pub(crate) intent: WriteIntent,
 }
 
 /// When the replica surely shows whether a transaction was carried out.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Settled {
+pub(crate) enum ResolvedWhen {
     /// Once it has reached a revision.
     AtRevision(u64),
     /// Once a watch has answered that was opened then or later.
-    ByWatchSince(Ms),
+    ByWatchSince(Timestamp),
 }
 
 /// What a transaction may have done by a copy that had no answer, although it cannot be carried out
 /// any more.
 #[derive(Debug, Clone)]
-pub(crate) struct Unseen {
-    settled: Settled,
-    payload: Payload,
+pub(crate) struct UnacknowledgedWrite {
+    settled: ResolvedWhen,
+    intent: WriteIntent,
 }
 
-impl Core {
+impl Controller {
     /// Forgets what the replica has caught up with.
-    pub(crate) fn settle_unseen(&mut self) {
-        let (ledger, confirmed) = (self.view.ledger, self.confirmed);
-        let shown = |u: &mut Unseen| match u.settled {
-            Settled::AtRevision(revision) => revision <= ledger,
-            Settled::ByWatchSince(sent) => confirmed.is_some_and(|c| c >= sent),
+    pub(crate) fn resolve_unacknowledged(&mut self) {
+        let (reached, confirmed) = (self.replica.revision, self.confirmed);
+        let shown = |u: &mut UnacknowledgedWrite| match u.settled {
+            ResolvedWhen::AtRevision(revision) => revision <= reached,
+            ResolvedWhen::ByWatchSince(sent) => confirmed.is_some_and(|c| c >= sent),
         };
-        for seen in self.unseen.extract_if(.., shown) {
-            for e in seen.payload.moves.iter().flat_map(|m| &m.entries) {
+        for seen in self.unacknowledged.extract_if(.., shown) {
+            for e in seen.intent.moves.iter().flat_map(|m| &m.entries) {
                 self.reserved.remove(e);
             }
         }
     }
 
     /// Whether an ending of this entry waits to be recorded.
-    pub(crate) fn ended(&self, ix: MachineIx, e: &Entry) -> bool {
-        self.ends
-            .get(&ix)
-            .is_some_and(|ends| ends.iter().any(|x| x.0 == *e))
+    pub(crate) fn ended(&self, machine_id: MachineId, e: &Binding) -> bool {
+        self.pending_completions
+            .get(&machine_id)
+            .is_some_and(|completions| completions.iter().any(|x| x.0 == *e))
     }
 
     /// Whether a transaction of this kind may be planned now: none is under way, its turn has
     /// come, and the replica shows why the last one failed.
-    pub(crate) fn idle(&self, op: Op, now: Ms) -> bool {
-        self.is_free(op) && self.op_after.get(&op).is_none_or(|turn| now >= turn.due)
+    pub(crate) fn idle(&self, write_kind: WriteKind, now: Timestamp) -> bool {
+        self.is_free(write_kind)
+            && self
+                .next_turn
+                .get(&write_kind)
+                .is_none_or(|turn| now >= turn.due)
     }
 
     /// The same for what others wait for, which has not to wait for the regular turn.
-    pub(crate) fn idle_early(&self, op: Op, now: Ms) -> bool {
-        self.is_free(op) && self.op_after.get(&op).is_none_or(|turn| now >= turn.early)
+    pub(crate) fn idle_early(&self, write_kind: WriteKind, now: Timestamp) -> bool {
+        self.is_free(write_kind)
+            && self
+                .next_turn
+                .get(&write_kind)
+                .is_none_or(|turn| now >= turn.early)
     }
 
     /// Whether no transaction of this kind is under way and the replica shows why the last one
     /// failed.
-    fn is_free(&self, op: Op) -> bool {
-        let waits = self.op_wait.get(&op).copied().unwrap_or(0);
-        !self.ops.contains_key(&op) && self.view.ledger >= self.wait_ledger.max(waits)
+    fn is_free(&self, write_kind: WriteKind) -> bool {
+        let waits = self
+            .awaited_revisions
+            .get(&write_kind)
+            .copied()
+            .unwrap_or(0);
+        !self.in_flight.contains_key(&write_kind)
+            && self.replica.revision >= self.plan_after_revision.max(waits)
     }
 
     /// Whether this controller has a write of a block under way: a second one would only make
     /// one of the two fail.
     pub(crate) fn block_busy(&self, id: BlockId) -> bool {
-        self.ops.values().any(|f| f.payload.blocks.contains(&id))
+        self.in_flight
+            .values()
+            .any(|f| f.intent.blocks.contains(&id))
     }
 
     /// What writes do that are under way, or that may have been carried out without the replica
     /// showing it yet.
-    fn payloads(&self) -> impl Iterator<Item = &Payload> {
-        let flights = self.ops.values().map(|f| &f.payload);
-        flights.chain(self.unseen.iter().map(|u| &u.payload))
+    fn intents(&self) -> impl Iterator<Item = &WriteIntent> {
+        let flights = self.in_flight.values().map(|f| &f.intent);
+        flights.chain(self.unacknowledged.iter().map(|u| &u.intent))
     }
 
     /// Tasks whose binding is under way.
-    pub(crate) fn binding(&self) -> impl Iterator<Item = &(MachineIx, Entry)> {
-        self.payloads().flat_map(|p| &p.binds)
+    pub(crate) fn binding(&self) -> impl Iterator<Item = &(MachineId, Binding)> {
+        self.intents().flat_map(|p| &p.binds)
     }
 
     /// Jobs that are being lent to other cells.
     ///
     /// Guards against binding tasks of a job by a replica that does not show yet that it was lent: a
     /// binding has no condition on the job's key.
-    pub(crate) fn lending(&self) -> HashSet<JobIx> {
-        self.payloads().flat_map(|p| &p.lent).copied().collect()
+    pub(crate) fn lending(&self) -> HashSet<JobId> {
+        self.intents().flat_map(|p| &p.lent).copied().collect()
     }
 
     /// Machines that are being put into blocks.
-    pub(crate) fn placing(&self) -> HashSet<MachineIx> {
-        self.payloads().flat_map(|p| &p.placed).copied().collect()
+    pub(crate) fn placing(&self) -> HashSet<MachineId> {
+        self.intents().flat_map(|p| &p.placed).copied().collect()
     }
 
     /// Blocks that some write under way touches.
-    pub(crate) fn ops_blocks(&self) -> impl Iterator<Item = BlockId> + '_ {
-        let flights = self.ops.values();
-        flights.flat_map(|f| &f.payload.blocks).copied()
+    pub(crate) fn blocks_in_flight(&self) -> impl Iterator<Item = BlockId> + '_ {
+        let flights = self.in_flight.values();
+        flights.flat_map(|f| &f.intent.blocks).copied()
     }
 
-    pub(crate) fn submit(&mut self, op: Op, txn: Txn, payload: Payload, out: &mut Vec<Action>) {
-        out.push(Action::Commit {
-            op,
-            txn: txn.clone(),
+    pub(crate) fn submit(
+        &mut self,
+        write_kind: WriteKind,
+        transaction: Transaction,
+        intent: WriteIntent,
+        out: &mut Vec<Effect>,
+    ) {
+        out.push(Effect::Commit {
+            write_kind,
+            transaction: transaction.clone(),
         });
-        let flight = InFlight {
-            txn,
+        let flight = InFlightWrite {
+            transaction,
             unsure: false,
             again: None,
-            payload,
+            intent,
         };
-        self.ops.insert(op, flight);
+        self.in_flight.insert(write_kind, flight);
     }
 
     /// Sends again what had no answer.
-    pub(crate) fn send_again(&mut self, now: Ms, out: &mut Vec<Action>) {
-        for (&op, f) in &mut self.ops {
+    pub(crate) fn send_again(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        for (&write_kind, f) in &mut self.in_flight {
             if f.again.is_some_and(|t| now >= t) {
                 f.again = None;
-                let txn = f.txn.clone();
-                out.push(Action::Commit { op, txn });
+                let transaction = f.transaction.clone();
+                out.push(Effect::Commit {
+                    write_kind,
+                    transaction,
+                });
             }
         }
     }
 
     /// A transaction was answered, or was not.
-    pub fn on_commit(&mut self, op: Op, outcome: Outcome, now: Ms) {
-        let Some(flight) = self.ops.get_mut(&op) else {
+    pub fn on_commit(&mut self, write_kind: WriteKind, outcome: CommitOutcome, now: Timestamp) {
+        let Some(flight) = self.in_flight.get_mut(&write_kind) else {
             return;
         };
         let jitter = self.rng.random_range(0..200);
         match outcome {
-            Outcome::Unknown => {
+            CommitOutcome::Unknown => {
                 // Every transaction is guarded by a key that it changes, so sending the same
                 // again settles it: it is carried out now, or its guards fail because it was,
                 // or because something else made it impossible for ever.
                 self.counters.unanswered += 1;
                 flight.unsure = true;
                 flight.again = Some(now.plus(300 + jitter));
-                debug!(?op, "no answer to a transaction, sending it again");
+                debug!(?write_kind, "no answer to a transaction, sending it again");
                 return;
             }
-            Outcome::Refused if flight.unsure => {
+            CommitOutcome::Refused if flight.unsure => {
                 self.counters.refused += 1;
                 flight.again = Some(now.plus(300 + jitter));
                 return;
             }
             _ => {}
         }
-        let Some(flight) = self.ops.remove(&op) else {
+        let Some(flight) = self.in_flight.remove(&write_kind) else {
             return;
         };
         match outcome {
-            Outcome::Done(ledger) => {
-                self.view.apply_own(&flight.txn, ledger);
-                self.pace(op, flight.txn.then.len(), now);
-                match op {
-                    Op::Join => {
+            CommitOutcome::Done(revision) => {
+                self.replica.apply_own(&flight.transaction, revision);
+                self.pace(write_kind, flight.transaction.mutations.len(), now);
+                match write_kind {
+                    WriteKind::Join => {
                         self.joined = true;
-                        info!(boot = self.boot.0, "joined");
+                        info!(incarnation = self.incarnation.0, "joined");
                     }
-                    Op::Lead => info!(term = ledger, "took the leadership"),
-                    Op::Ends(_) => self.ends_done(&flight.payload, ledger),
-                    Op::Edit(id) => self.edit_done(id, &flight.payload),
-                    Op::Leader | Op::Load => {}
+                    WriteKind::Lead => info!(term = revision, "took the leadership"),
+                    WriteKind::Ends(_) => self.on_completions_committed(&flight.intent, revision),
+                    WriteKind::Edit(id) => self.on_block_edit_committed(id, &flight.intent),
+                    WriteKind::Leader | WriteKind::Load => {}
                 }
-                self.after_view(now);
+                self.after_replica_change(now);
             }
-            Outcome::Conflict(ledger) => {
+            CommitOutcome::Conflict(revision) => {
                 self.counters.conflicts += 1;
-                debug!(?op, ledger, "a condition failed");
-                self.op_wait.insert(op, ledger);
+                debug!(?write_kind, revision, "a condition failed");
+                self.awaited_revisions.insert(write_kind, revision);
                 // An unanswered copy may have made the moves, bound the tasks or placed the
                 // machines: until the replica shows whether it did, the tasks stay put, and nothing
                 // is bound or placed in another block. Other blocks need not wait for this one's
                 // failed guard.
-                self.unseen.push(Unseen {
-                    settled: Settled::AtRevision(ledger),
-                    payload: flight.payload,
+                self.unacknowledged.push(UnacknowledgedWrite {
+                    settled: ResolvedWhen::AtRevision(revision),
+                    intent: flight.intent,
                 });
                 // Somebody else was faster; the next try need not wait for its turn.
-                let again = Turn::at(now.plus(jitter / 4));
-                self.op_after.insert(op, again);
-                self.after_view(now);
+                let again = WriteTurn::at(now.plus(jitter / 4));
+                self.next_turn.insert(write_kind, again);
+                self.after_replica_change(now);
             }
-            Outcome::NoLease | Outcome::Refused | Outcome::Malformed => {
+            CommitOutcome::NoLease | CommitOutcome::Refused | CommitOutcome::Malformed => {
                 self.counters.refused += 1;
-                if outcome != Outcome::Malformed {
+                if outcome != CommitOutcome::Malformed {
                     self.refused_at = Some(now);
                 }
                 if flight.unsure {
                     // The limits may have fallen since a copy that had no answer was carried out.
-                    self.unseen.push(Unseen {
-                        settled: Settled::ByWatchSince(now),
-                        payload: flight.payload,
+                    self.unacknowledged.push(UnacknowledgedWrite {
+                        settled: ResolvedWhen::ByWatchSince(now),
+                        intent: flight.intent,
                     });
                 } else {
-                    for e in flight.payload.moves.iter().flat_map(|m| &m.entries) {
+                    for e in flight.intent.moves.iter().flat_map(|m| &m.entries) {
                         self.reserved.remove(e);
                     }
                 }
                 // What the service calls malformed is never sent again as it is, and what takes
                 // its place may be no better.
                 let pause = match outcome {
-                    Outcome::Malformed => MALFORMED_MS,
+                    CommitOutcome::Malformed => MALFORMED_MS,
                     _ => 200,
                 };
-                let again = Turn::at(now.plus(pause + jitter));
-                self.op_after.insert(op, again);
+                let again = WriteTurn::at(now.plus(pause + jitter));
+                self.next_turn.insert(write_kind, again);
             }
-            Outcome::Unknown => {}
+            CommitOutcome::Unknown => {}
         }
     }
 
-    fn edit_done(&mut self, id: BlockId, payload: &Payload) {
-        self.counters.bound += payload.binds.len() as u64;
-        for &ix in &payload.placed {
-            let Some(m) = self.view.machines.get(&ix) else {
+    fn on_block_edit_committed(&mut self, id: BlockId, intent: &WriteIntent) {
+        self.counters.bound += intent.binds.len() as u64;
+        for &machine_id in &intent.placed {
+            let Some(m) = self.replica.machines.get(&machine_id) else {
                 continue;
             };
-            let names = &self.view.names;
+            let names = &self.replica.names;
             info!(
-                rig = names.machines.name(ix),
+                machine = names.machines.name(machine_id),
                 block = id.0,
-                frame = names.frames.name(m.frame),
+                machine_type = names.machine_types.name(m.machine_type),
                 zone = names.zones.name(m.zone),
                 spot = m.spot,
                 "machine joins"
@@ -260,46 +284,46 @@
         }
     }
 
-    fn ends_done(&mut self, payload: &Payload, ledger: u64) {
-        for (ix, entry, end) in &payload.ends {
-            if let Some(ends) = self.ends.get_mut(ix) {
-                ends.retain(|e| e.0 != *entry);
-                if ends.is_empty() {
-                    self.ends.remove(ix);
+    fn on_completions_committed(&mut self, intent: &WriteIntent, revision: u64) {
+        for (machine_id, entry, end) in &intent.outcomes {
+            if let Some(completions) = self.pending_completions.get_mut(machine_id) {
+                completions.retain(|e| e.0 != *entry);
+                if completions.is_empty() {
+                    self.pending_completions.remove(machine_id);
                 }
             }
             match end {
-                End::Done => self.counters.done += 1,
-                End::Failed => self.counters.failed += 1,
-                End::Free => self.counters.freed += 1,
+                TaskOutcome::Done => self.counters.done += 1,
+                TaskOutcome::Failed => self.counters.failed += 1,
+                TaskOutcome::Free => self.counters.freed += 1,
             }
             debug!(
-                leg = self.view.names.leg(entry.task),
+                task = self.replica.names.task_name(entry.task),
                 attempt = entry.attempt,
                 ?end,
-                ledger,
+                revision,
                 "left its queue"
             );
         }
-        for mv in &payload.moves {
+        for task_move in &intent.moves {
             self.counters.packs += 1;
-            self.counters.stolen_tasks += mv.entries.len() as u64;
-            for e in &mv.entries {
+            self.counters.stolen_tasks += task_move.entries.len() as u64;
+            for e in &task_move.entries {
                 self.reserved.remove(e);
             }
             debug!(
-                victim = self.view.names.machines.name(mv.victim),
-                thief = self.view.names.machines.name(mv.thief),
-                tasks = mv.entries.len(),
+                victim = self.replica.names.machines.name(task_move.victim),
+                thief = self.replica.names.machines.name(task_move.thief),
+                tasks = task_move.entries.len(),
                 "pack moved"
             );
         }
     }
 
-    pub(crate) fn guard(&self, key: &str) -> Guard {
-        Guard {
-            k: key.to_owned(),
-            stamp: self.view.stamp(key),
+    pub(crate) fn precondition(&self, key: &str) -> Precondition {
+        Precondition {
+            key: key.to_owned(),
+            mod_revision: self.replica.mod_revision(key),
         }
     }
 }
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -5,14 +5,14 @@
 //! as it changes something.
 
 use crate::collections::{HashMap, HashSet};
-use crate::names::JobIx;
-use crate::protocol::Urgency;
+use crate::names::JobId;
+use crate::protocol::Priority;
 
 /// What a job asks for on its own account.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OwnDemand {
     /// Its priority.
-    pub urgency: Urgency,
+    pub priority: Priority,
     /// Time of day at which it should be done, ms.
     pub due_ms: Option<i64>,
     /// Estimated time that it takes once it is ready, ms.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Importance {
     /// The highest priority of any of them.
-    pub urgency: Urgency,
+    pub priority: Priority,
     /// Time of day, ms, at which the earliest of them must start to be done in time, or to let those
     /// after it be.
     pub start_by_ms: Option<i64>,
@@ -37,7 +37,7 @@
             (a, b) => a.or(b),
         };
         Importance {
-            urgency: self.urgency.min(other.urgency),
+            priority: self.priority.min(other.priority),
             start_by_ms,
         }
     }
@@ -47,22 +47,22 @@
 #[derive(Debug, Clone)]
 struct Waiting {
     own: OwnDemand,
-    predecessors: Vec<JobIx>,
+    predecessors: Vec<JobId>,
 }
 
 /// The dependency graph of all jobs that wait.
 #[derive(Debug, Clone, Default)]
 pub struct DependencyGraph {
-    waiting: HashMap<JobIx, Waiting>,
+    waiting: HashMap<JobId, Waiting>,
     /// Jobs that wait for a job, by that job.
-    dependents: HashMap<JobIx, Vec<JobIx>>,
+    dependents: HashMap<JobId, Vec<JobId>>,
     /// Of each job that others wait for, what they make of it.
-    inherited: HashMap<JobIx, Importance>,
+    inherited: HashMap<JobId, Importance>,
 }
 
 impl DependencyGraph {
     /// Adds a job that waits for others; one that is there already stays as it is.
-    pub fn insert(&mut self, job: JobIx, own: OwnDemand, predecessors: Vec<JobIx>) {
+    pub fn insert(&mut self, job: JobId, own: OwnDemand, predecessors: Vec<JobId>) {
         if self.waiting.contains_key(&job) {
             return;
         }
@@ -75,7 +75,7 @@
     }
 
     /// Takes out a job that waits no longer; returns the jobs that it waited for.
-    pub fn remove(&mut self, job: JobIx) -> Vec<JobIx> {
+    pub fn remove(&mut self, job: JobId) -> Vec<JobId> {
         let Some(removed) = self.waiting.remove(&job) else {
             return Vec::new();
         };
@@ -92,23 +92,23 @@
     }
 
     /// The jobs that a waiting job needs.
-    pub fn predecessors(&self, job: JobIx) -> &[JobIx] {
+    pub fn predecessors(&self, job: JobId) -> &[JobId] {
         self.waiting.get(&job).map_or(&[], |w| &w.predecessors)
     }
 
     /// Whether some job waits for this one.
-    pub fn is_needed(&self, job: JobIx) -> bool {
+    pub fn is_needed(&self, job: JobId) -> bool {
         self.dependents.contains_key(&job)
     }
 
     /// What the jobs that need this one make of it.
-    pub fn inherited(&self, job: JobIx) -> Option<Importance> {
+    pub fn inherited(&self, job: JobId) -> Option<Importance> {
         self.inherited.get(&job).copied()
     }
 
     /// All jobs that need this one, directly or through others.
-    pub fn descendants(&self, job: JobIx) -> Vec<JobIx> {
-        let mut found: HashSet<JobIx> = HashSet::default();
+    pub fn descendants(&self, job: JobId) -> Vec<JobId> {
+        let mut found: HashSet<JobId> = HashSet::default();
         let mut order = Vec::new();
         let mut queue = vec![job];
         while let Some(next) = queue.pop() {
@@ -123,10 +123,10 @@
     }
 
     /// What a waiting job asks of each of its predecessors.
-    fn importance(&self, job: JobIx) -> Option<Importance> {
+    fn importance(&self, job: JobId) -> Option<Importance> {
         let own = self.waiting.get(&job)?.own;
         let done_by = Importance {
-            urgency: own.urgency,
+            priority: own.priority,
             start_by_ms: own.due_ms,
         };
         let done_by = match self.inherited(job) {
@@ -141,7 +141,7 @@
 
     /// Works out anew what others make of these jobs, and of those before them as far as that
     /// changes anything.
-    fn pass_on(&mut self, mut changed: Vec<JobIx>) {
+    fn pass_on(&mut self, mut changed: Vec<JobId>) {
         while let Some(job) = changed.pop() {
             let dependents = self.dependents.get(&job).into_iter().flatten();
             let all = dependents.filter_map(|&d| self.importance(d));
--- a/src/dependencies/tests.rs
+++ b/src/dependencies/tests.rs
@@ -3,13 +3,13 @@
 use super::*;
 use crate::names::Index;
 
-fn job(n: u32) -> JobIx {
-    JobIx::from_raw(n)
+fn job(n: u32) -> JobId {
+    JobId::from_raw(n)
 }
 
-fn own(urgency: Urgency, due_ms: Option<i64>, duration_ms: i64) -> OwnDemand {
+fn own(priority: Priority, due_ms: Option<i64>, duration_ms: i64) -> OwnDemand {
     OwnDemand {
-        urgency,
+        priority,
         due_ms,
         duration_ms,
     }
@@ -18,7 +18,7 @@
 /// Adds a job that waits for others and asks for little itself.
 fn add(graph: &mut DependencyGraph, n: u32, needs: &[u32]) {
     let needs = needs.iter().copied().map(job).collect();
-    graph.insert(job(n), own(Urgency::BestEffort, None, 10), needs);
+    graph.insert(job(n), own(Priority::BestEffort, None, 10), needs);
 }
 
 #[test]
@@ -27,15 +27,15 @@
     add(&mut graph, 1, &[0]);
     add(&mut graph, 2, &[1]);
     assert_eq!(
-        graph.inherited(job(0)).unwrap().urgency,
-        Urgency::BestEffort
+        graph.inherited(job(0)).unwrap().priority,
+        Priority::BestEffort
     );
-    graph.insert(job(3), own(Urgency::Urgent, Some(1000), 5), vec![job(2)]);
+    graph.insert(job(3), own(Priority::Urgent, Some(1000), 5), vec![job(2)]);
     let start_by = |n| graph.inherited(job(n)).unwrap().start_by_ms;
     assert_eq!(start_by(2), Some(995));
     assert_eq!(start_by(1), Some(985));
     assert_eq!(start_by(0), Some(975));
-    assert_eq!(graph.inherited(job(0)).unwrap().urgency, Urgency::Urgent);
+    assert_eq!(graph.inherited(job(0)).unwrap().priority, Priority::Urgent);
     assert_eq!(graph.inherited(job(3)), None);
 }
 
@@ -50,7 +50,11 @@
             let (n, needs) = edges[at];
             let due = (n == 4).then_some(500);
             let needs = needs.iter().copied().map(job).collect();
-            graph.insert(job(n), own(Urgency::Normal, due, 100 * i64::from(n)), needs);
+            graph.insert(
+                job(n),
+                own(Priority::Normal, due, 100 * i64::from(n)),
+                needs,
+            );
         }
         results.push((0..4).map(|n| graph.inherited(job(n))).collect::<Vec<_>>());
     }
@@ -67,14 +71,17 @@
 fn a_dependent_that_is_gone_presses_no_longer() {
     let mut graph = DependencyGraph::default();
     add(&mut graph, 1, &[0]);
-    graph.insert(job(2), own(Urgency::Critical, Some(50), 1), vec![job(1)]);
-    graph.insert(job(3), own(Urgency::Normal, Some(90), 1), vec![job(1)]);
-    assert_eq!(graph.inherited(job(0)).unwrap().urgency, Urgency::Critical);
+    graph.insert(job(2), own(Priority::Critical, Some(50), 1), vec![job(1)]);
+    graph.insert(job(3), own(Priority::Normal, Some(90), 1), vec![job(1)]);
+    assert_eq!(
+        graph.inherited(job(0)).unwrap().priority,
+        Priority::Critical
+    );
     assert_eq!(graph.remove(job(2)), [job(1)]);
     let left = graph.inherited(job(0)).unwrap();
     assert_eq!(
-        (left.urgency, left.start_by_ms),
-        (Urgency::Normal, Some(79))
+        (left.priority, left.start_by_ms),
+        (Priority::Normal, Some(79))
     );
     graph.remove(job(3));
     assert!(!graph.is_needed(job(1)) && graph.is_needed(job(0)));
@@ -107,9 +114,9 @@
     }
     graph.insert(
         job(50_000),
-        own(Urgency::Urgent, Some(0), 1),
+        own(Priority::Urgent, Some(0), 1),
         vec![job(49_999)],
     );
-    assert_eq!(graph.inherited(job(0)).unwrap().urgency, Urgency::Urgent);
+    assert_eq!(graph.inherited(job(0)).unwrap().priority, Priority::Urgent);
     assert_eq!(graph.descendants(job(0)).len(), 50_000);
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,12 +1,12 @@
 //! HTTP: users, workers and health checks on the public address; peers and operators behind.
 
-use crate::clock::{Clock, Ms};
-use crate::controller::{Core, NO_TOKEN, Outcome, Reply};
-use crate::jobs::{self, Finals, chained};
-use crate::protocol::{JobAnswer, JobStatus, PeerNews, Report, Txn};
-use crate::read_index::Fresh;
+use crate::clock::{Clock, Timestamp};
+use crate::controller::{CommitOutcome, Controller, HeartbeatResponse, NO_TOKEN};
+use crate::jobs::{self, FinalStateCache, chained};
+use crate::protocol::{Heartbeat, JobAnswer, JobStatus, PeerMessage, Transaction};
+use crate::read_index::ReadIndex;
 use crate::records::{JobRecord, WaitingRecord};
-use crate::replica::View;
+use crate::replica::Replica;
 use crate::store::{StateClient, StateError};
 use actix_web::http::StatusCode;
 use actix_web::{HttpRequest, HttpResponse, web};
@@ -22,11 +22,11 @@
 /// What every handler shares. Locks are short and never held across an await.
 pub struct Shared {
     /// The decisions.
-    pub core: Mutex<Core>,
+    pub controller: Mutex<Controller>,
     /// Final answers.
-    pub finals: Mutex<Finals>,
+    pub finals: Mutex<FinalStateCache>,
     /// Questions that wait for the replica.
-    pub fresh: Fresh,
+    pub read_index: ReadIndex,
     /// Time.
     pub clock: Box<dyn Clock + Send + Sync>,
     /// Workers without tasks whose answers wait.
@@ -38,19 +38,19 @@
 
 impl Shared {
     /// Now on the steady clock.
-    pub fn now(&self) -> Ms {
+    pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
     /// Sends the answers that waited for what the replica now shows.
     pub fn wake(&self) {
-        let woken = self.core.lock().woken();
-        if woken.is_empty() {
+        let woken_machines = self.controller.lock().woken_machines();
+        if woken_machines.is_empty() {
             return;
         }
         let mut waiting = self.waiting.lock();
-        for rig in woken {
-            if let Some(answer) = waiting.remove(&rig) {
+        for machine in woken_machines {
+            if let Some(answer) = waiting.remove(&machine) {
                 // Who waited may be gone.
                 let _ = answer.send(());
             }
@@ -60,7 +60,7 @@
 
 /// Handlers' data: one per thread, for the client is not shared between threads.
 #[derive(Clone)]
-pub struct Door {
+pub struct ApiState {
     /// Shared state.
     pub shared: Arc<Shared>,
     /// State service.
@@ -116,24 +116,28 @@
 
 impl Open {
     /// The transaction that cancels the job; values may have so many bytes.
-    fn cancel(&self, name: &str, value_bytes: usize) -> Txn {
+    fn cancel(&self, name: &str, value_bytes: usize) -> Transaction {
         match self {
-            Open::Ordinary(record, stamp) => jobs::cancel(name, record, *stamp, value_bytes),
-            Open::Waiting(record, stamp) => chained::cancel_waiting(name, record, *stamp),
+            Open::Ordinary(record, mod_revision) => {
+                jobs::cancel(name, record, *mod_revision, value_bytes)
+            }
+            Open::Waiting(record, mod_revision) => {
+                chained::cancel_waiting(name, record, *mod_revision)
+            }
         }
     }
 }
 
 /// What a replica shows of a job, as this cell's users see it: loans of other cells they do not.
-fn found_in(view: &View, name: &str) -> Option<Found> {
-    let ix = view.names.jobs.get(name)?;
-    if let Some(job) = view.jobs.get(&ix) {
+fn found_in(replica: &Replica, name: &str) -> Option<Found> {
+    let job_id = replica.names.jobs.get(name)?;
+    if let Some(job) = replica.jobs.get(&job_id) {
         if job.borrowed().is_some() {
             return None;
         }
         let open = || {
-            let record = job.record(view.done_tasks(job.stored.clone()), job.status);
-            Open::Ordinary(Box::new(record), job.stamp)
+            let record = job.record(replica.done_tasks(job.stored.clone()), job.status);
+            Open::Ordinary(Box::new(record), job.mod_revision)
         };
         return Some(Found {
             status: job.status,
@@ -141,33 +145,35 @@
             open: (job.status == JobStatus::Pending).then(open),
         });
     }
-    let waiting = view.accepted_waiting(ix)?;
-    let open = || Open::Waiting(waiting.record.clone(), waiting.stamp);
+    let waiting = replica.accepted_waiting(job_id)?;
+    let open = || Open::Waiting(waiting.record.clone(), waiting.mod_revision);
     Some(Found {
         status: waiting.status(),
         done: 0,
-        open: (!waiting.withdrawn).then(open),
+        open: (!waiting.cancelled).then(open),
     })
 }
 
-impl Door {
+impl ApiState {
     /// Whether asking the state service is worth a user's time.
     fn state_up(&self) -> bool {
         let now = self.shared.now();
-        self.shared.core.lock().state_ok(now)
+        self.shared.controller.lock().state_ok(now)
     }
 
     /// Looks a job up as of now or later: an answer older than one that any controller gave
     /// before is impossible.
     async fn look_up(&self, name: &str) -> Result<Option<Found>, StateError> {
-        let fresh = &self.shared.fresh;
-        fresh.catch_up(&self.state, self.pause, READ_WAIT).await?;
+        let read_index = &self.shared.read_index;
+        read_index
+            .catch_up(&self.state, self.pause, READ_WAIT)
+            .await?;
         let known = {
-            let core = self.shared.core.lock();
-            if core.view.is_unreadable(name) {
+            let controller = self.shared.controller.lock();
+            if controller.replica.is_unreadable(name) {
                 return Err(StateError::Odd(format!("the value of {name}")));
             }
-            found_in(&core.view, name)
+            found_in(&controller.replica, name)
         };
         if known.is_some() {
             return Ok(known);
@@ -184,9 +190,9 @@
 
     fn answer(&self, name: &str, state: JobStatus, done: u32) -> JobAnswer {
         let running = {
-            let core = self.shared.core.lock();
-            let ix = core.view.names.jobs.get(name);
-            ix.map_or(0, |ix| core.running(ix))
+            let controller = self.shared.controller.lock();
+            let job_id = controller.replica.names.jobs.get(name);
+            job_id.map_or(0, |job_id| controller.running(job_id))
         };
         let answer = jobs::answer(name, state, done, running);
         self.shared.finals.lock().note(&answer);
@@ -241,7 +247,7 @@
         if !self.state_up() {
             return unavailable("the state service is out of reach");
         }
-        let value_bytes = self.shared.core.lock().settings.value_bytes();
+        let value_bytes = self.shared.controller.lock().settings.value_bytes();
         for _ in 0..6 {
             let found = match self.look_up(name).await {
                 Ok(Some(f)) => f,
@@ -252,20 +258,24 @@
                 let a = self.answer(name, found.status, found.done);
                 return over(a.status);
             };
-            let txn = open.cancel(name, value_bytes);
-            match self.state.commit(&txn, WRITE_WAIT).await {
-                Outcome::Done(ledger) => {
-                    tracing::info!(job = name, ledger, "cancelled");
-                    self.shared.core.lock().view.apply_own(&txn, ledger);
-                    let a = self.answer(name, JobStatus::Withdrawn, found.done);
+            let transaction = open.cancel(name, value_bytes);
+            match self.state.commit(&transaction, WRITE_WAIT).await {
+                CommitOutcome::Done(revision) => {
+                    tracing::info!(job = name, revision, "cancelled");
+                    self.shared
+                        .controller
+                        .lock()
+                        .replica
+                        .apply_own(&transaction, revision);
+                    let a = self.answer(name, JobStatus::Cancelled, found.done);
                     return over(a.status);
                 }
                 // An ending was recorded meanwhile: look again.
-                Outcome::Conflict(_) => {}
-                Outcome::Refused => {
+                CommitOutcome::Conflict(_) => {}
+                CommitOutcome::Refused => {
                     return later(StatusCode::TOO_MANY_REQUESTS, "too many requests");
                 }
-                Outcome::Unknown | Outcome::NoLease | Outcome::Malformed => {
+                CommitOutcome::Unknown | CommitOutcome::NoLease | CommitOutcome::Malformed => {
                     return unavailable("the state service did not answer");
                 }
             }
@@ -274,31 +284,36 @@
     }
 }
 
-impl Door {
+impl ApiState {
     /// Takes a worker's report in, if need be after the replica has caught up with the state service.
-    async fn take_report(&self, report: Report) -> Reply {
+    async fn take_heartbeat(&self, heartbeat: Heartbeat) -> HeartbeatResponse {
         let now = self.shared.now();
         // Only what shows no token yet may have to be taken in once more.
-        let kept = (report.token == NO_TOKEN).then(|| report.clone());
-        let reply = self.shared.core.lock().on_report(report, now);
-        let (Reply::Unconfirmed, Some(report)) = (&reply, kept) else {
+        let kept = (heartbeat.token == NO_TOKEN).then(|| heartbeat.clone());
+        let reply = self.shared.controller.lock().on_heartbeat(heartbeat, now);
+        let (HeartbeatResponse::Unconfirmed, Some(heartbeat)) = (&reply, kept) else {
             return reply;
         };
-        let fresh = &self.shared.fresh;
-        let caught_up = fresh.catch_up(&self.state, self.pause, READ_WAIT).await;
+        let read_index = &self.shared.read_index;
+        let caught_up = read_index
+            .catch_up(&self.state, self.pause, READ_WAIT)
+            .await;
         if caught_up.is_err() {
-            return Reply::Unavailable;
+            return HeartbeatResponse::Unavailable;
         }
         let now = self.shared.now();
-        self.shared.core.lock().on_confirmed_report(report, now)
+        self.shared
+            .controller
+            .lock()
+            .on_confirmed_heartbeat(heartbeat, now)
     }
 }
 
 type Body = Result<web::Bytes, actix_web::Error>;
 
-async fn submit(door: web::Data<Door>, body: Body) -> HttpResponse {
+async fn submit(api_state: web::Data<ApiState>, body: Body) -> HttpResponse {
     match body {
-        Ok(body) => door.submit(&body).await,
+        Ok(body) => api_state.submit(&body).await,
         Err(_) => refuse(
             StatusCode::BAD_REQUEST,
             "the body is too large or broken off",
@@ -306,81 +321,102 @@
     }
 }
 
-async fn poll(door: web::Data<Door>, name: web::Path<String>) -> HttpResponse {
-    door.poll(&name).await
+async fn poll(api_state: web::Data<ApiState>, name: web::Path<String>) -> HttpResponse {
+    api_state.poll(&name).await
 }
 
-async fn cancel(door: web::Data<Door>, name: web::Path<String>) -> HttpResponse {
-    door.cancel(&name).await
+async fn cancel(api_state: web::Data<ApiState>, name: web::Path<String>) -> HttpResponse {
+    api_state.cancel(&name).await
 }
 
-async fn ready(door: web::Data<Door>) -> HttpResponse {
-    let now = door.shared.now();
-    if door.shared.core.lock().ready(now) {
+async fn ready(api_state: web::Data<ApiState>) -> HttpResponse {
+    let now = api_state.shared.now();
+    if api_state.shared.controller.lock().ready(now) {
         HttpResponse::Ok().json(serde_json::json!({ "ready": true }))
     } else {
         unavailable("not ready")
     }
 }
 
-async fn report(door: web::Data<Door>, body: Body) -> HttpResponse {
+async fn heartbeat(api_state: web::Data<ApiState>, body: Body) -> HttpResponse {
     let Ok(body) = body else {
         return refuse(
             StatusCode::BAD_REQUEST,
             "the body is too large or broken off",
         );
     };
-    let report: Report = match serde_json::from_slice(&body) {
+    let heartbeat: Heartbeat = match serde_json::from_slice(&body) {
         Ok(r) => r,
         Err(e) => return refuse(StatusCode::BAD_REQUEST, &e.to_string()),
     };
-    let (rig, number) = (report.rig.clone(), (report.session, report.sequence));
-    let mut reply = door.take_report(report).await;
+    let (machine, number) = (
+        heartbeat.machine.clone(),
+        (heartbeat.worker_epoch, heartbeat.sequence),
+    );
+    let mut reply = api_state.take_heartbeat(heartbeat).await;
     let patience = match &reply {
-        Reply::Orders(o) if o.orders.is_empty() => {
-            let now = door.shared.now();
-            door.shared.core.lock().may_wait(&rig, number, now)
+        HeartbeatResponse::HeartbeatAck(o) if o.orders.is_empty() => {
+            let now = api_state.shared.now();
+            api_state
+                .shared
+                .controller
+                .lock()
+                .may_wait(&machine, number, now)
         }
         _ => None,
     };
     if let Some(ms) = patience {
         let (sender, given) = oneshot::channel();
-        door.shared.waiting.lock().insert(rig.clone(), sender);
+        api_state
+            .shared
+            .waiting
+            .lock()
+            .insert(machine.clone(), sender);
         // Whether tasks came or the time is over, the answer is what holds now.
         let _ = actix_web::rt::time::timeout(Duration::from_millis(ms), given).await;
-        door.shared.waiting.lock().remove(&rig);
-        let now = door.shared.now();
-        reply = door.shared.core.lock().answer_late(&rig, number, now);
+        api_state.shared.waiting.lock().remove(&machine);
+        let now = api_state.shared.now();
+        reply = api_state
+            .shared
+            .controller
+            .lock()
+            .answer_late(&machine, number, now);
     }
     match reply {
-        Reply::Orders(o) => HttpResponse::Ok().json(o),
-        Reply::Elsewhere(to) => HttpResponse::MisdirectedRequest().json(match to {
+        HeartbeatResponse::HeartbeatAck(o) => HttpResponse::Ok().json(o),
+        HeartbeatResponse::Elsewhere(to) => HttpResponse::MisdirectedRequest().json(match to {
             Some(to) => serde_json::json!({ "dispatcher": to }),
             None => serde_json::json!({}),
         }),
-        Reply::Unconfirmed | Reply::Unavailable => unavailable("not in charge of this machine"),
+        HeartbeatResponse::Unconfirmed | HeartbeatResponse::Unavailable => {
+            unavailable("not in charge of this machine")
+        }
     }
 }
 
-async fn peer(door: web::Data<Door>, body: Body) -> HttpResponse {
-    let Ok(news) = body
+async fn peer(api_state: web::Data<ApiState>, body: Body) -> HttpResponse {
+    let Ok(message) = body
         .map_err(|_| ())
-        .and_then(|b| rmp_serde::from_slice::<PeerNews>(&b).map_err(|_| ()))
+        .and_then(|b| rmp_serde::from_slice::<PeerMessage>(&b).map_err(|_| ()))
     else {
         return refuse(StatusCode::BAD_REQUEST, "not a peer's message");
     };
-    let now = door.shared.now();
-    let answer = door.shared.core.lock().answer_peer(news, now);
+    let now = api_state.shared.now();
+    let answer = api_state
+        .shared
+        .controller
+        .lock()
+        .respond_to_peer(message, now);
     match rmp_serde::to_vec_named(&answer) {
         Ok(body) => HttpResponse::Ok().body(body),
         Err(_) => unavailable("no answer"),
     }
 }
 
-async fn status(door: web::Data<Door>) -> HttpResponse {
-    let now = door.shared.now();
-    let mut page = door.shared.core.lock().status_page(now);
-    let latency = door.shared.latency.lock();
+async fn status(api_state: web::Data<ApiState>) -> HttpResponse {
+    let now = api_state.shared.now();
+    let mut page = api_state.shared.controller.lock().status_page(now);
+    let latency = api_state.shared.latency.lock();
     page["latencyUs"] = serde_json::json!({
         "requests": latency.len(),
         "p50": latency.value_at_quantile(0.5),
@@ -398,7 +434,9 @@
     req: actix_web::dev::ServiceRequest,
     next: actix_web::middleware::Next<impl actix_web::body::MessageBody>,
 ) -> Result<actix_web::dev::ServiceResponse<impl actix_web::body::MessageBody>, actix_web::Error> {
-    let shared = req.app_data::<web::Data<Door>>().map(|d| d.shared.clone());
+    let shared = req
+        .app_data::<web::Data<ApiState>>()
+        .map(|d| d.shared.clone());
     let began = std::time::Instant::now();
     let answer = next.call(req).await;
     if let Some(shared) = shared {
@@ -410,7 +448,7 @@
 
 /// Routes of the public address.
 pub fn public(
-    door: Door,
+    api_state: ApiState,
 ) -> actix_web::App<
     impl actix_service::ServiceFactory<
         actix_web::dev::ServiceRequest,
@@ -421,20 +459,20 @@
     >,
 > {
     actix_web::App::new()
-        .app_data(web::Data::new(door))
+        .app_data(web::Data::new(api_state))
         .app_data(web::PayloadConfig::new(BODY))
         .wrap(actix_web::middleware::from_fn(timed))
         .route("/api/jobs", web::post().to(submit))
         .route("/api/jobs/{name}", web::get().to(poll))
         .route("/api/jobs/{name}/cancel", web::post().to(cancel))
         .route("/ready", web::get().to(ready))
-        .route("/v1/report", web::post().to(report))
+        .route("/v1/report", web::post().to(heartbeat))
         .default_service(web::to(no_such))
 }
 
 /// Routes of the address behind.
 pub fn back(
-    door: Door,
+    api_state: ApiState,
 ) -> actix_web::App<
     impl actix_service::ServiceFactory<
         actix_web::dev::ServiceRequest,
@@ -445,7 +483,7 @@
     >,
 > {
     actix_web::App::new()
-        .app_data(web::Data::new(door))
+        .app_data(web::Data::new(api_state))
         .app_data(web::PayloadConfig::new(BODY_BEHIND))
         .route("/peer", web::post().to(peer))
         .route("/cell", web::post().to(cells::cell))
--- a/src/http/cells.rs
+++ b/src/http/cells.rs
@@ -1,7 +1,7 @@
 //! Requests of controllers of other cells.
 
-use super::{BODY_BEHIND, Body, Door, READ_WAIT, WRITE_WAIT, refuse, unavailable};
-use crate::controller::Outcome;
+use super::{ApiState, BODY_BEHIND, Body, READ_WAIT, WRITE_WAIT, refuse, unavailable};
+use crate::controller::CommitOutcome;
 use crate::protocol::JobSpec;
 use crate::replica::past_key;
 use crate::spillover::{Archived, CellRequest, OfferPlan};
@@ -15,7 +15,11 @@
 const OFFER_TRIES: usize = 2;
 
 /// Takes a request of another cell, or a relayed one of this cell.
-pub(super) async fn cell(request: HttpRequest, door: web::Data<Door>, body: Body) -> HttpResponse {
+pub(super) async fn cell(
+    request: HttpRequest,
+    api_state: web::Data<ApiState>,
+    body: Body,
+) -> HttpResponse {
     let parsed = body
         .ok()
         .filter(|body| body.len() <= BODY_BEHIND)
@@ -24,14 +28,14 @@
         return refuse(StatusCode::BAD_REQUEST, "not a message of another cell");
     };
     let source = request.peer_addr().map(|address| address.ip());
-    let refused = door
+    let refused = api_state
         .shared
-        .core
+        .controller
         .lock()
         .refuse_cell_request(&message, source);
     let answer = match refused {
         Some(refusal) => refusal,
-        None => door.answer_cell(&message).await,
+        None => api_state.answer_cell(&message).await,
     };
     match rmp_serde::to_vec_named(&answer) {
         Ok(body) => HttpResponse::Ok().body(body),
@@ -39,7 +43,7 @@
     }
 }
 
-impl Door {
+impl ApiState {
     async fn answer_cell(&self, request: &CellRequest) -> CellAnswer {
         match &request.body {
             RequestBody::Offer(offers) if self.leads() => {
@@ -56,22 +60,30 @@
             RequestBody::Offer(_) | RequestBody::Status => {}
         }
         let now = self.shared.now();
-        self.shared.core.lock().answer_cell(request, now)
+        self.shared.controller.lock().answer_cell(request, now)
     }
 
     fn leads(&self) -> bool {
         let now = self.shared.now();
-        let core = self.shared.core.lock();
-        core.leads().is_some() && core.has_authority(now)
+        let controller = self.shared.controller.lock();
+        controller.leads().is_some() && controller.has_authority(now)
     }
 
     /// Records the ends of loans that a borrower reports. What fails is reported again.
-    async fn end_loans(&self, from: &str, reports: &[LoanReport]) {
+    async fn end_loans(&self, from: &str, heartbeats: &[LoanReport]) {
         let now = self.shared.now();
-        let txns = self.shared.core.lock().plan_loan_ends(from, reports, now);
-        for txn in txns {
-            if let Outcome::Done(ledger) = self.state.commit(&txn, WRITE_WAIT).await {
-                self.shared.core.lock().on_loan_end(&txn, ledger);
+        let transactions = self
+            .shared
+            .controller
+            .lock()
+            .plan_loan_ends(from, heartbeats, now);
+        for transaction in transactions {
+            if let CommitOutcome::Done(revision) = self.state.commit(&transaction, WRITE_WAIT).await
+            {
+                self.shared
+                    .controller
+                    .lock()
+                    .on_loan_end(&transaction, revision);
             }
         }
     }
@@ -82,21 +94,24 @@
         for _ in 0..OFFER_TRIES {
             let plan = {
                 let now = self.shared.now();
-                let core = self.shared.core.lock();
-                core.plan_offer(from, offer, archived.as_ref(), now)
+                let controller = self.shared.controller.lock();
+                controller.plan_offer(from, offer, archived.as_ref(), now)
             };
-            let (txn, decision) = match plan {
+            let (transaction, decision) = match plan {
                 OfferPlan::Answer(decision) => return decision,
-                OfferPlan::Write { txn, decision } => (txn, decision),
+                OfferPlan::Write {
+                    transaction,
+                    decision,
+                } => (transaction, decision),
             };
-            match self.state.commit(&txn, WRITE_WAIT).await {
-                Outcome::Done(ledger) => {
-                    let mut core = self.shared.core.lock();
-                    core.view.apply_own(&txn, ledger);
-                    core.on_offer_decided(offer, decision);
+            match self.state.commit(&transaction, WRITE_WAIT).await {
+                CommitOutcome::Done(revision) => {
+                    let mut controller = self.shared.controller.lock();
+                    controller.replica.apply_own(&transaction, revision);
+                    controller.on_offer_decided(offer, decision);
                     return decision;
                 }
-                Outcome::Conflict(_) => archived = self.archived_job(&offer.loan.job).await,
+                CommitOutcome::Conflict(_) => archived = self.archived_job(&offer.loan.job).await,
                 _ => break,
             }
         }
@@ -106,8 +121,8 @@
     async fn archived_job(&self, job: &str) -> Option<Archived> {
         let item = self.state.read(&past_key(job), READ_WAIT).await.ok()??;
         Some(Archived {
-            record: item.v.read().ok()?,
-            stamp: item.stamp,
+            record: item.value.read().ok()?,
+            mod_revision: item.mod_revision,
         })
     }
 }
