--- a/src/http/submission.rs
+++ b/src/http/submission.rs
@@ -1,12 +1,12 @@
 //! Submissions: ordinary jobs, and jobs that name others which have to be done first.
 
-use super::{Door, READ_WAIT, WRITE_WAIT, later, refuse, state_trouble, unavailable};
-use crate::controller::Core;
-use crate::controller::Outcome;
+use super::{ApiState, READ_WAIT, WRITE_WAIT, later, refuse, state_trouble, unavailable};
+use crate::controller::CommitOutcome;
+use crate::controller::Controller;
 use crate::jobs::chained::{Acceptance, ChainError, Predecessor, plan_acceptance};
 use crate::jobs::gradual::{Step, Stored, plan_step};
 use crate::jobs::{self, Read};
-use crate::protocol::{JobAnswer, JobStatus, Submission, Txn};
+use crate::protocol::{JobAnswer, JobStatus, Submission, Transaction};
 use crate::records::{Encoding, JobRecord};
 use crate::store::StateError;
 use actix_web::HttpResponse;
@@ -31,17 +31,19 @@
 /// The next write of a submission that names other jobs.
 enum Plan {
     /// The job is accepted with it, in this state.
-    Accept(Txn, JobStatus),
+    Accept(Transaction, JobStatus),
     /// The job waits and is accepted with it.
-    Wait(Txn),
+    Wait(Transaction),
     /// More writes follow.
-    Continue(Txn),
+    Continue(Transaction),
 }
 
 impl Plan {
-    fn txn(&self) -> &Txn {
+    fn transaction(&self) -> &Transaction {
         match self {
-            Self::Accept(txn, _) | Self::Wait(txn) | Self::Continue(txn) => txn,
+            Self::Accept(transaction, _)
+            | Self::Wait(transaction)
+            | Self::Continue(transaction) => transaction,
         }
     }
 }
@@ -49,9 +51,9 @@
 impl From<Acceptance> for Plan {
     fn from(acceptance: Acceptance) -> Self {
         match acceptance {
-            Acceptance::Waiting(txn) => Self::Wait(txn),
-            Acceptance::Ordinary(txn) => Self::Accept(txn, JobStatus::Pending),
-            Acceptance::Withdrawn(txn) => Self::Accept(txn, JobStatus::Withdrawn),
+            Acceptance::Waiting(transaction) => Self::Wait(transaction),
+            Acceptance::Ordinary(transaction) => Self::Accept(transaction, JobStatus::Pending),
+            Acceptance::Cancelled(transaction) => Self::Accept(transaction, JobStatus::Cancelled),
         }
     }
 }
@@ -59,9 +61,9 @@
 impl From<Step> for Plan {
     fn from(step: Step) -> Self {
         match step {
-            Step::Incomplete(txn) => Self::Continue(txn),
-            Step::Complete(txn) => Self::Wait(txn),
-            Step::Withdrawn(txn) => Self::Accept(txn, JobStatus::Withdrawn),
+            Step::Incomplete(transaction) => Self::Continue(transaction),
+            Step::Complete(transaction) => Self::Wait(transaction),
+            Step::Cancelled(transaction) => Self::Accept(transaction, JobStatus::Cancelled),
         }
     }
 }
@@ -69,20 +71,31 @@
 impl NewJob {
     /// Plans the next write: the whole acceptance in one, or, where one transaction has too few
     /// conditions for all unfinished jobs that it names, a step of a gradual one.
-    fn plan(&self, named: Vec<(String, Predecessor)>, core: &Core) -> Result<Plan, ChainError> {
+    fn plan(
+        &self,
+        named: Vec<(String, Predecessor)>,
+        controller: &Controller,
+    ) -> Result<Plan, ChainError> {
         let step = |stored: Option<Stored>, named: &[(String, Predecessor)]| {
-            plan_step(&self.name, &self.record, named, stored, &core.settings).map(Plan::from)
+            plan_step(
+                &self.name,
+                &self.record,
+                named,
+                stored,
+                &controller.settings,
+            )
+            .map(Plan::from)
         };
-        if let Some(begun) = core.view.incomplete_waiting(&self.name) {
+        if let Some(begun) = controller.replica.incomplete_waiting(&self.name) {
             let stored = Stored {
                 record: &begun.record,
-                stamp: begun.stamp,
+                mod_revision: begun.mod_revision,
             };
             return step(Some(stored), &named);
         }
         let record = self.record.clone();
-        match plan_acceptance(&self.name, record, named.clone(), &core.settings) {
-            Err(ChainError::TooMany { .. }) if core.view.encoding() == Encoding::Dense => {
+        match plan_acceptance(&self.name, record, named.clone(), &controller.settings) {
+            Err(ChainError::TooMany { .. }) if controller.replica.encoding() == Encoding::Dense => {
                 step(None, &named)
             }
             planned => planned.map(Plan::from),
@@ -90,7 +103,7 @@
     }
 }
 
-impl Door {
+impl ApiState {
     /// Takes a submission.
     pub(super) async fn submit(&self, body: &[u8]) -> HttpResponse {
         let submission = match jobs::read(body) {
@@ -105,7 +118,7 @@
             return HttpResponse::Ok().json(a);
         }
         let job = self.new_job(submission);
-        if !self.shared.core.lock().catalog_known() {
+        if !self.shared.controller.lock().catalog_known() {
             return unavailable("machine types are not known yet");
         }
         if let Some(why) = self.never_runs(&job) {
@@ -128,10 +141,12 @@
         if !job.awaits.is_empty() {
             return self.submit_chained(job).await;
         }
-        let txn = jobs::accept(&job.name, &job.record);
-        match self.commit_new(&txn).await {
-            Outcome::Done(ledger) => self.accepted(job, &txn, JobStatus::Pending, ledger),
-            Outcome::Conflict(_) => self.known_or(&job.name, unavailable("try again")).await,
+        let transaction = jobs::accept(&job.name, &job.record);
+        match self.commit_new(&transaction).await {
+            CommitOutcome::Done(revision) => {
+                self.accepted(job, &transaction, JobStatus::Pending, revision)
+            }
+            CommitOutcome::Conflict(_) => self.known_or(&job.name, unavailable("try again")).await,
             failed => not_accepted(failed),
         }
     }
@@ -146,17 +161,17 @@
 
     /// Why a job can never run, if so.
     fn never_runs(&self, job: &NewJob) -> Option<String> {
-        let core = self.shared.core.lock();
-        let never = core.never_runs(&job.record.spec);
+        let controller = self.shared.controller.lock();
+        let never = controller.never_runs(&job.record.spec);
         let too_long = || "the job's description is too long".to_owned();
-        never.or_else(|| (!core.fits_state_when_ready(&job.record)).then(too_long))
+        never.or_else(|| (!controller.fits_state_when_ready(&job.record)).then(too_long))
     }
 
     /// Whether there are more unfinished jobs than can be kept in memory. What was accepted stays
     /// accepted.
     fn is_full(&self) -> bool {
-        let core = self.shared.core.lock();
-        core.view.unfinished() >= core.settings.options.jobs_most as usize
+        let controller = self.shared.controller.lock();
+        controller.replica.unfinished() >= controller.settings.options.jobs_most as usize
     }
 
     /// Accepts a job that names others. What is known of them is at least as new as the request,
@@ -170,9 +185,9 @@
                 Err(e) => return state_trouble(&e),
             };
             let (planned, open) = {
-                let core = self.shared.core.lock();
-                let planned = job.plan(named, &core);
-                (planned, core.accepts_waiting(self.shared.now()))
+                let controller = self.shared.controller.lock();
+                let planned = job.plan(named, &controller);
+                (planned, controller.accepts_waiting(self.shared.now()))
             };
             let plan = match planned {
                 Ok(plan) => plan,
@@ -185,18 +200,22 @@
                 let refusal = unavailable("a controller still runs an older version");
                 return self.known_or(&job.name, refusal).await;
             }
-            match (self.commit_new(plan.txn()).await, &plan) {
-                (Outcome::Done(ledger), Plan::Continue(txn)) => {
-                    self.shared.core.lock().view.apply_own(txn, ledger);
+            match (self.commit_new(plan.transaction()).await, &plan) {
+                (CommitOutcome::Done(revision), Plan::Continue(transaction)) => {
+                    self.shared
+                        .controller
+                        .lock()
+                        .replica
+                        .apply_own(transaction, revision);
                 }
-                (Outcome::Done(ledger), Plan::Wait(txn)) => {
-                    return self.accepted(job, txn, JobStatus::Pending, ledger);
+                (CommitOutcome::Done(revision), Plan::Wait(transaction)) => {
+                    return self.accepted(job, transaction, JobStatus::Pending, revision);
                 }
-                (Outcome::Done(ledger), Plan::Accept(txn, status)) => {
-                    return self.accepted(job, txn, *status, ledger);
+                (CommitOutcome::Done(revision), Plan::Accept(transaction, status)) => {
+                    return self.accepted(job, transaction, *status, revision);
                 }
                 // Either the job is known, or one that it names has changed.
-                (Outcome::Conflict(_), _) => match self.look_up(&job.name).await {
+                (CommitOutcome::Conflict(_), _) => match self.look_up(&job.name).await {
                     Ok(Some(f)) => {
                         let answer = self.answer(&job.name, f.status, f.done);
                         return HttpResponse::Ok().json(answer);
@@ -216,11 +235,15 @@
         names: &[String],
         until: Instant,
     ) -> Result<Vec<(String, Predecessor)>, StateError> {
-        let fresh = &self.shared.fresh;
-        fresh.catch_up(&self.state, self.pause, READ_WAIT).await?;
+        let read_index = &self.shared.read_index;
+        read_index
+            .catch_up(&self.state, self.pause, READ_WAIT)
+            .await?;
         let mut named: Vec<(String, Predecessor)> = {
-            let core = self.shared.core.lock();
-            let shown = names.iter().map(|n| (n.clone(), core.view.predecessor(n)));
+            let controller = self.shared.controller.lock();
+            let shown = names
+                .iter()
+                .map(|n| (n.clone(), controller.replica.predecessor(n)));
             shown.collect()
         };
         // A key moves from the watched part to the archive in one step, and stays there: what the
@@ -229,7 +252,7 @@
         for (name, state) in unwatched {
             *state = match self.final_state(name, until).await? {
                 Some(JobStatus::Done) => Predecessor::Done,
-                Some(_) => Predecessor::Withdrawn,
+                Some(_) => Predecessor::Cancelled,
                 None => Predecessor::Unwatched,
             };
         }
@@ -256,26 +279,36 @@
 
     /// Sends the transaction that accepts a job. The budget of changes comes back within moments:
     /// one more try, while gathered writes give way.
-    async fn commit_new(&self, txn: &Txn) -> Outcome {
-        let outcome = self.state.commit(txn, WRITE_WAIT).await;
-        if outcome != Outcome::Refused {
+    async fn commit_new(&self, transaction: &Transaction) -> CommitOutcome {
+        let outcome = self.state.commit(transaction, WRITE_WAIT).await;
+        if outcome != CommitOutcome::Refused {
             return outcome;
         }
         let now = self.shared.now();
-        self.shared.core.lock().on_user_refused(now);
+        self.shared.controller.lock().on_user_refused(now);
         actix_web::rt::time::sleep(TRY_AGAIN).await;
-        self.state.commit(txn, WRITE_WAIT).await
+        self.state.commit(transaction, WRITE_WAIT).await
     }
 
     /// The answer to a submission that was accepted.
-    fn accepted(&self, job: NewJob, txn: &Txn, status: JobStatus, ledger: u64) -> HttpResponse {
-        self.shared.core.lock().view.apply_own(txn, ledger);
+    fn accepted(
+        &self,
+        job: NewJob,
+        transaction: &Transaction,
+        status: JobStatus,
+        revision: u64,
+    ) -> HttpResponse {
+        self.shared
+            .controller
+            .lock()
+            .replica
+            .apply_own(transaction, revision);
         let spec = &job.record.spec;
         tracing::debug!(
             job = job.name,
             class = spec.class,
             team = spec.team,
-            tasks = spec.legs,
+            tasks = spec.task_count,
             run_s = spec.estimate_s,
             due_s = spec.due_s,
             awaits = job.awaits.len(),
@@ -294,9 +327,9 @@
 }
 
 /// The answer to a submission that the state service did not take.
-fn not_accepted(outcome: Outcome) -> HttpResponse {
+fn not_accepted(outcome: CommitOutcome) -> HttpResponse {
     match outcome {
-        Outcome::Refused => later(StatusCode::TOO_MANY_REQUESTS, "too many requests"),
+        CommitOutcome::Refused => later(StatusCode::TOO_MANY_REQUESTS, "too many requests"),
         _ => unavailable("the state service did not answer"),
     }
 }
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,8 +1,10 @@
 //! What users may submit, and what they are told. Pure.
 
-use crate::controller::Core;
+use crate::controller::Controller;
 use crate::placement::Room;
-use crate::protocol::{Change, Guard, JobAnswer, JobSpec, JobStatus, Json, Submission, Txn};
+use crate::protocol::{
+    JobAnswer, JobSpec, JobStatus, Json, Mutation, Precondition, Submission, Transaction,
+};
 use crate::records::JobRecord;
 use crate::replica::{job_key, past_key, waiting_key};
 use std::collections::{HashMap, VecDeque};
@@ -59,7 +61,7 @@
 }
 
 fn check(s: &JobSpec) -> Result<(), String> {
-    if s.legs == 0 || s.legs > MOST_TASKS {
+    if s.task_count == 0 || s.task_count > MOST_TASKS {
         return Err(format!("legs: must be 1 to {MOST_TASKS}"));
     }
     let amounts = [
@@ -79,20 +81,20 @@
     }
     let names = [&s.class, &s.team, &s.image]
         .into_iter()
-        .chain(s.frames.iter().flatten())
+        .chain(s.machine_types.iter().flatten())
         .chain(&s.zone);
     for name in names {
         if name.is_empty() || name.len() > LONGEST_NAME {
             return Err(format!("a name must have 1 to {LONGEST_NAME} bytes"));
         }
     }
-    if s.frames.as_ref().is_some_and(|f| f.len() > 64) {
+    if s.machine_types.as_ref().is_some_and(|f| f.len() > 64) {
         return Err("frames: too many".into());
     }
     Ok(())
 }
 
-impl Core {
+impl Controller {
     /// Why a job can never run here, if so. The catalog must be known.
     pub fn never_runs(&self, s: &JobSpec) -> Option<String> {
         let teams = &self.settings.platform.settings.teams;
@@ -110,8 +112,10 @@
             gpus: s.gpus,
             ram: s.memory_gb,
         };
-        let fits = self.frames.values().any(|f| {
-            s.frames.as_ref().is_none_or(|l| l.contains(&f.label))
+        let fits = self.machine_types.values().any(|f| {
+            s.machine_types
+                .as_ref()
+                .is_none_or(|l| l.contains(&f.label))
                 && s.zone.as_ref().is_none_or(|y| f.zones.contains(y))
                 && room.fits(&f.into())
         });
@@ -138,33 +142,41 @@
 }
 
 /// The transaction that accepts a job: it exists under none of its keys.
-pub fn accept(name: &str, record: &JobRecord) -> Txn {
-    let guard = |k| Guard { k, stamp: 0 };
-    Txn {
-        guards: vec![
-            guard(job_key(name)),
-            guard(past_key(name)),
-            guard(waiting_key(name)),
+pub fn accept(name: &str, record: &JobRecord) -> Transaction {
+    let precondition = |k| Precondition {
+        key: k,
+        mod_revision: 0,
+    };
+    Transaction {
+        preconditions: vec![
+            precondition(job_key(name)),
+            precondition(past_key(name)),
+            precondition(waiting_key(name)),
         ],
-        then: vec![crate::controller::put(&job_key(name), record, None)],
+        mutations: vec![crate::controller::put(&job_key(name), record, None)],
     }
 }
 
 /// The transaction that cancels a job read at `stamp`. It races with the last ending in the
 /// same key, so one of the two comes first for everybody. Values may have so many bytes.
-pub fn cancel(name: &str, record: &JobRecord, stamp: u64, value_bytes: usize) -> Txn {
+pub fn cancel(
+    name: &str,
+    record: &JobRecord,
+    mod_revision: u64,
+    value_bytes: usize,
+) -> Transaction {
     let mut record = record.clone();
-    record.status = JobStatus::Withdrawn;
+    record.status = JobStatus::Cancelled;
     record.shorten(value_bytes);
-    Txn {
-        guards: vec![Guard {
-            k: job_key(name),
-            stamp,
+    Transaction {
+        preconditions: vec![Precondition {
+            key: job_key(name),
+            mod_revision,
         }],
-        then: vec![Change::Put {
-            put: job_key(name),
-            v: Json::of(&record),
-            permit: None,
+        mutations: vec![Mutation::Put {
+            key: job_key(name),
+            value: Json::of(&record),
+            lease_id: None,
         }],
     }
 }
@@ -186,7 +198,7 @@
 
 /// Final answers, which never change; a bounded number of the latest.
 #[derive(Debug, Default)]
-pub struct Finals {
+pub struct FinalStateCache {
     by_name: HashMap<String, JobAnswer>,
     order: VecDeque<String>,
 }
@@ -194,10 +206,10 @@
 /// Final answers kept in memory.
 const FINALS: usize = 5000;
 
-impl Finals {
+impl FinalStateCache {
     /// Keeps an answer if it is final.
     pub fn note(&mut self, a: &JobAnswer) {
-        if !matches!(a.status, JobStatus::Done | JobStatus::Withdrawn) {
+        if !matches!(a.status, JobStatus::Done | JobStatus::Cancelled) {
             return;
         }
         if self.by_name.insert(a.name.clone(), a.clone()).is_none() {
--- a/src/jobs/chained.rs
+++ b/src/jobs/chained.rs
@@ -1,10 +1,10 @@
 //! Submissions that name other jobs which have to be done first. Pure.
 
 use super::{accept, is_job_name};
-use crate::controller::{Core, put};
-use crate::protocol::{Change, Guard, JobStatus, Json, Txn};
+use crate::controller::{Controller, put};
+use crate::protocol::{JobStatus, Json, Mutation, Precondition, Transaction};
 use crate::records::{JobRecord, NameList, WaitingRecord};
-use crate::replica::{View, job_key, past_key, waiting_key};
+use crate::replica::{Replica, job_key, past_key, waiting_key};
 use crate::settings::Settings;
 use std::collections::HashSet;
 
@@ -17,9 +17,9 @@
     /// Finally done.
     Done,
     /// Cancelled.
-    Withdrawn,
+    Cancelled,
     /// Accepted and not over; the condition holds as long as that is so and its key unchanged.
-    Open(Guard),
+    Open(Precondition),
     /// Under no watched key: archived, or never accepted.
     Unwatched,
 }
@@ -28,25 +28,27 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Acceptance {
     /// All that it names is done: an ordinary job.
-    Ordinary(Txn),
+    Ordinary(Transaction),
     /// It waits for jobs that are not over.
-    Waiting(Txn),
+    Waiting(Transaction),
     /// It names a job that was cancelled, and is cancelled itself.
-    Withdrawn(Txn),
+    Cancelled(Transaction),
 }
 
 impl Acceptance {
     /// The transaction that accepts the job.
-    pub fn txn(&self) -> &Txn {
+    pub fn transaction(&self) -> &Transaction {
         match self {
-            Self::Ordinary(txn) | Self::Waiting(txn) | Self::Withdrawn(txn) => txn,
+            Self::Ordinary(transaction)
+            | Self::Waiting(transaction)
+            | Self::Cancelled(transaction) => transaction,
         }
     }
 
     /// The job's state once it is accepted.
     pub fn status(&self) -> JobStatus {
         match self {
-            Self::Withdrawn(_) => JobStatus::Withdrawn,
+            Self::Cancelled(_) => JobStatus::Cancelled,
             Self::Ordinary(_) | Self::Waiting(_) => JobStatus::Pending,
         }
     }
@@ -98,15 +100,18 @@
 /// Most unfinished jobs that a submission may name: each of them costs a condition, besides those
 /// that the job is new.
 pub fn most_open(settings: &Settings) -> usize {
-    let guards = settings.platform.settings.state.txn_ops * GUARDS_PER_CHANGE;
-    guards.saturating_sub(absent("").len())
+    let preconditions = settings.platform.settings.state.txn_ops * GUARDS_PER_CHANGE;
+    preconditions.saturating_sub(absent("").len())
 }
 
 /// Conditions that a job stands under none of its keys.
-pub(super) fn absent(name: &str) -> Vec<Guard> {
+pub(super) fn absent(name: &str) -> Vec<Precondition> {
     let keys = [job_key(name), past_key(name), waiting_key(name)];
-    let guards = keys.into_iter().map(|k| Guard { k, stamp: 0 });
-    guards.collect()
+    let preconditions = keys.into_iter().map(|k| Precondition {
+        key: k,
+        mod_revision: 0,
+    });
+    preconditions.collect()
 }
 
 /// Plans the transaction that accepts a job which names others.
@@ -120,15 +125,15 @@
     named: Vec<(String, Predecessor)>,
     settings: &Settings,
 ) -> Result<Acceptance, ChainError> {
-    if names_withdrawn(&named)? {
-        let txn = accept_withdrawn(name, record, absent(name));
-        return Ok(Acceptance::Withdrawn(txn));
+    if names_cancelled(&named)? {
+        let transaction = accept_cancelled(name, record, absent(name));
+        return Ok(Acceptance::Cancelled(transaction));
     }
     let mut predecessors = Vec::new();
-    let mut guards = absent(name);
+    let mut preconditions = absent(name);
     for (predecessor, state) in named {
-        if let Predecessor::Open(guard) = state {
-            guards.push(guard);
+        if let Predecessor::Open(precondition) = state {
+            preconditions.push(precondition);
             predecessors.push(predecessor);
         }
     }
@@ -138,13 +143,15 @@
     let (found, most) = (predecessors.len(), most_open(settings));
     let waiting = new_waiting_record(record, NameList::from_iter(predecessors));
     let change = put(&waiting_key(name), &waiting, None);
-    let fits =
-        |c: &Change| matches!(c, Change::Put { v, .. } if v.size() <= settings.value_bytes());
+    let fits = |c: &Mutation| matches!(c, Mutation::Put { value, .. } if value.size() <= settings.value_bytes());
     if found > most || !fits(&change) {
         return Err(ChainError::TooMany { found, most });
     }
-    let then = vec![change];
-    Ok(Acceptance::Waiting(Txn { guards, then }))
+    let mutations = vec![change];
+    Ok(Acceptance::Waiting(Transaction {
+        preconditions,
+        mutations,
+    }))
 }
 
 /// The value of a new job that waits for others.
@@ -159,39 +166,52 @@
 }
 
 /// Whether a job that a submission names was cancelled. All that it names must have been accepted.
-pub(super) fn names_withdrawn(named: &[(String, Predecessor)]) -> Result<bool, ChainError> {
+pub(super) fn names_cancelled(named: &[(String, Predecessor)]) -> Result<bool, ChainError> {
     let unknown = named.iter().find(|n| n.1 == Predecessor::Unwatched);
     if let Some((unknown, _)) = unknown {
         return Err(ChainError::NeverAccepted(unknown.clone()));
     }
-    Ok(named.iter().any(|n| n.1 == Predecessor::Withdrawn))
+    Ok(named.iter().any(|n| n.1 == Predecessor::Cancelled))
 }
 
 /// The transaction that accepts a job which is cancelled already, under these conditions.
-pub(super) fn accept_withdrawn(name: &str, mut record: JobRecord, guards: Vec<Guard>) -> Txn {
-    record.status = JobStatus::Withdrawn;
-    let then = vec![put(&past_key(name), &record, None)];
-    Txn { guards, then }
+pub(super) fn accept_cancelled(
+    name: &str,
+    mut record: JobRecord,
+    preconditions: Vec<Precondition>,
+) -> Transaction {
+    record.status = JobStatus::Cancelled;
+    let mutations = vec![put(&past_key(name), &record, None)];
+    Transaction {
+        preconditions,
+        mutations,
+    }
 }
 
 /// The transaction that cancels a job which waits, as it was read at `stamp`. It races in the same
 /// key with its becoming an ordinary job.
-pub fn cancel_waiting(name: &str, record: &WaitingRecord, stamp: u64) -> Txn {
+pub fn cancel_waiting(name: &str, record: &WaitingRecord, mod_revision: u64) -> Transaction {
     let record = WaitingRecord {
-        status: JobStatus::Withdrawn,
+        status: JobStatus::Cancelled,
         ..record.clone()
     };
     let key = waiting_key(name);
-    let then = vec![Change::Put {
-        put: key.clone(),
-        v: Json::of(&record),
-        permit: None,
+    let mutations = vec![Mutation::Put {
+        key: key.clone(),
+        value: Json::of(&record),
+        lease_id: None,
+    }];
+    let preconditions = vec![Precondition {
+        key: key,
+        mod_revision,
     }];
-    let guards = vec![Guard { k: key, stamp }];
-    Txn { guards, then }
+    Transaction {
+        preconditions,
+        mutations,
+    }
 }
 
-impl View {
+impl Replica {
     /// What the replica shows of a job that a submission names.
     pub fn predecessor(&self, name: &str) -> Predecessor {
         let job = self.names.jobs.get(name);
@@ -200,23 +220,26 @@
         };
         match status {
             JobStatus::Done => Predecessor::Done,
-            JobStatus::Withdrawn => Predecessor::Withdrawn,
+            JobStatus::Cancelled => Predecessor::Cancelled,
             JobStatus::Pending | JobStatus::Running => {
                 let (ordinary, waiting) = (job_key(name), waiting_key(name));
-                let stamp = self.stamp(&ordinary);
-                Predecessor::Open(match stamp {
-                    0 => Guard {
-                        stamp: self.stamp(&waiting),
-                        k: waiting,
+                let mod_revision = self.mod_revision(&ordinary);
+                Predecessor::Open(match mod_revision {
+                    0 => Precondition {
+                        mod_revision: self.mod_revision(&waiting),
+                        key: waiting,
+                    },
+                    mod_revision => Precondition {
+                        key: ordinary,
+                        mod_revision,
                     },
-                    stamp => Guard { k: ordinary, stamp },
                 })
             }
         }
     }
 }
 
-impl Core {
+impl Controller {
     /// Whether the value of a job that waits, or of the ordinary job that it becomes, fits into the
     /// state service.
     pub fn fits_state_when_ready(&self, record: &JobRecord) -> bool {
--- a/src/jobs/chained/tests.rs
+++ b/src/jobs/chained/tests.rs
@@ -19,8 +19,14 @@
 
 fn open(n: u64) -> (String, Predecessor) {
     let name = format!("wk-{n:018}");
-    let (k, stamp) = (job_key(&name), n + 1);
-    (name, Predecessor::Open(Guard { k, stamp }))
+    let (k, mod_revision) = (job_key(&name), n + 1);
+    (
+        name,
+        Predecessor::Open(Precondition {
+            key: k,
+            mod_revision,
+        }),
+    )
 }
 
 #[test]
@@ -57,20 +63,20 @@
     let ordinary = plan(vec![done(1), done(2)]);
     assert!(matches!(&ordinary, Acceptance::Ordinary(_)));
     assert_eq!(
-        ordinary.txn().guards.len(),
+        ordinary.transaction().preconditions.len(),
         3,
         "it is new under each of its keys"
     );
     let waiting = plan(vec![done(1), open(2), open(3)]);
     assert!(matches!(&waiting, Acceptance::Waiting(_)));
-    assert_eq!(waiting.txn().guards.len(), 5);
-    let withdrawn = plan(vec![open(2), (open(4).0, Predecessor::Withdrawn)]);
-    assert_eq!(withdrawn.status(), JobStatus::Withdrawn);
+    assert_eq!(waiting.transaction().preconditions.len(), 5);
+    let cancelled = plan(vec![open(2), (open(4).0, Predecessor::Cancelled)]);
+    assert_eq!(cancelled.status(), JobStatus::Cancelled);
     let never = plan_acceptance(
         "wk-000412",
         record(),
         vec![
-            (open(4).0, Predecessor::Withdrawn),
+            (open(4).0, Predecessor::Cancelled),
             (open(5).0, Predecessor::Unwatched),
         ],
         &settings,
@@ -87,8 +93,8 @@
     assert_eq!(most, 13);
     let named = |n: u64| (0..n).map(|n| open(n * 76_543_210_987)).collect();
     let planned = plan_acceptance("wk-000412", record(), named(13), &settings).expect("fits");
-    assert!(planned.txn().guards.len() <= 16);
-    assert!(planned.txn().then[0].value_bytes() < 1000);
+    assert!(planned.transaction().preconditions.len() <= 16);
+    assert!(planned.transaction().mutations[0].value_bytes() < 1000);
     let too_many = plan_acceptance("wk-000412", record(), named(14), &settings);
     assert_eq!(
         too_many,
@@ -104,7 +110,7 @@
     let settings = small();
     let named = vec![open(2), open(3), open(30)];
     let planned = plan_acceptance("wk-000412", record(), named, &settings).expect("planned");
-    let Change::Put { v, .. } = &planned.txn().then[0] else {
+    let Mutation::Put { value: v, .. } = &planned.transaction().mutations[0] else {
         panic!("a put")
     };
     let read: WaitingRecord = v.read().expect("read");
--- a/src/jobs/gradual.rs
+++ b/src/jobs/gradual.rs
@@ -7,11 +7,11 @@
 //! has given up is dropped by the leader.
 
 use super::chained::{
-    ChainError, GUARDS_PER_CHANGE, Predecessor, absent, accept_withdrawn, names_withdrawn,
+    ChainError, GUARDS_PER_CHANGE, Predecessor, absent, accept_cancelled, names_cancelled,
     new_waiting_record,
 };
 use crate::controller::put;
-use crate::protocol::{Change, Guard, Txn};
+use crate::protocol::{Mutation, Precondition, Transaction};
 use crate::records::{JobRecord, NameList, WaitingRecord};
 use crate::replica::waiting_key;
 use crate::settings::Settings;
@@ -22,18 +22,18 @@
     /// Its value.
     pub record: &'a WaitingRecord,
     /// The revision of its key.
-    pub stamp: u64,
+    pub mod_revision: u64,
 }
 
 /// The next write of a gradual acceptance.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
     /// More predecessors follow.
-    Incomplete(Txn),
+    Incomplete(Transaction),
     /// With it the job is accepted.
-    Complete(Txn),
+    Complete(Transaction),
     /// A predecessor was cancelled: with it the job is accepted and cancelled.
-    Withdrawn(Txn),
+    Cancelled(Transaction),
 }
 
 /// Plans the next write that accepts a job which names others, all of them accepted.
@@ -44,20 +44,25 @@
     stored: Option<Stored>,
     settings: &Settings,
 ) -> Result<Step, ChainError> {
-    if names_withdrawn(named)? {
-        return Ok(Step::Withdrawn(withdrawn(name, record, stored)));
+    if names_cancelled(named)? {
+        return Ok(Step::Cancelled(cancelled(name, record, stored)));
     }
     let held = stored.map_or(&[][..], |s| s.record.predecessors.names());
     let mut missing = named.iter().filter_map(|(name, state)| match state {
-        Predecessor::Open(guard) if !held.contains(name) => Some((name.clone(), guard.clone())),
+        Predecessor::Open(precondition) if !held.contains(name) => {
+            Some((name.clone(), precondition.clone()))
+        }
         _ => None,
     });
-    let mut guards = own_guards(name, stored);
+    let mut preconditions = own_preconditions(name, stored);
     let most = settings.platform.settings.state.txn_ops * GUARDS_PER_CHANGE;
     let mut predecessors = held.to_vec();
-    for (predecessor, guard) in missing.by_ref().take(most.saturating_sub(guards.len())) {
+    for (predecessor, precondition) in missing
+        .by_ref()
+        .take(most.saturating_sub(preconditions.len()))
+    {
         predecessors.push(predecessor);
-        guards.push(guard);
+        preconditions.push(precondition);
     }
     let found = predecessors.len();
     let rest = missing.count();
@@ -72,31 +77,37 @@
         let found = found + rest;
         return Err(ChainError::TooLong { found });
     }
-    let then = vec![change];
-    let txn = Txn { guards, then };
+    let mutations = vec![change];
+    let transaction = Transaction {
+        preconditions,
+        mutations,
+    };
     Ok(match rest {
-        0 => Step::Complete(txn),
-        _ => Step::Incomplete(txn),
+        0 => Step::Complete(transaction),
+        _ => Step::Incomplete(transaction),
     })
 }
 
 /// Conditions that the job is as it was read: absent, or incomplete at a revision.
-fn own_guards(name: &str, stored: Option<Stored>) -> Vec<Guard> {
+fn own_preconditions(name: &str, stored: Option<Stored>) -> Vec<Precondition> {
     let Some(stored) = stored else {
         return absent(name);
     };
-    let (k, stamp) = (waiting_key(name), stored.stamp);
-    vec![Guard { k, stamp }]
+    let (k, mod_revision) = (waiting_key(name), stored.mod_revision);
+    vec![Precondition {
+        key: k,
+        mod_revision,
+    }]
 }
 
 /// The transaction that accepts a job which is cancelled already, and drops what was stored of it.
-fn withdrawn(name: &str, record: &JobRecord, stored: Option<Stored>) -> Txn {
-    let mut txn = accept_withdrawn(name, record.clone(), own_guards(name, stored));
+fn cancelled(name: &str, record: &JobRecord, stored: Option<Stored>) -> Transaction {
+    let mut transaction = accept_cancelled(name, record.clone(), own_preconditions(name, stored));
     if stored.is_some() {
         let drop = waiting_key(name);
-        txn.then.push(Change::Drop { drop });
+        transaction.mutations.push(Mutation::Delete { key: drop });
     }
-    txn
+    transaction
 }
 
 #[cfg(test)]
--- a/src/jobs/gradual/tests.rs
+++ b/src/jobs/gradual/tests.rs
@@ -25,13 +25,21 @@
 
 fn open(n: u64) -> (String, Predecessor) {
     let name = format!("wk-{n:06}");
-    let (k, stamp) = (job_key(&name), n + 1);
-    (name, Predecessor::Open(Guard { k, stamp }))
+    let (k, mod_revision) = (job_key(&name), n + 1);
+    (
+        name,
+        Predecessor::Open(Precondition {
+            key: k,
+            mod_revision,
+        }),
+    )
 }
 
 fn written(step: &Step) -> WaitingRecord {
-    let (Step::Incomplete(txn) | Step::Complete(txn) | Step::Withdrawn(txn)) = step;
-    let Change::Put { v, .. } = &txn.then[0] else {
+    let (Step::Incomplete(transaction)
+    | Step::Complete(transaction)
+    | Step::Cancelled(transaction)) = step;
+    let Mutation::Put { value: v, .. } = &transaction.mutations[0] else {
         panic!("a put")
     };
     v.read().expect("a waiting job")
@@ -42,13 +50,18 @@
     let named: Vec<_> = (1..=40).map(open).collect();
     let mut stored: Option<WaitingRecord> = None;
     let mut held = 0;
-    for (stamp, expected) in [(0, 13), (70, 28), (71, 40)] {
-        let before = stored.as_ref().map(|record| Stored { record, stamp });
+    for (mod_revision, expected) in [(0, 13), (70, 28), (71, 40)] {
+        let before = stored.as_ref().map(|record| Stored {
+            record,
+            mod_revision,
+        });
         let step = plan_step(NAME, &record(), &named, before, &few()).expect("planned");
-        let (Step::Incomplete(txn) | Step::Complete(txn) | Step::Withdrawn(txn)) = &step;
-        let own = if stamp == 0 { 3 } else { 1 };
-        assert_eq!(txn.guards.len(), own + expected - held);
-        assert!(txn.guards.len() <= 16);
+        let (Step::Incomplete(transaction)
+        | Step::Complete(transaction)
+        | Step::Cancelled(transaction)) = &step;
+        let own = if mod_revision == 0 { 3 } else { 1 };
+        assert_eq!(transaction.preconditions.len(), own + expected - held);
+        assert!(transaction.preconditions.len() <= 16);
         let value = written(&step);
         assert_eq!(value.predecessors.names().len(), expected);
         assert_eq!(value.incomplete, expected < 40);
@@ -65,20 +78,20 @@
     let value = written(&begun);
     let stored = Stored {
         record: &value,
-        stamp: 70,
+        mod_revision: 70,
     };
     for (_, state) in &mut named[13..] {
         *state = Predecessor::Done;
     }
     let step = plan_step(NAME, &record(), &named, Some(stored), &few()).expect("planned");
-    assert!(matches!(&step, Step::Complete(txn) if txn.guards.len() == 1));
-    named[2].1 = Predecessor::Withdrawn;
+    assert!(matches!(&step, Step::Complete(transaction) if transaction.preconditions.len() == 1));
+    named[2].1 = Predecessor::Cancelled;
     let step = plan_step(NAME, &record(), &named, Some(stored), &few()).expect("planned");
-    let Step::Withdrawn(txn) = step else {
+    let Step::Cancelled(transaction) = step else {
         panic!("{step:?}")
     };
     let drop = waiting_key(NAME);
-    assert_eq!(txn.then[1], Change::Drop { drop });
+    assert_eq!(transaction.mutations[1], Mutation::Delete { key: drop });
     named[5].1 = Predecessor::Unwatched;
     let never = plan_step(NAME, &record(), &named, Some(stored), &few());
     assert_eq!(never, Err(ChainError::NeverAccepted(open(6).0)));
@@ -88,8 +101,11 @@
 fn more_names_than_a_value_has_room_for_are_refused() {
     let mut stored: Option<WaitingRecord> = None;
     let named: Vec<_> = (1..2000).map(|n| open(n * 487)).collect();
-    for stamp in 0..200 {
-        let before = stored.as_ref().map(|record| Stored { record, stamp });
+    for mod_revision in 0..200 {
+        let before = stored.as_ref().map(|record| Stored {
+            record,
+            mod_revision,
+        });
         match plan_step(NAME, &record(), &named, before, &few()) {
             Ok(step) => stored = Some(written(&step)),
             Err(why) => {
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -50,28 +50,28 @@
 
 #[test]
 fn a_job_that_no_machine_or_team_can_carry_is_named_so() {
-    let mut core = Core::new(small(), 1);
-    core.on_catalog(crate::controller::tests::catalog());
+    let mut controller = Controller::new(small(), 1);
+    controller.on_catalog(crate::controller::tests::catalog());
     let Read::Good(s) = read(GOOD.as_bytes()) else {
         panic!("good")
     };
-    assert_eq!(core.never_runs(&s.spec), None);
+    assert_eq!(controller.never_runs(&s.spec), None);
     let with = |f: &dyn Fn(&mut JobSpec)| {
         let mut spec = s.spec.clone();
         f(&mut spec);
-        core.never_runs(&spec).is_some()
+        controller.never_runs(&spec).is_some()
     };
     assert!(with(&|s| s.team = "green".into()));
     assert!(with(&|s| s.cpus = 17.0));
     assert!(with(&|s| s.gpus = 1.0));
     assert!(with(&|s| s.memory_gb = 1e6));
-    assert!(with(&|s| s.frames = Some(vec!["none".into()])));
+    assert!(with(&|s| s.machine_types = Some(vec!["none".into()])));
     assert!(with(&|s| s.zone = Some("west".into())));
 }
 
 #[test]
 fn final_answers_stay_and_others_are_not_kept() {
-    let mut f = Finals::default();
+    let mut f = FinalStateCache::default();
     let a = |st| JobAnswer {
         name: "wk-1".into(),
         status: st,
@@ -86,9 +86,9 @@
 
 /// A job as the replica has it, nothing done.
 pub(crate) fn job_of(spec: JobSpec) -> crate::replica::Job {
-    let mut view = crate::replica::View::default();
-    let txn = accept("wk-000412", &new_record(spec, 1_700_000_000_000));
-    view.apply_own(&txn, 1);
-    let ix = view.names.jobs.get("wk-000412").expect("known");
-    view.jobs.remove(&ix).expect("there")
+    let mut replica = crate::replica::Replica::default();
+    let transaction = accept("wk-000412", &new_record(spec, 1_700_000_000_000));
+    replica.apply_own(&transaction, 1);
+    let job_id = replica.names.jobs.get("wk-000412").expect("known");
+    replica.jobs.remove(&job_id).expect("there")
 }
--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -3,80 +3,87 @@
 use super::*;
 use crate::records::JobRecord;
 
-impl Core {
+impl Controller {
     /// Records the end of jobs whose tasks are all done. Blocks show that first, and what is done
     /// stays done: the job's own key decides between this and a cancellation.
-    pub(crate) fn plan_finish(&mut self) -> Option<Txn> {
+    pub(crate) fn plan_finish(&mut self) -> Option<Transaction> {
         let most = self.settings.platform.settings.state.txn_ops;
-        let mut txn = Txn::default();
+        let mut transaction = Transaction::default();
         let mut size = 0;
-        let told = self.told_done();
+        let told = self.reported_done();
         let none = RangeSet::new();
-        let done_of = |ix: JobIx| told.get(&ix).unwrap_or(&none);
-        let done_with_told = |ix: JobIx, told: &RangeSet| {
-            let job = self.view.jobs.get(&ix);
+        let done_of = |job_id: JobId| told.get(&job_id).unwrap_or(&none);
+        let done_with_reported = |job_id: JobId, told: &RangeSet| {
+            let job = self.replica.jobs.get(&job_id);
             let pending = job.filter(|j| j.status == JobStatus::Pending);
             pending.is_some_and(|job| {
                 let mut done = job.done.clone();
                 done.union(told);
-                done.len() >= job.spec.legs
+                done.len() >= job.spec.task_count
             })
         };
-        let by_word = told.iter().filter(|&(&ix, told)| done_with_told(ix, told));
-        let mut over: Vec<JobIx> = by_word.map(|(&ix, _)| ix).collect();
-        over.extend(self.view.complete());
+        let by_word = told
+            .iter()
+            .filter(|&(&job_id, told)| done_with_reported(job_id, told));
+        let mut over: Vec<JobId> = by_word.map(|(&job_id, _)| job_id).collect();
+        over.extend(self.replica.complete());
         // What others wait for goes first.
-        over.sort_by_key(|&ix| (!self.view.dependencies.is_needed(ix), ix));
+        over.sort_by_key(|&job_id| (!self.replica.dependencies.is_needed(job_id), job_id));
         over.dedup();
-        for ix in over.into_iter().take(most) {
-            let Some(change) = self.job_change(ix, done_of(ix)) else {
+        for job_id in over.into_iter().take(most) {
+            let Some(change) = self.job_change(job_id, done_of(job_id)) else {
                 continue;
             };
-            if let Change::Put { put, v, .. } = &change {
+            if let Mutation::Put {
+                key: put, value: v, ..
+            } = &change
+            {
                 size += v.size() + 100;
                 if size > TXN_BYTES {
                     break;
                 }
-                txn.guards.push(self.guard(put));
+                transaction.preconditions.push(self.precondition(put));
             }
-            txn.then.push(change);
+            transaction.mutations.push(change);
         }
-        (!txn.then.is_empty()).then_some(txn)
+        (!transaction.mutations.is_empty()).then_some(transaction)
     }
 
     /// Moves jobs that are over out of the watched part, while the budget is not needed for more.
-    pub(crate) fn plan_archive(&mut self, now: Ms) -> Option<Txn> {
-        if now < self.lead.next_archive || self.refused_lately(now) {
+    pub(crate) fn plan_archive(&mut self, now: Timestamp) -> Option<Transaction> {
+        if now < self.leadership.next_archive || self.refused_lately(now) {
             return None;
         }
         // Each job that leaves costs two changes: those that wait to run come first.
-        let pending = self.view.pending();
-        let over = self.view.jobs.len() - pending;
+        let pending = self.replica.pending();
+        let over = self.replica.jobs.len() - pending;
         if pending > 0 && over < self.settings.options.jobs_kept as usize {
             return None;
         }
         let most = (self.settings.platform.settings.state.txn_ops / 2).min(4);
-        let binding: HashSet<JobIx> = self.binding().map(|b| b.1.task.job).collect();
+        let binding: HashSet<JobId> = self.binding().map(|b| b.1.task.job).collect();
         // The watch has passed it: no older change can bring the job back after its drop.
-        let over = self.view.jobs.iter().filter(|(ix, j)| {
+        let over = self.replica.jobs.iter().filter(|(job_id, j)| {
             j.status != JobStatus::Pending
-                && j.stamp <= self.view.ledger
-                && !self.view.is_mentioned(**ix)
-                && self.may_archive(**ix, j)
-                && !binding.contains(*ix)
-                && !self.view.is_unreadable(self.view.names.jobs.name(**ix))
+                && j.mod_revision <= self.replica.revision
+                && !self.replica.is_mentioned(**job_id)
+                && self.may_archive(**job_id, j)
+                && !binding.contains(*job_id)
+                && !self
+                    .replica
+                    .is_unreadable(self.replica.names.jobs.name(**job_id))
         });
-        let mut over: Vec<(JobIx, String, JobRecord)> = over
-            .map(|(&ix, j)| {
-                let key = job_key(self.view.names.jobs.name(ix));
+        let mut over: Vec<(JobId, String, JobRecord)> = over
+            .map(|(&job_id, j)| {
+                let key = job_key(self.replica.names.jobs.name(job_id));
                 (
-                    ix,
+                    job_id,
                     key,
-                    j.record(self.view.done_tasks(j.stored.clone()), j.status),
+                    j.record(self.replica.done_tasks(j.stored.clone()), j.status),
                 )
             })
             .collect();
-        over.extend(self.withdrawn_waiting());
+        over.extend(self.cancelled_waiting());
         // The more of them there are, the sooner the next turn: jobs that end faster than they
         // leave would fill the memory.
         let crowd = match pending {
@@ -84,28 +91,32 @@
             _ => over.len() as u64 / 50,
         };
         let wait = 4000 / (1 + crowd);
-        self.lead.next_archive = now.plus(wait.max(500));
+        self.leadership.next_archive = now.plus(wait.max(500));
         if over.is_empty() {
             return None;
         }
-        let mut txn = Txn::default();
+        let mut transaction = Transaction::default();
         let mut size = 0;
-        for (ix, key, mut record) in over.into_iter().take(most) {
+        for (job_id, key, mut record) in over.into_iter().take(most) {
             record.shorten(self.settings.value_bytes());
-            let change = put(&past_key(self.view.names.jobs.name(ix)), &record, None);
+            let change = put(
+                &past_key(self.replica.names.jobs.name(job_id)),
+                &record,
+                None,
+            );
             if change.value_bytes() > self.settings.value_bytes() {
                 // Written when values could be larger: it stays where it is, for it cannot be
                 // written anywhere any more.
                 continue;
             }
             size += change.value_bytes();
-            if size > TXN_BYTES && !txn.then.is_empty() {
+            if size > TXN_BYTES && !transaction.mutations.is_empty() {
                 break;
             }
-            txn.guards.push(self.guard(&key));
-            txn.then.push(change);
-            txn.then.push(Change::Drop { drop: key });
+            transaction.preconditions.push(self.precondition(&key));
+            transaction.mutations.push(change);
+            transaction.mutations.push(Mutation::Delete { key: key });
         }
-        (!txn.then.is_empty()).then_some(txn)
+        (!transaction.mutations.is_empty()).then_some(transaction)
     }
 }
--- a/src/leadership/binding/tests.rs
+++ b/src/leadership/binding/tests.rs
@@ -9,7 +9,7 @@
 
 /// A controller at a time of day, and a job that was submitted at `SUBMITTED_MS` and became ready
 /// 100 s later.
-fn at(seconds: u64, due_s: Option<f64>) -> (Core, Job) {
+fn at(seconds: u64, due_s: Option<f64>) -> (Controller, Job) {
     let Read::Good(good) = read(GOOD.as_bytes()) else {
         panic!("good")
     };
@@ -19,21 +19,21 @@
     let mut job = job_of(spec);
     job.submitted_ms = SUBMITTED_MS;
     job.ready_ms = Some(SUBMITTED_MS + 100_000);
-    let mut core = Core::new(small(), 1);
-    core.day_ms = SUBMITTED_MS + seconds * 1000;
-    (core, job)
+    let mut controller = Controller::new(small(), 1);
+    controller.day_ms = SUBMITTED_MS + seconds * 1000;
+    (controller, job)
 }
 
 fn slack_at(seconds: u64, due_s: Option<f64>) -> f64 {
-    let (core, job) = at(seconds, due_s);
-    core.slack_s(JobIx::from_raw(0), &job).0
+    let (controller, job) = at(seconds, due_s);
+    controller.slack_s(JobId::from_raw(0), &job).0
 }
 
 #[test]
 fn the_deadline_counts_from_the_submission_however_long_the_job_waited() {
-    let (core, job) = at(130, Some(300.0));
-    let wide = core.settings.platform.settings.teams[0].cpus_max;
-    let work = f64::from(job.spec.legs) * job.spec.cpus * job.spec.estimate_s;
+    let (controller, job) = at(130, Some(300.0));
+    let wide = controller.settings.platform.settings.teams[0].cpus_max;
+    let work = f64::from(job.spec.task_count) * job.spec.cpus * job.spec.estimate_s;
     let rest = job.spec.estimate_s + work / wide;
     assert!((slack_at(130, Some(300.0)) - (170.0 - rest)).abs() < 1e-6);
 }
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -4,8 +4,8 @@
 //! their holders had recorded an ending in between, and the more blocks there are, the surer.
 
 use super::*;
-use crate::placement::Binding;
-use crate::replica::{Draft, Machine};
+use crate::placement::PlannedBinding;
+use crate::replica::{BlockEdit, Machine};
 
 /// Part of the largest value up to which a block's queues may grow: its holder needs the rest
 /// for the tasks that are done.
@@ -13,33 +13,33 @@
 /// Part that the machines of a block may be expected to fill when all of them are busy.
 const PLANNED: f64 = 0.55;
 
-impl Core {
+impl Controller {
     /// Whether the leader may write a block now.
-    fn writable(&self, id: BlockId, now: Ms) -> bool {
-        self.idle(Op::Edit(id), now) && !self.block_busy(id)
+    fn writable(&self, id: BlockId, now: Timestamp) -> bool {
+        self.idle(WriteKind::Edit(id), now) && !self.block_busy(id)
     }
 
     /// Whether the leader may write a block ahead of its turn, for what others wait for.
-    fn writable_early(&self, id: BlockId, now: Ms) -> bool {
-        self.idle_early(Op::Edit(id), now) && !self.block_busy(id)
+    fn writable_early(&self, id: BlockId, now: Timestamp) -> bool {
+        self.idle_early(WriteKind::Edit(id), now) && !self.block_busy(id)
     }
 
     /// Blocks whose key may be written ahead of their turn.
-    pub(crate) fn early_blocks(&self, now: Ms) -> HashSet<BlockId> {
-        let all = self.view.blocks.keys().copied();
+    pub(crate) fn early_blocks(&self, now: Timestamp) -> HashSet<BlockId> {
+        let all = self.replica.blocks.keys().copied();
         all.filter(|&id| self.writable_early(id, now)).collect()
     }
 
     /// Puts machines into blocks, marks those that leave, drops those that are gone, binds tasks.
-    pub(crate) fn plan_edits(&mut self, now: Ms, out: &mut Vec<Action>) {
+    pub(crate) fn plan_edits(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if self.grants_first(now) {
             return;
         }
-        let mut edits: BTreeMap<BlockId, (Draft, Payload)> = BTreeMap::new();
+        let mut edits: BTreeMap<BlockId, (BlockEdit, WriteIntent)> = BTreeMap::new();
         self.edit_machines(&mut edits, now);
         let plan = self.plan_bindings(now);
-        for (id, (draft, payload)) in edits {
-            self.write_block(id, draft, payload, out);
+        for (id, (edit, intent)) in edits {
+            self.write_block(id, edit, intent, out);
         }
         self.bind(plan, now, out);
     }
@@ -48,96 +48,106 @@
     fn write_block(
         &mut self,
         id: BlockId,
-        draft: Draft,
-        mut payload: Payload,
-        out: &mut Vec<Action>,
+        edit: BlockEdit,
+        mut intent: WriteIntent,
+        out: &mut Vec<Effect>,
     ) -> bool {
-        let record = self.view.seal(&draft);
+        let record = self.replica.seal(&edit);
         let change = put(&block_key(id), &record, None);
         let size = match &change {
-            Change::Put { v, .. } => v.size(),
-            Change::Drop { .. } => 0,
+            Mutation::Put { value, .. } => value.size(),
+            Mutation::Delete { .. } => 0,
         };
         let most = self.settings.value_bytes() as f64;
-        let limit = if payload.binds.is_empty() { 1.0 } else { FILL };
+        let limit = if intent.binds.is_empty() { 1.0 } else { FILL };
         if size as f64 > most * limit {
             return false;
         }
-        payload.blocks = vec![id];
-        let txn = Txn {
-            guards: vec![self.guard(&block_key(id)), self.guard(LEAD)],
-            then: vec![change],
+        intent.blocks = vec![id];
+        let transaction = Transaction {
+            preconditions: vec![self.precondition(&block_key(id)), self.precondition(LEAD)],
+            mutations: vec![change],
         };
-        self.submit(Op::Edit(id), txn, payload, out);
+        self.submit(WriteKind::Edit(id), transaction, intent, out);
         true
     }
 
-    fn edit_machines(&mut self, edits: &mut BTreeMap<BlockId, (Draft, Payload)>, now: Ms) {
+    fn edit_machines(
+        &mut self,
+        edits: &mut BTreeMap<BlockId, (BlockEdit, WriteIntent)>,
+        now: Timestamp,
+    ) {
         self.note_strangers(now);
         let mut gone = Vec::new();
-        for (set, leaving) in [(&self.lead.gone, false), (&self.lead.leave, true)] {
-            for &ix in set {
-                let Some(m) = self.view.machines.get(&ix) else {
+        for (set, leaving) in [
+            (&self.leadership.gone, false),
+            (&self.leadership.leave, true),
+        ] {
+            for &machine_id in set {
+                let Some(m) = self.replica.machines.get(&machine_id) else {
                     continue;
                 };
                 if (leaving && m.leaving) || !self.writable(m.block, now) {
                     continue;
                 }
-                let (draft, _) = edits
+                let (edit, _) = edits
                     .entry(m.block)
-                    .or_insert_with(|| (self.view.draft(m.block), Payload::default()));
-                let rig = self.view.names.machines.name(ix);
+                    .or_insert_with(|| (self.replica.edit(m.block), WriteIntent::default()));
+                let machine = self.replica.names.machines.name(machine_id);
                 if leaving {
-                    if let Some(m) = draft.machines.get_mut(&ix) {
-                        info!(rig, "machine is to leave");
+                    if let Some(m) = edit.machines.get_mut(&machine_id) {
+                        info!(machine, "machine is to leave");
                         m.leaving = true;
                     }
                 } else {
-                    info!(rig, tasks = m.queue.len(), "machine is gone");
-                    draft.machines.remove(&ix);
-                    gone.push(rig.to_owned());
+                    info!(machine, tasks = m.queue.len(), "machine is gone");
+                    edit.machines.remove(&machine_id);
+                    gone.push(machine.to_owned());
                 }
             }
         }
-        for rig in gone {
-            self.lead.removed.insert(rig, now);
+        for machine in gone {
+            self.leadership.removed.insert(machine, now);
         }
         self.place_machines(edits, now);
     }
 
     /// Machines that report, or that an earlier leader rented, and that no block has.
-    fn note_strangers(&mut self, now: Ms) {
-        let peers = self.peers.values().flat_map(|p| &p.strays);
-        let unknown: Vec<crate::protocol::Stray> = self
-            .my_strays(now)
+    fn note_strangers(&mut self, now: Timestamp) {
+        let peers = self.peers.values().flat_map(|p| &p.unowned_machines);
+        let unknown: Vec<crate::protocol::UnownedMachine> = self
+            .unowned_machines_to_report(now)
             .into_iter()
             .chain(peers.cloned())
             .filter(|s| {
-                let known = self.view.names.machines.get(&s.rig);
-                !known.is_some_and(|m| self.view.machines.contains_key(&m))
+                let known = self.replica.names.machines.get(&s.machine);
+                !known.is_some_and(|m| self.replica.machines.contains_key(&m))
             })
             .collect();
         for s in unknown {
             // One report alone may be a late copy from a machine that is gone.
-            if s.for_ms >= 500 && !self.lead.removed.contains_key(&s.rig) {
+            if s.for_ms >= 500 && !self.leadership.removed.contains_key(&s.machine) {
                 let machine = NewMachine {
-                    frame: s.frame,
+                    machine_type: s.machine_type,
                     zone: s.zone,
                     spot: s.spot,
                 };
-                self.lead.place.entry(s.rig).or_insert(machine);
+                self.leadership.place.entry(s.machine).or_insert(machine);
             }
         }
-        let names = &self.view.names.machines;
-        let machines = &self.view.machines;
-        self.lead
+        let names = &self.replica.names.machines;
+        let machines = &self.replica.machines;
+        self.leadership
             .place
             .retain(|name, _| names.get(name).is_none_or(|m| !machines.contains_key(&m)));
     }
 
     /// Bytes that a machine may come to fill in its block's value: its name, and its tasks.
-    pub(crate) fn expected_bytes(&self, frame: FrameIx) -> usize {
-        let cpus = self.frames.get(&frame).map_or(8.0, |f| f.cpus);
+    pub(crate) fn expected_bytes(&self, machine_type: MachineTypeId) -> usize {
+        let cpus = self
+            .machine_types
+            .get(&machine_type)
+            .map_or(8.0, |f| f.cpus);
         let most = self.settings.value_bytes() * 2 / 5;
         (20 + (cpus * 6.0) as usize).min(most)
     }
@@ -145,38 +155,47 @@
     /// Spreads new machines over blocks: enough blocks for each controller, more as the fleet
     /// grows, up to as many as can be written twice a second together, and beyond that only for
     /// lack of room in their values.
-    fn place_machines(&mut self, edits: &mut BTreeMap<BlockId, (Draft, Payload)>, now: Ms) {
-        if self.lead.place.is_empty() {
+    fn place_machines(
+        &mut self,
+        edits: &mut BTreeMap<BlockId, (BlockEdit, WriteIntent)>,
+        now: Timestamp,
+    ) {
+        if self.leadership.place.is_empty() {
             return;
         }
-        let underway: HashSet<MachineIx> = self.placing();
+        let underway: HashSet<MachineId> = self.placing();
         let s = &self.settings.platform.settings;
         let enough = ((s.state.write_rps / 2.0) as usize).max(s.count);
         let (least, per_block) = (s.count.max(1), self.settings.block_machines());
         let room = (self.settings.value_bytes() as f64 * PLANNED) as usize;
         let mut sizes: BTreeMap<BlockId, (usize, usize)> = BTreeMap::new();
-        for (&id, b) in &self.view.blocks {
-            let frames = b.machines.iter().filter_map(|m| self.view.machines.get(m));
-            let bytes = frames.map(|m| self.expected_bytes(m.frame)).sum();
+        for (&id, b) in &self.replica.blocks {
+            let machine_types = b
+                .machines
+                .iter()
+                .filter_map(|m| self.replica.machines.get(m));
+            let bytes = machine_types
+                .map(|m| self.expected_bytes(m.machine_type))
+                .sum();
             sizes.insert(id, (bytes, b.machines.len()));
         }
         // Blocks that are only being made count too, or they would be made twice.
-        for f in self.ops_blocks() {
+        for f in self.blocks_in_flight() {
             sizes.entry(f).or_insert((usize::MAX / 2, per_block));
         }
         // Hundreds of machines may wait here, for as long as the budget of changes is used up.
         let writable = self.open_blocks(now);
-        for (name, new) in self.lead.place.clone() {
-            let names = &mut self.view.names;
-            let ix = names.machines.intern(&name);
-            if underway.contains(&ix) {
+        for (name, new) in self.leadership.place.clone() {
+            let names = &mut self.replica.names;
+            let machine_id = names.machines.intern(&name);
+            if underway.contains(&machine_id) {
                 continue;
             }
-            let (frame, zone) = (
-                names.frames.intern(&new.frame),
+            let (machine_type, zone) = (
+                names.machine_types.intern(&new.machine_type),
                 names.zones.intern(&new.zone),
             );
-            let bytes = self.expected_bytes(frame);
+            let bytes = self.expected_bytes(machine_type);
             let free = (0..).map(BlockId).find(|id| !sizes.contains_key(id));
             let open = |id: &BlockId| edits.contains_key(id) || writable.contains(id);
             // A block that a merge has emptied is used again when another one is needed.
@@ -198,20 +217,20 @@
                     None => break,
                 },
             };
-            let (draft, payload) = edits
+            let (edit, intent) = edits
                 .entry(id)
-                .or_insert_with(|| (self.view.draft(id), Payload::default()));
+                .or_insert_with(|| (self.replica.edit(id), WriteIntent::default()));
             let machine = Machine {
                 block: id,
-                frame,
+                machine_type,
                 zone,
                 spot: new.spot,
                 leaving: false,
                 queue: Vec::new(),
                 evict: Vec::new(),
             };
-            draft.machines.insert(ix, machine);
-            payload.placed.push(ix);
+            edit.machines.insert(machine_id, machine);
+            intent.placed.push(machine_id);
             let size = sizes.entry(id).or_default();
             *size = (size.0 + bytes, size.1 + 1);
         }
@@ -219,18 +238,18 @@
 
     /// Writes bindings and evictions, each block by itself; what is too much for a block's value
     /// is bound in part.
-    fn bind(&mut self, plan: BindPlan, now: Ms, out: &mut Vec<Action>) {
+    fn bind(&mut self, plan: BindPlan, now: Timestamp, out: &mut Vec<Effect>) {
         // An attempt is numbered by the revision at which it is bound: unbinding comes at a
         // later one, so attempts of a task only grow.
-        let attempt = self.view.latest();
-        let mut by_block: BTreeMap<BlockId, Vec<Binding>> = BTreeMap::new();
+        let attempt = self.replica.latest();
+        let mut by_block: BTreeMap<BlockId, Vec<PlannedBinding>> = BTreeMap::new();
         for b in plan.bindings {
-            if let Some(m) = self.view.machines.get(&b.machine) {
+            if let Some(m) = self.replica.machines.get(&b.machine) {
                 by_block.entry(m.block).or_default().push(b);
             }
         }
-        for ix in plan.evict.keys() {
-            if let Some(m) = self.view.machines.get(ix) {
+        for machine_id in plan.evict.keys() {
+            if let Some(m) = self.replica.machines.get(machine_id) {
                 by_block.entry(m.block).or_default();
             }
         }
@@ -241,28 +260,28 @@
                 continue;
             }
             loop {
-                let mut draft = self.view.draft(id);
-                let mut payload = Payload::default();
+                let mut edit = self.replica.edit(id);
+                let mut intent = WriteIntent::default();
                 for b in &bindings {
-                    let task = TaskIx {
+                    let task = TaskId {
                         job: b.job,
-                        leg: b.leg,
+                        number: b.number,
                     };
-                    let entry = Entry { task, attempt };
-                    if let Some(m) = draft.machines.get_mut(&b.machine) {
+                    let entry = Binding { task, attempt };
+                    if let Some(m) = edit.machines.get_mut(&b.machine) {
                         m.queue.push(entry);
-                        payload.binds.push((b.machine, entry));
+                        intent.binds.push((b.machine, entry));
                     }
                 }
-                for (ix, entries) in &plan.evict {
-                    if let Some(m) = draft.machines.get_mut(ix) {
+                for (machine_id, entries) in &plan.evict {
+                    if let Some(m) = edit.machines.get_mut(machine_id) {
                         m.evict.extend(entries);
                     }
                 }
-                let jobs: HashSet<JobIx> = bindings.iter().map(|b| b.job).collect();
-                if self.write_block(id, draft, payload, out) {
+                let jobs: HashSet<JobId> = bindings.iter().map(|b| b.job).collect();
+                if self.write_block(id, edit, intent, out) {
                     for job in jobs {
-                        self.lead.served.insert(job, now);
+                        self.leadership.served.insert(job, now);
                     }
                     break;
                 }
@@ -277,11 +296,11 @@
                 bindings.truncate(bindings.len() / 2);
             }
         }
-        for (ix, entries) in &plan.evict {
+        for (machine_id, entries) in &plan.evict {
             self.counters.evicted += entries.len() as u64;
-            let rig = self.view.names.machines.name(*ix);
+            let machine = self.replica.names.machines.name(*machine_id);
             debug!(
-                rig,
+                machine,
                 tasks = entries.len(),
                 "stopping tasks for more pressing ones"
             );
@@ -289,8 +308,8 @@
     }
 
     /// Blocks whose key may be written in the next bindings.
-    pub(crate) fn open_blocks(&self, now: Ms) -> HashSet<BlockId> {
-        let all = self.view.blocks.keys().copied();
+    pub(crate) fn open_blocks(&self, now: Timestamp) -> HashSet<BlockId> {
+        let all = self.replica.blocks.keys().copied();
         all.filter(|&id| self.writable(id, now)).collect()
     }
 }
--- a/src/leadership/boot_times.rs
+++ b/src/leadership/boot_times.rs
@@ -32,21 +32,21 @@
     /// Guards against machines that never come up, which are charged and counted as room until
     /// they are returned. Slow starts that do end are seen here, and make for more patience.
     pub(crate) fn overdue_s(&self, boot_s: f64) -> f64 {
-        let unseen = unseen_overdue_s(boot_s);
+        let unacknowledged = overdue_without_samples_s(boot_s);
         if self.seconds.len() < FEWEST {
-            return unseen;
+            return unacknowledged;
         }
         let mut sorted: Vec<f64> = self.seconds.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
         let rank = (sorted.len() as f64 * NEARLY_ALL).ceil() as usize;
         let usual = sorted[rank.clamp(1, sorted.len()) - 1];
-        (usual.max(boot_s) * SLACK).min(unseen)
+        (usual.max(boot_s) * SLACK).min(unacknowledged)
     }
 }
 
 /// The same while too few starts have been seen: boot times vary by half and more (PROTOCOL,
 /// catalog).
-fn unseen_overdue_s(boot_s: f64) -> f64 {
+fn overdue_without_samples_s(boot_s: f64) -> f64 {
     boot_s * 3.5 + 20.0
 }
 
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -3,79 +3,82 @@
 use super::*;
 
 /// Least age of a grant that is made anew because a worker has begun anew, ms.
-const ANEW_GRANT_MS: u64 = 3000;
+const RESTART_GRANT_INTERVAL_MS: u64 = 3000;
 
-impl Core {
+impl Controller {
     /// Whether this controller has listened for long enough to call another one silent. Hearing
     /// goes on whoever leads, so a new leader that has been up for a while need not wait.
-    pub(crate) fn listened(&self, now: Ms) -> bool {
+    pub(crate) fn listened(&self, now: Timestamp) -> bool {
         let since = self.started.unwrap_or(now);
         now.since(since) > self.settling_ms()
     }
 
-    pub(crate) fn grace_over(&self, now: Ms) -> bool {
-        now.since(self.lead.since) > self.silent_ms() + 500
+    pub(crate) fn grace_over(&self, now: Timestamp) -> bool {
+        now.since(self.leadership.since) > self.silent_ms() + 500
     }
 
-    pub(crate) fn node_usable(&self, host: HostIx, now: Ms) -> bool {
-        let Some(node) = self.view.nodes.get(&host) else {
+    pub(crate) fn node_usable(&self, host: HostId, now: Timestamp) -> bool {
+        let Some(node) = self.replica.live_controllers.get(&host) else {
             return false;
         };
         if host == self.me {
-            return node.boot == self.boot;
+            return node.incarnation == self.incarnation;
         }
-        if self.refused_alone(host, now) {
+        if self.store_refuses_only(host, now) {
             return false;
         }
-        let reborn = self.reborn(host, node.boot, now);
-        (self.hears(host, now) && !reborn)
+        let restarted = self.restarted(host, node.incarnation, now);
+        (self.hears(host, now) && !restarted)
             || (!self.listened(now) && !self.peers.contains_key(&host))
     }
 
     /// Grants blocks that nobody holds, or whose holder is gone or silent, and evens them out.
-    pub(crate) fn plan_grants(&mut self, now: Ms) -> Option<Txn> {
-        let mut usable: Vec<HostIx> = self.view.nodes.keys().copied().collect();
+    pub(crate) fn plan_grants(&mut self, now: Timestamp) -> Option<Transaction> {
+        let mut usable: Vec<HostId> = self.replica.live_controllers.keys().copied().collect();
         usable.retain(|&h| self.node_usable(h, now));
         usable.sort();
         if usable.is_empty() {
             return None;
         }
-        self.lead.avoid.retain(|_, until| now < *until);
-        if usable.iter().any(|h| !self.lead.avoid.contains_key(h)) {
-            usable.retain(|h| !self.lead.avoid.contains_key(h));
+        self.leadership.avoid.retain(|_, until| now < *until);
+        if usable
+            .iter()
+            .any(|h| !self.leadership.avoid.contains_key(h))
+        {
+            usable.retain(|h| !self.leadership.avoid.contains_key(h));
         }
-        let mut count: HashMap<HostIx, usize> = HashMap::default();
-        for (id, g) in &self.view.grants {
-            if let Some(b) = self.view.blocks.get(id) {
+        let mut count: HashMap<HostId, usize> = HashMap::default();
+        for (id, g) in &self.replica.grants {
+            if let Some(b) = self.replica.blocks.get(id) {
                 *count.entry(g.host).or_default() += b.machines.len() + 1;
             }
         }
-        let strays = self.misled_blocks(now);
-        let odd: HashSet<HostIx> = self
-            .view
+        let unowned_machines = self.misled_blocks(now);
+        let odd: HashSet<HostId> = self
+            .replica
             .grants
             .values()
-            .filter(|g| self.reborn(g.host, g.boot, now))
+            .filter(|g| self.restarted(g.host, g.incarnation, now))
             .map(|g| g.host)
             .collect();
-        let reborn_since = &mut self.lead.reborn_since;
-        reborn_since.retain(|h, _| odd.contains(h));
+        let restarted_since = &mut self.leadership.restarted_since;
+        restarted_since.retain(|h, _| odd.contains(h));
         for &h in &odd {
-            reborn_since.entry(h).or_insert(now);
+            restarted_since.entry(h).or_insert(now);
         }
-        let reborn: HashSet<HostIx> = reborn_since
+        let restarted: HashSet<HostId> = restarted_since
             .iter()
             .filter(|(_, t)| now.since(**t) >= 1500)
             .map(|(&h, _)| h)
             .collect();
-        let mut give: Vec<(BlockId, HostIx, &'static str)> = Vec::new();
-        for (&id, block) in &self.view.blocks {
-            let grant = self.view.grants.get(&id);
+        let mut give: Vec<(BlockId, HostId, &'static str)> = Vec::new();
+        for (&id, block) in &self.replica.blocks {
+            let grant = self.replica.grants.get(&id);
             let why = match grant {
                 None => "unheld",
                 Some(g) => {
-                    let node = self.view.nodes.get(&g.host);
-                    if node.is_none_or(|n| n.boot != g.boot) {
+                    let node = self.replica.live_controllers.get(&g.host);
+                    if node.is_none_or(|n| n.incarnation != g.incarnation) {
                         "holder replaced"
                     } else if g.host != self.me
                         && !self.hears(g.host, now)
@@ -83,13 +86,15 @@
                         && self.corroborated(g.host, now)
                     {
                         "holder silent"
-                    } else if self.refused_alone(g.host, now) {
+                    } else if self.store_refuses_only(g.host, now) {
                         "holder refused by the state service"
-                    } else if reborn.contains(&g.host) && self.reborn(g.host, g.boot, now) {
+                    } else if restarted.contains(&g.host)
+                        && self.restarted(g.host, g.incarnation, now)
+                    {
                         "holder restarted"
-                    } else if self.begun_anew(id, now) {
+                    } else if self.restarted_machines(id, now) {
                         "a worker began anew"
-                    } else if strays.contains_key(&id) {
+                    } else if unowned_machines.contains_key(&id) {
                         "holder cut off from its workers"
                     } else {
                         continue;
@@ -99,31 +104,33 @@
             let same = grant.map(|g| g.host).filter(|h| {
                 matches!(why, "holder replaced" | "a worker began anew") && usable.contains(h)
             });
-            let to = same.or_else(|| strays.get(&id).copied()).or_else(|| {
-                usable
-                    .iter()
-                    .copied()
-                    .filter(|&h| why == "unheld" || Some(h) != grant.map(|g| g.host))
-                    .min_by_key(|h| count.get(h).copied().unwrap_or(0))
-            });
+            let to = same
+                .or_else(|| unowned_machines.get(&id).copied())
+                .or_else(|| {
+                    usable
+                        .iter()
+                        .copied()
+                        .filter(|&h| why == "unheld" || Some(h) != grant.map(|g| g.host))
+                        .min_by_key(|h| count.get(h).copied().unwrap_or(0))
+                });
             let Some(to) = to else { continue };
             *count.entry(to).or_default() += block.machines.len() + 1;
             give.push((id, to, why));
         }
-        if give.is_empty() && now >= self.lead.next_even && self.grace_over(now) {
-            self.lead.next_even = now.plus(6000);
+        if give.is_empty() && now >= self.leadership.next_even && self.grace_over(now) {
+            self.leadership.next_even = now.plus(6000);
             let heavy = usable.iter().max_by_key(|h| count.get(h));
             let light = usable.iter().min_by_key(|h| count.get(h));
             if let (Some(&heavy), Some(&light)) = (heavy, light) {
                 let of = |h| count.get(&h).copied().unwrap_or(0);
                 let gap = of(heavy) - of(light);
                 let block = self
-                    .view
+                    .replica
                     .grants
                     .iter()
                     .filter(|(_, g)| g.host == heavy)
                     .filter_map(|(&id, _)| {
-                        Some((id, self.view.blocks.get(&id)?.machines.len() + 1))
+                        Some((id, self.replica.blocks.get(&id)?.machines.len() + 1))
                     })
                     .filter(|&(_, n)| n < gap)
                     .min_by_key(|&(id, n)| (n.abs_diff(gap / 2), id));
@@ -138,34 +145,39 @@
         // While the budget of changes is short, a transaction of many finds room last of all.
         let most = self.settings.platform.settings.state.txn_ops;
         give.truncate(if self.refused_lately(now) { 3 } else { most });
-        let mut txn = Txn::default();
+        let mut transaction = Transaction::default();
         for (id, host, why) in give {
-            if let (Some(g), "holder cut off from its workers") = (self.view.grants.get(&id), why) {
-                self.lead.avoid.insert(g.host, now.plus(30_000));
+            if let (Some(g), "holder cut off from its workers") =
+                (self.replica.grants.get(&id), why)
+            {
+                self.leadership.avoid.insert(g.host, now.plus(30_000));
             }
-            let node = self.view.nodes.get(&host)?;
+            let node = self.replica.live_controllers.get(&host)?;
             let key = grant_key(id);
-            txn.guards.push(self.guard(&key));
-            let record = OwnerRecord {
-                host: self.view.names.hosts.name(host).to_owned(),
-                boot: node.boot.0,
+            transaction.preconditions.push(self.precondition(&key));
+            let record = HolderRecord {
+                host: self.replica.names.hosts.name(host).to_owned(),
+                incarnation: node.incarnation.0,
             };
-            txn.then.push(put(&key, &record, Some(node.permit)));
+            transaction
+                .mutations
+                .push(put(&key, &record, Some(node.lease_id)));
             info!(block = id.0, holder = record.host, why, "granting");
         }
-        Some(txn)
+        Some(transaction)
     }
 
     /// Whether the worker of some machine of a block has begun anew. Old copies of its earlier
     /// life's reports could pass for new ones for as long as the token is the same.
-    fn begun_anew(&self, id: BlockId, now: Ms) -> bool {
+    fn restarted_machines(&self, id: BlockId, now: Timestamp) -> bool {
         // A grant that was not there at the last look is new: what is known of its machines is older.
-        let token = self.view.grants.get(&id).map(|g| g.stamp);
-        let granted = self.lead.granted.get(&id);
-        granted.is_some_and(|g| Some(g.0) == token && now.since(g.1) > ANEW_GRANT_MS)
-            && self.view.blocks.get(&id).is_some_and(|b| {
-                let anew = |m: &MachineIx| self.machine_info(*m, now).is_some_and(|i| i.anew);
-                b.machines.iter().any(anew)
+        let token = self.replica.grants.get(&id).map(|g| g.mod_revision);
+        let granted = self.leadership.granted.get(&id);
+        granted.is_some_and(|g| Some(g.0) == token && now.since(g.1) > RESTART_GRANT_INTERVAL_MS)
+            && self.replica.blocks.get(&id).is_some_and(|b| {
+                let restarted =
+                    |m: &MachineId| self.machine_info(*m, now).is_some_and(|i| i.restarted);
+                b.machines.iter().any(restarted)
             })
     }
 
@@ -173,26 +185,26 @@
     ///
     /// A single machine of many says nothing of its holder: one that hears no answers at all goes
     /// round all controllers, whoever holds its block.
-    pub(crate) fn misled_blocks(&self, now: Ms) -> HashMap<BlockId, HostIx> {
-        let mut found: BTreeMap<(BlockId, HostIx), HashSet<MachineIx>> = BTreeMap::new();
+    pub(crate) fn misled_blocks(&self, now: Timestamp) -> HashMap<BlockId, HostId> {
+        let mut found: BTreeMap<(BlockId, HostId), HashSet<MachineId>> = BTreeMap::new();
         let mut out = HashMap::default();
         if !self.listened(now) {
             return out;
         }
-        let mine = self.my_strays(now);
+        let mine = self.unowned_machines_to_report(now);
         let theirs = self
             .peers
             .iter()
             .filter(|&(&h, _)| self.hears(h, now))
-            .flat_map(|(&h, p)| p.strays.iter().map(move |s| (h, s)));
+            .flat_map(|(&h, p)| p.unowned_machines.iter().map(move |s| (h, s)));
         for (host, s) in mine.iter().map(|s| (self.me, s)).chain(theirs) {
             if s.for_ms < 4500 || !self.node_usable(host, now) {
                 continue;
             }
-            let Some(m) = self.view.names.machines.get(&s.rig) else {
+            let Some(m) = self.replica.names.machines.get(&s.machine) else {
                 continue;
             };
-            let Some((block, grant)) = self.view.holder(m) else {
+            let Some((block, grant)) = self.replica.holder(m) else {
                 continue;
             };
             let age = self.machine_info(m, now).and_then(|i| i.age_ms);
@@ -200,7 +212,7 @@
                 found.entry((block, host)).or_default().insert(m);
             }
         }
-        let mut by_block: BTreeMap<BlockId, (usize, usize, HostIx)> = BTreeMap::new();
+        let mut by_block: BTreeMap<BlockId, (usize, usize, HostId)> = BTreeMap::new();
         for ((block, host), machines) in found {
             let n = machines.len();
             let all = by_block.entry(block).or_insert((0, 0, host));
@@ -210,7 +222,11 @@
             }
         }
         for (block, (misled, _, host)) in by_block {
-            let machines = self.view.blocks.get(&block).map_or(0, |b| b.machines.len());
+            let machines = self
+                .replica
+                .blocks
+                .get(&block)
+                .map_or(0, |b| b.machines.len());
             if misled >= machines.div_ceil(3).max(2).min(machines) {
                 out.insert(block, host);
             }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -12,18 +12,21 @@
 mod renting;
 mod work_stealing;
 
-use crate::clock::Ms;
+use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
 use crate::controller::completions::TXN_BYTES;
-use crate::controller::writes::Payload;
-use crate::controller::{Action, Core, Move, Op, needs_of, put};
-use crate::names::{FrameIx, HostIx, ImageIx, Index, JobIx, MachineIx, TeamIx, ZoneIx};
+use crate::controller::writes::WriteIntent;
+use crate::controller::{Controller, Effect, Move, WriteKind, needs_of, put};
+use crate::names::{HostId, ImageId, Index, JobId, MachineId, MachineTypeId, TeamId, ZoneId};
 use crate::placement::{self, Candidate, Limits, Room, Slot};
-use crate::protocol::{Agent, Change, Frame, JobStatus, ListedRig, Rental, Txn, Urgency};
+use crate::protocol::{
+    CloudMachine, JobStatus, MachineType, Mutation, Priority, RentRequest, StealMessage,
+    Transaction,
+};
 use crate::ranges::RangeSet;
-use crate::records::OwnerRecord;
+use crate::records::HolderRecord;
 use crate::replica::{
-    BlockId, CATALOG, Entry, Job, LEAD, TaskIx, Term, block_key, grant_key, job_key, past_key,
+    Binding, BlockId, CATALOG, Job, LEAD, TaskId, Term, block_key, grant_key, job_key, past_key,
 };
 use crate::scaling::{self, Demand, Offer, Rented, Rules};
 use crate::stealing::{self, Factors, Levels, Pack, Role};
@@ -38,8 +41,8 @@
 const MOST_RENTED: u32 = 50;
 
 #[derive(Debug, Clone)]
-struct Listed {
-    rented_at: Ms,
+struct ListedMachine {
+    rented_at: Timestamp,
     failed: bool,
 }
 
@@ -47,78 +50,78 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct LeaderState {
     term: Option<Term>,
-    since: Ms,
+    since: Timestamp,
     /// Since when the present leader seems to be gone.
-    lead_lost: Option<Ms>,
-    warm: HashMap<MachineIx, Vec<ImageIx>>,
-    listed: HashMap<MachineIx, Listed>,
+    lead_lost: Option<Timestamp>,
+    warm: HashMap<MachineId, Vec<ImageId>>,
+    listed: HashMap<MachineId, ListedMachine>,
     /// When a machine was last heard by any holder, as far as this leader knows.
-    heard: HashMap<MachineIx, Ms>,
+    heard: HashMap<MachineId, Timestamp>,
     /// How long machines of each type took to report, of those rented in this term.
-    start_times: HashMap<FrameIx, StartTimes>,
+    start_times: HashMap<MachineTypeId, StartTimes>,
     /// Zones most of whose machines are silent.
-    cut_zones: HashSet<ZoneIx>,
+    cut_zones: HashSet<ZoneId>,
     /// Since when a block's grant is known, by its token.
-    granted: HashMap<BlockId, (u64, Ms)>,
+    granted: HashMap<BlockId, (u64, Timestamp)>,
     /// Lists in a row that did not show a machine of ours.
-    absent: HashMap<MachineIx, u32>,
+    absent: HashMap<MachineId, u32>,
     /// Machines to be put into blocks.
     place: BTreeMap<String, NewMachine>,
-    refused: HashMap<(FrameIx, ZoneIx, bool), Ms>,
-    renting: HashMap<String, (Rental, Ms)>,
+    refused: HashMap<(MachineTypeId, ZoneId, bool), Timestamp>,
+    renting: HashMap<String, (RentRequest, Timestamp)>,
     returning: bool,
     /// The change of the replica after which no waiting job was ready.
     none_ready_at: Option<u64>,
     /// Machines whose return was answered.
-    gone: BTreeSet<MachineIx>,
-    removed: HashMap<String, Ms>,
-    next_list: Ms,
+    gone: BTreeSet<MachineId>,
+    removed: HashMap<String, Timestamp>,
+    next_list: Timestamp,
     list_busy: bool,
-    idle_since: HashMap<MachineIx, Ms>,
-    first_seen: HashMap<MachineIx, Ms>,
-    bookings: u64,
-    next_notes: Ms,
-    next_fleet: Ms,
-    next_archive: Ms,
-    next_even: Ms,
-    next_bind: Ms,
-    next_evict: Ms,
+    idle_since: HashMap<MachineId, Timestamp>,
+    first_seen: HashMap<MachineId, Timestamp>,
+    request_counter: u64,
+    next_notes: Timestamp,
+    next_fleet: Timestamp,
+    next_archive: Timestamp,
+    next_even: Timestamp,
+    next_bind: Timestamp,
+    next_evict: Timestamp,
     /// When a task of a job was last bound in this term.
-    served: HashMap<JobIx, Ms>,
+    served: HashMap<JobId, Timestamp>,
     /// When a job that waits too long last had its turn ahead of the others.
-    turns: HashMap<JobIx, Ms>,
-    leave: BTreeSet<MachineIx>,
+    turns: HashMap<JobId, Timestamp>,
+    leave: BTreeSet<MachineId>,
     /// Machines that take no new tasks, for the others suffice.
-    closed: HashSet<MachineIx>,
-    next_consolidation: Ms,
+    closed: HashSet<MachineId>,
+    next_consolidation: Timestamp,
     round: Option<Round>,
     /// Controllers that do not reach their workers get nothing new until then.
-    avoid: HashMap<HostIx, Ms>,
+    avoid: HashMap<HostId, Timestamp>,
     /// Since when a controller speaks in another life than its grants name.
-    reborn_since: HashMap<HostIx, Ms>,
+    restarted_since: HashMap<HostId, Timestamp>,
 }
 
 /// A round of balancing.
 #[derive(Debug, Clone)]
 struct Round {
-    loads: HashMap<MachineIx, f64>,
-    packs: HashMap<MachineIx, Vec<Pack<Entry>>>,
-    steals: HashMap<MachineIx, u32>,
+    loads: HashMap<MachineId, f64>,
+    packs: HashMap<MachineId, Vec<Pack<Binding>>>,
+    steals: HashMap<MachineId, u32>,
     /// Machines known to be heavy, the heaviest first.
-    victims: Vec<(MachineIx, f64)>,
+    victims: Vec<(MachineId, f64)>,
     /// All machines, for steals that go anywhere.
-    all: Vec<(MachineIx, f64)>,
+    all: Vec<(MachineId, f64)>,
 }
 
 impl LeaderState {
     /// Forgets jobs whose indices may come back as other jobs.
-    pub(crate) fn forget_jobs(&mut self, released: &HashSet<JobIx>) {
+    pub(crate) fn forget_jobs(&mut self, released: &HashSet<JobId>) {
         self.served.retain(|j, _| !released.contains(j));
         self.turns.retain(|j, _| !released.contains(j));
     }
 
     /// For how long the leader has been `gone` without a break, ms.
-    pub(crate) fn lead_lost_for(&mut self, gone: bool, now: Ms) -> Option<u64> {
+    pub(crate) fn lead_lost_for(&mut self, gone: bool, now: Timestamp) -> Option<u64> {
         if !gone {
             self.lead_lost = None;
             return None;
@@ -127,37 +130,37 @@
     }
 }
 
-impl Core {
+impl Controller {
     /// Does what the leader has to do, one transaction at a time.
-    pub(crate) fn tick_leader(&mut self, now: Ms, out: &mut Vec<Action>) {
-        let Some(term) = self.leads().map(|l| Term(l.stamp)) else {
-            if self.lead.term.is_some() {
+    pub(crate) fn tick_leader(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        let Some(term) = self.leads().map(|l| Term(l.mod_revision)) else {
+            if self.leadership.term.is_some() {
                 info!("no longer leading");
-                let round = self.lead.round.take();
-                self.lead = LeaderState {
+                let round = self.leadership.round.take();
+                self.leadership = LeaderState {
                     round,
                     ..LeaderState::default()
                 };
             }
             return;
         };
-        if self.lead.term != Some(term) {
+        if self.leadership.term != Some(term) {
             info!(term = term.0, "leading");
-            let round = self.lead.round.take();
-            self.lead = LeaderState {
+            let round = self.leadership.round.take();
+            self.leadership = LeaderState {
                 term: Some(term),
                 since: now,
                 round,
                 ..LeaderState::default()
             };
         }
-        if now >= self.lead.next_notes {
-            self.lead.next_notes = now.plus(400);
+        if now >= self.leadership.next_notes {
+            self.leadership.next_notes = now.plus(400);
             self.note_machines(now);
         }
         self.tick_cloud(now, term, out);
-        if self.idle(Op::Leader, now) {
-            let alone = |txn| (txn, Payload::default());
+        if self.idle(WriteKind::Leader, now) {
+            let alone = |transaction| (transaction, WriteIntent::default());
             let planned = self
                 .plan_grants(now)
                 .or_else(|| self.plan_ready())
@@ -168,26 +171,26 @@
                 .or_else(|| self.plan_abandoned().map(alone))
                 .or_else(|| self.plan_archive(now).map(alone))
                 .or_else(|| self.plan_catalog().map(alone));
-            if let Some((mut txn, payload)) = planned {
-                txn.guards.push(self.guard(LEAD));
-                self.submit(Op::Leader, txn, payload, out);
+            if let Some((mut transaction, intent)) = planned {
+                transaction.preconditions.push(self.precondition(LEAD));
+                self.submit(WriteKind::Leader, transaction, intent, out);
             }
         }
         self.plan_edits(now, out);
     }
 
     /// Number of tasks on a machine as its last report to this controller shows.
-    pub fn tasks_seen(&self, ix: MachineIx) -> usize {
+    pub fn tasks_seen(&self, machine_id: MachineId) -> usize {
         self.runtime
-            .get(&ix)
-            .map_or(0, |runtime| runtime.legs.len())
+            .get(&machine_id)
+            .map_or(0, |runtime| runtime.tasks.len())
     }
 }
 
 /// A machine that is to be put into a block.
 #[derive(Debug, Clone, PartialEq)]
 struct NewMachine {
-    frame: String,
+    machine_type: String,
     zone: String,
     spot: bool,
 }
@@ -195,6 +198,6 @@
 /// Tasks to be bound, and tasks to be stopped for them.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct BindPlan {
-    bindings: Vec<placement::Binding>,
-    evict: HashMap<MachineIx, Vec<Entry>>,
+    bindings: Vec<placement::PlannedBinding>,
+    evict: HashMap<MachineId, Vec<Binding>>,
 }
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Core {
+impl Controller {
     /// Chooses tasks to be stopped for pressing jobs that found no room: less urgent ones that
     /// save their progress, of the same team where the team's limit stands in the way, of any
     /// team where the machines are full. Their jobs must have clearly more time left, or be late
@@ -10,13 +10,13 @@
     pub(crate) fn plan_evictions(
         &self,
         blocked: &[Candidate],
-        teams: &HashMap<TeamIx, Room>,
-    ) -> HashMap<MachineIx, Vec<Entry>> {
-        let mut out: HashMap<MachineIx, Vec<Entry>> = HashMap::default();
+        teams: &HashMap<TeamId, Room>,
+    ) -> HashMap<MachineId, Vec<Binding>> {
+        let mut out: HashMap<MachineId, Vec<Binding>> = HashMap::default();
         let pressing: Vec<(&Candidate, &Job, f64)> = blocked
             .iter()
             .filter(|c| !c.tasks.is_empty() && !c.spare)
-            .filter_map(|c| Some((c, self.view.jobs.get(&c.job)?)))
+            .filter_map(|c| Some((c, self.replica.jobs.get(&c.job)?)))
             .map(|(c, job)| (c, job, self.rank(c.job, job)))
             .filter(|(_, _, rank)| rank.0 <= 2 && rank.1 <= 60.0)
             .map(|(c, job, rank)| (c, job, rank.1))
@@ -29,18 +29,18 @@
         let size: f64 = victims.iter().map(|v| v.cpus).sum();
         let mut left = self.settings.options.evict_cpus.max(size * 0.1);
         // What was marked before comes free soon and is not asked for again.
-        let mut coming: HashMap<TeamIx, f64> = HashMap::default();
+        let mut coming: HashMap<TeamId, f64> = HashMap::default();
         let mut coming_all = 0.0;
-        for m in self.view.machines.values() {
+        for m in self.replica.machines.values() {
             for e in &m.evict {
-                if let Some(job) = self.view.jobs.get(&e.task.job) {
+                if let Some(job) = self.replica.jobs.get(&e.task.job) {
                     *coming.entry(job.team).or_default() += job.spec.cpus;
                     coming_all += job.spec.cpus;
                 }
             }
         }
         for (c, job, slack) in pressing {
-            let urgency = self.urgency_of(c.job, job);
+            let priority = self.priority_of(c.job, job);
             if left <= 0.0 || victims.is_empty() {
                 break;
             }
@@ -49,7 +49,7 @@
             let by_team = room + 1e-6 < cpus;
             // Where the whole fleet is full, only urgent work may push others out: otherwise the
             // same lack moves from class to class, with stops and fetches on top.
-            if !by_team && urgency > Urgency::Urgent {
+            if !by_team && priority > Priority::Urgent {
                 continue;
             }
             let wanted = c.tasks.len() as f64 * cpus;
@@ -65,14 +65,15 @@
             };
             victims.retain(|v| {
                 let suits = || {
-                    self.view.machines.get(&v.machine).is_some_and(|m| {
-                        self.size(m)
-                            .is_some_and(|size| c.needs.suits(m.frame, m.zone, m.spot, &size))
+                    self.replica.machines.get(&v.machine).is_some_and(|m| {
+                        self.size(m).is_some_and(|size| {
+                            c.needs.suits(m.machine_type, m.zone, m.spot, &size)
+                        })
                     })
                 };
                 let may = missing > 1e-6
                     && left > 0.0
-                    && v.urgency > urgency
+                    && v.priority > priority
                     && (v.tier > 2 || v.slack > slack.max(0.0) + 30.0 + 0.5 * v.run_s)
                     && if by_team { v.team == c.team } else { suits() };
                 if may {
@@ -88,12 +89,12 @@
 
     /// Tasks that may be stopped at all, those whose jobs have most time left first.
     fn evictable(&self) -> Vec<Victim> {
-        let mut ranks: HashMap<JobIx, Option<Victim>> = HashMap::default();
+        let mut ranks: HashMap<JobId, Option<Victim>> = HashMap::default();
         let mut victims: Vec<Victim> = Vec::new();
-        for (&machine, m) in self.view.machines.iter().filter(|m| !m.1.leaving) {
+        for (&machine, m) in self.replica.machines.iter().filter(|m| !m.1.leaving) {
             for e in m.queue.iter().filter(|e| !m.evict.contains(e)) {
                 let of_job = ranks.entry(e.task.job).or_insert_with(|| {
-                    let job = self.view.jobs.get(&e.task.job)?;
+                    let job = self.replica.jobs.get(&e.task.job)?;
                     let run_s = self.run_s(job);
                     // Long tasks decide when everything is done: they run through.
                     if run_s >= 60.0 || job.spec.checkpoint_s <= 0.0 {
@@ -104,7 +105,7 @@
                         machine,
                         entry: *e,
                         team: job.team,
-                        urgency: self.urgency_of(e.task.job, job),
+                        priority: self.priority_of(e.task.job, job),
                         cpus: job.spec.cpus,
                         run_s,
                         tier,
@@ -136,10 +137,10 @@
 /// A task that may be stopped.
 #[derive(Clone, Copy)]
 struct Victim {
-    machine: MachineIx,
-    entry: Entry,
-    team: TeamIx,
-    urgency: Urgency,
+    machine: MachineId,
+    entry: Binding,
+    team: TeamId,
+    priority: Priority,
     cpus: f64,
     run_s: f64,
     tier: u8,
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -2,19 +2,19 @@
 
 use super::*;
 
-impl Core {
-    pub(crate) fn tick_cloud(&mut self, now: Ms, term: Term, out: &mut Vec<Action>) {
+impl Controller {
+    pub(crate) fn tick_cloud(&mut self, now: Timestamp, term: Term, out: &mut Vec<Effect>) {
         if !self.catalog_known() {
             return;
         }
-        if now >= self.lead.next_list && !self.lead.list_busy {
-            self.lead.list_busy = true;
+        if now >= self.leadership.next_list && !self.leadership.list_busy {
+            self.leadership.list_busy = true;
             let lag = self.settings.platform.settings.cloud.list_lag_s;
-            self.lead.next_list = now.plus((lag.clamp(2.0, 10.0) * 1000.0) as u64);
-            out.push(Action::List);
+            self.leadership.next_list = now.plus((lag.clamp(2.0, 10.0) * 1000.0) as u64);
+            out.push(Effect::List);
         }
-        let stuck: Vec<Rental> = self
-            .lead
+        let stuck: Vec<RentRequest> = self
+            .leadership
             .renting
             .values_mut()
             .filter(|(_, at)| now >= *at)
@@ -23,11 +23,11 @@
                 r.clone()
             })
             .collect();
-        out.extend(stuck.into_iter().map(Action::Rent));
-        if now < self.lead.next_fleet {
+        out.extend(stuck.into_iter().map(Effect::Rent));
+        if now < self.leadership.next_fleet {
             return;
         }
-        self.lead.next_fleet = now.plus(500);
+        self.leadership.next_fleet = now.plus(500);
         self.give_up_machines(now);
         let (demand, fleet) = (self.demand(now), self.fleet(now));
         let rules = Rules {
@@ -39,27 +39,27 @@
         // The replica must show what is bound before idleness means anything.
         if self.grace_over(now) {
             self.close_machines(&demand, &fleet, &rules, now);
-            for ix in scaling::give_back(&demand, &fleet, &rules) {
-                self.lead.leave.insert(ix);
+            for machine_id in scaling::give_back(&demand, &fleet, &rules) {
+                self.leadership.leave.insert(machine_id);
             }
         }
         self.rent_machines(&demand, fleet, &rules, term, now, out);
-        if !self.lead.returning {
+        if !self.leadership.returning {
             let names: Vec<String> = self
-                .view
+                .replica
                 .machines
                 .iter()
-                .filter(|(ix, m)| {
-                    !self.lead.gone.contains(ix)
-                        && ((m.leaving && m.queue.is_empty()) || self.is_dead(**ix, now))
+                .filter(|(machine_id, m)| {
+                    !self.leadership.gone.contains(machine_id)
+                        && ((m.leaving && m.queue.is_empty()) || self.is_dead(**machine_id, now))
                 })
-                .map(|(&ix, _)| self.view.names.machines.name(ix).to_owned())
+                .map(|(&machine_id, _)| self.replica.names.machines.name(machine_id).to_owned())
                 .take(100)
                 .collect();
             if !names.is_empty() {
-                info!(rigs = names.join(" "), "returning");
-                self.lead.returning = true;
-                out.push(Action::Return(names));
+                info!(machines = names.join(" "), "returning");
+                self.leadership.returning = true;
+                out.push(Effect::Return(names));
             }
         }
     }
@@ -71,47 +71,52 @@
         fleet: Vec<Rented>,
         rules: &Rules,
         term: Term,
-        now: Ms,
-        out: &mut Vec<Action>,
+        now: Timestamp,
+        out: &mut Vec<Effect>,
     ) {
         let offers = self.offers();
         let fleet = self.with_coming(fleet);
-        let refused = &self.lead.refused;
-        let asked: HashSet<(FrameIx, ZoneIx, bool)> = self
-            .lead
+        let refused = &self.leadership.refused;
+        let asked: HashSet<(MachineTypeId, ZoneId, bool)> = self
+            .leadership
             .renting
             .values()
             .filter_map(|(r, _)| {
-                let frame = self.view.names.frames.get(&r.frame)?;
-                Some((frame, self.view.names.zones.get(&r.zone)?, r.spot))
+                let machine_type = self.replica.names.machine_types.get(&r.machine_type)?;
+                Some((machine_type, self.replica.names.zones.get(&r.zone)?, r.spot))
             })
             .collect();
         let orders = scaling::rent(demand, &fleet, &offers, rules, |f, z, s| {
             refused.get(&(f, z, s)).is_none_or(|&until| now >= until)
                 && !asked.contains(&(f, z, s))
-                && !self.lead.cut_zones.contains(&z)
+                && !self.leadership.cut_zones.contains(&z)
         });
         for o in orders.into_iter().take(6) {
-            self.lead.bookings += 1;
-            let rental = Rental {
-                booking: format!("b-{}-{}", term.0, self.lead.bookings),
-                frame: self.view.names.frames.name(o.frame).to_owned(),
-                zone: self.view.names.zones.name(o.zone).to_owned(),
+            self.leadership.request_counter += 1;
+            let rental = RentRequest {
+                request_id: format!("b-{}-{}", term.0, self.leadership.request_counter),
+                machine_type: self
+                    .replica
+                    .names
+                    .machine_types
+                    .name(o.machine_type)
+                    .to_owned(),
+                zone: self.replica.names.zones.name(o.zone).to_owned(),
                 spot: o.spot,
                 number: o.number.min(MOST_RENTED),
             };
             info!(
-                booking = rental.booking,
-                frame = rental.frame,
+                request_id = rental.request_id,
+                machine_type = rental.machine_type,
                 zone = rental.zone,
                 spot = o.spot,
                 number = rental.number,
                 "renting"
             );
             let at = now.plus(10_000);
-            let name = rental.booking.clone();
-            self.lead.renting.insert(name, (rental.clone(), at));
-            out.push(Action::Rent(rental));
+            let name = rental.request_id.clone();
+            self.leadership.renting.insert(name, (rental.clone(), at));
+            out.push(Effect::Rent(rental));
         }
     }
 
@@ -122,33 +127,33 @@
         demand: &[Demand],
         fleet: &[Rented],
         rules: &Rules,
-        now: Ms,
+        now: Timestamp,
     ) {
         let up: Vec<(Rented, f64)> = fleet
             .iter()
             .filter(|m| self.available(m.machine, now))
             .map(|m| (m.clone(), self.used_on(m.machine).cpus))
             .collect();
-        self.lead.closed = scaling::close(demand, &up, rules).into_iter().collect();
-        if now < self.lead.next_consolidation {
+        self.leadership.closed = scaling::close(demand, &up, rules).into_iter().collect();
+        if now < self.leadership.next_consolidation {
             return;
         }
         let free: f64 = up
             .iter()
-            .filter(|(m, _)| !self.lead.closed.contains(&m.machine))
+            .filter(|(m, _)| !self.leadership.closed.contains(&m.machine))
             .map(|(m, used)| (m.size.cpus - used).max(0.0))
             .sum();
         let worth = up.iter().filter(|(m, used)| {
-            let Some(machine) = self.view.machines.get(&m.machine) else {
+            let Some(machine) = self.replica.machines.get(&m.machine) else {
                 return false;
             };
-            let saves = |e: &Entry| {
-                let job = self.view.jobs.get(&e.task.job);
+            let saves = |e: &Binding| {
+                let job = self.replica.jobs.get(&e.task.job);
                 job.is_some_and(|j| j.spec.checkpoint_s > 0.0)
             };
             let load = self.known_load(m.machine, now);
             let left_s = load * m.size.cpus / used.max(0.1);
-            self.lead.closed.contains(&m.machine)
+            self.leadership.closed.contains(&m.machine)
                 && *used > 0.0
                 && *used <= m.size.cpus * 0.5
                 && *used <= free * 0.8
@@ -157,8 +162,8 @@
         });
         let dearest = worth.max_by(|a, b| a.0.price.total_cmp(&b.0.price));
         if let Some((m, _)) = dearest {
-            self.lead.next_consolidation = now.plus(6000);
-            self.lead.leave.insert(m.machine);
+            self.leadership.next_consolidation = now.plus(6000);
+            self.leadership.leave.insert(m.machine);
         }
     }
 
@@ -166,27 +171,29 @@
     /// Asking for all zones at once must not ask for the same need again and again.
     pub(crate) fn with_coming(&self, mut fleet: Vec<Rented>) -> Vec<Rented> {
         let placed = self
-            .lead
+            .leadership
             .place
             .values()
-            .map(|r| (&r.frame, &r.zone, r.spot, 1));
+            .map(|r| (&r.machine_type, &r.zone, r.spot, 1));
         let asked = self
-            .lead
+            .leadership
             .renting
             .values()
-            .map(|(r, _)| (&r.frame, &r.zone, r.spot, r.number));
-        for (frame, zone, spot, number) in placed.chain(asked) {
-            let names = &self.view.names;
-            let (Some(frame), Some(zone)) = (names.frames.get(frame), names.zones.get(zone)) else {
+            .map(|(r, _)| (&r.machine_type, &r.zone, r.spot, r.number));
+        for (machine_type, zone, spot, number) in placed.chain(asked) {
+            let names = &self.replica.names;
+            let (Some(machine_type), Some(zone)) =
+                (names.machine_types.get(machine_type), names.zones.get(zone))
+            else {
                 continue;
             };
-            let Some(f) = self.frames.get(&frame) else {
+            let Some(f) = self.machine_types.get(&machine_type) else {
                 continue;
             };
             for _ in 0..number {
                 fleet.push(Rented {
-                    machine: MachineIx::from_raw(u32::MAX),
-                    frame,
+                    machine: MachineId::from_raw(u32::MAX),
+                    machine_type,
                     zone,
                     spot,
                     size: Room::from(f),
@@ -201,61 +208,61 @@
 
     pub(crate) fn offers(&self) -> Vec<Offer> {
         let mut offers: Vec<Offer> = self
-            .frames
+            .machine_types
             .iter()
-            .map(|(&frame, f)| Offer {
-                frame,
+            .map(|(&machine_type, f)| Offer {
+                machine_type,
                 size: Room::from(f),
                 zones: f
                     .zones
                     .iter()
-                    .filter_map(|y| self.view.names.zones.get(y))
+                    .filter_map(|y| self.replica.names.zones.get(y))
                     .collect(),
                 price: f.price,
                 spot_price: f.market_price,
                 boot_s: f.boot_s,
             })
             .collect();
-        offers.sort_by_key(|o| o.frame);
+        offers.sort_by_key(|o| o.machine_type);
         offers
     }
 
     /// Seconds until a machine of the quickest type that can be rented now would be up; none while
     /// the cloud refuses all of them.
-    pub(crate) fn rentable_start_s(&self, now: Ms) -> Option<f64> {
-        let open = |frame, zone, spot| {
-            let refused = self.lead.refused.get(&(frame, zone, spot));
+    pub(crate) fn rentable_start_s(&self, now: Timestamp) -> Option<f64> {
+        let open = |machine_type, zone, spot| {
+            let refused = self.leadership.refused.get(&(machine_type, zone, spot));
             refused.is_none_or(|&until| now >= until)
         };
         let offers = self.offers().into_iter().filter(|o| {
             let mut zones = o.zones.iter();
-            zones.any(|&zone| open(o.frame, zone, false) || open(o.frame, zone, true))
+            zones.any(|&zone| open(o.machine_type, zone, false) || open(o.machine_type, zone, true))
         });
         offers.map(|o| o.boot_s).min_by(f64::total_cmp)
     }
 
-    pub(crate) fn demand(&self, now: Ms) -> Vec<Demand> {
+    pub(crate) fn demand(&self, now: Timestamp) -> Vec<Demand> {
         let mut room: HashMap<_, f64> = self
             .settings
             .platform
             .settings
             .teams
             .iter()
-            .filter_map(|t| Some((self.view.names.teams.get(&t.name)?, t.cpus_max)))
+            .filter_map(|t| Some((self.replica.names.teams.get(&t.name)?, t.cpus_max)))
             .collect();
-        let mut jobs: Vec<(&JobIx, &Job)> = self
-            .view
+        let mut jobs: Vec<(&JobId, &Job)> = self
+            .replica
             .jobs
             .iter()
-            .filter(|&(&ix, j)| {
-                let name = self.view.names.jobs.name(ix);
+            .filter(|&(&job_id, j)| {
+                let name = self.replica.names.jobs.name(job_id);
                 j.status == JobStatus::Pending && self.may_bind(j, name, now)
             })
             .collect();
-        jobs.sort_by_key(|(ix, j)| (self.urgency_of(**ix, j), **ix));
+        jobs.sort_by_key(|(job_id, j)| (self.priority_of(**job_id, j), **job_id));
         let mut out = Vec::new();
         for (_, job) in jobs {
-            let left = f64::from(job.spec.legs.saturating_sub(job.done.len()));
+            let left = f64::from(job.spec.task_count.saturating_sub(job.done.len()));
             let Some(room) = room.get_mut(&job.team) else {
                 continue;
             };
@@ -271,38 +278,48 @@
         out
     }
 
-    pub(crate) fn fleet(&self, now: Ms) -> Vec<Rented> {
+    pub(crate) fn fleet(&self, now: Timestamp) -> Vec<Rented> {
         let mut out = Vec::new();
-        for ix in self.view.machines_sorted() {
-            let m = &self.view.machines[&ix];
-            let (Some(size), Some(frame)) = (self.size(m), self.frames.get(&m.frame)) else {
+        for machine_id in self.replica.machines_sorted() {
+            let m = &self.replica.machines[&machine_id];
+            let (Some(size), Some(machine_type)) =
+                (self.size(m), self.machine_types.get(&m.machine_type))
+            else {
                 continue;
             };
-            let info = self.machine_info(ix, now);
-            let going = info.as_ref().is_some_and(|i| i.recalled || i.sick);
+            let info = self.machine_info(machine_id, now);
+            let going = info.as_ref().is_some_and(|i| i.recalled || i.quarantined);
             if m.leaving
                 || going
-                || self.lead.leave.contains(&ix)
-                || self.cut_off(ix, now)
-                || self.is_dead(ix, now)
+                || self.leadership.leave.contains(&machine_id)
+                || self.cut_off(machine_id, now)
+                || self.is_dead(machine_id, now)
             {
                 continue;
             }
             let up = info.is_some_and(|i| i.age_ms.is_some());
-            let idle = self.lead.idle_since.get(&ix).map(|&t| now.since(t));
-            let seen = self.lead.first_seen.get(&ix).map_or(0, |&t| now.since(t));
+            let idle = self
+                .leadership
+                .idle_since
+                .get(&machine_id)
+                .map(|&t| now.since(t));
+            let seen = self
+                .leadership
+                .first_seen
+                .get(&machine_id)
+                .map_or(0, |&t| now.since(t));
             let held = self
-                .lead
+                .leadership
                 .listed
-                .get(&ix)
+                .get(&machine_id)
                 .map_or(seen, |l| now.since(l.rented_at));
             out.push(Rented {
-                machine: ix,
-                frame: m.frame,
+                machine: machine_id,
+                machine_type: m.machine_type,
                 zone: m.zone,
                 spot: m.spot,
                 size,
-                price: frame.price_of(m.spot),
+                price: machine_type.price_of(m.spot),
                 idle_s: idle.filter(|_| up).map(|i| i as f64 / 1000.0),
                 held_s: held as f64 / 1000.0,
             });
@@ -311,101 +328,117 @@
     }
 
     /// The cloud's list arrived, or did not.
-    pub fn on_list(&mut self, list: Option<Vec<ListedRig>>, now: Ms) {
-        self.lead.list_busy = false;
+    pub fn on_list(&mut self, list: Option<Vec<CloudMachine>>, now: Timestamp) {
+        self.leadership.list_busy = false;
         let Some(list) = list else { return };
         if self.leads().is_none() {
             return;
         }
-        let mut shown: HashSet<MachineIx> = HashSet::default();
-        for rig in list {
-            let known = self.view.names.machines.get(&rig.name);
-            let here = known.filter(|m| self.view.machines.contains_key(m));
+        let mut shown: HashSet<MachineId> = HashSet::default();
+        for machine in list {
+            let known = self.replica.names.machines.get(&machine.name);
+            let here = known.filter(|m| self.replica.machines.contains_key(m));
             match here {
-                Some(ix) => {
-                    shown.insert(ix);
-                    let rented_at = Ms(now.0.saturating_sub((rig.held_s * 1000.0) as u64));
-                    let l = self.lead.listed.entry(ix).or_insert(Listed {
-                        rented_at,
-                        failed: false,
-                    });
-                    l.failed = rig.status == "failed";
+                Some(machine_id) => {
+                    shown.insert(machine_id);
+                    let rented_at =
+                        Timestamp(now.0.saturating_sub((machine.held_s * 1000.0) as u64));
+                    let l = self
+                        .leadership
+                        .listed
+                        .entry(machine_id)
+                        .or_insert(ListedMachine {
+                            rented_at,
+                            failed: false,
+                        });
+                    l.failed = machine.status == "failed";
                 }
                 // Rented by an earlier leader, or late: it is used or goes back in time.
                 None => {
-                    if !self.lead.removed.contains_key(&rig.name) {
+                    if !self.leadership.removed.contains_key(&machine.name) {
                         let record = NewMachine {
-                            frame: rig.frame,
-                            zone: rig.zone,
-                            spot: rig.spot,
+                            machine_type: machine.machine_type,
+                            zone: machine.zone,
+                            spot: machine.spot,
                         };
-                        self.lead.place.entry(rig.name).or_insert(record);
+                        self.leadership.place.entry(machine.name).or_insert(record);
                     }
                 }
             }
         }
-        let there = &self.view.machines;
-        self.lead.absent.retain(|m, _| !shown.contains(m));
-        for &ix in there.keys().filter(|ix| !shown.contains(ix)) {
-            *self.lead.absent.entry(ix).or_default() += 1;
+        let there = &self.replica.machines;
+        self.leadership.absent.retain(|m, _| !shown.contains(m));
+        for &machine_id in there
+            .keys()
+            .filter(|machine_id| !shown.contains(machine_id))
+        {
+            *self.leadership.absent.entry(machine_id).or_default() += 1;
         }
-        self.lead.listed.retain(|m, _| there.contains_key(m));
+        self.leadership.listed.retain(|m, _| there.contains_key(m));
     }
 
     /// A rental was answered: the machines, or none if it was refused, or no answer.
-    pub fn on_rented(&mut self, rental: &Rental, answer: Option<Vec<String>>, sure: bool, now: Ms) {
-        if !self.lead.renting.contains_key(&rental.booking) {
+    pub fn on_rented(
+        &mut self,
+        rental: &RentRequest,
+        answer: Option<Vec<String>>,
+        sure: bool,
+        now: Timestamp,
+    ) {
+        if !self.leadership.renting.contains_key(&rental.request_id) {
             return;
         }
         if !sure {
             // The same booking again yields the same machines.
-            if let Some(r) = self.lead.renting.get_mut(&rental.booking) {
+            if let Some(r) = self.leadership.renting.get_mut(&rental.request_id) {
                 r.1 = now.plus(1500);
             }
             return;
         }
-        self.lead.renting.remove(&rental.booking);
+        self.leadership.renting.remove(&rental.request_id);
         let got = answer.unwrap_or_default();
         info!(
-            booking = rental.booking,
+            request_id = rental.request_id,
             asked = rental.number,
             got = got.len(),
             "rented"
         );
         if (got.len() as u32) < rental.number {
-            let frame = self.view.names.frames.get(&rental.frame);
-            let zone = self.view.names.zones.get(&rental.zone);
-            if let (Some(frame), Some(zone)) = (frame, zone) {
+            let machine_type = self.replica.names.machine_types.get(&rental.machine_type);
+            let zone = self.replica.names.zones.get(&rental.zone);
+            if let (Some(machine_type), Some(zone)) = (machine_type, zone) {
                 let wait = (self.settings.options.fleet_refused_s * 1000.0) as u64;
                 let until = now.plus(wait + self.rng.random_range(0..wait / 2 + 1));
-                self.lead.refused.insert((frame, zone, rental.spot), until);
+                self.leadership
+                    .refused
+                    .insert((machine_type, zone, rental.spot), until);
             }
         }
-        self.lead.next_fleet = now;
+        self.leadership.next_fleet = now;
         for name in got {
             let record = NewMachine {
-                frame: rental.frame.clone(),
+                machine_type: rental.machine_type.clone(),
                 zone: rental.zone.clone(),
                 spot: rental.spot,
             };
-            self.lead.place.insert(name, record);
+            self.leadership.place.insert(name, record);
         }
     }
 
     /// A return was answered, or not.
-    pub fn on_returned(&mut self, rigs: &[String], ok: bool, now: Ms) {
-        self.lead.returning = false;
+    pub fn on_returned(&mut self, machines: &[String], ok: bool, now: Timestamp) {
+        self.leadership.returning = false;
         if self.leads().is_none() {
             return;
         }
         if ok {
-            for rig in rigs {
-                if let Some(ix) = self.view.names.machines.get(rig) {
-                    self.lead.gone.insert(ix);
+            for machine in machines {
+                if let Some(machine_id) = self.replica.names.machines.get(machine) {
+                    self.leadership.gone.insert(machine_id);
                 }
             }
         } else {
-            self.lead.next_fleet = now.plus(1000);
+            self.leadership.next_fleet = now.plus(1000);
         }
     }
 }
--- a/src/names.rs
+++ b/src/names.rs
@@ -25,21 +25,21 @@
 
 index! {
     /// A job.
-    JobIx;
+    JobId;
     /// A machine.
-    MachineIx;
+    MachineId;
     /// A team.
-    TeamIx;
+    TeamId;
     /// A class of jobs.
-    ClassIx;
+    ClassId;
     /// A machine type.
-    FrameIx;
+    MachineTypeId;
     /// A zone.
-    ZoneIx;
+    ZoneId;
     /// An image.
-    ImageIx;
+    ImageId;
     /// A controller.
-    HostIx;
+    HostId;
 }
 
 /// Maps names to indices; freed slots are used again, so memory follows what is alive.
@@ -83,18 +83,18 @@
     }
 
     /// The name behind an index; empty for one that was released.
-    pub fn name(&self, ix: I) -> &str {
+    pub fn name(&self, id: I) -> &str {
         self.names
-            .get(ix.raw())
+            .get(id.raw())
             .and_then(|n| n.as_deref())
             .unwrap_or("")
     }
 
     /// Gives the slot back. The caller holds no copy of the index any more.
-    pub fn release(&mut self, ix: I) {
-        if let Some(name) = self.names.get_mut(ix.raw()).and_then(Option::take) {
+    pub fn release(&mut self, id: I) {
+        if let Some(name) = self.names.get_mut(id.raw()).and_then(Option::take) {
             self.by_name.remove(&name);
-            self.free.push(ix.raw() as u32);
+            self.free.push(id.raw() as u32);
         }
     }
 
--- a/src/names/tests.rs
+++ b/src/names/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn indices_are_dense_and_slots_come_back() {
-    let mut names = Interner::<JobIx>::default();
+    let mut names = Interner::<JobId>::default();
     let a = names.intern("wk-1");
     let b = names.intern("wk-2");
     assert_eq!(names.intern("wk-1"), a);
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,8 +1,8 @@
 //! Binding: which unbound task joins which machine's queue. Pure.
 
 use crate::collections::{HashMap, HashSet};
-use crate::names::{FrameIx, ImageIx, JobIx, MachineIx, TeamIx, ZoneIx};
-use crate::protocol::Frame;
+use crate::names::{ImageId, JobId, MachineId, MachineTypeId, TeamId, ZoneId};
+use crate::protocol::MachineType;
 use rand::Rng;
 use rand::seq::index;
 
@@ -49,8 +49,8 @@
     }
 }
 
-impl From<&Frame> for Room {
-    fn from(f: &Frame) -> Room {
+impl From<&MachineType> for Room {
+    fn from(f: &MachineType) -> Room {
         Room {
             cpus: f.cpus,
             gpus: f.gpus,
@@ -63,11 +63,11 @@
 #[derive(Debug, Clone)]
 pub struct Slot {
     /// The machine.
-    pub machine: MachineIx,
+    pub machine: MachineId,
     /// Type.
-    pub frame: FrameIx,
+    pub machine_type: MachineTypeId,
     /// Zone.
-    pub zone: ZoneIx,
+    pub zone: ZoneId,
     /// Spot.
     pub spot: bool,
     /// What it has.
@@ -79,7 +79,7 @@
     /// Image fetch rate.
     pub fetch_gb_per_s: f64,
     /// Images it is known to have.
-    pub warm: HashSet<ImageIx>,
+    pub warm: HashSet<ImageId>,
     /// Whether a CPU here costs far more than on the cheap machines, which are most of the fleet.
     pub dear: bool,
     /// Whether it takes no new tasks, but those of jobs that have waited for long.
@@ -114,9 +114,9 @@
     /// Room of one task.
     pub room: Room,
     /// Allowed types.
-    pub frames: Option<Vec<FrameIx>>,
+    pub machine_types: Option<Vec<MachineTypeId>>,
     /// The only zone.
-    pub zone: Option<ZoneIx>,
+    pub zone: Option<ZoneId>,
     /// Spot permitted.
     pub spot: bool,
     /// All in one zone.
@@ -127,10 +127,19 @@
 
 impl Needs {
     /// Whether type, zone, kind and size of a machine suit a task, its other tasks aside.
-    pub fn suits(&self, frame: FrameIx, zone: ZoneIx, spot: bool, size: &Room) -> bool {
+    pub fn suits(
+        &self,
+        machine_type: MachineTypeId,
+        zone: ZoneId,
+        spot: bool,
+        size: &Room,
+    ) -> bool {
         (self.spot || !spot)
             && self.zone.is_none_or(|z| z == zone)
-            && self.frames.as_ref().is_none_or(|f| f.contains(&frame))
+            && self
+                .machine_types
+                .as_ref()
+                .is_none_or(|f| f.contains(&machine_type))
             && self.room.fits(size)
     }
 
@@ -139,11 +148,11 @@
         self.room.fits(&other.room)
             && (self.spot || !other.spot)
             && (self.zone.is_none() || self.zone == other.zone)
-            && (self.frames.is_none() || self.frames == other.frames)
+            && (self.machine_types.is_none() || self.machine_types == other.machine_types)
     }
 
     /// Whether a zone suits, given how many of the job's tasks are bound in each.
-    pub fn zone_suits(&self, zone: ZoneIx, bound: &HashMap<ZoneIx, u32>) -> bool {
+    pub fn zone_suits(&self, zone: ZoneId, bound: &HashMap<ZoneId, u32>) -> bool {
         let elsewhere = || bound.iter().any(|(&z, &n)| z != zone && n > 0);
         let here = || bound.get(&zone).copied().unwrap_or(0);
         !(self.one_zone && elsewhere()) && self.zone_most.is_none_or(|most| here() < most)
@@ -154,11 +163,11 @@
 #[derive(Debug, Clone)]
 pub struct Candidate {
     /// The job.
-    pub job: JobIx,
+    pub job: JobId,
     /// Team.
-    pub team: TeamIx,
+    pub team: TeamId,
     /// Image.
-    pub image: ImageIx,
+    pub image: ImageId,
     /// Size of the image.
     pub image_gb: f64,
     /// Demands.
@@ -168,7 +177,7 @@
     /// Unbound tasks in ascending order, as many as may be bound now.
     pub tasks: Vec<u32>,
     /// Bound tasks by zone.
-    pub zones: HashMap<ZoneIx, u32>,
+    pub zones: HashMap<ZoneId, u32>,
     /// Whether it has waited so long that any machine which fits will do, however dear.
     pub overdue: bool,
     /// Whether its tasks need not wait for the regular turns of machines.
@@ -185,20 +194,20 @@
         !self.overdue
             && self.run_s > limits.lasting_s
             && n.spot
-            && n.frames.is_none()
+            && n.machine_types.is_none()
             && n.zone.is_none()
     }
 }
 
 /// A decision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Binding {
+pub struct PlannedBinding {
     /// Where.
-    pub machine: MachineIx,
+    pub machine: MachineId,
     /// Job.
-    pub job: JobIx,
+    pub job: JobId,
     /// Task.
-    pub leg: u32,
+    pub number: u32,
 }
 
 /// Bounds of one plan.
@@ -220,7 +229,7 @@
 /// Whether a slot is a place for a job's tasks, room aside.
 fn place(slot: &Slot, job: &Candidate, limits: Limits) -> bool {
     let needs = &job.needs;
-    needs.suits(slot.frame, slot.zone, slot.spot, &slot.size)
+    needs.suits(slot.machine_type, slot.zone, slot.spot, &slot.size)
         && needs.zone_suits(slot.zone, &job.zones)
         && !(slot.dear && job.lasts(limits))
         && (job.overdue || !slot.closed)
@@ -231,12 +240,12 @@
 pub fn plan(
     slots: &mut [Slot],
     jobs: &mut [Candidate],
-    teams: &mut HashMap<TeamIx, Room>,
+    teams: &mut HashMap<TeamId, Room>,
     limits: Limits,
     rng: &mut impl Rng,
-) -> Vec<Binding> {
+) -> Vec<PlannedBinding> {
     let mut out = Vec::new();
-    let mut held: HashSet<TeamIx> = HashSet::default();
+    let mut held: HashSet<TeamId> = HashSet::default();
     let mut kept = vec![false; slots.len()];
     // Queues only fill up during a plan: what has room for no job's tasks is not looked at again,
     // and a job that needs no less than one that found no room finds none either.
@@ -262,7 +271,7 @@
             warm.extend(open.iter().filter(|i| slots[**i].warm.contains(&job.image)));
         }
         let mut taken = 0;
-        for &leg in &job.tasks {
+        for &number in &job.tasks {
             if out.len() >= limits.most || !within(&job.needs.room, team) {
                 break;
             }
@@ -287,10 +296,10 @@
             slot.warm.insert(job.image);
             *job.zones.entry(slot.zone).or_default() += 1;
             team.add(&job.needs.room, -1.0);
-            out.push(Binding {
+            out.push(PlannedBinding {
                 machine: slot.machine,
                 job: job.job,
-                leg,
+                number,
             });
             taken += 1;
         }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -7,9 +7,9 @@
 
 pub(crate) fn slot(machine: u32, zone: u32, cpus: f64) -> Slot {
     Slot {
-        machine: MachineIx::from_raw(machine),
-        frame: FrameIx::from_raw(0),
-        zone: ZoneIx::from_raw(zone),
+        machine: MachineId::from_raw(machine),
+        machine_type: MachineTypeId::from_raw(0),
+        zone: ZoneId::from_raw(zone),
         spot: false,
         size: Room {
             cpus,
@@ -33,7 +33,7 @@
             gpus: 0.0,
             ram: 1.0,
         },
-        frames: None,
+        machine_types: None,
         zone: None,
         spot: true,
         one_zone: false,
@@ -43,9 +43,9 @@
 
 fn job(n: u32, needs: Needs) -> Candidate {
     Candidate {
-        job: JobIx::from_raw(0),
-        team: TeamIx::from_raw(0),
-        image: ImageIx::from_raw(0),
+        job: JobId::from_raw(0),
+        team: TeamId::from_raw(0),
+        image: ImageId::from_raw(0),
         image_gb: 1.0,
         needs,
         run_s: 10.0,
@@ -66,8 +66,8 @@
 };
 
 /// Plans for one team that may use so many CPUs more.
-fn plan_all(slots: &mut [Slot], jobs: &mut [Candidate], cpus: f64) -> Vec<Binding> {
-    let mut teams = HashMap::from_iter([(TeamIx::from_raw(0), Room::from_cpus(cpus))]);
+fn plan_all(slots: &mut [Slot], jobs: &mut [Candidate], cpus: f64) -> Vec<PlannedBinding> {
+    let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Room::from_cpus(cpus))]);
     let mut rng = SmallRng::seed_from_u64(1);
     plan(slots, jobs, &mut teams, LIMITS, &mut rng)
 }
@@ -82,7 +82,7 @@
     let mut big = job(1, needs());
     big.needs.room.cpus = 2.0;
     let mut small = job(4, needs());
-    small.job = JobIx::from_raw(1);
+    small.job = JobId::from_raw(1);
     [big, small]
 }
 
@@ -119,7 +119,7 @@
 #[test]
 fn tasks_go_where_their_image_is_and_then_to_the_lightest() {
     let mut slots = [slot(0, 0, 2.0), slot(1, 0, 2.0)];
-    slots[1].warm.insert(ImageIx::from_raw(0));
+    slots[1].warm.insert(ImageId::from_raw(0));
     assert_eq!(run(&mut slots, job(3, needs()), 99.0), [1, 1, 0]);
 }
 
@@ -128,9 +128,9 @@
     // A large dear machine was held to the end of the day for the longest of its tasks.
     let mut slots = [slot(0, 0, 2.0), slot(1, 0, 8.0)];
     slots[1].dear = true;
-    let mut teams = HashMap::from_iter([(TeamIx::from_raw(0), Room::from_cpus(99.0))]);
+    let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Room::from_cpus(99.0))]);
     let mut short = job(4, needs());
-    (short.job, short.run_s) = (JobIx::from_raw(1), 5.0);
+    (short.job, short.run_s) = (JobId::from_raw(1), 5.0);
     let mut jobs = [job(4, needs()), short];
     let limits = Limits {
         lasting_s: 9.0,
@@ -155,11 +155,11 @@
         (slots[0].dear, slots[0].closed) = (dear, closed);
         let mut waiting = job(3, needs());
         waiting.overdue = overdue;
-        let mut teams = HashMap::from_iter([(TeamIx::from_raw(0), Room::from_cpus(99.0))]);
+        let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Room::from_cpus(99.0))]);
         let mut rng = SmallRng::seed_from_u64(1);
         // One that is not overdue has found nothing before it.
         let mut jobs = [job(3, needs()), waiting];
-        jobs[1].job = JobIx::from_raw(1);
+        jobs[1].job = JobId::from_raw(1);
         let plan = plan(&mut slots, &mut jobs, &mut teams, limits, &mut rng);
         plan.iter().filter(|b| b.job.raw() == 1).count()
     };
@@ -203,12 +203,12 @@
     slots[0].early = true;
     let ordinary = job(8, needs());
     let mut chained = job(2, needs());
-    (chained.job, chained.early) = (JobIx::from_raw(1), true);
+    (chained.job, chained.early) = (JobId::from_raw(1), true);
     let limits = Limits {
         ahead_s: 0.0,
         ..LIMITS
     };
-    let mut teams = HashMap::from_iter([(TeamIx::from_raw(0), Room::from_cpus(100.0))]);
+    let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Room::from_cpus(100.0))]);
     let mut rng = SmallRng::seed_from_u64(1);
     let bound = plan(
         &mut slots,
@@ -218,7 +218,7 @@
         &mut rng,
     );
     let on = |machine: usize, job: usize| {
-        let of = |b: &&Binding| b.machine.raw() == machine && b.job.raw() == job;
+        let of = |b: &&PlannedBinding| b.machine.raw() == machine && b.job.raw() == job;
         bound.iter().filter(of).count()
     };
     assert_eq!((on(0, 0), on(1, 0)), (0, 4), "of the ordinary job");
@@ -235,7 +235,7 @@
         scarce_s: 2.0,
         ..LIMITS
     };
-    let mut teams = HashMap::from_iter([(TeamIx::from_raw(0), Room::from_cpus(100.0))]);
+    let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Room::from_cpus(100.0))]);
     let mut rng = SmallRng::seed_from_u64(1);
     let bound = plan(
         &mut slots,
--- a/src/protocol.rs
+++ b/src/protocol.rs
@@ -63,11 +63,13 @@
     #[serde(rename = "crew")]
     pub team: String,
     /// Kind of job.
-    pub shape: Shape,
+    pub shape: JobKind,
     /// Priority.
-    pub urgency: Urgency,
+    #[serde(rename = "urgency")]
+    pub priority: Priority,
     /// Number of tasks.
-    pub legs: u32,
+    #[serde(rename = "legs")]
+    pub task_count: u32,
     /// CPUs of a task.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
@@ -84,7 +86,8 @@
     pub image_gb: f64,
     /// Allowed machine types.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub frames: Option<Vec<String>>,
+    #[serde(rename = "frames")]
+    pub machine_types: Option<Vec<String>>,
     /// The only allowed zone.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
@@ -113,7 +116,7 @@
 /// Kinds of job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Shape {
+pub enum JobKind {
     /// Independent tasks, each runs to completion.
     Batch,
 }
@@ -121,7 +124,7 @@
 /// Priorities, most pressing first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Urgency {
+pub enum Priority {
     /// Before everything.
     Critical,
     /// Before normal work.
@@ -158,7 +161,8 @@
     /// Every task is done.
     Done,
     /// Cancelled by its user.
-    Withdrawn,
+    #[serde(rename = "withdrawn")]
+    Cancelled,
 }
 
 /// Answer about a job.
@@ -180,7 +184,7 @@
 /// State of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LegStatus {
+pub enum TaskPhase {
     /// Waiting for its image.
     Fetching,
     /// Waiting for other tasks.
@@ -199,7 +203,7 @@
 /// Why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitReason {
     /// Completed.
     Done,
     /// Stopped by command.
@@ -217,17 +221,18 @@
 
 /// A task in a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Leg {
+pub struct TaskStatus {
     /// `job/number`.
-    pub leg: String,
+    #[serde(rename = "leg")]
+    pub task: String,
     /// Attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
     /// State.
-    pub status: LegStatus,
+    pub status: TaskPhase,
     /// Why it ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitReason>,
     /// Whether its progress was saved.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -236,13 +241,15 @@
 /// A worker's report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Report {
+pub struct Heartbeat {
     /// Machine.
-    pub rig: String,
+    #[serde(rename = "rig")]
+    pub machine: String,
     /// Address of the worker.
     pub endpoint: String,
     /// Machine type.
-    pub frame: String,
+    #[serde(rename = "frame")]
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
@@ -251,7 +258,7 @@
     pub spot: bool,
     /// Session.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub worker_epoch: u64,
     /// Counter of messages.
     #[serde(rename = "tally")]
     pub sequence: u64,
@@ -262,17 +269,19 @@
     #[serde(default, rename = "recallS")]
     pub reclaim_s: Option<f64>,
     /// Tasks on the machine.
-    pub legs: Vec<Leg>,
+    #[serde(rename = "legs")]
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
-pub enum Order {
+pub enum Command {
     /// Start a task.
     Launch {
         /// Task.
-        leg: String,
+        #[serde(rename = "leg")]
+        task: String,
         /// Attempt.
         #[serde(rename = "try")]
         attempt: u64,
@@ -280,7 +289,8 @@
     /// Stop a task.
     Stop {
         /// Task.
-        leg: String,
+        #[serde(rename = "leg")]
+        task: String,
         /// Attempt.
         #[serde(rename = "try")]
         attempt: u64,
@@ -291,7 +301,8 @@
     /// Forget an ended task.
     Clear {
         /// Task.
-        leg: String,
+        #[serde(rename = "leg")]
+        task: String,
         /// Attempt.
         #[serde(rename = "try")]
         attempt: u64,
@@ -300,18 +311,18 @@
 
 /// Answer to a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Orders {
+pub struct HeartbeatAck {
     /// Token.
     #[serde(rename = "baton")]
     pub token: u64,
     /// Commands.
-    pub orders: Vec<Order>,
+    pub orders: Vec<Command>,
 }
 
 /// A machine type in the catalog.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Frame {
+pub struct MachineType {
     /// Name.
     pub label: String,
     /// CPUs.
@@ -340,7 +351,7 @@
     pub zones: Vec<String>,
 }
 
-impl Frame {
+impl MachineType {
     /// Price of a machine, ordinary or spot.
     pub fn price_of(&self, spot: bool) -> f64 {
         if spot { self.market_price } else { self.price }
@@ -351,16 +362,19 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Catalog {
     /// Types.
-    pub frames: Vec<Frame>,
+    #[serde(rename = "frames")]
+    pub machine_types: Vec<MachineType>,
 }
 
 /// `POST /machines`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Rental {
+pub struct RentRequest {
     /// Request name.
-    pub booking: String,
+    #[serde(rename = "booking")]
+    pub request_id: String,
     /// Type.
-    pub frame: String,
+    #[serde(rename = "frame")]
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
@@ -373,15 +387,16 @@
 
 /// Names of machines, in requests and answers.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Rigs {
+pub struct MachineNames {
     /// Machines.
-    pub rigs: Vec<String>,
+    #[serde(rename = "rigs")]
+    pub machines: Vec<String>,
 }
 
 /// A machine in the cloud's list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct ListedRig {
+pub struct CloudMachine {
     /// Machine.
     #[serde(rename = "ref")]
     pub name: String,
@@ -389,7 +404,8 @@
     #[serde(default)]
     pub endpoint: String,
     /// Type.
-    pub frame: String,
+    #[serde(rename = "frame")]
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
@@ -406,9 +422,10 @@
 /// `GET /machines`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct RigList {
+pub struct MachinePage {
     /// Machines.
-    pub rigs: Vec<ListedRig>,
+    #[serde(rename = "rigs")]
+    pub machines: Vec<CloudMachine>,
     /// Whether another page follows.
     #[serde(default)]
     pub has_next: bool,
@@ -416,90 +433,101 @@
 
 /// A key of the state service.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Item {
+pub struct KeyValue {
     /// Key.
-    pub k: String,
+    #[serde(rename = "k")]
+    pub key: String,
     /// Value.
-    pub v: Json,
+    #[serde(rename = "v")]
+    pub value: Json,
     /// Revision of its last change.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// `GET /keys?starts=`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct ItemList {
+pub struct KeyValuePage {
     /// Keys.
-    pub items: Vec<Item>,
+    pub items: Vec<KeyValue>,
     /// Whether more follow.
     #[serde(default)]
     pub has_next: bool,
     /// Revision.
     #[serde(default)]
-    pub ledger: u64,
+    #[serde(rename = "ledger")]
+    pub revision: u64,
 }
 
 /// A condition of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Guard {
+pub struct Precondition {
     /// Key.
-    pub k: String,
+    #[serde(rename = "k")]
+    pub key: String,
     /// Expected revision, 0 for a key that does not exist.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// A change of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-#[serde(untagged, from = "ChangeRead")]
-pub enum Change {
+#[serde(untagged, from = "MutationFields")]
+pub enum Mutation {
     /// Write a key.
     Put {
         /// Key.
-        put: String,
+        #[serde(rename = "put")]
+        key: String,
         /// Value.
-        v: Json,
+        #[serde(rename = "v")]
+        value: Json,
         /// Lease that it hangs on.
         #[serde(skip_serializing_if = "Option::is_none")]
-        permit: Option<u64>,
+        #[serde(rename = "permit")]
+        lease_id: Option<u64>,
     },
     /// Remove a key.
-    Drop {
+    Delete {
         /// Key.
-        drop: String,
+        #[serde(rename = "drop")]
+        key: String,
     },
 }
 
-impl Change {
+impl Mutation {
     /// Bytes of the value that it writes.
     pub fn value_bytes(&self) -> usize {
         match self {
-            Change::Put { v, .. } => v.size(),
-            Change::Drop { .. } => 0,
+            Mutation::Put { value, .. } => value.size(),
+            Mutation::Delete { .. } => 0,
         }
     }
 }
 
 /// A change as it is read: raw values cannot be read through an untagged enum.
 #[derive(Deserialize)]
-struct ChangeRead {
+struct MutationFields {
     #[serde(default)]
     put: String,
     #[serde(default)]
     v: Json,
     #[serde(default)]
-    permit: Option<u64>,
+    #[serde(rename = "permit")]
+    lease_id: Option<u64>,
     #[serde(default)]
     drop: Option<String>,
 }
 
-impl From<ChangeRead> for Change {
-    fn from(c: ChangeRead) -> Change {
+impl From<MutationFields> for Mutation {
+    fn from(c: MutationFields) -> Mutation {
         match c.drop {
-            Some(drop) => Change::Drop { drop },
-            None => Change::Put {
-                put: c.put,
-                v: c.v,
-                permit: c.permit,
+            Some(drop) => Mutation::Delete { key: drop },
+            None => Mutation::Put {
+                key: c.put,
+                value: c.v,
+                lease_id: c.lease_id,
             },
         }
     }
@@ -507,16 +535,18 @@
 
 /// `POST /commit`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
     /// Conditions.
-    pub guards: Vec<Guard>,
+    #[serde(rename = "guards")]
+    pub preconditions: Vec<Precondition>,
     /// Changes.
-    pub then: Vec<Change>,
+    #[serde(rename = "then")]
+    pub mutations: Vec<Mutation>,
 }
 
 /// One change seen by a watch.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct News {
+pub struct WatchEvent {
     /// Key written.
     #[serde(default)]
     pub put: Option<String>,
@@ -525,26 +555,31 @@
     pub drop: Option<String>,
     /// Value written.
     #[serde(default)]
-    pub v: Json,
+    #[serde(rename = "v")]
+    pub value: Json,
     /// Revision.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// `GET /watch`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct NewsList {
+pub struct WatchResponse {
     /// Revision up to which this holds every change.
-    pub ledger: u64,
+    #[serde(rename = "ledger")]
+    pub revision: u64,
     /// Changes.
     #[serde(default)]
-    pub news: Vec<News>,
+    #[serde(rename = "news")]
+    pub events: Vec<WatchEvent>,
 }
 
 /// What a holder tells its peers of a machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct MachineNews {
+pub struct MachineSummary {
     /// Machine.
-    pub rig: String,
+    #[serde(rename = "rig")]
+    pub machine: String,
     /// Milliseconds since its last report; none if it never reported to this holder.
     pub age_ms: Option<u64>,
     /// Whether it obeys the holder's token and answers reach it.
@@ -552,20 +587,24 @@
     /// Whether the cloud takes it soon.
     pub recalled: bool,
     /// Whether the holder wants it replaced.
-    pub sick: bool,
+    #[serde(rename = "sick")]
+    pub quarantined: bool,
     /// Whether its worker has begun anew under this grant.
-    pub anew: bool,
+    #[serde(rename = "anew")]
+    pub restarted: bool,
     /// Queue load, seconds of work per CPU.
     pub load: f64,
 }
 
 /// A machine whose report reached a controller that doesn't hold it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Stray {
+pub struct UnownedMachine {
     /// Machine.
-    pub rig: String,
+    #[serde(rename = "rig")]
+    pub machine: String,
     /// Type.
-    pub frame: String,
+    #[serde(rename = "frame")]
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
@@ -578,7 +617,7 @@
 
 /// A message between the agents of PackStealLB.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Agent {
+pub enum StealMessage {
     /// A victim tells a light machine of itself.
     Hint {
         /// Receiver.
@@ -603,9 +642,9 @@
 
 /// What a holder knows of its machines.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct FleetNews {
+pub struct FleetSummary {
     /// Its machines.
-    pub machines: Vec<MachineNews>,
+    pub machines: Vec<MachineSummary>,
     /// Tasks that run there, by job.
     pub running: Vec<(String, u32)>,
     /// Tasks that were done there and are not recorded yet, by job.
@@ -628,11 +667,12 @@
 
 /// What controllers tell each other, in a request as in its answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PeerNews {
+pub struct PeerMessage {
     /// Sender.
     pub host: String,
     /// Its incarnation.
-    pub boot: u64,
+    #[serde(rename = "boot")]
+    pub incarnation: u64,
     /// Whether the state service answers it.
     pub state_ok: bool,
     /// Whether it had to refuse users for the budget of changes.
@@ -640,18 +680,22 @@
     /// Peers and the milliseconds since each was heard.
     pub heard: Vec<(String, u64)>,
     /// Its machines and how many tasks of each job run there, unless the message is a short one.
-    pub fleet: Option<FleetNews>,
+    pub fleet: Option<FleetSummary>,
     /// Strays that came to it.
-    pub strays: Vec<Stray>,
+    #[serde(rename = "strays")]
+    pub unowned_machines: Vec<UnownedMachine>,
     /// Messages between agents.
-    pub agents: Vec<Agent>,
+    #[serde(rename = "agents")]
+    pub steal_messages: Vec<StealMessage>,
     /// Observed run times over estimates, by class.
     pub ratios: Vec<(String, f64)>,
     /// Failures in a row by job, with the milliseconds since the last.
-    pub fails: Vec<(String, u32, u64)>,
+    #[serde(rename = "fails")]
+    pub failure_streaks: Vec<(String, u32, u64)>,
     /// Jobs cancelled lately, for a peer that the state service does not answer.
     #[serde(default)]
-    pub withdrawn: Vec<String>,
+    #[serde(rename = "withdrawn")]
+    pub cancelled: Vec<String>,
     /// Who holds which block under which token, for such a peer.
     #[serde(default)]
     pub grants: Vec<(u32, u64, String)>,
--- a/src/read_index.rs
+++ b/src/read_index.rs
@@ -40,20 +40,20 @@
     /// Whether reads go on.
     busy: bool,
     /// Revision of the replica.
-    ledger: u64,
+    revision: u64,
 }
 
 /// Questions that wait for a read, and for the replica.
 #[derive(Debug, Clone, Default)]
-pub struct Fresh(Arc<Mutex<Waiting>>);
+pub struct ReadIndex(Arc<Mutex<Waiting>>);
 
-impl Fresh {
+impl ReadIndex {
     /// The replica has come to a revision.
-    pub fn reached(&self, ledger: u64) {
+    pub fn reached(&self, revision: u64) {
         let mut w = self.0.lock();
-        w.ledger = w.ledger.max(ledger);
-        let ledger = w.ledger;
-        for (_, settled) in w.upto.extract_if(.., |u| u.0 <= ledger) {
+        w.revision = w.revision.max(revision);
+        let revision = w.revision;
+        for (_, settled) in w.upto.extract_if(.., |u| u.0 <= revision) {
             for s in settled {
                 // Who asked may be gone.
                 let _ = s.send(Ok(()));
@@ -109,11 +109,11 @@
                 read = state.revision(wait).await;
             }
             match read {
-                Ok(ledger) => {
+                Ok(revision) => {
                     let now = {
                         let mut w = self.0.lock();
-                        w.upto.push((ledger, batch));
-                        w.ledger
+                        w.upto.push((revision, batch));
+                        w.revision
                     };
                     self.reached(now);
                 }
--- a/src/read_index/tests.rs
+++ b/src/read_index/tests.rs
@@ -34,17 +34,17 @@
 #[test]
 fn a_backlog_of_polls_after_an_outage_is_answered_by_a_few_reads() {
     actix_rt::System::new().block_on(async {
-        let (fresh, state) = (Fresh::default(), Fake::default());
+        let (read_index, state) = (ReadIndex::default(), Fake::default());
         state.out.set(3);
         state.busy.set(5);
-        fresh.reached(7);
+        read_index.reached(7);
         let polls: Vec<_> = (0..500)
             .map(|_| {
-                let (fresh, state) = (fresh.clone(), state.clone());
+                let (read_index, state) = (read_index.clone(), state.clone());
                 actix_rt::spawn(async move {
                     // A user whose poll is refused polls again.
                     let mut tries = 1;
-                    while fresh.catch_up(&state, PAUSE, WAIT).await.is_err() {
+                    while read_index.catch_up(&state, PAUSE, WAIT).await.is_err() {
                         tries += 1;
                     }
                     tries
@@ -63,12 +63,12 @@
 #[test]
 fn nobody_is_answered_before_the_replica_has_come_so_far() {
     actix_rt::System::new().block_on(async {
-        let (fresh, state) = (Fresh::default(), Fake::default());
-        fresh.reached(6);
+        let (read_index, state) = (ReadIndex::default(), Fake::default());
+        read_index.reached(6);
         let wait = Duration::from_millis(50);
-        let early = fresh.catch_up(&state, PAUSE, wait).await;
+        let early = read_index.catch_up(&state, PAUSE, wait).await;
         assert_eq!(early, Err(StateError::Down));
-        fresh.reached(7);
-        assert_eq!(fresh.catch_up(&state, PAUSE, WAIT).await, Ok(()));
+        read_index.reached(7);
+        assert_eq!(read_index.catch_up(&state, PAUSE, WAIT).await, Ok(()));
     });
 }
--- a/src/records.rs
+++ b/src/records.rs
@@ -100,11 +100,11 @@
         if !over || !too_large(self) {
             return;
         }
-        if self.status == JobStatus::Withdrawn {
+        if self.status == JobStatus::Cancelled {
             self.done.tasks = RangeSet::all(self.done.tasks.len());
         }
         if too_large(self) {
-            (self.spec.frames, self.spec.zone) = (None, None);
+            (self.spec.machine_types, self.spec.zone) = (None, None);
         }
     }
 }
@@ -173,7 +173,7 @@
 }
 
 /// Tasks of one job and attempt in a block's value: place in its table of jobs, tasks, attempt.
-pub type Listing = (usize, RangeSet, u64);
+pub type StoredBinding = (usize, RangeSet, u64);
 
 /// A kind of machine: type, zone, spot.
 pub type Kind = (String, String, bool);
@@ -186,9 +186,9 @@
     /// Whether it is being given back: nothing new is bound to it.
     pub leaving: bool,
     /// Bound tasks.
-    pub queue: Vec<Listing>,
+    pub queue: Vec<StoredBinding>,
     /// Those of them that are to be stopped to make room.
-    pub evicted: Vec<Listing>,
+    pub evicted: Vec<StoredBinding>,
 }
 
 /// A block of machines.
@@ -305,7 +305,7 @@
     Ok(names)
 }
 
-fn write_listings(listed: &[Listing], out: &mut String) {
+fn write_listings(listed: &[StoredBinding], out: &mut String) {
     for (job, tasks, attempt) in listed {
         out.push(' ');
         write_number(*job as u64, 36, out);
@@ -325,7 +325,7 @@
     Some((read_number(job)? as usize, RangeSet::read(tasks, 36).ok()?))
 }
 
-fn read_listing(text: &str) -> Option<Listing> {
+fn read_listing(text: &str) -> Option<StoredBinding> {
     let (rest, attempt) = text.split_once('@')?;
     let (job, tasks) = read_tasks(rest)?;
     Some((job, tasks, read_number(attempt)?))
@@ -377,11 +377,11 @@
         }
     };
     let mut text = String::new();
-    for (frame, zone, spot) in kinds {
+    for (machine_type, zone, spot) in kinds {
         if !text.is_empty() {
             text.push(' ');
         }
-        write_number(place(frame) as u64, 36, &mut text);
+        write_number(place(machine_type) as u64, 36, &mut text);
         text.push('.');
         write_number(place(zone) as u64, 36, &mut text);
         if *spot {
@@ -396,10 +396,10 @@
     let names = read_names(names)?;
     let name = |place: &str| names.get(read_number(place)? as usize).cloned();
     let read = |text: &str| {
-        let (frame, zone) = text.split_once('.')?;
+        let (machine_type, zone) = text.split_once('.')?;
         let ordinary = zone.strip_suffix('s');
         let spot = ordinary.is_some();
-        Some((name(frame)?, name(ordinary.unwrap_or(zone))?, spot))
+        Some((name(machine_type)?, name(ordinary.unwrap_or(zone))?, spot))
     };
     let kinds = parts(kinds, ' ');
     kinds
@@ -509,21 +509,21 @@
 
 /// Who leads, or who holds a block. The key's revision is the term or the token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OwnerRecord {
+pub struct HolderRecord {
     /// Controller.
     #[serde(rename = "h")]
     pub host: String,
     /// Its incarnation.
     #[serde(rename = "b")]
-    pub boot: u64,
+    pub incarnation: u64,
 }
 
 /// A live controller, on its lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NodeRecord {
+pub struct ControllerRecord {
     /// Incarnation.
     #[serde(rename = "b")]
-    pub boot: u64,
+    pub incarnation: u64,
     /// Lease.
     #[serde(rename = "l")]
     pub lease: u64,
--- a/src/records/transfer.rs
+++ b/src/records/transfer.rs
@@ -34,7 +34,7 @@
     pub terms: LoanTerms,
     /// The machine types that the job permits.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
-    pub frames: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     /// Whether it was called back: it stands no more, but may still run.
     #[serde(rename = "r", default, skip_serializing_if = "std::ops::Not::not")]
     pub recalled: bool,
@@ -57,12 +57,12 @@
 impl JobRecord {
     /// Marks the job as lent.
     pub fn lend(&mut self, cell: &str, token: TransferToken, terms: LoanTerms) {
-        let frames = self.spec.frames.replace(Vec::new());
+        let machine_types = self.spec.machine_types.replace(Vec::new());
         self.transfer = Some(Box::new(Transfer::Lent(LentMark {
             cell: cell.to_owned(),
             token,
             terms,
-            frames,
+            machine_types,
             recalled: false,
         })));
     }
@@ -73,7 +73,7 @@
             return;
         };
         if let Transfer::Lent(mark) = *transfer {
-            self.spec.frames = mark.frames;
+            self.spec.machine_types = mark.machine_types;
             self.done = done;
         }
     }
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -6,12 +6,13 @@
 use crate::collections::HashMap;
 use crate::dependencies::DependencyGraph;
 use crate::names::{
-    ClassIx, FrameIx, HostIx, ImageIx, Index, Interner, JobIx, MachineIx, TeamIx, ZoneIx,
+    ClassId, HostId, ImageId, Index, Interner, JobId, MachineId, MachineTypeId, TeamId, ZoneId,
 };
-use crate::protocol::{Change, Item, JobStatus, Json, News, Txn};
+use crate::protocol::{JobStatus, Json, KeyValue, Mutation, Transaction, WatchEvent};
 use crate::ranges::RangeSet;
 use crate::records::{
-    DENSE_FORMAT, DoneTasks, Encoding, FormatRecord, JobRecord, LoadRecord, NodeRecord, OwnerRecord,
+    ControllerRecord, DENSE_FORMAT, DoneTasks, Encoding, FormatRecord, HolderRecord, JobRecord,
+    LoadRecord,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -21,7 +22,7 @@
 mod keys;
 mod waiting;
 
-pub use blocks::Draft;
+pub use blocks::BlockEdit;
 pub use job::Job;
 pub use keys::*;
 pub use waiting::{WaitingJob, WaitingJobs};
@@ -32,7 +33,7 @@
 
 /// Revision of a grant: the token that its machines obey.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Token(pub u64);
+pub struct FencingToken(pub u64);
 
 /// Revision of the leader's key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -40,22 +41,22 @@
 
 /// One life of a controller under one lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Boot(pub u64);
+pub struct Incarnation(pub u64);
 
 /// A task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct TaskIx {
+pub struct TaskId {
     /// Its job.
-    pub job: JobIx,
+    pub job: JobId,
     /// Its number.
-    pub leg: u32,
+    pub number: u32,
 }
 
 /// A task bound to a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Entry {
+pub struct Binding {
     /// The task.
-    pub task: TaskIx,
+    pub task: TaskId,
     /// The attempt it runs as.
     pub attempt: u64,
 }
@@ -66,48 +67,48 @@
     /// Its block.
     pub block: BlockId,
     /// Type.
-    pub frame: FrameIx,
+    pub machine_type: MachineTypeId,
     /// Zone.
-    pub zone: ZoneIx,
+    pub zone: ZoneId,
     /// Spot.
     pub spot: bool,
     /// Being given back.
     pub leaving: bool,
     /// Bound tasks in order.
-    pub queue: Vec<Entry>,
+    pub queue: Vec<Binding>,
     /// Bound tasks that are to be stopped to make room.
-    pub evict: Vec<Entry>,
+    pub evict: Vec<Binding>,
 }
 
 /// A block.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Block {
     /// Revision of its key.
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// Its machines, in the order of their names.
-    pub machines: Vec<MachineIx>,
+    pub machines: Vec<MachineId>,
     /// Tasks done on its machines that their jobs' own keys need not show yet.
-    pub done: Vec<(JobIx, RangeSet)>,
+    pub done: Vec<(JobId, RangeSet)>,
     /// Size of its value.
     pub bytes: usize,
 }
 
 /// What changed in the replica since somebody last asked.
 #[derive(Debug, Default)]
-pub struct Touched {
+pub struct ChangeSet {
     /// Blocks whose content or holder changed.
     pub blocks: BTreeSet<BlockId>,
     /// Machines that left their block.
-    pub machines: Vec<MachineIx>,
+    pub machines: Vec<MachineId>,
     /// Controllers that published their totals.
-    pub loads: Vec<HostIx>,
+    pub loads: Vec<HostId>,
     /// Jobs that were cancelled.
-    pub withdrawn: Vec<JobIx>,
+    pub cancelled: Vec<JobId>,
 }
 
 /// What blocks say of a job's tasks that were done.
 #[derive(Debug, Default)]
-struct Noted {
+struct RecordedDoneTasks {
     /// Number of blocks that say something.
     blocks: u32,
     done: RangeSet,
@@ -115,24 +116,24 @@
 
 /// Who holds something, and since which revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Owner {
+pub struct Holder {
     /// Controller.
-    pub host: HostIx,
+    pub host: HostId,
     /// Its life.
-    pub boot: Boot,
+    pub incarnation: Incarnation,
     /// Revision of the key.
-    pub stamp: u64,
+    pub mod_revision: u64,
 }
 
 /// A live controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NodeView {
+pub struct LiveController {
     /// Its life.
-    pub boot: Boot,
+    pub incarnation: Incarnation,
     /// Its lease.
-    pub permit: u64,
+    pub lease_id: u64,
     /// Revision of the key.
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// Format of stored values that it writes and reads.
     pub format: u32,
 }
@@ -141,64 +142,64 @@
 #[derive(Debug, Default)]
 pub struct Names {
     /// Jobs not archived.
-    pub jobs: Interner<JobIx>,
+    pub jobs: Interner<JobId>,
     /// Machines.
-    pub machines: Interner<MachineIx>,
+    pub machines: Interner<MachineId>,
     /// Teams.
-    pub teams: Interner<TeamIx>,
+    pub teams: Interner<TeamId>,
     /// Classes.
-    pub classes: Interner<ClassIx>,
+    pub classes: Interner<ClassId>,
     /// Machine types.
-    pub frames: Interner<FrameIx>,
+    pub machine_types: Interner<MachineTypeId>,
     /// Zones.
-    pub zones: Interner<ZoneIx>,
+    pub zones: Interner<ZoneId>,
     /// Images.
-    pub images: Interner<ImageIx>,
+    pub images: Interner<ImageId>,
     /// Controllers.
-    pub hosts: Interner<HostIx>,
+    pub hosts: Interner<HostId>,
 }
 
 impl Names {
     /// A task as workers write it.
-    pub fn leg(&self, task: TaskIx) -> String {
-        format!("{}/{}", self.jobs.name(task.job), task.leg)
+    pub fn task_name(&self, task: TaskId) -> String {
+        format!("{}/{}", self.jobs.name(task.job), task.number)
     }
 
     /// Reads a task; none if its job is unknown here.
-    pub fn task(&self, leg: &str) -> Option<TaskIx> {
-        let (job, number) = leg.rsplit_once('/')?;
-        Some(TaskIx {
+    pub fn task(&self, name: &str) -> Option<TaskId> {
+        let (job, number) = name.rsplit_once('/')?;
+        Some(TaskId {
             job: self.jobs.get(job)?,
-            leg: number.parse().ok()?,
+            number: number.parse().ok()?,
         })
     }
 }
 
 /// The replica.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct Replica {
     /// Names.
     pub names: Names,
     /// Every change up to this revision is in.
-    pub ledger: u64,
+    pub revision: u64,
     /// Highest revision of an own commit.
     own: u64,
     /// Whether the first full read is in.
     pub synced: bool,
     /// Leader.
-    pub lead: Option<Owner>,
+    pub leader: Option<Holder>,
     /// Machine types as kept.
-    pub catalog: Option<Vec<crate::protocol::Frame>>,
+    pub catalog: Option<Vec<crate::protocol::MachineType>>,
     /// Controllers with a lease.
-    pub nodes: HashMap<HostIx, NodeView>,
+    pub live_controllers: HashMap<HostId, LiveController>,
     /// Grants.
-    pub grants: HashMap<BlockId, Owner>,
+    pub grants: HashMap<BlockId, Holder>,
     /// Blocks.
     pub blocks: BTreeMap<BlockId, Block>,
     /// Machines of all blocks.
-    pub machines: HashMap<MachineIx, Machine>,
+    pub machines: HashMap<MachineId, Machine>,
     /// Jobs that need not wait for others.
-    pub jobs: HashMap<JobIx, Job>,
+    pub jobs: HashMap<JobId, Job>,
     /// Jobs that wait for others.
     pub waiting: WaitingJobs,
     /// Which jobs the waiting ones need.
@@ -206,20 +207,20 @@
     /// The format of stored values that all controllers were seen to read.
     pub format: u32,
     /// Queue totals as published.
-    pub loads: HashMap<HostIx, Loads>,
+    pub loads: HashMap<HostId, Loads>,
     /// Jobs that left since the last look; their indices are still reserved.
-    pub left: Vec<JobIx>,
+    pub left: Vec<JobId>,
     /// Raised by every change that scheduling looks at.
     pub version: u64,
     /// What changed since the last look.
-    pub touched: Touched,
+    pub changes: ChangeSet,
     /// How often queues list each task; once, but for moments between two changes.
-    bound: HashMap<JobIx, BTreeMap<u32, u8>>,
+    bound: HashMap<JobId, BTreeMap<u32, u8>>,
     /// Jobs that are lent to another cell or borrowed from one.
-    transferred: BTreeSet<JobIx>,
+    transferred: BTreeSet<JobId>,
     /// Pending jobs all of whose tasks are done.
-    complete: BTreeSet<JobIx>,
-    noted: HashMap<JobIx, Noted>,
+    complete: BTreeSet<JobId>,
+    recorded_done: HashMap<JobId, RecordedDoneTasks>,
     /// Keys whose latest value cannot be read: of a version that is not known here, or damaged. They
     /// are never written, for their revision is not known either.
     unreadable: BTreeSet<String>,
@@ -233,30 +234,30 @@
     /// Sum of their loads.
     pub sum: f64,
     /// The heaviest and the lightest.
-    pub machines: HashMap<MachineIx, f64>,
+    pub machines: HashMap<MachineId, f64>,
 }
 
-impl View {
+impl Replica {
     /// Takes a full read of the watched part that began at revision `ledger`.
     ///
     /// Guards against a read that was under way while this controller wrote: what it wrote is newer,
     /// and without it a task that had just been bound would count as unbound.
-    pub fn load(&mut self, items: Vec<Item>, ledger: u64) {
+    pub fn load(&mut self, items: Vec<KeyValue>, revision: u64) {
         let mut keep: crate::collections::HashSet<String> = Default::default();
         // Jobs come first, for blocks speak of them.
-        let (jobs, rest): (Vec<Item>, Vec<Item>) =
-            items.into_iter().partition(|i| i.k.starts_with(JOBS));
+        let (jobs, rest): (Vec<KeyValue>, Vec<KeyValue>) =
+            items.into_iter().partition(|i| i.key.starts_with(JOBS));
         for item in jobs.into_iter().chain(rest) {
-            if item.stamp >= self.stamp(&item.k) {
-                self.put(&item.k, &item.v, item.stamp);
+            if item.mod_revision >= self.mod_revision(&item.key) {
+                self.put(&item.key, &item.value, item.mod_revision);
             }
-            keep.insert(item.k);
+            keep.insert(item.key);
         }
         // What an earlier replica held and the read no longer shows was dropped meanwhile.
         let mut gone: Vec<String> = Vec::new();
-        gone.extend(self.lead.iter().map(|_| LEAD.to_owned()));
+        gone.extend(self.leader.iter().map(|_| LEAD.to_owned()));
         gone.extend(
-            self.nodes
+            self.live_controllers
                 .keys()
                 .map(|&h| node_key(self.names.hosts.name(h))),
         );
@@ -266,110 +267,120 @@
         let waiting = self.waiting.jobs.keys();
         gone.extend(waiting.map(|&j| waiting_key(self.names.jobs.name(j))));
         for key in gone.into_iter().filter(|k| !keep.contains(k)) {
-            if self.stamp(&key) <= ledger {
+            if self.mod_revision(&key) <= revision {
                 self.remove(&key);
             }
         }
-        self.ledger = self.ledger.max(ledger);
+        self.revision = self.revision.max(revision);
         self.synced = true;
     }
 
     /// Takes what a watch delivered.
-    pub fn apply_news(&mut self, news: Vec<News>, ledger: u64) {
+    pub fn apply_watch_events(&mut self, events: Vec<WatchEvent>, revision: u64) {
         // Everything up to here is in: a list that comes twice, or after a newer one, brings
         // back nothing that was dropped since.
-        let known = self.ledger;
-        for n in news.into_iter().filter(|n| n.stamp > known) {
+        let known = self.revision;
+        for n in events.into_iter().filter(|n| n.mod_revision > known) {
             // Own commits may be in already; a repeat of them must not undo what followed.
             if let Some(key) = n.put {
-                if n.stamp > self.stamp(&key) {
-                    self.put(&key, &n.v, n.stamp);
+                if n.mod_revision > self.mod_revision(&key) {
+                    self.put(&key, &n.value, n.mod_revision);
                 }
             } else if let Some(key) = n.drop
-                && n.stamp > self.stamp(&key)
+                && n.mod_revision > self.mod_revision(&key)
             {
                 self.remove(&key);
             }
-            self.ledger = self.ledger.max(n.stamp);
+            self.revision = self.revision.max(n.mod_revision);
         }
-        self.ledger = self.ledger.max(ledger);
+        self.revision = self.revision.max(revision);
     }
 
     /// Takes an own commit that was answered with revision `ledger`.
-    pub fn apply_own(&mut self, txn: &Txn, ledger: u64) {
-        self.own = self.own.max(ledger);
+    pub fn apply_own(&mut self, transaction: &Transaction, revision: u64) {
+        self.own = self.own.max(revision);
         // The watch may have overtaken the answer; then it has brought this and maybe more.
-        if ledger <= self.ledger {
+        if revision <= self.revision {
             return;
         }
-        for change in &txn.then {
-            let (Change::Put { put: key, .. } | Change::Drop { drop: key }) = change;
+        for change in &transaction.mutations {
+            let (Mutation::Put { key, .. } | Mutation::Delete { key }) = change;
             // Answers may come in another order than the changes were made.
-            if self.stamp(key) >= ledger {
+            if self.mod_revision(key) >= revision {
                 continue;
             }
             match change {
-                Change::Put { put, v, .. } => self.put(put, v, ledger),
-                Change::Drop { drop } => self.remove(drop),
+                Mutation::Put { key, value, .. } => self.put(key, value, revision),
+                Mutation::Delete { key } => self.remove(key),
             }
         }
     }
 
     /// Revision of a key as the replica knows it, 0 if it is absent.
-    pub fn stamp(&self, key: &str) -> u64 {
+    pub fn mod_revision(&self, key: &str) -> u64 {
         let block = |s: &str| s.parse().ok().map(BlockId);
         if key == LEAD {
-            self.lead.map(|l| l.stamp)
+            self.leader.map(|l| l.mod_revision)
         } else if let Some(h) = key.strip_prefix(NODES) {
             let host = self.names.hosts.get(h);
-            host.and_then(|h| self.nodes.get(&h)).map(|n| n.stamp)
+            host.and_then(|h| self.live_controllers.get(&h))
+                .map(|n| n.mod_revision)
         } else if let Some(b) = key.strip_prefix(GRANTS) {
-            block(b).and_then(|b| self.grants.get(&b)).map(|g| g.stamp)
+            block(b)
+                .and_then(|b| self.grants.get(&b))
+                .map(|g| g.mod_revision)
         } else if let Some(b) = key.strip_prefix(BLOCKS) {
-            block(b).and_then(|b| self.blocks.get(&b)).map(|b| b.stamp)
+            block(b)
+                .and_then(|b| self.blocks.get(&b))
+                .map(|b| b.mod_revision)
         } else if let Some(j) = key.strip_prefix(JOBS) {
             let job = self.names.jobs.get(j);
-            job.and_then(|j| self.jobs.get(&j)).map(|j| j.stamp)
+            job.and_then(|j| self.jobs.get(&j)).map(|j| j.mod_revision)
         } else if let Some(j) = key.strip_prefix(WAITING) {
             let job = self.names.jobs.get(j);
-            job.and_then(|j| self.waiting.jobs.get(&j)).map(|j| j.stamp)
+            job.and_then(|j| self.waiting.jobs.get(&j))
+                .map(|j| j.mod_revision)
         } else {
             None
         }
         .unwrap_or(0)
     }
 
-    fn put(&mut self, key: &str, value: &Json, stamp: u64) {
+    fn put(&mut self, key: &str, value: &Json, mod_revision: u64) {
         let ok = if key == LEAD {
-            self.put_owner(value, stamp).map(|o| self.lead = Some(o))
+            self.put_owner(value, mod_revision)
+                .map(|o| self.leader = Some(o))
         } else if key == CATALOG {
             value.read().map(|c| self.catalog = Some(c))
         } else if key == FORMAT {
             let read = value.read::<FormatRecord>();
             read.map(|r| self.format = self.format.max(r.format))
         } else if let Some(host) = key.strip_prefix(NODES) {
-            value.read::<NodeRecord>().map(|n| {
-                let node = NodeView {
-                    boot: Boot(n.boot),
-                    permit: n.lease,
-                    stamp,
+            value.read::<ControllerRecord>().map(|n| {
+                let node = LiveController {
+                    incarnation: Incarnation(n.incarnation),
+                    lease_id: n.lease,
+                    mod_revision,
                     format: n.format,
                 };
-                self.nodes.insert(self.names.hosts.intern(host), node);
+                self.live_controllers
+                    .insert(self.names.hosts.intern(host), node);
             })
         } else if let Some(b) = key.strip_prefix(GRANTS).and_then(|b| b.parse().ok()) {
-            self.put_owner(value, stamp).map(|o| {
+            self.put_owner(value, mod_revision).map(|o| {
                 self.grants.insert(BlockId(b), o);
-                self.touched.blocks.insert(BlockId(b));
+                self.changes.blocks.insert(BlockId(b));
             })
         } else if let Some(b) = key.strip_prefix(BLOCKS).and_then(|b| b.parse().ok()) {
             value
                 .read()
-                .map(|r| self.put_block(BlockId(b), r, value.size(), stamp))
+                .map(|r| self.put_block(BlockId(b), r, value.size(), mod_revision))
         } else if let Some(name) = key.strip_prefix(JOBS) {
-            value.read().map(|r| self.put_job(name, r, stamp))
+            value.read().map(|r| self.put_job(name, r, mod_revision))
         } else if let Some(name) = key.strip_prefix(WAITING) {
-            value.read().map(|r| self.put_waiting(name, r, stamp))
+            value
+                .read()
+                .map(|r| self.put_waiting(name, r, mod_revision))
         } else if let Some(host) = key.strip_prefix(LOADS) {
             value.read::<LoadRecord>().map(|r| {
                 let host = self.names.hosts.intern(host);
@@ -383,7 +394,7 @@
                     machines,
                 };
                 self.loads.insert(host, loads);
-                self.touched.loads.push(host);
+                self.changes.loads.push(host);
             })
         } else {
             Ok(())
@@ -394,7 +405,7 @@
             }
             Err(e) => {
                 if self.unreadable.insert(key.to_owned()) {
-                    tracing::error!(key, stamp, error = %e, "a value in the state service cannot be read");
+                    tracing::error!(key, mod_revision, error = %e, "a value in the state service cannot be read");
                 }
             }
         }
@@ -403,53 +414,53 @@
         }
     }
 
-    fn put_owner(&mut self, value: &Json, stamp: u64) -> Result<Owner, serde_json::Error> {
-        let r: OwnerRecord = value.read()?;
-        Ok(Owner {
+    fn put_owner(&mut self, value: &Json, mod_revision: u64) -> Result<Holder, serde_json::Error> {
+        let r: HolderRecord = value.read()?;
+        Ok(Holder {
             host: self.names.hosts.intern(&r.host),
-            boot: Boot(r.boot),
-            stamp,
+            incarnation: Incarnation(r.incarnation),
+            mod_revision,
         })
     }
 
-    fn put_job(&mut self, name: &str, r: JobRecord, stamp: u64) {
-        let ix = self.names.jobs.intern(name);
-        if r.status == JobStatus::Withdrawn {
-            self.touched.withdrawn.push(ix);
-            self.withdraw_descendants(ix);
+    fn put_job(&mut self, name: &str, r: JobRecord, mod_revision: u64) {
+        let job_id = self.names.jobs.intern(name);
+        if r.status == JobStatus::Cancelled {
+            self.changes.cancelled.push(job_id);
+            self.cancel_descendants(job_id);
         }
         match r.transfer.is_some() {
-            true => self.transferred.insert(ix),
-            false => self.transferred.remove(&ix),
+            true => self.transferred.insert(job_id),
+            false => self.transferred.remove(&job_id),
         };
-        let known = self.jobs.get_mut(&ix);
+        let known = self.jobs.get_mut(&job_id);
         if let Some(job) = known.filter(|job| job.transfer == r.transfer) {
             // The specification changes with a transfer only.
-            job.stamp = stamp;
+            job.mod_revision = mod_revision;
             job.status = r.status;
             job.done.union(&r.done.tasks);
             job.stored = r.done.tasks;
-            self.note_progress(ix);
+            self.note_progress(job_id);
             return;
         }
         let mut done = r.done.tasks.clone();
-        if let Some(before) = self.jobs.get(&ix) {
+        if let Some(before) = self.jobs.get(&job_id) {
             done.union(&before.done);
         }
-        if let Some(noted) = self.noted.get(&ix) {
-            done.union(&noted.done);
+        if let Some(recorded_done) = self.recorded_done.get(&job_id) {
+            done.union(&recorded_done.done);
         }
         let names = &mut self.names;
         let job = Job {
-            stamp,
+            mod_revision,
             team: names.teams.intern(&r.spec.team),
             class: names.classes.intern(&r.spec.class),
             image: names.images.intern(&r.spec.image),
-            frames: r
+            machine_types: r
                 .spec
-                .frames
+                .machine_types
                 .as_ref()
-                .map(|f| f.iter().map(|f| names.frames.intern(f)).collect()),
+                .map(|f| f.iter().map(|f| names.machine_types.intern(f)).collect()),
             zone: r.spec.zone.as_ref().map(|y| names.zones.intern(y)),
             status: r.status,
             done,
@@ -461,34 +472,34 @@
             bytes: 0,
         };
         let job = Job {
-            bytes: Json::of(&job.record(DoneTasks::default(), JobStatus::Withdrawn)).size(),
+            bytes: Json::of(&job.record(DoneTasks::default(), JobStatus::Cancelled)).size(),
             ..job
         };
-        self.left.retain(|&j| j != ix);
-        self.jobs.insert(ix, job);
-        self.note_progress(ix);
+        self.left.retain(|&j| j != job_id);
+        self.jobs.insert(job_id, job);
+        self.note_progress(job_id);
     }
 
     /// Takes note of whether all that is left of a job is to record its end.
-    fn note_progress(&mut self, ix: JobIx) {
-        let job = self.jobs.get(&ix);
+    fn note_progress(&mut self, job_id: JobId) {
+        let job = self.jobs.get(&job_id);
         let pending = job.filter(|j| j.status == JobStatus::Pending);
-        if pending.is_some_and(|j| j.done.len() >= j.spec.legs) {
-            self.complete.insert(ix);
+        if pending.is_some_and(|j| j.done.len() >= j.spec.task_count) {
+            self.complete.insert(job_id);
         } else {
-            self.complete.remove(&ix);
+            self.complete.remove(&job_id);
         }
     }
 
     /// Pending jobs all of whose tasks are done, as far as the shared keys show.
-    pub fn complete(&self) -> impl Iterator<Item = JobIx> + '_ {
+    pub fn complete(&self) -> impl Iterator<Item = JobId> + '_ {
         self.complete.iter().copied()
     }
 
     /// Jobs that are lent to another cell or borrowed from one.
-    pub fn transferred(&self) -> impl Iterator<Item = (JobIx, &Job)> {
+    pub fn transferred(&self) -> impl Iterator<Item = (JobId, &Job)> {
         let jobs = self.transferred.iter();
-        jobs.filter_map(|&ix| Some((ix, self.jobs.get(&ix)?)))
+        jobs.filter_map(|&job_id| Some((job_id, self.jobs.get(&job_id)?)))
     }
 
     fn remove(&mut self, key: &str) {
@@ -496,30 +507,30 @@
         self.unreadable.remove(key);
         let block = |s: &str| s.parse().ok().map(BlockId);
         if key == LEAD {
-            self.lead = None;
+            self.leader = None;
         } else if let Some(h) = key.strip_prefix(NODES) {
             if let Some(h) = self.names.hosts.get(h) {
-                self.nodes.remove(&h);
+                self.live_controllers.remove(&h);
             }
         } else if let Some(b) = key.strip_prefix(GRANTS).and_then(block) {
             self.grants.remove(&b);
-            self.touched.blocks.insert(b);
+            self.changes.blocks.insert(b);
         } else if let Some(b) = key.strip_prefix(BLOCKS).and_then(block) {
             if let Some(before) = self.blocks.remove(&b) {
                 self.drop_block(before, |_| false, b);
             }
-            self.touched.blocks.insert(b);
+            self.changes.blocks.insert(b);
         } else if let Some(j) = key.strip_prefix(JOBS)
-            && let Some(ix) = self.names.jobs.get(j)
-            && self.jobs.remove(&ix).is_some()
+            && let Some(job_id) = self.names.jobs.get(j)
+            && self.jobs.remove(&job_id).is_some()
         {
-            self.complete.remove(&ix);
-            self.transferred.remove(&ix);
-            self.left.push(ix);
+            self.complete.remove(&job_id);
+            self.transferred.remove(&job_id);
+            self.left.push(job_id);
         } else if let Some(j) = key.strip_prefix(WAITING)
-            && let Some(ix) = self.names.jobs.get(j)
+            && let Some(job_id) = self.names.jobs.get(j)
         {
-            self.remove_waiting(ix);
+            self.remove_waiting(job_id);
         }
     }
 
@@ -562,23 +573,23 @@
 
     /// The highest revision known here, by the watch or by an own commit.
     pub fn latest(&self) -> u64 {
-        self.ledger.max(self.own)
+        self.revision.max(self.own)
     }
 
     /// Whether a machine's queue lists anything.
-    pub fn lists_any(&self, machine: MachineIx) -> bool {
+    pub fn lists_any(&self, machine: MachineId) -> bool {
         let m = self.machines.get(&machine);
         m.is_some_and(|m| !m.queue.is_empty())
     }
 
     /// The holder of a machine's block.
-    pub fn holder(&self, machine: MachineIx) -> Option<(BlockId, Owner)> {
+    pub fn holder(&self, machine: MachineId) -> Option<(BlockId, Holder)> {
         let block = self.machines.get(&machine)?.block;
         Some((block, *self.grants.get(&block)?))
     }
 
     /// Bound tasks of a job, in ascending order.
-    pub fn bound(&self, job: JobIx) -> impl Iterator<Item = u32> + '_ {
+    pub fn bound(&self, job: JobId) -> impl Iterator<Item = u32> + '_ {
         self.bound
             .get(&job)
             .into_iter()
@@ -586,25 +597,25 @@
     }
 
     /// Number of bound tasks of a job.
-    pub fn bound_len(&self, job: JobIx) -> u32 {
+    pub fn bound_len(&self, job: JobId) -> u32 {
         self.bound.get(&job).map_or(0, |l| l.len() as u32)
     }
 
     /// Whether some queue lists a task of the job, some block speaks of it, or some job waits for
     /// it. Until then it is not archived, so whoever looks at the waiting job sees this one too.
-    pub fn is_mentioned(&self, job: JobIx) -> bool {
+    pub fn is_mentioned(&self, job: JobId) -> bool {
         self.bound.contains_key(&job)
-            || self.noted.get(&job).is_some_and(|n| n.blocks > 0)
+            || self.recorded_done.get(&job).is_some_and(|n| n.blocks > 0)
             || self.dependencies.is_needed(job)
     }
 
     /// Frees the indices of jobs that left and that no block mentions; returns them.
-    pub fn release_left(&mut self) -> Vec<JobIx> {
+    pub fn release_left(&mut self) -> Vec<JobId> {
         let left = std::mem::take(&mut self.left);
         let (kept, freed): (Vec<_>, Vec<_>) = left.into_iter().partition(|&j| self.is_mentioned(j));
         self.left = kept;
         for &j in &freed {
-            self.noted.remove(&j);
+            self.recorded_done.remove(&j);
             self.names.jobs.release(j);
         }
         freed
@@ -612,7 +623,7 @@
 
     /// Everything counts as changed: a new life looks at all of it again.
     pub fn touch_all(&mut self) {
-        self.touched.blocks.extend(self.blocks.keys());
+        self.changes.blocks.extend(self.blocks.keys());
     }
 
     /// Dense bound on machine indices.
@@ -621,8 +632,8 @@
     }
 
     /// Machines in a stable order.
-    pub fn machines_sorted(&self) -> Vec<MachineIx> {
-        let mut all: Vec<MachineIx> = self.machines.keys().copied().collect();
+    pub fn machines_sorted(&self) -> Vec<MachineId> {
+        let mut all: Vec<MachineId> = self.machines.keys().copied().collect();
         all.sort_by_key(|m| m.raw());
         all
     }
--- a/src/replica/blocks.rs
+++ b/src/replica/blocks.rs
@@ -1,35 +1,35 @@
 //! Blocks of the replica: their machines and queues, what they list as done, and the values that their
 //! keys are to have.
 
-use super::{Block, BlockId, Entry, Machine, TaskIx, View};
+use super::{Binding, Block, BlockId, Machine, Replica, TaskId};
 use crate::collections::HashMap;
-use crate::names::{FrameIx, JobIx, MachineIx, ZoneIx};
+use crate::names::{JobId, MachineId, MachineTypeId, ZoneId};
 use crate::protocol::JobStatus;
 use crate::ranges::RangeSet;
-use crate::records::{BlockRecord, Listing, MachineRecord};
+use crate::records::{BlockRecord, MachineRecord, StoredBinding};
 use std::collections::BTreeMap;
 
 /// A block's content while a change of it is put together.
 #[derive(Debug, Clone, Default)]
-pub struct Draft {
+pub struct BlockEdit {
     /// Its machines.
-    pub machines: BTreeMap<MachineIx, Machine>,
+    pub machines: BTreeMap<MachineId, Machine>,
     /// Tasks done on them.
-    pub done: Vec<(JobIx, RangeSet)>,
+    pub done: Vec<(JobId, RangeSet)>,
 }
 
-impl Draft {
+impl BlockEdit {
     /// Notes that a task was done here.
-    pub fn note_done(&mut self, task: TaskIx) {
-        self.done_of(task.job).insert(task.leg);
+    pub fn note_done(&mut self, task: TaskId) {
+        self.done_of(task.job).insert(task.number);
     }
 
     /// Notes that these tasks of a job were done here.
-    pub fn absorb_done(&mut self, job: JobIx, tasks: &RangeSet) {
+    pub fn absorb_done(&mut self, job: JobId, tasks: &RangeSet) {
         self.done_of(job).union(tasks);
     }
 
-    fn done_of(&mut self, job: JobIx) -> &mut RangeSet {
+    fn done_of(&mut self, job: JobId) -> &mut RangeSet {
         let at = match self.done.iter().position(|d| d.0 == job) {
             Some(at) => at,
             None => {
@@ -41,59 +41,71 @@
     }
 }
 
-impl View {
-    pub(super) fn put_block(&mut self, id: BlockId, record: BlockRecord, bytes: usize, stamp: u64) {
+impl Replica {
+    pub(super) fn put_block(
+        &mut self,
+        id: BlockId,
+        record: BlockRecord,
+        bytes: usize,
+        mod_revision: u64,
+    ) {
         let before = self.blocks.remove(&id);
-        let jobs: Vec<JobIx> = record
+        let jobs: Vec<JobId> = record
             .jobs
             .iter()
             .map(|j| self.names.jobs.intern(j))
             .collect();
-        let kinds: Vec<(FrameIx, ZoneIx, bool)> = record
+        let kinds: Vec<(MachineTypeId, ZoneId, bool)> = record
             .kinds
             .iter()
-            .map(|(f, z, s)| (self.names.frames.intern(f), self.names.zones.intern(z), *s))
+            .map(|(f, z, s)| {
+                (
+                    self.names.machine_types.intern(f),
+                    self.names.zones.intern(z),
+                    *s,
+                )
+            })
             .collect();
         let mut machines = Vec::with_capacity(record.machines.len());
         for (name, m) in record.machines {
-            let ix = self.names.machines.intern(&name);
-            machines.push(ix);
-            let Some(&(frame, zone, spot)) = kinds.get(m.kind) else {
-                tracing::error!(block = id.0, rig = name, "a machine of no kind");
+            let job_id = self.names.machines.intern(&name);
+            machines.push(job_id);
+            let Some(&(machine_type, zone, spot)) = kinds.get(m.kind) else {
+                tracing::error!(block = id.0, machine = name, "a machine of no kind");
                 continue;
             };
             let machine = Machine {
                 block: id,
-                frame,
+                machine_type,
                 zone,
                 spot,
                 leaving: m.leaving,
                 queue: ungroup(&m.queue, record.first_attempt, &jobs),
                 evict: ungroup(&m.evicted, record.first_attempt, &jobs),
             };
-            self.put_machine(ix, Some(machine));
+            self.put_machine(job_id, Some(machine));
         }
-        let done: Vec<(JobIx, RangeSet)> = record
+        let done: Vec<(JobId, RangeSet)> = record
             .done
             .into_iter()
             .filter_map(|(j, tasks)| Some((*jobs.get(j)?, tasks)))
             .collect();
         for (job, tasks) in &done {
-            let noted = self.noted.entry(*job).or_default();
-            noted.blocks += 1;
-            noted.done.union(tasks);
+            let recorded_done = self.recorded_done.entry(*job).or_default();
+            recorded_done.blocks += 1;
+            recorded_done.done.union(tasks);
             if let Some(known) = self.jobs.get_mut(job) {
                 known.done.union(tasks);
                 self.note_progress(*job);
             }
         }
         if let Some(before) = before {
-            let there: crate::collections::HashSet<MachineIx> = machines.iter().copied().collect();
+            let there: crate::collections::HashSet<MachineId> = machines.iter().copied().collect();
             self.drop_block(before, |m| there.contains(&m), id);
         }
-        self.touched.blocks.insert(id);
+        self.changes.blocks.insert(id);
         let block = Block {
-            stamp,
+            mod_revision,
             machines,
             done,
             bytes,
@@ -105,55 +117,60 @@
     pub(super) fn drop_block(
         &mut self,
         before: Block,
-        stays: impl Fn(MachineIx) -> bool,
+        stays: impl Fn(MachineId) -> bool,
         id: BlockId,
     ) {
-        for ix in before.machines {
-            if !stays(ix) && self.machines.get(&ix).is_some_and(|m| m.block == id) {
-                self.put_machine(ix, None);
+        for machine_id in before.machines {
+            if !stays(machine_id)
+                && self
+                    .machines
+                    .get(&machine_id)
+                    .is_some_and(|m| m.block == id)
+            {
+                self.put_machine(machine_id, None);
             }
         }
         for (job, _) in before.done {
             // What was done stays done: only the number of those who say so changes.
-            if let Some(noted) = self.noted.get_mut(&job) {
-                noted.blocks = noted.blocks.saturating_sub(1);
+            if let Some(recorded_done) = self.recorded_done.get_mut(&job) {
+                recorded_done.blocks = recorded_done.blocks.saturating_sub(1);
             }
         }
     }
 
     /// Puts a machine in, or takes it out, and keeps count of what queues list.
-    pub(super) fn put_machine(&mut self, ix: MachineIx, machine: Option<Machine>) {
+    pub(super) fn put_machine(&mut self, machine_id: MachineId, machine: Option<Machine>) {
         let before = match machine {
             Some(machine) => {
                 if self
                     .machines
-                    .get(&ix)
+                    .get(&machine_id)
                     .is_none_or(|m| m.queue != machine.queue)
                 {
                     for e in &machine.queue {
-                        let legs = self.bound.entry(e.task.job).or_default();
-                        *legs.entry(e.task.leg).or_default() += 1;
+                        let tasks = self.bound.entry(e.task.job).or_default();
+                        *tasks.entry(e.task.number).or_default() += 1;
                     }
-                    self.machines.insert(ix, machine)
+                    self.machines.insert(machine_id, machine)
                 } else {
-                    self.machines.insert(ix, machine);
+                    self.machines.insert(machine_id, machine);
                     None
                 }
             }
             None => {
-                self.touched.machines.push(ix);
-                self.machines.remove(&ix)
+                self.changes.machines.push(machine_id);
+                self.machines.remove(&machine_id)
             }
         };
         for e in before.map(|m| m.queue).unwrap_or_default() {
-            if let Some(legs) = self.bound.get_mut(&e.task.job) {
-                if let Some(n) = legs.get_mut(&e.task.leg) {
+            if let Some(tasks) = self.bound.get_mut(&e.task.job) {
+                if let Some(n) = tasks.get_mut(&e.task.number) {
                     *n -= 1;
                     if *n == 0 {
-                        legs.remove(&e.task.leg);
+                        tasks.remove(&e.task.number);
                     }
                 }
-                if legs.is_empty() {
+                if tasks.is_empty() {
                     self.bound.remove(&e.task.job);
                 }
             }
@@ -161,15 +178,17 @@
     }
 
     /// A block's content, to be changed and written; empty for a new block.
-    pub fn draft(&self, id: BlockId) -> Draft {
+    pub fn edit(&self, id: BlockId) -> BlockEdit {
         let Some(block) = self.blocks.get(&id) else {
-            return Draft::default();
+            return BlockEdit::default();
         };
-        Draft {
+        BlockEdit {
             machines: block
                 .machines
                 .iter()
-                .filter_map(|ix| Some((*ix, self.machines.get(ix)?.clone())))
+                .filter_map(|machine_id| {
+                    Some((*machine_id, self.machines.get(machine_id)?.clone()))
+                })
                 .collect(),
             done: block.done.clone(),
         }
@@ -177,30 +196,30 @@
 
     /// The value that a block's key is to have. What the jobs' own keys show already, or need no
     /// more, is left out.
-    pub fn seal(&self, draft: &Draft) -> BlockRecord {
+    pub fn seal(&self, edit: &BlockEdit) -> BlockRecord {
         let mut record = BlockRecord {
             encoding: self.encoding(),
             ..BlockRecord::default()
         };
         let mut jobs = Table::default();
         let mut kinds = Table::default();
-        let queues = || draft.machines.values().flat_map(|m| &m.queue);
+        let queues = || edit.machines.values().flat_map(|m| &m.queue);
         record.first_attempt = queues().map(|e| e.attempt).min().unwrap_or(0);
         // A job is pending until its key says otherwise, and gone once it is archived: by then
         // nobody asks for its tasks any more. Both last for ever.
-        let done: Vec<(JobIx, RangeSet)> = draft
+        let done: Vec<(JobId, RangeSet)> = edit
             .done
             .iter()
-            .filter_map(|(ix, tasks)| {
-                let job = self.jobs.get(ix)?;
+            .filter_map(|(job_id, tasks)| {
+                let job = self.jobs.get(job_id)?;
                 let mut open = tasks.clone();
                 open.subtract(&job.stored);
                 let needed = job.status == JobStatus::Pending && !open.is_empty();
-                needed.then_some((*ix, open))
+                needed.then_some((*job_id, open))
             })
             .collect();
         // In the order of their names, which then have most in common with the one before.
-        let mut listed: Vec<JobIx> = queues().map(|e| e.task.job).collect();
+        let mut listed: Vec<JobId> = queues().map(|e| e.task.job).collect();
         listed.extend(done.iter().map(|d| d.0));
         listed.sort_unstable();
         listed.dedup();
@@ -208,18 +227,18 @@
         for job in listed {
             jobs.place(job);
         }
-        for (&ix, m) in &draft.machines {
+        for (&job_id, m) in &edit.machines {
             let mut listed = m.evict.clone();
             listed.retain(|e| m.queue.contains(e));
             let stored = MachineRecord {
-                kind: kinds.place((m.frame, m.zone, m.spot)),
+                kind: kinds.place((m.machine_type, m.zone, m.spot)),
                 leaving: m.leaving,
                 queue: group(&m.queue, record.first_attempt, &mut jobs),
                 evicted: group(&listed, record.first_attempt, &mut jobs),
             };
             record
                 .machines
-                .insert(self.names.machines.name(ix).to_owned(), stored);
+                .insert(self.names.machines.name(job_id).to_owned(), stored);
         }
         let done = done.into_iter().map(|(j, tasks)| (jobs.place(j), tasks));
         record.done = done.collect();
@@ -227,7 +246,7 @@
         record.jobs = jobs.keys(|&j| names.jobs.name(j).to_owned());
         record.kinds = kinds.keys(|&(f, z, s)| {
             (
-                names.frames.name(f).to_owned(),
+                names.machine_types.name(f).to_owned(),
                 names.zones.name(z).to_owned(),
                 s,
             )
@@ -265,8 +284,8 @@
 }
 
 /// Entries as they are stored: runs of tasks by job and attempt.
-fn group(entries: &[Entry], base: u64, jobs: &mut Table<JobIx>) -> Vec<Listing> {
-    let mut q: Vec<Listing> = Vec::new();
+fn group(entries: &[Binding], base: u64, jobs: &mut Table<JobId>) -> Vec<StoredBinding> {
+    let mut q: Vec<StoredBinding> = Vec::new();
     for e in entries {
         let job = jobs.place(e.task.job);
         let attempt = e.attempt.saturating_sub(base);
@@ -278,17 +297,17 @@
                 &mut q[last]
             }
         };
-        part.1.insert(e.task.leg);
+        part.1.insert(e.task.number);
     }
     q
 }
 
-fn ungroup(listed: &[Listing], base: u64, jobs: &[JobIx]) -> Vec<Entry> {
+fn ungroup(listed: &[StoredBinding], base: u64, jobs: &[JobId]) -> Vec<Binding> {
     let mut entries = Vec::new();
-    for (job, legs, attempt) in listed {
+    for (job, tasks, attempt) in listed {
         let Some(&job) = jobs.get(*job) else { continue };
-        entries.extend(legs.iter().map(|leg| Entry {
-            task: TaskIx { job, leg },
+        entries.extend(tasks.iter().map(|number| Binding {
+            task: TaskId { job, number },
             attempt: base.saturating_add(*attempt),
         }));
     }
