--- a/src/replica/job.rs
+++ b/src/replica/job.rs
@@ -1,6 +1,6 @@
 //! A job as the replica shows it.
 
-use crate::names::{ClassIx, FrameIx, ImageIx, TeamIx, ZoneIx};
+use crate::names::{ClassId, ImageId, MachineTypeId, TeamId, ZoneId};
 use crate::protocol::{JobSpec, JobStatus};
 use crate::ranges::RangeSet;
 use crate::ranges::bitmap;
@@ -14,19 +14,19 @@
 #[derive(Debug, Clone)]
 pub struct Job {
     /// Revision of its key.
-    pub stamp: u64,
+    pub mod_revision: u64,
     /// Specification.
     pub spec: Arc<JobSpec>,
     /// Team.
-    pub team: TeamIx,
+    pub team: TeamId,
     /// Class.
-    pub class: ClassIx,
+    pub class: ClassId,
     /// Image.
-    pub image: ImageIx,
+    pub image: ImageId,
     /// Allowed types.
-    pub frames: Option<Vec<FrameIx>>,
+    pub machine_types: Option<Vec<MachineTypeId>>,
     /// The only zone.
-    pub zone: Option<ZoneIx>,
+    pub zone: Option<ZoneId>,
     /// State.
     pub status: JobStatus,
     /// Tasks done, as the job's key or any block shows them.
@@ -52,12 +52,12 @@
     /// to 202 at a time in values of 4 KiB, and a giant one to 30 a second.
     pub fn most_open(&self, value_bytes: usize) -> usize {
         let room = value_bytes.saturating_sub(self.bytes);
-        let legs = self.spec.legs as usize;
-        let digits = self.spec.legs.max(1).ilog10() as usize + 1;
+        let task_count = self.spec.task_count as usize;
+        let digits = self.spec.task_count.max(1).ilog10() as usize + 1;
         let range = 2 * digits + 2;
         // Two done, one open, and so on to the end, is the longest text that a job can have.
-        match range * legs.div_ceil(3) <= room {
-            true => legs,
+        match range * task_count.div_ceil(3) <= room {
+            true => task_count,
             // One range more than there are gaps.
             false => (room / range).saturating_sub(1).max(LEAST_OPEN),
         }
@@ -69,7 +69,7 @@
     /// Tasks are bound in the order of their numbers, so a bitmap has to reach from the first one that
     /// is not done to the highest that is open.
     pub fn open_end(&self, value_bytes: usize, encoding: Encoding) -> u32 {
-        let tasks = self.spec.legs;
+        let tasks = self.spec.task_count;
         match encoding {
             Encoding::Compatible => tasks,
             Encoding::Dense => {
@@ -92,7 +92,7 @@
         // Open tasks below the highest bound one are what fragments the done ranges.
         let open = (taken.len() - self.done.len()) as usize + taken.fragments();
         let most_open = self.most_open(value_bytes);
-        let bounded = encoding == Encoding::Compatible && most_open < self.spec.legs as usize;
+        let bounded = encoding == Encoding::Compatible && most_open < self.spec.task_count as usize;
         let most = match bounded {
             true => most_open.saturating_sub(open),
             false => usize::MAX,
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -8,16 +8,16 @@
 /// The value of a job of which every third task is open, up to so many open ones.
 fn longest(job: &Job, open: usize) -> usize {
     let mut done = RangeSet::new();
-    let last = job.spec.legs as usize;
+    let last = job.spec.task_count as usize;
     // The highest tasks have the longest numbers.
     let first = last.saturating_sub(3 * open);
     done.insert_range(0, first as u32);
     for gap in (first..last).step_by(3) {
-        done.insert_range(gap as u32 + 1, (gap as u32 + 3).min(job.spec.legs));
+        done.insert_range(gap as u32 + 1, (gap as u32 + 3).min(job.spec.task_count));
     }
     let encoding = Encoding::Compatible;
     let tasks = done;
-    Json::of(&job.record(DoneTasks { tasks, encoding }, JobStatus::Withdrawn)).size()
+    Json::of(&job.record(DoneTasks { tasks, encoding }, JobStatus::Cancelled)).size()
 }
 
 /// The value of a job of which every other task is done up to the last one that may be open, from
@@ -29,7 +29,7 @@
     for task in (first + 1..job.open_end(value_bytes, encoding)).step_by(2) {
         tasks.insert(task);
     }
-    Json::of(&job.record(DoneTasks { tasks, encoding }, JobStatus::Withdrawn)).size()
+    Json::of(&job.record(DoneTasks { tasks, encoding }, JobStatus::Cancelled)).size()
 }
 
 #[test]
@@ -38,20 +38,20 @@
         panic!("good")
     };
     for value_bytes in [1400, 4032, 32_704] {
-        for legs in [
+        for task_count in [
             1, 2, 64, 99, 100, 350, 700, 1000, 1350, 5000, 20_000, 100_000,
         ] {
             let mut spec = good.spec.clone();
-            spec.legs = legs;
+            spec.task_count = task_count;
             let job = job_of(spec);
             let open = job.most_open(value_bytes);
             let size = longest(&job, open);
             assert!(
                 size <= value_bytes,
-                "{legs} tasks, {open} open: {size} bytes"
+                "{task_count} tasks, {open} open: {size} bytes"
             );
-            assert!(open >= 16.min(legs as usize));
-            for done in [0, legs / 3, legs.saturating_sub(10)] {
+            assert!(open >= 16.min(task_count as usize));
+            for done in [0, task_count / 3, task_count.saturating_sub(10)] {
                 let done = RangeSet::all(done);
                 let job = Job {
                     done,
@@ -60,34 +60,34 @@
                 let size = longest_bitmap(&job, value_bytes);
                 assert!(
                     size <= value_bytes,
-                    "{legs} tasks as a bitmap: {size} bytes"
+                    "{task_count} tasks as a bitmap: {size} bytes"
                 );
             }
         }
     }
     // What held large jobs back: 202 at a time in 4 KiB.
     let mut spec = good.spec.clone();
-    spec.legs = 700;
+    spec.task_count = 700;
     assert_eq!(job_of(spec.clone()).most_open(4032), 700);
     // And 203 of 900 in 2 KiB, as ranges.
-    spec.legs = 900;
+    spec.task_count = 900;
     let job = job_of(spec.clone());
     assert!(job.most_open(1984) < 250);
     assert_eq!(job.open_end(1984, Encoding::Dense), 900);
-    spec.legs = 20_000;
+    spec.task_count = 20_000;
     let job = job_of(spec);
     assert!(job.most_open(4032) > 280);
     assert!(job.open_end(4032, Encoding::Dense) > 15_000);
 }
 
 /// A transaction that writes a key.
-fn put(key: &str, value: &serde_json::Value) -> Txn {
-    Txn {
-        guards: Vec::new(),
-        then: vec![Change::Put {
-            put: key.to_owned(),
-            v: Json::of(value),
-            permit: None,
+fn put(key: &str, value: &serde_json::Value) -> Transaction {
+    Transaction {
+        preconditions: Vec::new(),
+        mutations: vec![Mutation::Put {
+            key: key.to_owned(),
+            value: Json::of(value),
+            lease_id: None,
         }],
     }
 }
@@ -95,23 +95,29 @@
 #[test]
 fn a_full_read_undoes_nothing_that_was_written_here_after_it_began() {
     // It would have shown a task as unbound that this controller had just bound.
-    let mut view = View::default();
+    let mut replica = Replica::default();
     let (lead, grant) = (LEAD.to_owned(), grant_key(BlockId(0)));
-    let owner = |boot: u64| serde_json::json!({ "h": "n0", "b": boot });
-    view.load(Vec::new(), 3);
-    view.apply_own(&put(&lead, &owner(1)), 9);
-    view.apply_own(&put(&grant, &owner(1)), 10);
-    let item = Item {
-        k: lead.clone(),
-        v: Json::of(&owner(7)),
-        stamp: 5,
+    let owner = |incarnation: u64| serde_json::json!({ "h": "n0", "b": incarnation });
+    replica.load(Vec::new(), 3);
+    replica.apply_own(&put(&lead, &owner(1)), 9);
+    replica.apply_own(&put(&grant, &owner(1)), 10);
+    let item = KeyValue {
+        key: lead.clone(),
+        value: Json::of(&owner(7)),
+        mod_revision: 5,
     };
-    view.load(vec![item], 6);
-    assert_eq!((view.stamp(&lead), view.stamp(&grant)), (9, 10));
-    assert_eq!(view.lead.map(|l| l.boot), Some(Boot(1)));
+    replica.load(vec![item], 6);
+    assert_eq!(
+        (replica.mod_revision(&lead), replica.mod_revision(&grant)),
+        (9, 10)
+    );
+    assert_eq!(replica.leader.map(|l| l.incarnation), Some(Incarnation(1)));
     // What the read shows to be gone, and was not written since, is dropped all the same.
-    view.load(Vec::new(), 12);
-    assert_eq!((view.stamp(&lead), view.stamp(&grant)), (0, 0));
+    replica.load(Vec::new(), 12);
+    assert_eq!(
+        (replica.mod_revision(&lead), replica.mod_revision(&grant)),
+        (0, 0)
+    );
 }
 
 #[test]
@@ -120,7 +126,7 @@
         panic!("good")
     };
     let mut spec = good.spec;
-    spec.legs = 900;
+    spec.task_count = 900;
     let job = job_of(spec);
     let mut scattered = RangeSet::new();
     for task in (1..900).step_by(2) {
@@ -128,17 +134,17 @@
     }
     let kind = ("small".to_owned(), "north".to_owned(), true);
     for (format, dense) in [(None, false), (Some(2), false), (Some(3), true)] {
-        let mut view = View::default();
+        let mut replica = Replica::default();
         if let Some(format) = format {
             let written = put(FORMAT, &serde_json::json!({ "v": format }));
-            view.apply_own(&written, 7);
+            replica.apply_own(&written, 7);
         }
-        let record = job.record(view.done_tasks(scattered.clone()), JobStatus::Pending);
+        let record = job.record(replica.done_tasks(scattered.clone()), JobStatus::Pending);
         let text = serde_json::to_string(&record).expect("json");
         assert_eq!(text.contains("\"d\":\"b0:"), dense, "{text}");
         let block = BlockRecord {
             kinds: vec![kind.clone()],
-            encoding: view.encoding(),
+            encoding: replica.encoding(),
             ..BlockRecord::default()
         };
         let text = serde_json::to_string(&block).expect("json");
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -1,11 +1,13 @@
 //! Actors that do the input and output around [`Core`].
 
-use crate::clock::{Clock, Ms, SystemClock};
-use crate::controller::{Action, Core, Op, Outcome};
-use crate::http::{self, Door, Shared};
-use crate::jobs::Finals;
-use crate::protocol::{Catalog, ListedRig, PeerNews, Rental, RigList, Rigs, Txn};
-use crate::read_index::{self, Fresh};
+use crate::clock::{Clock, SystemClock, Timestamp};
+use crate::controller::{CommitOutcome, Controller, Effect, WriteKind};
+use crate::http::{self, ApiState, Shared};
+use crate::jobs::FinalStateCache;
+use crate::protocol::{
+    Catalog, CloudMachine, MachineNames, MachinePage, PeerMessage, RentRequest, Transaction,
+};
+use crate::read_index::{self, ReadIndex};
 use crate::replica::ROOT;
 use crate::settings::Settings;
 use crate::spillover::CellCall;
@@ -54,7 +56,7 @@
 }
 
 /// The actor that carries out what [`Core`] decides.
-struct Controller {
+struct ControllerActor {
     shared: Arc<Shared>,
     state: StateClient,
     http: Client,
@@ -66,9 +68,9 @@
 /// Asks the controller to look at what is due.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Kick;
+pub struct Wake;
 
-impl Actor for Controller {
+impl Actor for ControllerActor {
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Context<Self>) {
@@ -77,93 +79,96 @@
     }
 }
 
-impl Handler<Kick> for Controller {
+impl Handler<Wake> for ControllerActor {
     type Result = ();
 
-    fn handle(&mut self, _: Kick, ctx: &mut Context<Self>) {
+    fn handle(&mut self, _: Wake, ctx: &mut Context<Self>) {
         self.tick(ctx);
     }
 }
 
-impl Controller {
-    fn now(&self) -> Ms {
+impl ControllerActor {
+    fn now(&self) -> Timestamp {
         self.shared.now()
     }
 
     fn tick(&mut self, ctx: &mut Context<Self>) {
         let (now, day) = (self.now(), self.shared.clock.day_ms());
-        let actions = self.shared.core.lock().tick(now, day);
+        let actions = self.shared.controller.lock().tick(now, day);
         for action in actions {
             self.carry_out(action, ctx);
         }
     }
 
-    fn carry_out(&mut self, action: Action, ctx: &mut Context<Self>) {
+    fn carry_out(&mut self, action: Effect, ctx: &mut Context<Self>) {
         let state = self.state.clone();
         let sent = self.now();
         match action {
-            Action::NewLease { life_ms } => {
+            Effect::NewLease { life_ms } => {
                 let work = async move { state.lease(life_ms).await };
                 ctx.spawn(work.into_actor(self).map(move |a, act, ctx| {
                     let now = act.now();
                     {
-                        let mut core = act.shared.core.lock();
+                        let mut controller = act.shared.controller.lock();
                         match a {
-                            LeaseAnswer::Held(permit) => core.on_lease(permit, sent),
-                            _ => core.on_lease_failed(now),
+                            LeaseAnswer::Held(lease_id) => controller.on_lease(lease_id, sent),
+                            _ => controller.on_lease_failed(now),
                         }
                     }
                     act.tick(ctx);
                 }));
             }
-            Action::Renew { permit } => {
-                let work = async move { state.renew(permit).await };
+            Effect::Renew { lease_id } => {
+                let work = async move { state.renew(lease_id).await };
                 ctx.spawn(work.into_actor(self).map(move |a, act, _| {
                     let now = act.now();
-                    let mut core = act.shared.core.lock();
+                    let mut controller = act.shared.controller.lock();
                     match a {
-                        LeaseAnswer::Held(_) => core.on_renewed(permit, sent),
-                        LeaseAnswer::Gone => core.on_lease_gone(permit, now),
-                        LeaseAnswer::Failed => core.on_lease_failed(now),
+                        LeaseAnswer::Held(_) => controller.on_renewed(lease_id, sent),
+                        LeaseAnswer::Gone => controller.on_lease_gone(lease_id, now),
+                        LeaseAnswer::Failed => controller.on_lease_failed(now),
                     }
                 }));
             }
-            Action::Commit { op, txn } => self.commit(op, txn, ctx),
-            Action::Peer { host, news } => {
+            Effect::Commit {
+                write_kind,
+                transaction,
+            } => self.commit(write_kind, transaction, ctx),
+            Effect::Peer { host, message } => {
                 let name = self
                     .shared
-                    .core
+                    .controller
                     .lock()
-                    .view
+                    .replica
                     .names
                     .hosts
                     .name(host)
                     .to_owned();
-                self.tell_peer(name, *news, ctx);
+                self.tell_peer(name, *message, ctx);
             }
-            Action::Catalog => {
+            Effect::Catalog => {
                 let call =
                     get_json::<Catalog>(self.http.clone(), format!("{}/catalog", self.cloud));
                 ctx.spawn(call.into_actor(self).map(|a, act, _| {
                     if let Some(catalog) = a {
-                        act.shared.core.lock().on_catalog(catalog);
+                        act.shared.controller.lock().on_catalog(catalog);
                     }
                 }));
             }
-            Action::List => {
+            Effect::List => {
                 let call = list_machines(self.http.clone(), self.cloud.clone());
                 ctx.spawn(call.into_actor(self).map(|a, act, _| {
                     let now = act.now();
-                    act.shared.core.lock().on_list(a, now);
+                    act.shared.controller.lock().on_list(a, now);
                 }));
             }
-            Action::Archived(jobs) => {
+            Effect::Archived(jobs) => {
                 let work = async move { state.final_states(&jobs).await };
                 ctx.spawn(work.into_actor(self).map(|found, act, ctx| {
                     {
-                        let mut core = act.shared.core.lock();
+                        let mut controller = act.shared.controller.lock();
                         for (job, status) in &found {
-                            core.on_archived(job, *status);
+                            controller.on_archived(job, *status);
                         }
                     }
                     if !found.is_empty() {
@@ -171,44 +176,56 @@
                     }
                 }));
             }
-            Action::Cell(call) => self.ask_cell(*call, ctx),
-            Action::Rent(rental) => {
+            Effect::Cell(call) => self.ask_cell(*call, ctx),
+            Effect::Rent(rental) => {
                 let call = rent(self.http.clone(), self.cloud.clone(), rental.clone());
                 ctx.spawn(call.into_actor(self).map(move |(got, sure), act, ctx| {
                     let now = act.now();
-                    act.shared.core.lock().on_rented(&rental, got, sure, now);
+                    act.shared
+                        .controller
+                        .lock()
+                        .on_rented(&rental, got, sure, now);
                     act.tick(ctx);
                 }));
             }
-            Action::Return(rigs) => {
-                let body = Rigs { rigs: rigs.clone() };
+            Effect::Return(machines) => {
+                let body = MachineNames {
+                    machines: machines.clone(),
+                };
                 let url = format!("{}/machines/return", self.cloud);
                 let http = self.http.clone();
                 let call = async move { post_json(&http, url, &body).await };
                 ctx.spawn(call.into_actor(self).map(move |a, act, ctx| {
                     let now = act.now();
                     let ok = a.is_some_and(|(s, _)| s == StatusCode::OK);
-                    act.shared.core.lock().on_returned(&rigs, ok, now);
+                    act.shared.controller.lock().on_returned(&machines, ok, now);
                     act.tick(ctx);
                 }));
             }
         }
     }
 
-    fn commit(&mut self, op: Op, txn: Txn, ctx: &mut Context<Self>) {
+    fn commit(&mut self, write_kind: WriteKind, transaction: Transaction, ctx: &mut Context<Self>) {
         let state = self.state.clone();
-        let work = async move { state.commit(&txn, Duration::from_millis(1500)).await };
+        let work = async move {
+            state
+                .commit(&transaction, Duration::from_millis(1500))
+                .await
+        };
         ctx.spawn(work.into_actor(self).map(move |outcome, act, ctx| {
             let now = act.now();
-            act.shared.core.lock().on_commit(op, outcome, now);
+            act.shared
+                .controller
+                .lock()
+                .on_commit(write_kind, outcome, now);
             act.shared.wake();
-            if matches!(outcome, Outcome::Done(_)) {
+            if matches!(outcome, CommitOutcome::Done(_)) {
                 act.tick(ctx);
             }
         }));
     }
 
-    fn tell_peer(&mut self, name: String, news: PeerNews, ctx: &mut Context<Self>) {
+    fn tell_peer(&mut self, name: String, message: PeerMessage, ctx: &mut Context<Self>) {
         let Some(addr) = self.peers.get(&name) else {
             return;
         };
@@ -222,7 +239,7 @@
             }
             *n += 1;
         }
-        let Ok(body) = rmp_serde::to_vec_named(&news) else {
+        let Ok(body) = rmp_serde::to_vec_named(&message) else {
             return;
         };
         let call = self
@@ -233,21 +250,21 @@
         let work = async move {
             let mut answer = call.await.ok()?;
             let body = answer.body().limit(4 << 20).await.ok()?;
-            rmp_serde::from_slice::<PeerNews>(&body).ok()
+            rmp_serde::from_slice::<PeerMessage>(&body).ok()
         };
         ctx.spawn(work.into_actor(self).map(move |a, act, _| {
             if let Some(n) = busy.lock().get_mut(&name) {
                 *n = n.saturating_sub(1);
             }
-            if let Some(news) = a {
+            if let Some(message) = a {
                 let now = act.now();
-                act.shared.core.lock().on_peer(news, now);
+                act.shared.controller.lock().on_peer_message(message, now);
             }
         }));
     }
 }
 
-impl Controller {
+impl ControllerActor {
     fn ask_cell(&mut self, call: CellCall, ctx: &mut Context<Self>) {
         let sent = self.now();
         let request = rmp_serde::to_vec_named(&call.request).map(|body| {
@@ -262,8 +279,8 @@
         };
         ctx.spawn(work.into_actor(self).map(move |answer, act, _| {
             let now = act.now();
-            let mut core = act.shared.core.lock();
-            core.on_cell_answer(&call, answer, sent, now);
+            let mut controller = act.shared.controller.lock();
+            controller.on_cell_answer(&call, answer, sent, now);
         }));
     }
 }
@@ -295,10 +312,10 @@
 }
 
 /// Rents; the flag says whether the answer is certain.
-async fn rent(http: Client, cloud: String, rental: Rental) -> (Option<Vec<String>>, bool) {
+async fn rent(http: Client, cloud: String, rental: RentRequest) -> (Option<Vec<String>>, bool) {
     match post_json(&http, format!("{cloud}/machines"), &rental).await {
-        Some((StatusCode::OK, body)) => match serde_json::from_slice::<Rigs>(&body) {
-            Ok(r) => (Some(r.rigs), true),
+        Some((StatusCode::OK, body)) => match serde_json::from_slice::<MachineNames>(&body) {
+            Ok(r) => (Some(r.machines), true),
             Err(_) => (None, false),
         },
         Some((StatusCode::SERVICE_UNAVAILABLE, body))
@@ -310,7 +327,7 @@
             let text = String::from_utf8_lossy(&body).into_owned();
             error!(
                 text,
-                booking = rental.booking,
+                request_id = rental.request_id,
                 "the cloud calls a rental malformed"
             );
             (None, true)
@@ -319,14 +336,14 @@
     }
 }
 
-async fn list_machines(http: Client, cloud: String) -> Option<Vec<ListedRig>> {
-    let mut all: Vec<ListedRig> = Vec::new();
+async fn list_machines(http: Client, cloud: String) -> Option<Vec<CloudMachine>> {
+    let mut all: Vec<CloudMachine> = Vec::new();
     loop {
         let after = all.last().map(|r| format!("after={}&", r.name));
         let url = format!("{cloud}/machines?{}limit=500", after.unwrap_or_default());
-        let page: RigList = get_json(http.clone(), url).await?;
-        let more = page.has_next && !page.rigs.is_empty();
-        all.extend(page.rigs);
+        let page: MachinePage = get_json(http.clone(), url).await?;
+        let more = page.has_next && !page.machines.is_empty();
+        all.extend(page.machines);
         if !more {
             return Some(all);
         }
@@ -337,7 +354,7 @@
 struct Watcher {
     shared: Arc<Shared>,
     state: StateClient,
-    controller: Addr<Controller>,
+    actor: Addr<ControllerActor>,
 }
 
 impl Actor for Watcher {
@@ -345,16 +362,16 @@
 
     fn started(&mut self, ctx: &mut Context<Self>) {
         let (shared, state) = (self.shared.clone(), self.state.clone());
-        let controller = self.controller.clone();
-        ctx.spawn(follow(shared, state, controller).into_actor(self));
+        let actor = self.actor.clone();
+        ctx.spawn(follow(shared, state, actor).into_actor(self));
     }
 }
 
-async fn follow(shared: Arc<Shared>, state: StateClient, controller: Addr<Controller>) {
+async fn follow(shared: Arc<Shared>, state: StateClient, actor: Addr<ControllerActor>) {
     let mut reread = true;
     let gap = {
-        let core = shared.core.lock();
-        let s = &core.settings.platform.settings;
+        let controller = shared.controller.lock();
+        let s = &controller.settings.platform.settings;
         let ms = s.count.max(1) as f64 * 1000.0 / (s.state.rps * WATCH_SHARE);
         Duration::from_millis((ms as u64).max(WATCH_GAP_MS))
     };
@@ -362,28 +379,31 @@
         let sent = shared.now();
         let problem = if reread {
             match state.list(ROOT).await {
-                Ok((items, ledger, upto)) => {
+                Ok((items, revision, upto)) => {
                     let now = shared.now();
-                    shared.core.lock().on_load(items, ledger, upto, sent, now);
-                    shared.fresh.reached(ledger);
+                    shared
+                        .controller
+                        .lock()
+                        .on_load(items, revision, upto, sent, now);
+                    shared.read_index.reached(revision);
                     reread = false;
-                    controller.do_send(Kick);
+                    actor.do_send(Wake);
                     None
                 }
                 Err(e) => Some(e),
             }
         } else {
-            let after = shared.core.lock().view.ledger;
+            let after = shared.controller.lock().replica.revision;
             match state.watch(ROOT, after, WATCH_MS).await {
                 Ok(list) => {
-                    let any = !list.news.is_empty();
+                    let any = !list.events.is_empty();
                     let now = shared.now();
-                    let ledger = list.ledger;
-                    shared.core.lock().on_news(list, sent, now);
+                    let revision = list.revision;
+                    shared.controller.lock().on_watch_response(list, sent, now);
                     shared.wake();
-                    shared.fresh.reached(ledger);
+                    shared.read_index.reached(revision);
                     if any {
-                        controller.do_send(Kick);
+                        actor.do_send(Wake);
                         actix_rt::time::sleep(gap).await;
                     }
                     None
@@ -441,7 +461,7 @@
             }
         };
         if open.get() >= most {
-            // Closed at once: the load balancer goes on to another controller.
+            // Closed at once: the load balancer goes on to another actor.
             continue;
         }
         let _ = stream.set_nodelay(true);
@@ -482,12 +502,12 @@
     let clock = SystemClock::default();
     // Random choices need to differ between lives, not to be secret.
     let seed = rand::rngs::SmallRng::from_os_rng().random::<u64>() ^ clock.day_ms().rotate_left(20);
-    let core = Core::new(settings.clone(), seed);
+    let controller = Controller::new(settings.clone(), seed);
     let shared = Arc::new(Shared {
         waiting: Mutex::default(),
-        core: Mutex::new(core),
-        finals: Mutex::new(Finals::default()),
-        fresh: Fresh::default(),
+        controller: Mutex::new(controller),
+        finals: Mutex::new(FinalStateCache::default()),
+        read_index: ReadIndex::default(),
         clock: Box::new(clock),
         latency: Mutex::new(
             hdrhistogram::Histogram::new_with_bounds(1, 60_000_000, 2)
@@ -503,12 +523,12 @@
         .finish();
     let external = &settings.platform.external;
     let state = StateClient::new(http.clone(), &external.state);
-    let door = Door {
+    let api_state = ApiState {
         shared: shared.clone(),
         state: state.clone(),
         pause: read_index::pause(&settings),
     };
-    let controller = Controller {
+    let actor = ControllerActor {
         shared: shared.clone(),
         state: state.clone(),
         http,
@@ -525,7 +545,7 @@
     Watcher {
         shared,
         state,
-        controller,
+        actor,
     }
     .start();
     info!(
@@ -536,11 +556,16 @@
     );
     let open = Rc::new(Cell::new(0));
     let most = settings.connections();
-    let behind = serve(back, http::back(door.clone()), 1000, Rc::new(Cell::new(0)));
+    let behind = serve(
+        back,
+        http::back(api_state.clone()),
+        1000,
+        Rc::new(Cell::new(0)),
+    );
     actix_rt::spawn(async move {
         if let Err(e) = behind.await {
             error!(error = %e, "the address behind is not served");
         }
     });
-    serve(public, http::public(door), most, open).await
+    serve(public, http::public(api_state), most, open).await
 }
--- a/src/scaling.rs
+++ b/src/scaling.rs
@@ -1,17 +1,17 @@
 //! Renting and returning: how many machines of which kind. Pure.
 
-use crate::names::{FrameIx, Index, MachineIx, ZoneIx};
+use crate::names::{Index, MachineId, MachineTypeId, ZoneId};
 use crate::placement::{Needs, Room};
 
 /// A type that can be rented.
 #[derive(Debug, Clone)]
 pub struct Offer {
     /// Type.
-    pub frame: FrameIx,
+    pub machine_type: MachineTypeId,
     /// Size.
     pub size: Room,
     /// Zones.
-    pub zones: Vec<ZoneIx>,
+    pub zones: Vec<ZoneId>,
     /// Price of an ordinary machine.
     pub price: f64,
     /// Price of a spot machine.
@@ -35,11 +35,11 @@
 #[derive(Debug, Clone)]
 pub struct Rented {
     /// Name.
-    pub machine: MachineIx,
+    pub machine: MachineId,
     /// Type.
-    pub frame: FrameIx,
+    pub machine_type: MachineTypeId,
     /// Zone.
-    pub zone: ZoneIx,
+    pub zone: ZoneId,
     /// Spot.
     pub spot: bool,
     /// Size.
@@ -61,11 +61,11 @@
 
 /// A request to make.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Order {
+pub struct Command {
     /// Type.
-    pub frame: FrameIx,
+    pub machine_type: MachineTypeId,
     /// Zone.
-    pub zone: ZoneIx,
+    pub zone: ZoneId,
     /// Spot.
     pub spot: bool,
     /// How many.
@@ -123,9 +123,9 @@
     fleet: &[Rented],
     offers: &[Offer],
     rules: &Rules,
-    mut open: impl FnMut(FrameIx, ZoneIx, bool) -> bool,
-) -> Vec<Order> {
-    let mut out: Vec<Order> = Vec::new();
+    mut open: impl FnMut(MachineTypeId, ZoneId, bool) -> bool,
+) -> Vec<Command> {
+    let mut out: Vec<Command> = Vec::new();
     let mut count = fleet.len();
     // Kinds are asked in the order of what a CPU costs; a job that cannot use a kind leaves its
     // part of the demand to the next ones.
@@ -136,34 +136,34 @@
         .collect();
     kinds.sort_by(|a, b| a.0.total_cmp(&b.0));
     let cheapest = kinds.first().map_or(0.0, |k| k.0);
-    let mut extra: Vec<(FrameIx, ZoneIx, bool, Room, u32)> = Vec::new();
+    let mut extra: Vec<(MachineTypeId, ZoneId, bool, Room, u32)> = Vec::new();
     for (per_cpu, offer, spot) in kinds {
         let horizon_s = if per_cpu > cheapest * DEAR {
             rules.horizon_s * DEAR_HORIZONS
         } else {
             rules.horizon_s
         };
-        let zones: Vec<ZoneIx> = offer
+        let zones: Vec<ZoneId> = offer
             .zones
             .iter()
             .copied()
-            .filter(|&z| open(offer.frame, z, spot))
+            .filter(|&z| open(offer.machine_type, z, spot))
             .collect();
         for (i, &zone) in zones.iter().enumerate() {
             let usable: Vec<Demand> = demand
                 .iter()
-                .filter(|d| d.needs.suits(offer.frame, zone, spot, &offer.size))
+                .filter(|d| d.needs.suits(offer.machine_type, zone, spot, &offer.size))
                 .cloned()
                 .collect();
             let want = worth(&usable, horizon_s);
-            let useful = |frame, zone, spot, size: &Room| {
+            let useful = |machine_type, zone, spot, size: &Room| {
                 usable
                     .iter()
-                    .any(|d| d.needs.suits(frame, zone, spot, size))
+                    .any(|d| d.needs.suits(machine_type, zone, spot, size))
             };
             let mut have: f64 = fleet
                 .iter()
-                .filter(|m| useful(m.frame, m.zone, m.spot, &m.size))
+                .filter(|m| useful(m.machine_type, m.zone, m.spot, &m.size))
                 .map(|m| m.size.cpus)
                 .sum();
             have += extra
@@ -194,9 +194,9 @@
                 .min((rules.most.saturating_sub(count)) as u32);
             if number > 0 {
                 count += number as usize;
-                extra.push((offer.frame, zone, spot, offer.size, number));
-                out.push(Order {
-                    frame: offer.frame,
+                extra.push((offer.machine_type, zone, spot, offer.size, number));
+                out.push(Command {
+                    machine_type: offer.machine_type,
                     zone,
                     spot,
                     number,
@@ -209,7 +209,7 @@
         for d in demand.iter().filter(|d| d.tasks > 0.0) {
             let served = fleet
                 .iter()
-                .any(|m| d.needs.suits(m.frame, m.zone, m.spot, &m.size));
+                .any(|m| d.needs.suits(m.machine_type, m.zone, m.spot, &m.size));
             if served || count >= rules.most {
                 continue;
             }
@@ -217,12 +217,12 @@
                 .iter()
                 .flat_map(|o| o.zones.iter().map(move |&z| (o, z)))
                 .flat_map(|(o, z)| [(o.spot_price, o, z, true), (o.price, o, z, false)])
-                .filter(|&(_, o, z, s)| d.needs.suits(o.frame, z, s, &o.size))
-                .filter(|&(_, o, z, s)| open(o.frame, z, s))
+                .filter(|&(_, o, z, s)| d.needs.suits(o.machine_type, z, s, &o.size))
+                .filter(|&(_, o, z, s)| open(o.machine_type, z, s))
                 .min_by(|a, b| a.0.total_cmp(&b.0));
             if let Some((_, o, zone, spot)) = cheapest {
-                out.push(Order {
-                    frame: o.frame,
+                out.push(Command {
+                    machine_type: o.machine_type,
                     zone,
                     spot,
                     number: 1,
@@ -235,7 +235,7 @@
 }
 
 /// CPUs of the machines that are no spot machines, of the fleet and of what is asked for already.
-fn ordinary_cpus(fleet: &[Rented], extra: &[(FrameIx, ZoneIx, bool, Room, u32)]) -> f64 {
+fn ordinary_cpus(fleet: &[Rented], extra: &[(MachineTypeId, ZoneId, bool, Room, u32)]) -> f64 {
     let there = fleet.iter().filter(|m| !m.spot).map(|m| m.size.cpus);
     let asked = extra.iter().filter(|e| !e.2);
     let asked = asked.map(|e| e.3.cpus * f64::from(e.4));
@@ -243,7 +243,7 @@
 }
 
 /// Decides which idle machines go back: the dearest per CPU first, while what stays suffices.
-pub fn give_back(demand: &[Demand], fleet: &[Rented], rules: &Rules) -> Vec<MachineIx> {
+pub fn give_back(demand: &[Demand], fleet: &[Rented], rules: &Rules) -> Vec<MachineId> {
     let want = wanted(demand, rules);
     let mut have: f64 = fleet.iter().map(|m| m.size.cpus).sum();
     let want_lasting = wanted(&lasting_only(demand), rules);
@@ -262,11 +262,11 @@
     for m in idle {
         let needed = demand.iter().any(|d| {
             d.tasks > 0.0
-                && d.needs.suits(m.frame, m.zone, m.spot, &m.size)
+                && d.needs.suits(m.machine_type, m.zone, m.spot, &m.size)
                 && !fleet.iter().any(|o| {
                     o.machine != m.machine
                         && !out.contains(&o.machine)
-                        && d.needs.suits(o.frame, o.zone, o.spot, &o.size)
+                        && d.needs.suits(o.machine_type, o.zone, o.spot, &o.size)
                 })
         });
         let lasting = if m.spot { 0.0 } else { m.size.cpus };
@@ -285,7 +285,7 @@
 ///
 /// Dear machines are closed earlier: as soon as the cheap ones can do what is left within a
 /// horizon.
-pub fn close(demand: &[Demand], fleet: &[(Rented, f64)], rules: &Rules) -> Vec<MachineIx> {
+pub fn close(demand: &[Demand], fleet: &[(Rented, f64)], rules: &Rules) -> Vec<MachineId> {
     let mut order: Vec<&(Rented, f64)> = fleet.iter().collect();
     let part = |m: &(Rented, f64)| m.1 / m.0.size.cpus.max(1e-6);
     // Prices within a fifth count as equal: a warm and busy machine is worth more than that.
@@ -305,7 +305,7 @@
     let mut out = Vec::new();
     for (m, used) in order {
         let only = demand.iter().any(|d| {
-            let suits = |m: &Rented| d.needs.suits(m.frame, m.zone, m.spot, &m.size);
+            let suits = |m: &Rented| d.needs.suits(m.machine_type, m.zone, m.spot, &m.size);
             d.tasks > 0.0 && suits(m) && !kept.iter().any(|k| suits(k))
         });
         let dear = m.per_cpu() > cheapest * DEAR;
--- a/src/scaling/tests.rs
+++ b/src/scaling/tests.rs
@@ -10,15 +10,15 @@
     charge_s: 60.0,
 };
 
-fn offer(frame: u32, cpus: f64, price: f64) -> Offer {
+fn offer(machine_type: u32, cpus: f64, price: f64) -> Offer {
     Offer {
-        frame: FrameIx::from_raw(frame),
+        machine_type: MachineTypeId::from_raw(machine_type),
         size: Room {
             cpus,
             gpus: 0.0,
             ram: cpus * 4.0,
         },
-        zones: vec![ZoneIx::from_raw(0), ZoneIx::from_raw(1)],
+        zones: vec![ZoneId::from_raw(0), ZoneId::from_raw(1)],
         price,
         spot_price: price / 3.0,
         boot_s: 20.0,
@@ -35,9 +35,9 @@
 
 fn rented(machine: u32, cpus: f64, idle_s: Option<f64>, held_s: f64) -> Rented {
     Rented {
-        machine: MachineIx::from_raw(machine),
-        frame: FrameIx::from_raw(0),
-        zone: ZoneIx::from_raw(0),
+        machine: MachineId::from_raw(machine),
+        machine_type: MachineTypeId::from_raw(0),
+        zone: ZoneId::from_raw(0),
         spot: false,
         size: offer(0, cpus, 1.0).size,
         price: 1.0,
@@ -54,7 +54,7 @@
     });
     let asked: Vec<_> = orders
         .iter()
-        .map(|o| (o.frame.raw(), o.spot, o.number))
+        .map(|o| (o.machine_type.raw(), o.spot, o.number))
         .collect();
     assert_eq!(asked, [(0, true, 2), (0, true, 2)], "over both zones");
     let orders = rent(&[demand(16.0, 9000.0)], &[], &offers, &RULES, |_, z, s| {
@@ -77,7 +77,7 @@
 fn a_job_that_no_machine_suits_gets_one_even_if_it_is_small() {
     let offers = [offer(0, 4.0, 1.0), offer(1, 64.0, 20.0)];
     let mut d = demand(1.0, 10.0);
-    d.needs.frames = Some(vec![FrameIx::from_raw(1)]);
+    d.needs.machine_types = Some(vec![MachineTypeId::from_raw(1)]);
     let orders = rent(
         &[d],
         &[rented(0, 4.0, None, 0.0)],
@@ -85,7 +85,7 @@
         &RULES,
         |_, _, _| true,
     );
-    assert_eq!((orders[0].frame.raw(), orders[0].number), (1, 1));
+    assert_eq!((orders[0].machine_type.raw(), orders[0].number), (1, 1));
 }
 
 #[test]
@@ -97,7 +97,7 @@
         rented(3, 4.0, None, 100.0),
     ];
     let back = give_back(&[], &fleet, &RULES);
-    assert_eq!(back, [MachineIx::from_raw(0)]);
+    assert_eq!(back, [MachineId::from_raw(0)]);
     assert!(give_back(&[demand(16.0, 4000.0)], &fleet, &RULES).is_empty());
 }
 
@@ -111,11 +111,11 @@
         (rented(2, 4.0, None, 100.0), 3.0),
     ];
     let closed = close(&[demand(1.0, 50.0)], &fleet, &RULES);
-    assert_eq!(closed, [1, 0].map(MachineIx::from_raw));
+    assert_eq!(closed, [1, 0].map(MachineId::from_raw));
     assert!(close(&[demand(30.0, 5000.0)], &fleet, &RULES).is_empty());
     // Little work is left for its number of tasks: the dear machine is closed, no other.
     let closed = close(&[demand(30.0, 400.0)], &fleet, &RULES);
-    assert_eq!(closed, [MachineIx::from_raw(0)]);
+    assert_eq!(closed, [MachineId::from_raw(0)]);
 }
 
 /// Work that may not run on spot machines.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -551,7 +551,7 @@
 
     /// After this much time no earlier holder can still have authority over a machine, and the
     /// machine has dropped what such a holder gave it.
-    pub fn stranger_gone_ms(&self) -> u64 {
+    pub fn unfenced_gone_ms(&self) -> u64 {
         (self.block_lease_ms() as f64 * (1.0 + DRIFT)) as u64 + 250 + self.worker_gone_ms()
     }
 
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -53,7 +53,7 @@
         assert!(s.block_lease_ms() + slow(lease) + 1000 < cancel);
         // Who counts a worker's lease, or a stranger's and then the worker's, counts enough.
         assert!(s.worker_gone_ms() > slow(lease));
-        assert!(s.stranger_gone_ms() > slow(s.block_lease_ms()) + slow(lease));
+        assert!(s.unfenced_gone_ms() > slow(s.block_lease_ms()) + slow(lease));
         // An answer that waits reaches a worker before it gives up, and several reports fit
         // into its lease.
         assert!(s.answer_wait_ms() <= 3000);
--- a/src/spillover/borrowing.rs
+++ b/src/spillover/borrowing.rs
@@ -1,10 +1,10 @@
 //! The borrower's side: questions whether loans stand, and the end of those that do not.
 
-use super::{CellCall, Core};
-use crate::clock::Ms;
-use crate::controller::{Action, put};
-use crate::names::JobIx;
-use crate::protocol::{JobStatus, LegStatus, Report, Txn};
+use super::{CellCall, Controller};
+use crate::clock::Timestamp;
+use crate::controller::{Effect, put};
+use crate::names::JobId;
+use crate::protocol::{Heartbeat, JobStatus, TaskPhase, Transaction};
 use crate::replica::{Job, job_key};
 use quillbend_spillover::confirmation::Permission;
 use quillbend_spillover::message::{CellAnswer, LoanId, LoanReport, Progress, RequestBody};
@@ -16,22 +16,26 @@
 /// The same while nothing is borrowed, ms.
 const IDLE_RETRY_MS: u64 = 2500;
 
-impl Core {
+impl Controller {
     /// Takes note of the loans that the replica shows.
-    pub(super) fn note_borrowed(&mut self, now: Ms) {
-        for (ix, job) in self.view.transferred() {
+    pub(super) fn note_borrowed(&mut self, now: Timestamp) {
+        for (job_id, job) in self.replica.transferred() {
             let Some(mark) = job.borrowed() else { continue };
             let loan = LoanId {
-                job: self.view.names.jobs.name(ix).to_owned(),
+                job: self.replica.names.jobs.name(job_id).to_owned(),
                 token: mark.token,
             };
             self.spillover
                 .confirmations
                 .note(&loan, mark.lease_ms, now.0);
         }
-        let view = &self.view;
+        let replica = &self.replica;
         let is_borrowed = |name: &str| {
-            let job = view.names.jobs.get(name).and_then(|ix| view.jobs.get(&ix));
+            let job = replica
+                .names
+                .jobs
+                .get(name)
+                .and_then(|job_id| replica.jobs.get(&job_id));
             job.is_some_and(|job| job.borrowed().is_some())
         };
         self.spillover.confirmations.retain(is_borrowed);
@@ -39,7 +43,7 @@
 
     /// Asks each lender, and where that does not answer the other controllers of this cell, whether
     /// the loans stand.
-    pub(super) fn ask_confirmations(&mut self, now: Ms, out: &mut Vec<Action>) {
+    pub(super) fn ask_confirmations(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         let ask_ms = (self.spillover.settings.loan.ask_s * 1000.0) as u64;
         for cell in 0..self.spillover.cells.len() {
             let name = self.spillover.settings.cells[cell].name.clone();
@@ -66,7 +70,7 @@
                     origin: name.clone(),
                     loans: loans.clone(),
                 });
-                out.push(Action::Cell(Box::new(CellCall {
+                out.push(Effect::Cell(Box::new(CellCall {
                     address,
                     request,
                     cell,
@@ -77,17 +81,17 @@
     }
 
     /// What a lender is told of its loans.
-    fn reports_to(&self, lender: &str, now: Ms) -> Vec<LoanReport> {
-        let loans = self.view.transferred().filter_map(|(ix, job)| {
+    fn reports_to(&self, lender: &str, now: Timestamp) -> Vec<LoanReport> {
+        let loans = self.replica.transferred().filter_map(|(job_id, job)| {
             let mark = job.borrowed().filter(|mark| mark.cell == lender)?;
-            let name = self.view.names.jobs.name(ix);
+            let name = self.replica.names.jobs.name(job_id);
             Some(LoanReport {
                 loan: LoanId {
                     job: name.to_owned(),
                     token: mark.token,
                 },
                 confirmed: self.permission(job, name, now) == Permission::Run,
-                progress: self.progress(ix, job),
+                progress: self.progress(job_id, job),
             })
         });
         loans.collect()
@@ -96,11 +100,11 @@
     /// How far a loan is. That it was given up and that no queue lists any of its tasks is proof: each
     /// task left its queue on proof that it is on no machine, and none that is bound to a job which is
     /// over is ever started.
-    fn progress(&self, ix: JobIx, job: &Job) -> Progress {
-        let bound = self.view.bound_len(ix);
+    fn progress(&self, job_id: JobId, job: &Job) -> Progress {
+        let bound = self.replica.bound_len(job_id);
         match job.status {
             JobStatus::Done => Progress::Done,
-            JobStatus::Withdrawn if bound == 0 && job.stamp <= self.view.ledger => {
+            JobStatus::Cancelled if bound == 0 && job.mod_revision <= self.replica.revision => {
                 Progress::Returned {
                     done: job.done.ranges(),
                 }
@@ -118,8 +122,8 @@
         call: &CellCall,
         told: &[LoanReport],
         answer: Option<CellAnswer>,
-        sent: Ms,
-        now: Ms,
+        sent: Timestamp,
+        now: Timestamp,
     ) {
         let link = &mut self.spillover.cells[call.cell];
         let contact = match call.relayed {
@@ -137,22 +141,22 @@
         };
         contact.on_answer(sent.0);
         for standing in standings {
-            let told_end = !call.relayed
-                && told.iter().any(|report| {
-                    let over = !matches!(report.progress, Progress::Pending { .. });
-                    report.loan == standing.loan && over
+            let reported_end = !call.relayed
+                && told.iter().any(|heartbeat| {
+                    let over = !matches!(heartbeat.progress, Progress::Pending { .. });
+                    heartbeat.loan == standing.loan && over
                 });
             let confirmations = &mut self.spillover.confirmations;
-            confirmations.on_answer(&standing, sent.0, told_end);
+            confirmations.on_answer(&standing, sent.0, reported_end);
         }
     }
 
     /// Gives up loans of which the lender says that they stand no more. Their tasks are stopped then
     /// as those of any job that is over.
-    pub(crate) fn plan_ended_loans(&self) -> Option<Txn> {
+    pub(crate) fn plan_ended_loans(&self) -> Option<Transaction> {
         let mut batch = self.transfer_batch();
-        for (ix, job) in self.view.transferred() {
-            let name = self.view.names.jobs.name(ix);
+        for (job_id, job) in self.replica.transferred() {
+            let name = self.replica.names.jobs.name(job_id);
             let over = job.borrowed().is_some_and(|mark| {
                 let confirmations = &self.spillover.confirmations;
                 confirmations.is_over(name, mark.token)
@@ -160,11 +164,11 @@
             if !over || job.status != JobStatus::Pending {
                 continue;
             }
-            let done = self.view.done_tasks(job.done.clone());
-            let mut record = job.record(done, JobStatus::Withdrawn);
+            let done = self.replica.done_tasks(job.done.clone());
+            let mut record = job.record(done, JobStatus::Cancelled);
             record.shorten(self.settings.value_bytes());
             let key = job_key(name);
-            if !batch.add(self.guard(&key), put(&key, &record, None)) {
+            if !batch.add(self.precondition(&key), put(&key, &record, None)) {
                 break;
             }
         }
@@ -173,8 +177,8 @@
 
     /// Whether a job may leave the watched keys, as far as transfers go: its lender must have taken
     /// note of its end.
-    pub(crate) fn may_archive(&self, ix: JobIx, job: &Job) -> bool {
-        let name = self.view.names.jobs.name(ix);
+    pub(crate) fn may_archive(&self, job_id: JobId, job: &Job) -> bool {
+        let name = self.replica.names.jobs.name(job_id);
         job.borrowed().is_none_or(|mark| {
             let confirmations = &self.spillover.confirmations;
             confirmations.is_acknowledged(name, mark.token)
@@ -185,16 +189,16 @@
     ///
     /// Guards against a controller that has just begun: its answer would renew the worker's lease for
     /// tasks that may not go on, and a command to stop would end work that may.
-    pub(crate) fn must_wait_for_confirmation(&self, report: &Report, now: Ms) -> bool {
-        if self.view.transferred().next().is_none() {
+    pub(crate) fn must_wait_for_confirmation(&self, heartbeat: &Heartbeat, now: Timestamp) -> bool {
+        if self.replica.transferred().next().is_none() {
             return false;
         }
-        report.legs.iter().any(|leg| {
-            let task = self.view.names.task(&leg.leg);
-            let job = task.and_then(|task| Some((task.job, self.view.jobs.get(&task.job)?)));
-            leg.status != LegStatus::Ended
-                && job.is_some_and(|(ix, job)| {
-                    let name = self.view.names.jobs.name(ix);
+        heartbeat.tasks.iter().any(|reported| {
+            let task = self.replica.names.task(&reported.task);
+            let job = task.and_then(|task| Some((task.job, self.replica.jobs.get(&task.job)?)));
+            reported.status != TaskPhase::Ended
+                && job.is_some_and(|(job_id, job)| {
+                    let name = self.replica.names.jobs.name(job_id);
                     job.status == JobStatus::Pending
                         && self.permission(job, name, now) == Permission::Wait
                 })
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -1,11 +1,11 @@
 //! The lender's side: the leader lends jobs, offers them, calls them back and takes them back.
 
-use super::{Batch, CellCall, Core, LentLoan};
-use crate::clock::Ms;
-use crate::controller::writes::Payload;
-use crate::controller::{Action, put};
-use crate::names::JobIx;
-use crate::protocol::{Change, JobSpec, JobStatus, Txn};
+use super::{Batch, CellCall, Controller, LentLoan};
+use crate::clock::Timestamp;
+use crate::controller::writes::WriteIntent;
+use crate::controller::{Effect, put};
+use crate::names::JobId;
+use crate::protocol::{JobSpec, JobStatus, Mutation, Transaction};
 use crate::ranges::RangeSet;
 use crate::replica::{Job, job_key};
 use quillbend_spillover::message::{
@@ -24,23 +24,23 @@
 /// How long a job that came back is not offered to the same cell, ms.
 const BARRED_MS: u64 = 20_000;
 
-impl Core {
+impl Controller {
     /// Takes note of the loans that the replica shows.
-    pub(super) fn note_lent(&mut self, now: Ms) {
+    pub(super) fn note_lent(&mut self, now: Timestamp) {
         let mut shown = std::collections::BTreeSet::new();
-        for (ix, job) in self.view.transferred() {
+        for (job_id, job) in self.replica.transferred() {
             let Some(mark) = job.lent() else { continue };
             if job.status != JobStatus::Pending {
                 continue;
             }
             let id = LoanId {
-                job: self.view.names.jobs.name(ix).to_owned(),
+                job: self.replica.names.jobs.name(job_id).to_owned(),
                 token: mark.token,
             };
             shown.insert(id.job.clone());
-            let fresh = LentLoan {
+            let recent = LentLoan {
                 id: id.clone(),
-                noted: now,
+                recorded_done: now,
                 heard: None,
                 busy: None,
                 accepted: false,
@@ -52,9 +52,9 @@
                 .spillover
                 .lent
                 .entry(id.job.clone())
-                .or_insert_with(|| fresh.clone());
+                .or_insert_with(|| recent.clone());
             if loan.id.token != id.token {
-                *loan = fresh;
+                *loan = recent;
             }
             if mark.recalled {
                 loan.recalled.get_or_insert(now);
@@ -65,39 +65,42 @@
     }
 
     /// The next write about transfers, of the leader.
-    pub(crate) fn plan_transfers(&mut self, now: Ms) -> Option<(Txn, Payload)> {
-        if !self.spillover.is_on() && self.view.transferred().next().is_none() {
+    pub(crate) fn plan_transfers(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
+        if !self.spillover.is_on() && self.replica.transferred().next().is_none() {
             return None;
         }
         self.plan_homecomings(now)
             .or_else(|| self.plan_ended_loans())
             .or_else(|| self.plan_recalls(now))
-            .map(|txn| (txn, Payload::default()))
+            .map(|transaction| (transaction, WriteIntent::default()))
             .or_else(|| self.plan_loans(now))
     }
 
     /// Takes back loans that the borrower has refused on record, and those that were called back so
     /// long ago that nothing of them can be on any machine.
-    fn plan_homecomings(&mut self, now: Ms) -> Option<Txn> {
-        let home = |core: &Self, ix: JobIx, job: &Job| {
+    fn plan_homecomings(&mut self, now: Timestamp) -> Option<Transaction> {
+        let home = |controller: &Self, job_id: JobId, job: &Job| {
             let mark = job.lent()?;
-            let loan = core.spillover.lent.get(core.view.names.jobs.name(ix))?;
+            let loan = controller
+                .spillover
+                .lent
+                .get(controller.replica.names.jobs.name(job_id))?;
             let expired = loan
                 .recalled
                 .is_some_and(|at| now.since(at) > mark.terms.gone_after_ms());
             let due = job.status == JobStatus::Pending && (loan.refused || expired);
             due.then(|| (mark.cell.clone(), expired))
         };
-        let jobs = self.view.transferred();
-        let due = jobs.filter_map(|(ix, job)| Some((ix, home(self, ix, job)?)));
+        let jobs = self.replica.transferred();
+        let due = jobs.filter_map(|(job_id, job)| Some((job_id, home(self, job_id, job)?)));
         let due: Vec<_> = due.collect();
         let mut batch = self.transfer_batch();
-        for (ix, (cell, expired)) in due {
-            let name = self.view.names.jobs.name(ix).to_owned();
-            let Some(change) = self.homecoming(ix, &RangeSet::new()) else {
+        for (job_id, (cell, expired)) in due {
+            let name = self.replica.names.jobs.name(job_id).to_owned();
+            let Some(change) = self.homecoming(job_id, &RangeSet::new()) else {
                 continue;
             };
-            if !batch.add(self.guard(&job_key(&name)), change) {
+            if !batch.add(self.precondition(&job_key(&name)), change) {
                 break;
             }
             tracing::info!(job = name, cell, expired, "a loan comes home");
@@ -114,19 +117,23 @@
     }
 
     /// The write that makes a lent job an ordinary one again; these tasks were done elsewhere.
-    pub(super) fn homecoming(&self, ix: JobIx, done_there: &RangeSet) -> Option<Change> {
-        let job = self.view.jobs.get(&ix)?;
+    pub(super) fn homecoming(&self, job_id: JobId, done_there: &RangeSet) -> Option<Mutation> {
+        let job = self.replica.jobs.get(&job_id)?;
         let mut done = job.done.clone();
         done.union(done_there);
         let mut record = job.record(Default::default(), JobStatus::Pending);
-        record.bring_home(self.view.done_tasks(done));
-        let change = put(&job_key(self.view.names.jobs.name(ix)), &record, None);
+        record.bring_home(self.replica.done_tasks(done));
+        let change = put(
+            &job_key(self.replica.names.jobs.name(job_id)),
+            &record,
+            None,
+        );
         (change.value_bytes() <= self.settings.value_bytes()).then_some(change)
     }
 
     /// Calls back loans of which nothing is heard, that were declined, or that wait in vain while
     /// there is room at home.
-    fn plan_recalls(&mut self, now: Ms) -> Option<Txn> {
+    fn plan_recalls(&mut self, now: Timestamp) -> Option<Transaction> {
         let settings = &self.spillover.settings;
         let silent_ms = (settings.loan.silent_s * 1000.0) as u64;
         let mut room_cpus = match self.spillover.hysteresis.lends() {
@@ -134,11 +141,11 @@
             false => self.spillover.idle_cpus,
         };
         let mut batch = self.transfer_batch();
-        for (ix, job) in self.view.transferred() {
+        for (job_id, job) in self.replica.transferred() {
             let Some(mark) = job.lent().filter(|mark| !mark.recalled) else {
                 continue;
             };
-            let name = self.view.names.jobs.name(ix);
+            let name = self.replica.names.jobs.name(job_id);
             let Some(loan) = self.spillover.lent.get(name) else {
                 continue;
             };
@@ -146,51 +153,55 @@
                 continue;
             }
             let state = LoanState {
-                silent_ms: now.since(loan.heard.unwrap_or(loan.noted)),
+                silent_ms: now.since(loan.heard.unwrap_or(loan.recorded_done)),
                 heard: loan.heard.is_some(),
-                idle_ms: now.since(loan.busy.unwrap_or(loan.noted)),
+                idle_ms: now.since(loan.busy.unwrap_or(loan.recorded_done)),
             };
-            let cpus = f64::from(job.spec.legs) * job.spec.cpus;
+            let cpus = f64::from(job.spec.task_count) * job.spec.cpus;
             let has_room = cpus <= room_cpus;
             let why = policy::recall(&state, has_room, silent_ms, &settings.policy);
             if why.is_none() && !loan.declined {
                 continue;
             }
-            let done = self.view.done_tasks(job.stored.clone());
+            let done = self.replica.done_tasks(job.stored.clone());
             let mut record = job.record(done, JobStatus::Pending);
             if let Some(crate::records::Transfer::Lent(mark)) = record.transfer.as_deref_mut() {
                 mark.recalled = true;
             }
             let key = job_key(name);
-            if !batch.add(self.guard(&key), put(&key, &record, None)) {
+            if !batch.add(self.precondition(&key), put(&key, &record, None)) {
                 break;
             }
             tracing::info!(job = name, cell = mark.cell, ?why, "calling a loan back");
             room_cpus -= cpus;
         }
-        let txn = batch.finish();
-        let recalled = txn.as_ref().map_or(0, |txn| txn.then.len());
+        let transaction = batch.finish();
+        let recalled = transaction
+            .as_ref()
+            .map_or(0, |transaction| transaction.mutations.len());
         self.spillover.counters.recalled += recalled as u64;
-        txn
+        transaction
     }
 
     /// Whether a job may be lent: it is ordinary, nothing of it has begun or is about to, and no other
     /// job waits for it.
-    pub(super) fn is_lendable(&self, ix: JobIx, job: &Job) -> bool {
+    pub(super) fn is_lendable(&self, job_id: JobId, job: &Job) -> bool {
         job.status == JobStatus::Pending
             && job.transfer.is_none()
             && job.done.is_empty()
-            && job.stamp <= self.view.ledger
-            && !self.view.is_mentioned(ix)
-            && !self.is_over(ix, job)
-            && !self.view.is_unreadable(self.view.names.jobs.name(ix))
+            && job.mod_revision <= self.replica.revision
+            && !self.replica.is_mentioned(job_id)
+            && !self.is_over(job_id, job)
+            && !self
+                .replica
+                .is_unreadable(self.replica.names.jobs.name(job_id))
     }
 
     /// Lends jobs, if the cell is saturated and another one would begin them clearly earlier.
     ///
     /// Only the leader binds, so nothing of such a job can be bound but by its own writes, and those
     /// that are under way or may have been carried out are counted.
-    fn plan_loans(&mut self, now: Ms) -> Option<(Txn, Payload)> {
+    fn plan_loans(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
         let policy = self.spillover.settings.policy.clone();
         if !self.transfers_open() || !self.grace_over(now) || now < self.spillover.next_policy {
             return None;
@@ -213,15 +224,15 @@
             self.spillover.barred.contains_key(&key)
         };
         let choices = policy::choose(&jobs, &waits, &borrowers, &policy, barred);
-        let token = TransferToken(self.view.latest());
-        let (mut batch, mut payload) = (self.transfer_batch(), Payload::default());
+        let token = TransferToken(self.replica.latest());
+        let (mut batch, mut intent) = (self.transfer_batch(), WriteIntent::default());
         for choice in choices {
             let (job, borrower) = (&jobs[choice.position], &borrowers[choice.borrower]);
             let place = places[choice.borrower];
-            let Some((ix, change)) = self.loan_of(&job.name, place, token) else {
+            let Some((machine_id, change)) = self.loan_of(&job.name, place, token) else {
                 continue;
             };
-            if !batch.add(self.guard(&job_key(&job.name)), change) {
+            if !batch.add(self.precondition(&job_key(&job.name)), change) {
                 break;
             }
             let (wait_s, there_s) = (waits[choice.position], borrower.status.wait_s);
@@ -233,16 +244,16 @@
                 "lending"
             );
             self.spillover.cells[place].promised_cpus += job.cpus();
-            payload.lent.push(ix);
+            intent.lent.push(machine_id);
         }
-        self.spillover.counters.lent += payload.lent.len() as u64;
-        batch.finish().map(|txn| (txn, payload))
+        self.spillover.counters.lent += intent.lent.len() as u64;
+        batch.finish().map(|transaction| (transaction, intent))
     }
 
     /// The write that lends a job to the cell at a place in the settings.
-    fn loan_of(&self, name: &str, place: usize, token: TransferToken) -> Option<(JobIx, Change)> {
-        let ix = self.view.names.jobs.get(name)?;
-        let job = self.view.jobs.get(&ix)?;
+    fn loan_of(&self, name: &str, place: usize, token: TransferToken) -> Option<(JobId, Mutation)> {
+        let job_id = self.replica.names.jobs.get(name)?;
+        let job = self.replica.jobs.get(&job_id)?;
         let settings = &self.spillover.settings;
         let cell = &settings.cells[place];
         let mut record = job.record(Default::default(), JobStatus::Pending);
@@ -251,28 +262,28 @@
         // It must still fit when it is marked as called back.
         let spare = 16;
         let fits = change.value_bytes() + spare <= self.settings.value_bytes();
-        fits.then_some((ix, change))
+        fits.then_some((job_id, change))
     }
 
     /// The cells that told their status lately, with their places in the settings.
-    fn known_borrowers(&self, now: Ms) -> Vec<(usize, Borrower)> {
+    fn known_borrowers(&self, now: Timestamp) -> Vec<(usize, Borrower)> {
         let cells = self.spillover.cells.iter().enumerate();
         let known = cells.filter_map(|(place, link)| {
             let (status, at) = link.status.as_ref()?;
-            let fresh = now.since(*at) < STATUS_MS;
+            let recent = now.since(*at) < STATUS_MS;
             let borrower = Borrower {
                 cell: self.spillover.settings.cells[place].name.clone(),
                 status: status.clone(),
                 promised_cpus: link.promised_cpus,
             };
-            fresh.then_some((place, borrower))
+            recent.then_some((place, borrower))
         });
         known.collect()
     }
 
     /// Offers the loans that no borrower has confirmed, and asks the others how they are doing while
     /// the waits are long.
-    pub(super) fn ask_borrowers(&mut self, now: Ms, out: &mut Vec<Action>) {
+    pub(super) fn ask_borrowers(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         let policy = &self.spillover.settings.policy;
         let status_ms = (policy.period_s * 1000.0) as u64;
         let wants =
@@ -286,7 +297,7 @@
             };
             let contact = &mut self.spillover.cells[cell].borrower;
             if let Some(address) = contact.ask(now.0, period_ms) {
-                out.push(Action::Cell(Box::new(CellCall {
+                out.push(Effect::Cell(Box::new(CellCall {
                     address,
                     request: self.cell_request(body),
                     cell,
@@ -300,14 +311,17 @@
     fn offers_to(&self, cell: usize) -> Vec<Offer<JobSpec>> {
         let name = &self.spillover.settings.cells[cell].name;
         let age_ms = |since_ms: u64| self.day_ms.saturating_sub(since_ms);
-        let offers = self.view.transferred().filter_map(|(ix, job)| {
+        let offers = self.replica.transferred().filter_map(|(job_id, job)| {
             let mark = job.lent()?;
-            let loan = self.spillover.lent.get(self.view.names.jobs.name(ix))?;
+            let loan = self
+                .spillover
+                .lent
+                .get(self.replica.names.jobs.name(job_id))?;
             let open = job.status == JobStatus::Pending
                 && !mark.recalled
                 && !(loan.accepted || loan.refused || loan.declined);
             let mut spec = (*job.spec).clone();
-            spec.frames = mark.frames.clone();
+            spec.machine_types = mark.machine_types.clone();
             (open && mark.cell == *name).then(|| Offer {
                 loan: loan.id.clone(),
                 spec,
@@ -324,8 +338,8 @@
         &mut self,
         cell: usize,
         answer: Option<CellAnswer>,
-        sent: Ms,
-        now: Ms,
+        sent: Timestamp,
+        now: Timestamp,
     ) {
         let link = &mut self.spillover.cells[cell];
         match answer {
@@ -344,8 +358,8 @@
         cell: usize,
         offers: &[Offer<JobSpec>],
         answer: Option<CellAnswer>,
-        sent: Ms,
-        now: Ms,
+        sent: Timestamp,
+        now: Timestamp,
     ) {
         let link = &mut self.spillover.cells[cell];
         let Some(CellAnswer::Offers(answers)) = answer else {
--- a/src/spillover/load.rs
+++ b/src/spillover/load.rs
@@ -1,9 +1,9 @@
 //! What a cell knows of its own load: how long jobs wait here, and what it would take of others.
 
-use super::Core;
-use crate::clock::Ms;
+use super::Controller;
+use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
-use crate::names::JobIx;
+use crate::names::JobId;
 use crate::protocol::JobStatus;
 use crate::replica::Job;
 use quillbend_spillover::message::{CellStatus, MachineType, TeamLimit};
@@ -21,31 +21,36 @@
     team_cpus: BTreeMap<String, f64>,
 }
 
-impl Core {
+impl Controller {
     /// The jobs of which something waits, in the order in which they are served, and for how long
     /// each waits probably, seconds.
-    pub(super) fn predicted_waits(&self, now: Ms) -> (Vec<WaitingJob>, Vec<f64>) {
+    pub(super) fn predicted_waits(&self, now: Timestamp) -> (Vec<WaitingJob>, Vec<f64>) {
         let jobs = self.waiting_in_order(now);
         let waits = predict_waits(&self.home_load(now), &jobs);
         (jobs, waits)
     }
 
-    fn waiting_in_order(&self, now: Ms) -> Vec<WaitingJob> {
-        let underway: HashSet<JobIx> = self.binding().map(|b| b.1.task.job).collect();
+    fn waiting_in_order(&self, now: Timestamp) -> Vec<WaitingJob> {
+        let underway: HashSet<JobId> = self.binding().map(|b| b.1.task.job).collect();
         let mut order = Vec::new();
-        for (&ix, job) in &self.view.jobs {
-            let name = self.view.names.jobs.name(ix);
+        for (&job_id, job) in &self.replica.jobs {
+            let name = self.replica.names.jobs.name(job_id);
             if job.status != JobStatus::Pending || !self.may_bind(job, name, now) {
                 continue;
             }
-            let begun = job.done.len() + self.view.bound_len(ix);
-            let left = job.spec.legs.saturating_sub(begun);
+            let begun = job.done.len() + self.replica.bound_len(job_id);
+            let left = job.spec.task_count.saturating_sub(begun);
             if left == 0 {
                 continue;
             }
-            let (tier, slack) = self.rank(ix, job);
-            let lendable = self.is_lendable(ix, job) && !underway.contains(&ix);
-            order.push((tier, slack, ix, self.waiting_job(name, job, left, lendable)));
+            let (tier, slack) = self.rank(job_id, job);
+            let lendable = self.is_lendable(job_id, job) && !underway.contains(&job_id);
+            order.push((
+                tier,
+                slack,
+                job_id,
+                self.waiting_job(name, job, left, lendable),
+            ));
         }
         order.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
         order.into_iter().map(|o| o.3).collect()
@@ -65,14 +70,14 @@
             },
             run_s: self.run_s(job),
             image_gb: spec.image_gb,
-            machine_types: spec.frames.clone(),
+            machine_types: spec.machine_types.clone(),
             zone: spec.zone.clone(),
             lendable,
         }
     }
 
     /// What the machines and the teams' limits have to offer.
-    pub(super) fn home_load(&self, now: Ms) -> HomeLoad {
+    pub(super) fn home_load(&self, now: Timestamp) -> HomeLoad {
         let mut load = HomeLoad::default();
         for rented in self.fleet(now) {
             let used = self.used_on(rented.machine).cpus;
@@ -81,21 +86,21 @@
             load.bound_s += self.known_load(rented.machine, now) * rented.size.cpus;
         }
         let mut bound_s: HashMap<_, f64> = HashMap::default();
-        for entry in self.view.machines.values().flat_map(|m| &m.queue) {
-            if let Some(job) = self.view.jobs.get(&entry.task.job) {
+        for entry in self.replica.machines.values().flat_map(|m| &m.queue) {
+            if let Some(job) = self.replica.jobs.get(&entry.task.job) {
                 *bound_s.entry(job.team).or_default() += self.run_s(job) * job.spec.cpus;
             }
         }
         let room = self.team_room();
         let teams = self.settings.platform.settings.teams.iter();
         for team in teams.filter(|t| t.cpus_max.is_finite()) {
-            let Some(ix) = self.view.names.teams.get(&team.name) else {
+            let Some(job_id) = self.replica.names.teams.get(&team.name) else {
                 continue;
             };
             let of_team = TeamLoad {
                 limit_cpus: team.cpus_max,
-                free_cpus: room.get(&ix).map_or(0.0, |r| r.cpus),
-                bound_s: bound_s.get(&ix).copied().unwrap_or(0.0),
+                free_cpus: room.get(&job_id).map_or(0.0, |r| r.cpus),
+                bound_s: bound_s.get(&job_id).copied().unwrap_or(0.0),
             };
             load.teams.insert(team.name.clone(), of_team);
         }
@@ -103,7 +108,7 @@
     }
 
     /// What this cell could do for a newcomer.
-    fn spare(&self, now: Ms) -> Spare {
+    fn spare(&self, now: Timestamp) -> Spare {
         let load = self.home_load(now);
         let waiting = self.waiting_in_order(now);
         let asked: f64 = waiting.iter().map(WaitingJob::cpus).sum();
@@ -140,13 +145,13 @@
         {
             return 0.0;
         }
-        let borrowed = self.view.transferred().filter(|(_, job)| {
+        let borrowed = self.replica.transferred().filter(|(_, job)| {
             let open = job.status == JobStatus::Pending;
             open && job.borrowed().is_some()
         });
         let held: f64 = borrowed
             .map(|(_, job)| {
-                let left = job.spec.legs.saturating_sub(job.done.len());
+                let left = job.spec.task_count.saturating_sub(job.done.len());
                 f64::from(left) * job.spec.cpus
             })
             .sum();
@@ -154,11 +159,11 @@
     }
 
     /// How this cell is doing, for lenders.
-    pub(super) fn cell_status(&self, now: Ms) -> CellStatus {
+    pub(super) fn cell_status(&self, now: Timestamp) -> CellStatus {
         let spare = self.spare(now);
         let finite = |most: f64| most.is_finite().then_some(most);
         let teams = self.settings.platform.settings.teams.iter();
-        let lent = self.view.transferred().filter(|(_, job)| {
+        let lent = self.replica.transferred().filter(|(_, job)| {
             let open = job.status == JobStatus::Pending;
             open && job.lent().is_some()
         });
@@ -166,15 +171,15 @@
         lent_classes.sort_unstable();
         lent_classes.dedup();
         let mut machine_types: Vec<MachineType> = self
-            .frames
+            .machine_types
             .values()
-            .map(|frame| MachineType {
-                name: frame.label.clone(),
-                cpus: frame.cpus,
-                gpus: frame.gpus,
-                memory_gb: frame.memory_gb,
-                fetch_gb_per_s: frame.fetch_gb_per_s,
-                zones: frame.zones.clone(),
+            .map(|machine_type| MachineType {
+                name: machine_type.label.clone(),
+                cpus: machine_type.cpus,
+                gpus: machine_type.gpus,
+                memory_gb: machine_type.memory_gb,
+                fetch_gb_per_s: machine_type.fetch_gb_per_s,
+                zones: machine_type.zones.clone(),
             })
             .collect();
         machine_types.sort_by(|a, b| a.name.cmp(&b.name));
--- a/src/spillover/mod.rs
+++ b/src/spillover/mod.rs
@@ -15,12 +15,12 @@
 
 pub use serving::{Archived, OfferPlan};
 
-use crate::clock::Ms;
+use crate::clock::Timestamp;
 use crate::collections::HashMap;
 use crate::controller::completions::TXN_BYTES;
-use crate::controller::{Action, Core};
-use crate::names::JobIx;
-use crate::protocol::{Change, Guard, HeardLoan, JobSpec, Txn};
+use crate::controller::{Controller, Effect};
+use crate::names::JobId;
+use crate::protocol::{HeardLoan, JobSpec, Mutation, Precondition, Transaction};
 use crate::records::SPILLOVER_FORMAT;
 use crate::replica::Job;
 use quillbend_spillover::confirmation::{Confirmations, Permission};
@@ -38,7 +38,7 @@
 
 /// A transaction of several jobs' keys, within what the state service takes.
 struct Batch {
-    txn: Txn,
+    transaction: Transaction,
     bytes: usize,
     most_changes: usize,
 }
@@ -46,7 +46,7 @@
 impl Batch {
     fn new(most_changes: usize) -> Self {
         Self {
-            txn: Txn::default(),
+            transaction: Transaction::default(),
             bytes: 0,
             most_changes,
         }
@@ -55,21 +55,21 @@
     /// Adds a change with its condition; false if there is no room for it.
     ///
     /// Guards against a transaction that is called malformed and planned again for ever.
-    fn add(&mut self, guard: Guard, change: Change) -> bool {
+    fn add(&mut self, precondition: Precondition, change: Mutation) -> bool {
         let bytes = self.bytes + change.value_bytes() + SPARE_BYTES;
-        let fits = self.txn.then.is_empty() || bytes <= TXN_BYTES;
-        if !fits || self.txn.then.len() >= self.most_changes {
+        let fits = self.transaction.mutations.is_empty() || bytes <= TXN_BYTES;
+        if !fits || self.transaction.mutations.len() >= self.most_changes {
             return false;
         }
         self.bytes = bytes;
-        self.txn.guards.push(guard);
-        self.txn.then.push(change);
+        self.transaction.preconditions.push(precondition);
+        self.transaction.mutations.push(change);
         true
     }
 
     /// The transaction, unless it is empty.
-    fn finish(self) -> Option<Txn> {
-        (!self.txn.then.is_empty()).then_some(self.txn)
+    fn finish(self) -> Option<Transaction> {
+        (!self.transaction.mutations.is_empty()).then_some(self.transaction)
     }
 }
 
@@ -101,9 +101,9 @@
     longest_wait_s: f64,
     /// CPUs at home that nothing is bound to or waited for at that time.
     idle_cpus: f64,
-    next_policy: Ms,
+    next_policy: Timestamp,
     /// Until when a job is not offered again to a cell that it came back from.
-    barred: HashMap<(String, String), Ms>,
+    barred: HashMap<(String, String), Timestamp>,
     pub(crate) counters: SpilloverCounters,
 }
 
@@ -116,7 +116,7 @@
     relay: Contact,
     /// Its leader, asked for its status and offered loans.
     borrower: Contact,
-    status: Option<(CellStatus, Ms)>,
+    status: Option<(CellStatus, Timestamp)>,
     /// CPUs of loans that it was given since it told its status.
     promised_cpus: f64,
 }
@@ -126,18 +126,18 @@
 struct LentLoan {
     id: LoanId,
     /// When this controller learned of it.
-    noted: Ms,
+    recorded_done: Timestamp,
     /// When it was last reported.
-    heard: Option<Ms>,
+    heard: Option<Timestamp>,
     /// When something of it was last bound there, as far as was reported.
-    busy: Option<Ms>,
+    busy: Option<Timestamp>,
     accepted: bool,
     /// The borrower has recorded that this transfer can never run there.
     refused: bool,
     /// Refused without a record: it has to be called back.
     declined: bool,
     /// When this controller's replica first showed that it was called back.
-    recalled: Option<Ms>,
+    recalled: Option<Timestamp>,
 }
 
 /// Counters of spillover for operators.
@@ -181,7 +181,7 @@
             hysteresis: Hysteresis::default(),
             longest_wait_s: 0.0,
             idle_cpus: 0.0,
-            next_policy: Ms(0),
+            next_policy: Timestamp(0),
             barred: HashMap::default(),
             counters: SpilloverCounters::default(),
         }
@@ -193,15 +193,15 @@
     }
 }
 
-impl Core {
+impl Controller {
     /// Whether loans may be made: every controller reads them.
     pub(crate) fn transfers_open(&self) -> bool {
-        self.spillover.is_on() && self.view.synced && self.view.format >= SPILLOVER_FORMAT
+        self.spillover.is_on() && self.replica.synced && self.replica.format >= SPILLOVER_FORMAT
     }
 
     /// Takes note of the loans that the replica shows, and asks other cells what is due.
-    pub(crate) fn tick_spillover(&mut self, now: Ms, out: &mut Vec<Action>) {
-        if !self.spillover.is_on() && self.view.transferred().next().is_none() {
+    pub(crate) fn tick_spillover(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        if !self.spillover.is_on() && self.replica.transferred().next().is_none() {
             return;
         }
         self.note_borrowed(now);
@@ -215,7 +215,7 @@
     }
 
     /// What may be done with the tasks of a job now, as far as transfers go.
-    pub(crate) fn permission(&self, job: &Job, name: &str, now: Ms) -> Permission {
+    pub(crate) fn permission(&self, job: &Job, name: &str, now: Timestamp) -> Permission {
         if job.transfer.is_none() {
             return Permission::Run;
         }
@@ -229,13 +229,13 @@
     }
 
     /// Whether a job was borrowed from another cell.
-    pub(crate) fn is_loan(&self, ix: JobIx) -> bool {
-        let job = self.view.jobs.get(&ix);
+    pub(crate) fn is_loan(&self, job_id: JobId) -> bool {
+        let job = self.replica.jobs.get(&job_id);
         job.is_some_and(|job| job.borrowed().is_some())
     }
 
     /// Whether tasks of a job may be bound to machines, as far as transfers go.
-    pub(crate) fn may_bind(&self, job: &Job, name: &str, now: Ms) -> bool {
+    pub(crate) fn may_bind(&self, job: &Job, name: &str, now: Timestamp) -> bool {
         self.permission(job, name, now) == Permission::Run
     }
 
@@ -252,8 +252,8 @@
         &mut self,
         call: &CellCall,
         answer: Option<CellAnswer>,
-        sent: Ms,
-        now: Ms,
+        sent: Timestamp,
+        now: Timestamp,
     ) {
         match &call.request.body {
             RequestBody::Confirm { loans, .. } => {
@@ -267,7 +267,7 @@
     }
 
     /// What this controller has heard of the loans of its cell, for its peers.
-    pub(crate) fn heard_loans(&self, now: Ms) -> Vec<HeardLoan> {
+    pub(crate) fn heard_loans(&self, now: Timestamp) -> Vec<HeardLoan> {
         let loans = self.spillover.lent.values();
         let heard = loans.filter_map(|loan| {
             Some(HeardLoan {
@@ -281,13 +281,13 @@
     }
 
     /// A peer has heard of loans of this cell.
-    pub(crate) fn on_heard_loans(&mut self, heard: Vec<HeardLoan>, now: Ms) {
+    pub(crate) fn on_heard_loans(&mut self, heard: Vec<HeardLoan>, now: Timestamp) {
         for report in heard {
             let Some(loan) = self.spillover.lent.get_mut(&report.job) else {
                 continue;
             };
             if loan.id.token.0 == report.token {
-                let at = Ms(now.0.saturating_sub(report.age_ms));
+                let at = Timestamp(now.0.saturating_sub(report.age_ms));
                 loan.heard = loan.heard.max(Some(at));
                 if report.bound {
                     loan.busy = loan.busy.max(Some(at));
@@ -298,8 +298,8 @@
     }
 
     /// What operators see of transfers; none while there is nothing to see.
-    pub(crate) fn spillover_page(&self, now: Ms) -> Option<serde_json::Value> {
-        if !self.spillover.is_on() && self.view.transferred().next().is_none() {
+    pub(crate) fn spillover_page(&self, now: Timestamp) -> Option<serde_json::Value> {
+        if !self.spillover.is_on() && self.replica.transferred().next().is_none() {
             return None;
         }
         let spillover = &self.spillover;
@@ -309,7 +309,10 @@
             .iter()
             .zip(&spillover.cells)
             .map(|(cell, link)| {
-                let silent_ms = link.origin.last_answered().map(|at| now.since(Ms(at)));
+                let silent_ms = link
+                    .origin
+                    .last_answered()
+                    .map(|at| now.since(Timestamp(at)));
                 let status = link.status.as_ref().map(|(s, _)| s);
                 let page = serde_json::json!({
                     "silentMs": silent_ms,
@@ -320,8 +323,8 @@
             })
             .collect();
         let (mut lent, mut borrowed) = (BTreeMap::new(), BTreeMap::new());
-        for (ix, job) in self.view.transferred() {
-            let name = self.view.names.jobs.name(ix);
+        for (job_id, job) in self.replica.transferred() {
+            let name = self.replica.names.jobs.name(job_id);
             if let Some(mark) = job.lent() {
                 let known = spillover.lent.get(name);
                 lent.insert(
--- a/src/spillover/serving.rs
+++ b/src/spillover/serving.rs
@@ -1,11 +1,11 @@
 //! Answers to the requests of other cells. What has to be written first is planned here as well; the
 //! door sends it and then asks for the answer.
 
-use super::{CellRequest, Core};
-use crate::clock::Ms;
+use super::{CellRequest, Controller};
+use crate::clock::Timestamp;
 use crate::controller::put;
-use crate::names::JobIx;
-use crate::protocol::{Change, Guard, JobSpec, JobStatus, Txn};
+use crate::names::JobId;
+use crate::protocol::{JobSpec, JobStatus, Mutation, Precondition, Transaction};
 use crate::ranges::RangeSet;
 use crate::records::{BorrowedMark, JobRecord, SPILLOVER_FORMAT, Transfer};
 use crate::replica::{Job, job_key, past_key, waiting_key};
@@ -24,7 +24,7 @@
     /// Its value.
     pub record: JobRecord,
     /// Revision of its key.
-    pub stamp: u64,
+    pub mod_revision: u64,
 }
 
 /// What is to be done about an offer.
@@ -34,7 +34,7 @@
     /// with what the archive shows.
     Write {
         /// The transaction.
-        txn: Txn,
+        transaction: Transaction,
         /// The decision that it records.
         decision: Decision,
     },
@@ -42,7 +42,7 @@
     Answer(Decision),
 }
 
-impl Core {
+impl Controller {
     /// Why a request is refused as a whole, if so. `source` is where it came from, if that is known.
     pub fn refuse_cell_request(
         &mut self,
@@ -72,67 +72,79 @@
 
     /// What a borrower's report makes this cell write: the ends of loans. Each has the condition that
     /// the job's key is as the replica shows it, so the first end to be written counts for everybody.
-    pub fn plan_loan_ends(&mut self, from: &str, reports: &[LoanReport], now: Ms) -> Vec<Txn> {
-        let mut txns = Vec::new();
+    pub fn plan_loan_ends(
+        &mut self,
+        from: &str,
+        reports: &[LoanReport],
+        now: Timestamp,
+    ) -> Vec<Transaction> {
+        let mut transactions = Vec::new();
         for report in reports {
-            let Some(ix) = self.stands_for(from, &report.loan) else {
+            let Some(machine_id) = self.stands_for(from, &report.loan) else {
                 continue;
             };
             self.note_report(report, now);
             let change = match &report.progress {
                 Progress::Pending { .. } => continue,
-                Progress::Done => self.finished(ix),
+                Progress::Done => self.finished(machine_id),
                 Progress::Returned { done } => {
                     let mut tasks = RangeSet::new();
                     done.iter()
                         .for_each(|&(lo, hi)| tasks.insert_range(lo, hi + 1));
-                    self.homecoming(ix, &tasks)
+                    self.homecoming(machine_id, &tasks)
                 }
             };
             let key = job_key(&report.loan.job);
-            txns.extend(change.map(|change| Txn {
-                guards: vec![self.guard(&key)],
-                then: vec![change],
+            transactions.extend(change.map(|change| Transaction {
+                preconditions: vec![self.precondition(&key)],
+                mutations: vec![change],
             }));
         }
-        txns
+        transactions
     }
 
     /// A write of [`Core::plan_loan_ends`] was carried out.
-    pub fn on_loan_end(&mut self, txn: &Txn, ledger: u64) {
-        self.view.apply_own(txn, ledger);
-        for change in &txn.then {
-            let Change::Put { put, v, .. } = change else {
+    pub fn on_loan_end(&mut self, transaction: &Transaction, revision: u64) {
+        self.replica.apply_own(transaction, revision);
+        for change in &transaction.mutations {
+            let Mutation::Put {
+                key: put, value: v, ..
+            } = change
+            else {
                 continue;
             };
             let done = v
                 .read::<JobRecord>()
                 .is_ok_and(|r| r.status == JobStatus::Done);
-            tracing::info!(key = put, done, ledger, "a loan ends");
+            tracing::info!(key = put, done, revision, "a loan ends");
             self.spillover.counters.finished += u64::from(done);
             self.spillover.counters.returned += u64::from(!done);
         }
     }
 
     /// The write that records that a lent job is done.
-    fn finished(&self, ix: JobIx) -> Option<Change> {
-        let job = self.view.jobs.get(&ix)?;
+    fn finished(&self, job_id: JobId) -> Option<Mutation> {
+        let job = self.replica.jobs.get(&job_id)?;
         let mut record = job.record(Default::default(), JobStatus::Done);
-        record.bring_home(self.view.done_tasks(RangeSet::all(job.spec.legs)));
+        record.bring_home(self.replica.done_tasks(RangeSet::all(job.spec.task_count)));
         record.shorten(self.settings.value_bytes());
-        Some(put(&job_key(self.view.names.jobs.name(ix)), &record, None))
+        Some(put(
+            &job_key(self.replica.names.jobs.name(job_id)),
+            &record,
+            None,
+        ))
     }
 
     /// The job of a loan that this cell has made and not ended, called back or not.
-    fn stands_for(&self, borrower: &str, loan: &LoanId) -> Option<JobIx> {
-        let ix = self.view.names.jobs.get(&loan.job)?;
-        let job = self.view.jobs.get(&ix)?;
+    fn stands_for(&self, borrower: &str, loan: &LoanId) -> Option<JobId> {
+        let job_id = self.replica.names.jobs.get(&loan.job)?;
+        let job = self.replica.jobs.get(&job_id)?;
         let mark = job.lent()?;
         let same = mark.cell == borrower && mark.token == loan.token;
-        (same && job.status == JobStatus::Pending).then_some(ix)
+        (same && job.status == JobStatus::Pending).then_some(job_id)
     }
 
-    fn note_report(&mut self, report: &LoanReport, now: Ms) {
+    fn note_report(&mut self, report: &LoanReport, now: Timestamp) {
         let Some(loan) = self.spillover.lent.get_mut(&report.loan.job) else {
             return;
         };
@@ -152,7 +164,7 @@
 
     /// The answer to a request, after what it made this cell write. Offers are answered by the door,
     /// one decision after the other.
-    pub fn answer_cell(&mut self, request: &CellRequest, now: Ms) -> CellAnswer {
+    pub fn answer_cell(&mut self, request: &CellRequest, now: Timestamp) -> CellAnswer {
         match &request.body {
             RequestBody::Status if self.leads().is_none() => CellAnswer::NotLeader,
             RequestBody::Status => CellAnswer::Status(self.cell_status(now)),
@@ -169,7 +181,7 @@
     }
 
     /// Whether a loan stands, as far as this controller's replica shows, and how old that is.
-    fn standing(&self, borrower: &str, loan: &LoanId, now: Ms) -> StandingAnswer {
+    fn standing(&self, borrower: &str, loan: &LoanId, now: Timestamp) -> StandingAnswer {
         let answer = |standing, age_ms| StandingAnswer {
             loan: loan.clone(),
             standing,
@@ -178,12 +190,14 @@
         let Some(age_ms) = self.replica_age_ms(now) else {
             return answer(Standing::Unknown, 0);
         };
-        let job = self.view.names.jobs.get(&loan.job);
-        let job = job.and_then(|ix| Some((ix, self.view.jobs.get(&ix)?)));
+        let job = self.replica.names.jobs.get(&loan.job);
+        let job = job.and_then(|job_id| Some((job_id, self.replica.jobs.get(&job_id)?)));
         let standing = match job {
-            Some((ix, job)) => self.standing_of(ix, job, borrower, loan),
+            Some((job_id, job)) => self.standing_of(job_id, job, borrower, loan),
             // What is under no watched key any more is over; but it may not be there yet.
-            None if self.view.ledger > loan.token.0 && !self.view.is_unreadable(&loan.job) => {
+            None if self.replica.revision > loan.token.0
+                && !self.replica.is_unreadable(&loan.job) =>
+            {
                 Standing::Over
             }
             None => Standing::Unknown,
@@ -191,20 +205,20 @@
         answer(standing, age_ms)
     }
 
-    fn standing_of(&self, ix: JobIx, job: &Job, borrower: &str, loan: &LoanId) -> Standing {
-        if self.view.is_unreadable(&loan.job) {
+    fn standing_of(&self, job_id: JobId, job: &Job, borrower: &str, loan: &LoanId) -> Standing {
+        if self.replica.is_unreadable(&loan.job) {
             return Standing::Unknown;
         }
         match job.lent() {
             Some(mark) if mark.token == loan.token && mark.cell == borrower => {
-                let stands = !mark.recalled && !self.is_over(ix, job);
+                let stands = !mark.recalled && !self.is_over(job_id, job);
                 match stands {
                     true => Standing::Stands,
                     false => Standing::Over,
                 }
             }
             // The replica does not show the loan yet.
-            _ if job.stamp <= loan.token.0 => Standing::Unknown,
+            _ if job.mod_revision <= loan.token.0 => Standing::Unknown,
             _ => Standing::Over,
         }
     }
@@ -216,7 +230,7 @@
         from: &str,
         offer: &Offer<JobSpec>,
         archived: Option<&Archived>,
-        now: Ms,
+        now: Timestamp,
     ) -> OfferPlan {
         if let Some(decision) = self.known_offer(from, offer, archived) {
             return OfferPlan::Answer(decision);
@@ -228,30 +242,36 @@
             return OfferPlan::Answer(Decision::Later(Reason::NeverRuns));
         }
         let job = &offer.loan.job;
-        let past_stamp = archived.map_or(0, |a| a.stamp);
-        let guard = |k, stamp| Guard { k, stamp };
+        let archived_revision = archived.map_or(0, |a| a.mod_revision);
+        let precondition = |k, mod_revision| Precondition {
+            key: k,
+            mod_revision,
+        };
         // An earlier transfer that is over gives way to this one.
-        let earlier = self.earlier_loan_stamp(job);
-        let guards = vec![
-            guard(job_key(job), earlier.unwrap_or(0)),
-            guard(waiting_key(job), 0),
-            guard(past_key(job), past_stamp),
+        let earlier = self.earlier_loan_revision(job);
+        let preconditions = vec![
+            precondition(job_key(job), earlier.unwrap_or(0)),
+            precondition(waiting_key(job), 0),
+            precondition(past_key(job), archived_revision),
         ];
-        let then = match decision {
+        let mutations = match decision {
             Decision::Accepted => {
-                let mut then = vec![put(&job_key(job), &record, None)];
-                if past_stamp > 0 {
+                let mut mutations = vec![put(&job_key(job), &record, None)];
+                if archived_revision > 0 {
                     let drop = past_key(job);
-                    then.push(Change::Drop { drop });
+                    mutations.push(Mutation::Delete { key: drop });
                 }
-                then
+                mutations
             }
             // Whatever copies of the offer still arrive, they find this.
             _ if earlier.is_some() => vec![put(&job_key(job), &record, None)],
             _ => vec![put(&past_key(job), &record, None)],
         };
         OfferPlan::Write {
-            txn: Txn { guards, then },
+            transaction: Transaction {
+                preconditions,
+                mutations,
+            },
             decision,
         }
     }
@@ -261,23 +281,23 @@
     /// as a queue lists any of its tasks.
     fn decision_on_repeat(&self, name: &str, job: &Job) -> Decision {
         match job.status {
-            JobStatus::Withdrawn if self.earlier_loan_stamp(name).is_some() => {
+            JobStatus::Cancelled if self.earlier_loan_revision(name).is_some() => {
                 Decision::Refused(Reason::Over)
             }
-            JobStatus::Withdrawn => Decision::Later(Reason::Over),
+            JobStatus::Cancelled => Decision::Later(Reason::Over),
             _ => Decision::Accepted,
         }
     }
 
     /// The revision of a loan under a job's name that is over and of which no queue lists anything.
-    fn earlier_loan_stamp(&self, name: &str) -> Option<u64> {
-        let ix = self.view.names.jobs.get(name)?;
-        let job = self.view.jobs.get(&ix)?;
+    fn earlier_loan_revision(&self, name: &str) -> Option<u64> {
+        let job_id = self.replica.names.jobs.get(name)?;
+        let job = self.replica.jobs.get(&job_id)?;
         let over = job.borrowed().is_some()
             && job.status != JobStatus::Pending
-            && self.view.bound_len(ix) == 0
-            && job.stamp <= self.view.ledger;
-        over.then_some(job.stamp)
+            && self.replica.bound_len(job_id) == 0
+            && job.mod_revision <= self.replica.revision;
+        over.then_some(job.mod_revision)
     }
 
     /// The decision about an offer of which something is known here already.
@@ -288,23 +308,23 @@
         archived: Option<&Archived>,
     ) -> Option<Decision> {
         let name = &offer.loan.job;
-        let view = &self.view;
-        if view.is_unreadable(name) {
+        let replica = &self.replica;
+        if replica.is_unreadable(name) {
             return Some(Decision::Later(Reason::State));
         }
-        let ix = view.names.jobs.get(name);
-        if let Some(job) = ix.and_then(|ix| view.jobs.get(&ix)) {
+        let job_id = replica.names.jobs.get(name);
+        if let Some(job) = job_id.and_then(|job_id| replica.jobs.get(&job_id)) {
             let mark = job.borrowed().filter(|mark| mark.cell == from);
             return Some(match mark {
                 Some(mark) if mark.token == offer.loan.token => self.decision_on_repeat(name, job),
                 Some(mark) if mark.token > offer.loan.token => Decision::Later(Reason::Over),
-                Some(_) if self.earlier_loan_stamp(name).is_some() => return None,
+                Some(_) if self.earlier_loan_revision(name).is_some() => return None,
                 // The transfer before is not over here yet.
                 Some(_) => Decision::Later(Reason::State),
                 None => Decision::Later(Reason::NameTaken),
             });
         }
-        if ix.is_some_and(|ix| view.waiting.jobs.contains_key(&ix)) {
+        if job_id.is_some_and(|job_id| replica.waiting.jobs.contains_key(&job_id)) {
             return Some(Decision::Later(Reason::NameTaken));
         }
         let record = &archived?.record;
@@ -312,7 +332,7 @@
         match mark {
             Some(mark) if mark.token < offer.loan.token => None,
             Some(mark)
-                if mark.token == offer.loan.token && record.status == JobStatus::Withdrawn =>
+                if mark.token == offer.loan.token && record.status == JobStatus::Cancelled =>
             {
                 Some(Decision::Refused(Reason::Over))
             }
@@ -321,7 +341,12 @@
         }
     }
 
-    fn reason_to_refuse(&self, from: &str, offer: &Offer<JobSpec>, now: Ms) -> Option<Reason> {
+    fn reason_to_refuse(
+        &self,
+        from: &str,
+        offer: &Offer<JobSpec>,
+        now: Timestamp,
+    ) -> Option<Reason> {
         let settings = &self.spillover.settings;
         let place = settings.cells.iter().position(|c| c.name == from);
         let reached = place.is_some_and(|place| {
@@ -337,7 +362,7 @@
             Some(Reason::BorrowsNothing)
         } else if (lease_s * 1000.0) as u64 > offer.terms.worker_lease_ms {
             Some(Reason::WorkerLease)
-        } else if self.view.format < SPILLOVER_FORMAT || self.never_runs(&offer.spec).is_some() {
+        } else if self.replica.format < SPILLOVER_FORMAT || self.never_runs(&offer.spec).is_some() {
             Some(Reason::NeverRuns)
         } else if !reached {
             Some(Reason::Unreachable)
@@ -360,7 +385,7 @@
             spec: offer.spec.clone(),
             status: match decision {
                 Decision::Accepted => JobStatus::Pending,
-                _ => JobStatus::Withdrawn,
+                _ => JobStatus::Cancelled,
             },
             done: Default::default(),
             submitted_ms: since(offer.age_ms),
--- a/src/stealing.rs
+++ b/src/stealing.rs
@@ -1,7 +1,7 @@
 //! PackStealLB over machines' queues, after the paper's section 4 and the values of section 5.
 //! Pure: the holder feeds in loads and carries the messages.
 
-use crate::names::MachineIx;
+use crate::names::MachineId;
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
@@ -129,16 +129,16 @@
 /// or anywhere in it after too many hops; never to the thief, nor to machines that proved to be
 /// no victims.
 pub fn target(
-    known: &[(MachineIx, f64)],
+    known: &[(MachineId, f64)],
     far: bool,
-    thief: MachineIx,
-    route: &[MachineIx],
+    thief: MachineId,
+    route: &[MachineId],
     f: &Factors,
     rng: &mut impl Rng,
-) -> Option<MachineIx> {
-    let open = |m: &&(MachineIx, f64)| m.0 != thief && !route.contains(&m.0);
+) -> Option<MachineId> {
+    let open = |m: &&(MachineId, f64)| m.0 != thief && !route.contains(&m.0);
     let most = if far { known.len() } else { f.targets };
-    let picks: Vec<&(MachineIx, f64)> = known.iter().filter(open).take(most).collect();
+    let picks: Vec<&(MachineId, f64)> = known.iter().filter(open).take(most).collect();
     picks.choose(rng).map(|m| m.0)
 }
 
--- a/src/stealing/tests.rs
+++ b/src/stealing/tests.rs
@@ -48,14 +48,14 @@
 
 #[test]
 fn steals_go_to_the_heaviest_and_after_the_cutoff_anywhere() {
-    let all: Vec<(MachineIx, f64)> = [9.0, 8.0, 7.0, 6.0, 5.0, 4.0, 3.0, 0.0]
+    let all: Vec<(MachineId, f64)> = [9.0, 8.0, 7.0, 6.0, 5.0, 4.0, 3.0, 0.0]
         .into_iter()
-        .zip([1, 2, 3, 4, 5, 6, 7, 0].map(MachineIx::from_raw))
+        .zip([1, 2, 3, 4, 5, 6, 7, 0].map(MachineId::from_raw))
         .map(|(l, m)| (m, l))
         .collect();
-    let me = MachineIx::from_raw(0);
+    let me = MachineId::from_raw(0);
     let mut rng = SmallRng::seed_from_u64(3);
-    let mut pick = |far, route: &[MachineIx]| {
+    let mut pick = |far, route: &[MachineId]| {
         (0..200)
             .filter_map(|_| target(&all, far, me, route, &F, &mut rng))
             .map(|m| m.raw())
@@ -63,7 +63,7 @@
     };
     assert_eq!(pick(false, &[]), [1, 2, 3, 4].into());
     assert_eq!(pick(true, &[]), [1, 2, 3, 4, 5, 6, 7].into());
-    assert_eq!(pick(false, &[MachineIx::from_raw(1)]), [2, 3, 4, 5].into());
+    assert_eq!(pick(false, &[MachineId::from_raw(1)]), [2, 3, 4, 5].into());
     let everyone: Vec<_> = all.iter().map(|m| m.0).collect();
     assert!(pick(true, &everyone).is_empty());
 }
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,7 +1,7 @@
 //! Client of the state service.
 
-use crate::controller::Outcome;
-use crate::protocol::{Item, ItemList, JobStatus, NewsList, Txn};
+use crate::controller::CommitOutcome;
+use crate::protocol::{JobStatus, KeyValue, KeyValuePage, Transaction, WatchResponse};
 use crate::records::JobRecord;
 use crate::replica::past_key;
 use awc::Client;
@@ -79,7 +79,7 @@
     }
 
     /// Reads one key.
-    pub async fn read(&self, key: &str, wait: Duration) -> Result<Option<Item>, StateError> {
+    pub async fn read(&self, key: &str, wait: Duration) -> Result<Option<KeyValue>, StateError> {
         let (status, body) = self.get(&format!("/keys/{key}"), wait).await?;
         if status == StatusCode::NOT_FOUND {
             return Ok(None);
@@ -96,7 +96,7 @@
         let Some(item) = self.read(&past_key(job), wait).await? else {
             return Ok(None);
         };
-        let record = item.v.read();
+        let record = item.value.read();
         record.map(Some).map_err(|e| StateError::Odd(e.to_string()))
     }
 
@@ -115,26 +115,26 @@
     pub async fn revision_of(&self, key: &str, wait: Duration) -> Result<u64, StateError> {
         let path = format!("/keys?starts={key}&limit=1");
         let (_, body) = self.get(&path, wait).await?;
-        parse::<ItemList>(&body).map(|l| l.ledger)
+        parse::<KeyValuePage>(&body).map(|l| l.revision)
     }
 
     /// Reads every key with a prefix. The revisions are those of the first and of the last page.
-    pub async fn list(&self, prefix: &str) -> Result<(Vec<Item>, u64, u64), StateError> {
-        let mut items: Vec<Item> = Vec::new();
-        let mut ledger = None;
+    pub async fn list(&self, prefix: &str) -> Result<(Vec<KeyValue>, u64, u64), StateError> {
+        let mut items: Vec<KeyValue> = Vec::new();
+        let mut revision = None;
         loop {
-            let after = items.last().map(|i| format!("&after={}", i.k));
+            let after = items.last().map(|i| format!("&after={}", i.key));
             let path = format!(
                 "/keys?starts={prefix}&limit=500{}",
                 after.unwrap_or_default()
             );
             let (_, body) = self.get(&path, Duration::from_secs(3)).await?;
-            let page: ItemList = parse(&body)?;
-            ledger.get_or_insert(page.ledger);
+            let page: KeyValuePage = parse(&body)?;
+            revision.get_or_insert(page.revision);
             let more = page.has_next && !page.items.is_empty();
             items.extend(page.items);
             if !more {
-                return Ok((items, ledger.unwrap_or(0), page.ledger));
+                return Ok((items, revision.unwrap_or(0), page.revision));
             }
         }
     }
@@ -145,7 +145,7 @@
         prefix: &str,
         after: u64,
         wait_ms: u64,
-    ) -> Result<NewsList, StateError> {
+    ) -> Result<WatchResponse, StateError> {
         let path = format!("/watch?starts={prefix}&after={after}&waitMs={wait_ms}");
         let wait = Duration::from_millis(wait_ms + 1500);
         let (_, body) = self.get(&path, wait).await?;
@@ -173,68 +173,75 @@
     }
 
     /// Sends a transaction.
-    pub async fn commit(&self, txn: &Txn, wait: Duration) -> Outcome {
+    pub async fn commit(&self, transaction: &Transaction, wait: Duration) -> CommitOutcome {
         #[derive(Deserialize, Default)]
-        struct Ledger {
+        struct CommitResponse {
             #[serde(default)]
-            ledger: u64,
+            #[serde(rename = "ledger")]
+            revision: u64,
         }
-        let Answer::Some(status, body) = self.post("/commit", txn, wait).await else {
-            return Outcome::Unknown;
+        let Answer::Some(status, body) = self.post("/commit", transaction, wait).await else {
+            return CommitOutcome::Unknown;
         };
         match status {
-            StatusCode::OK => match serde_json::from_slice::<Ledger>(&body) {
-                Ok(l) => Outcome::Done(l.ledger),
-                Err(_) => Outcome::Unknown,
+            StatusCode::OK => match serde_json::from_slice::<CommitResponse>(&body) {
+                Ok(l) => CommitOutcome::Done(l.revision),
+                Err(_) => CommitOutcome::Unknown,
             },
             StatusCode::CONFLICT => {
-                let l: Ledger = serde_json::from_slice(&body).unwrap_or_default();
-                Outcome::Conflict(l.ledger)
+                let l: CommitResponse = serde_json::from_slice(&body).unwrap_or_default();
+                CommitOutcome::Conflict(l.revision)
+            }
+            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
+                CommitOutcome::Refused
             }
-            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Outcome::Refused,
             StatusCode::BAD_REQUEST => {
                 let text = String::from_utf8_lossy(&body).into_owned();
                 if text.contains("no such lease") {
-                    return Outcome::NoLease;
+                    return CommitOutcome::NoLease;
                 }
-                let (changes, guards) = (txn.then.len(), txn.guards.len());
+                let (changes, preconditions) =
+                    (transaction.mutations.len(), transaction.preconditions.len());
                 tracing::error!(
                     text,
                     changes,
-                    guards,
+                    preconditions,
                     "the state service calls a transaction malformed"
                 );
-                Outcome::Malformed
+                CommitOutcome::Malformed
             }
-            _ => Outcome::Unknown,
+            _ => CommitOutcome::Unknown,
         }
     }
 
     /// Asks for a lease.
     pub async fn lease(&self, life_ms: u64) -> LeaseAnswer {
         #[derive(Deserialize)]
-        struct Permit {
-            permit: u64,
+        struct GrantedLease {
+            #[serde(rename = "permit")]
+            lease_id: u64,
         }
         let body = serde_json::json!({ "lifeMs": life_ms });
         match self
             .post("/leases", &body, Duration::from_millis(1500))
             .await
         {
-            Answer::Some(StatusCode::OK, body) => match serde_json::from_slice::<Permit>(&body) {
-                Ok(p) => LeaseAnswer::Held(p.permit),
-                Err(_) => LeaseAnswer::Failed,
-            },
+            Answer::Some(StatusCode::OK, body) => {
+                match serde_json::from_slice::<GrantedLease>(&body) {
+                    Ok(p) => LeaseAnswer::Held(p.lease_id),
+                    Err(_) => LeaseAnswer::Failed,
+                }
+            }
             _ => LeaseAnswer::Failed,
         }
     }
 
     /// Renews a lease.
-    pub async fn renew(&self, permit: u64) -> LeaseAnswer {
-        let path = format!("/leases/{permit}/extend");
+    pub async fn renew(&self, lease_id: u64) -> LeaseAnswer {
+        let path = format!("/leases/{lease_id}/extend");
         let body = serde_json::json!({});
         match self.post(&path, &body, Duration::from_millis(1500)).await {
-            Answer::Some(StatusCode::OK, _) => LeaseAnswer::Held(permit),
+            Answer::Some(StatusCode::OK, _) => LeaseAnswer::Held(lease_id),
             Answer::Some(StatusCode::NOT_FOUND, _) => LeaseAnswer::Gone,
             _ => LeaseAnswer::Failed,
         }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -8,10 +8,10 @@
 
 mod support;
 
-use quillbend::clock::Ms;
+use quillbend::clock::Timestamp;
 use quillbend::protocol::*;
 use quillbend::records::*;
-use quillbend::replica::View;
+use quillbend::replica::Replica;
 use serde::Deserialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -31,18 +31,19 @@
         Pending,
         Running,
         Done,
-        Withdrawn,
+        #[serde(rename = "withdrawn")]
+        Cancelled,
     }
 
     #[derive(Deserialize)]
     #[serde(rename_all = "snake_case")]
-    pub enum Shape {
+    pub enum JobKind {
         Batch,
     }
 
     #[derive(Deserialize)]
     #[serde(rename_all = "snake_case")]
-    pub enum Urgency {
+    pub enum Priority {
         Critical,
         Urgent,
         Normal,
@@ -55,16 +56,19 @@
     pub struct JobSpec {
         pub route: String,
         pub crew: String,
-        pub shape: Shape,
-        pub urgency: Urgency,
-        pub legs: u32,
+        pub shape: JobKind,
+        #[serde(rename = "urgency")]
+        pub priority: Priority,
+        #[serde(rename = "legs")]
+        pub task_count: u32,
         pub vcpus: f64,
         pub gpus: f64,
         pub ram_gb: f64,
         pub kit: String,
         pub size_gb: f64,
         #[serde(default)]
-        pub frames: Option<Vec<String>>,
+        #[serde(rename = "frames")]
+        pub machine_types: Option<Vec<String>>,
         #[serde(default)]
         pub yard: Option<String>,
         pub same_place: bool,
@@ -88,7 +92,7 @@
 
     #[derive(Deserialize)]
     #[allow(dead_code)]
-    pub struct Owner {
+    pub struct Holder {
         pub h: String,
         pub b: u64,
     }
@@ -125,19 +129,24 @@
 
     #[derive(Deserialize)]
     #[allow(dead_code)]
-    pub struct PeerNews {
+    pub struct PeerMessage {
         pub host: String,
-        pub boot: u64,
+        #[serde(rename = "boot")]
+        pub incarnation: u64,
         pub state_ok: bool,
         pub short: bool,
         pub heard: Vec<(String, u64)>,
-        pub fleet: Option<quillbend::protocol::FleetNews>,
-        pub strays: Vec<quillbend::protocol::Stray>,
-        pub agents: Vec<quillbend::protocol::Agent>,
+        pub fleet: Option<quillbend::protocol::FleetSummary>,
+        #[serde(rename = "strays")]
+        pub unowned_machines: Vec<quillbend::protocol::UnownedMachine>,
+        #[serde(rename = "agents")]
+        pub steal_messages: Vec<quillbend::protocol::StealMessage>,
         pub ratios: Vec<(String, f64)>,
-        pub fails: Vec<(String, u32, u64)>,
+        #[serde(rename = "fails")]
+        pub failure_streaks: Vec<(String, u32, u64)>,
         #[serde(default)]
-        pub withdrawn: Vec<String>,
+        #[serde(rename = "withdrawn")]
+        pub cancelled: Vec<String>,
         #[serde(default)]
         pub grants: Vec<(u32, u64, String)>,
     }
@@ -147,7 +156,7 @@
     serde_json::from_str(json).expect("json")
 }
 
-fn peer_news(hex: &str) -> PeerNews {
+fn peer_message(hex: &str) -> PeerMessage {
     let hex = hex.trim();
     let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex");
     let bytes: Vec<u8> = (0..hex.len()).step_by(2).map(byte).collect();
@@ -155,15 +164,15 @@
 }
 
 /// A replica that has read these values.
-fn view_of(stored: &BTreeMap<String, Value>) -> View {
-    let items = stored.iter().enumerate().map(|(n, (k, v))| Item {
-        k: k.clone(),
-        v: Json::of(v),
-        stamp: n as u64 + 1,
+fn view_of(stored: &BTreeMap<String, Value>) -> Replica {
+    let items = stored.iter().enumerate().map(|(n, (k, v))| KeyValue {
+        key: k.clone(),
+        value: Json::of(v),
+        mod_revision: n as u64 + 1,
     });
-    let mut view = View::default();
-    view.load(items.collect(), 100);
-    view
+    let mut replica = Replica::default();
+    replica.load(items.collect(), 100);
+    replica
 }
 
 /// What is read and written again says the same.
@@ -192,10 +201,10 @@
 /// know.
 fn read_as_format_0(key: &str, value: &Value) {
     match key {
-        "qb/lead" => reads::<format_0::Owner>(key, value),
-        "qb/catalog" => reads::<Vec<Frame>>(key, value),
+        "qb/lead" => reads::<format_0::Holder>(key, value),
+        "qb/catalog" => reads::<Vec<MachineType>>(key, value),
         _ if key.starts_with("qb/node/") => reads::<format_0::Node>(key, value),
-        _ if key.starts_with("qb/grant/") => reads::<format_0::Owner>(key, value),
+        _ if key.starts_with("qb/grant/") => reads::<format_0::Holder>(key, value),
         _ if key.starts_with("qb/block/") => reads::<format_0::Block>(key, value),
         _ if key.starts_with("qb/load/") => reads::<format_0::Load>(key, value),
         _ if key.starts_with("qb/job/") || key.starts_with("past/") => {
@@ -218,39 +227,47 @@
         "past", "qb/block", "qb", "qb/grant", "qb/job", "qb", "qb/load", "qb/node",
     ];
     assert_eq!(kinds, expected, "a kind of key is missing");
-    let view = view_of(&stored);
-    assert!(view.lead.is_some());
-    assert_eq!(view.catalog.as_ref().map(Vec::len), Some(2));
+    let replica = view_of(&stored);
+    assert!(replica.leader.is_some());
+    assert_eq!(replica.catalog.as_ref().map(Vec::len), Some(2));
     assert_eq!(
-        (view.nodes.len(), view.grants.len(), view.blocks.len()),
+        (
+            replica.live_controllers.len(),
+            replica.grants.len(),
+            replica.blocks.len()
+        ),
         (3, 3, 3)
     );
     assert!(
-        view.nodes.values().all(|n| n.format == 0),
+        replica.live_controllers.values().all(|n| n.format == 0),
         "it does not say its format"
     );
     assert_eq!(
-        (view.jobs.len(), view.machines.len(), view.loads.len()),
+        (
+            replica.jobs.len(),
+            replica.machines.len(),
+            replica.loads.len()
+        ),
         (3, 6, 3)
     );
-    let job = |name| &view.jobs[&view.names.jobs.get(name).expect("known")];
+    let job = |name| &replica.jobs[&replica.names.jobs.get(name).expect("known")];
     let urgent = job("wk-000412");
     assert_eq!((urgent.status, urgent.done.len()), (JobStatus::Done, 12));
     assert_eq!(
-        (urgent.spec.urgency, urgent.spec.due_s),
-        (Urgency::Urgent, Some(90.0))
+        (urgent.spec.priority, urgent.spec.due_s),
+        (Priority::Urgent, Some(90.0))
     );
     assert_eq!(
-        (urgent.spec.frames.as_deref(), urgent.zone.is_some()),
+        (urgent.spec.machine_types.as_deref(), urgent.zone.is_some()),
         (Some(&["small".to_owned()][..]), true)
     );
-    assert_eq!(job("wk-000007").status, JobStatus::Withdrawn);
+    assert_eq!(job("wk-000007").status, JobStatus::Cancelled);
     let open = job("wk-000398");
     assert_eq!(
         (open.status, open.done.len(), open.ready_ms),
         (JobStatus::Pending, 4, None)
     );
-    let bound = view.bound_len(view.names.jobs.get("wk-000398").expect("known"));
+    let bound = replica.bound_len(replica.names.jobs.get("wk-000398").expect("known"));
     assert_eq!(bound, 5);
     assert_written_again(&stored);
 }
@@ -258,18 +275,21 @@
 #[test]
 fn every_value_of_format_2_is_read_whole() {
     let stored = stored(include_str!("fixtures/format_2_stored.json"));
-    let view = view_of(&stored);
-    assert_eq!(view.format, 2);
-    assert_eq!(view.encoding(), Encoding::Compatible);
-    assert!(view.nodes.values().all(|n| n.format == 2));
-    let job = |name| view.names.jobs.get(name).expect("known");
+    let replica = view_of(&stored);
+    assert_eq!(replica.format, 2);
+    assert_eq!(replica.encoding(), Encoding::Compatible);
+    assert!(replica.live_controllers.values().all(|n| n.format == 2));
+    let job = |name| replica.names.jobs.get(name).expect("known");
     // The fixture has each key at its richest value, so jobs that waited stand there twice.
-    let waiting = &view.waiting.jobs[&job("wk-000414")].record;
+    let waiting = &replica.waiting.jobs[&job("wk-000414")].record;
     let needed = ["wk-000412", "wk-000413"];
     assert_eq!(waiting.predecessors.names(), needed);
-    assert_eq!(view.status_of(job("wk-000415")), Some(JobStatus::Withdrawn));
-    assert_eq!(view.jobs[&job("wk-000413")].ready_ms, Some(10_008_100));
-    assert!(view.bound_len(job("wk-000398")) > 20);
+    assert_eq!(
+        replica.status_of(job("wk-000415")),
+        Some(JobStatus::Cancelled)
+    );
+    assert_eq!(replica.jobs[&job("wk-000413")].ready_ms, Some(10_008_100));
+    assert!(replica.bound_len(job("wk-000398")) > 20);
     assert_written_again(&stored);
 }
 
@@ -280,9 +300,9 @@
 
 #[test]
 fn every_field_of_a_message_of_format_2_is_read() {
-    let news = peer_news(include_str!("fixtures/format_2_peer_news.hex"));
-    assert_eq!(news.format, 2);
-    let fleet = news.fleet.expect("machines");
+    let message = peer_message(include_str!("fixtures/format_2_peer_news.hex"));
+    assert_eq!(message.format, 2);
+    let fleet = message.fleet.expect("machines");
     assert_eq!(fleet.machines.len(), 2);
     assert!(!fleet.running.is_empty());
     assert!(!fleet.done.is_empty(), "endings that are not recorded yet");
@@ -290,23 +310,29 @@
 
 #[test]
 fn every_field_of_a_message_of_format_0_is_read() {
-    let news = peer_news(include_str!("fixtures/format_0_peer_news.hex"));
-    assert_eq!((news.host.as_str(), news.boot, news.format), ("n1", 77, 0));
-    assert!(news.state_ok && !news.short);
-    let fleet = news.fleet.expect("machines");
+    let message = peer_message(include_str!("fixtures/format_0_peer_news.hex"));
+    assert_eq!(
+        (message.host.as_str(), message.incarnation, message.format),
+        ("n1", 77, 0)
+    );
+    assert!(message.state_ok && !message.short);
+    let fleet = message.fleet.expect("machines");
     assert_eq!(
-        (fleet.machines[0].rig.as_str(), fleet.machines[0].load),
+        (fleet.machines[0].machine.as_str(), fleet.machines[0].load),
         ("m-000001", 1.5)
     );
     assert_eq!(fleet.running, [("wk-000412".to_owned(), 3)]);
-    assert_eq!(news.strays[0].for_ms, 900);
+    assert_eq!(message.unowned_machines[0].for_ms, 900);
     assert!(matches!(
-        &news.agents[..],
-        [Agent::Hint { .. }, Agent::Steal { hops: 1, .. }]
+        &message.steal_messages[..],
+        [
+            StealMessage::Hint { .. },
+            StealMessage::Steal { hops: 1, .. }
+        ]
     ));
-    assert_eq!(news.fails, [("wk-000398".to_owned(), 2, 300)]);
-    assert_eq!(news.grants, [(3, 41, "n2".to_owned())]);
-    assert_eq!(news.withdrawn, ["wk-000007"]);
+    assert_eq!(message.failure_streaks, [("wk-000398".to_owned(), 2, 300)]);
+    assert_eq!(message.grants, [(3, 41, "n2".to_owned())]);
+    assert_eq!(message.cancelled, ["wk-000007"]);
 }
 
 #[test]
@@ -327,22 +353,22 @@
         }
         for prefix in ["qb/", "past/"] {
             for item in w.state.list(prefix).0 {
-                let value: Value = item.v.read().expect("json");
-                read_as_format_0(&item.k, &value);
+                let value: Value = item.value.read().expect("json");
+                read_as_format_0(&item.key, &value);
                 // A job that waits is nowhere where that version would bind it.
-                waited |= item.k.starts_with("qb/wait/");
+                waited |= item.key.starts_with("qb/wait/");
                 let passed_over = ["qb/wait/", "qb/format"];
-                if passed_over.iter().any(|p| item.k.starts_with(p)) {
-                    assert!(!format_0::READ.iter().any(|p| item.k.starts_with(p)));
+                if passed_over.iter().any(|p| item.key.starts_with(p)) {
+                    assert!(!format_0::READ.iter().any(|p| item.key.starts_with(p)));
                 }
             }
         }
         for i in 0..3 {
-            let clock: Ms = w.clock(i);
-            let node = w.nodes[i].as_mut().expect("alive");
-            let news = node.core.peer_news(true, clock);
-            let body = rmp_serde::to_vec_named(&news).expect("written");
-            rmp_serde::from_slice::<format_0::PeerNews>(&body).expect("read by that version");
+            let clock: Timestamp = w.clock(i);
+            let node = w.live_controllers[i].as_mut().expect("alive");
+            let message = node.controller.peer_message(true, clock);
+            let body = rmp_serde::to_vec_named(&message).expect("written");
+            rmp_serde::from_slice::<format_0::PeerMessage>(&body).expect("read by that version");
         }
     }
     assert!(waited && w.is_done(&third), "all kinds of keys were there");
--- a/tests/duplicate_execution.rs
+++ b/tests/duplicate_execution.rs
@@ -3,11 +3,11 @@
 
 mod support;
 
-use quillbend::protocol::{Cause, Leg, LegStatus};
+use quillbend::protocol::{ExitReason, TaskPhase, TaskStatus};
 use quillbend::ranges::RangeSet;
 use quillbend::records::BlockRecord;
 use support::occupancy::{DoubleStart, double_start};
-use support::{Mood, World};
+use support::{StoreFault, World};
 
 #[test]
 fn the_checker_sees_a_task_on_two_machines_and_nothing_else() {
@@ -40,7 +40,7 @@
             }
         }
         w.assert_kept();
-        let planted = w.workers[at].tasks[0].leg.clone();
+        let planted = w.workers[at].tasks[0].task.clone();
         let other = (at + 1) % w.workers.len();
         w.plant(other, &planted);
         w.run(100);
@@ -49,11 +49,11 @@
 }
 
 /// The block that lists a machine.
-fn block_of(w: &World, rig: &str) -> (String, BlockRecord) {
+fn block_of(w: &World, machine: &str) -> (String, BlockRecord) {
     let (items, _) = w.state.list("qb/block/");
-    let mut blocks = items.into_iter().map(|i| (i.k.clone(), w.block(&i.k)));
+    let mut blocks = items.into_iter().map(|i| (i.key.clone(), w.block(&i.key)));
     blocks
-        .find(|(_, b)| b.machines.contains_key(rig))
+        .find(|(_, b)| b.machines.contains_key(machine))
         .expect("listed")
 }
 
@@ -74,10 +74,10 @@
     let job = job.expect("listed there too");
     // Attempts are stored as what they exceed the block's first one by.
     let first = to.first_attempt.min(attempt);
-    let session = to.first_attempt - first;
+    let worker_epoch = to.first_attempt - first;
     to.first_attempt = first;
     for machine in to.machines.values_mut() {
-        machine.queue.iter_mut().for_each(|q| q.2 += session);
+        machine.queue.iter_mut().for_each(|q| q.2 += worker_epoch);
     }
     let queue = &mut to.machines.get_mut(thief).expect("listed").queue;
     queue.push((job, moved, attempt - first));
@@ -96,23 +96,23 @@
     let (mut w, job) = World::busy(1, 3, 60_000);
     let at = w.workers.iter().position(|m| !m.tasks.is_empty());
     let at = at.expect("something runs");
-    let rig = w.workers[at].rig.name.clone();
-    let holder = w.holder(&rig).expect("held");
+    let machine = w.workers[at].machine.name.clone();
+    let holder = w.holder(&machine).expect("held");
     let begun = w.starts_of(&job);
     // The tasks end, and the worker's lease with them: only a copy of its report arrives.
-    let mut copy = w.workers[at].report();
-    for leg in &mut copy.legs {
-        (leg.status, leg.cause) = (LegStatus::Ended, Some(Cause::Done));
+    let mut copy = w.workers[at].heartbeat();
+    for task in &mut copy.tasks {
+        (task.status, task.cause) = (TaskPhase::Ended, Some(ExitReason::Done));
     }
     copy.sequence += 1;
     let worker = &mut w.workers[at];
     worker.tasks.clear();
-    (worker.session, worker.sequence) = (worker.session + 1, 0);
+    (worker.worker_epoch, worker.sequence) = (worker.worker_epoch + 1, 0);
     let clock = w.clock(holder);
-    let node = w.nodes[holder].as_mut().expect("alive");
-    node.core.on_report(copy, clock);
+    let node = w.live_controllers[holder].as_mut().expect("alive");
+    node.controller.on_heartbeat(copy, clock);
     // Before that is recorded, the block is granted to the same holder once more.
-    let key = block_of(&w, &rig).0.replace("block", "grant");
+    let key = block_of(&w, &machine).0.replace("block", "grant");
     let grant = w.state.value(&key).expect("granted");
     w.state.overwrite(&key, &grant);
     w.run(10_000);
@@ -122,7 +122,7 @@
 
 /// Machines whose blocks the leader does not hold.
 fn held_by_others(w: &World, leader: usize) -> Vec<usize> {
-    let others = |&at: &usize| w.holder(&w.workers[at].rig.name) != Some(leader);
+    let others = |&at: &usize| w.holder(&w.workers[at].machine.name) != Some(leader);
     (0..w.workers.len()).filter(others).collect()
 }
 
@@ -137,10 +137,10 @@
     let [victim, thief] = others[..] else {
         return (w, false);
     };
-    let rig = |at: usize| w.workers[at].rig.name.clone();
-    let (victim_rig, thief_rig) = (rig(victim), rig(thief));
-    let holder = w.holder(&victim_rig).expect("held");
-    if w.holder(&thief_rig) == Some(holder) {
+    let machine = |at: usize| w.workers[at].machine.name.clone();
+    let (victim_machine, thief_machine) = (machine(victim), machine(thief));
+    let holder = w.holder(&victim_machine).expect("held");
+    if w.holder(&thief_machine) == Some(holder) {
         return (w, false);
     }
     // What is bound to the victim is not started yet.
@@ -150,19 +150,24 @@
     spec.cpus = 0.5;
     w.submit(1, spec);
     w.until(4000, "bound", |w| {
-        let (_, block) = block_of(w, &victim_rig);
-        w.running() >= 2 && !block.machines[&victim_rig].queue.is_empty()
+        let (_, block) = block_of(w, &victim_machine);
+        w.running() >= 2 && !block.machines[&victim_machine].queue.is_empty()
     });
     w.links[leader].watch_hangs = true;
-    let task = steal(&mut w, &victim_rig, &thief_rig);
+    let task = steal(&mut w, &victim_machine, &thief_machine);
     w.until(6000, "the thief runs it", |w| {
-        w.starts.iter().any(|s| s.1 == task && s.2 == thief_rig)
+        w.starts.iter().any(|s| s.1 == task && s.2 == thief_machine)
     });
     w.crash(holder);
     w.run(4500);
-    let held = w.core(leader).view.names.machines.get(&victim_rig);
-    let held = held.and_then(|m| w.core(leader).view.holder(m));
-    let held = held.is_some_and(|h| h.1.host == w.core(leader).me);
+    let held = w
+        .controller(leader)
+        .replica
+        .names
+        .machines
+        .get(&victim_machine);
+    let held = held.and_then(|m| w.controller(leader).replica.holder(m));
+    let held = held.is_some_and(|h| h.1.host == w.controller(leader).me);
     w.workers[victim].cut = false;
     w.workers[victim].at = leader;
     w.run(3000);
@@ -195,26 +200,26 @@
         let at = w.workers.iter().position(runs).expect("something runs");
         // Its task fails; the report of this is held up on its way.
         w.workers[at].cut = true;
-        let mut late = w.workers[at].report();
+        let mut late = w.workers[at].heartbeat();
         late.sequence += 1;
-        late.legs[0].status = LegStatus::Ended;
-        late.legs[0].cause = Some(Cause::Error);
-        let task = late.legs[0].leg.clone();
+        late.tasks[0].status = TaskPhase::Ended;
+        late.tasks[0].cause = Some(ExitReason::Error);
+        let task = late.tasks[0].task.clone();
         // All controllers are away until its session is over.
         (0..3).for_each(|i| w.crash(i));
         w.run(13_000);
         w.workers[at].cut = false;
         (0..3).for_each(|i| w.start(i));
-        let rig = w.workers[at].rig.name.clone();
+        let machine = w.workers[at].machine.name.clone();
         let since = w.now;
         w.until(30_000, "it runs again", |w| {
-            let again = |s: &(u64, String, String)| s.0 > since && s.1 == task && s.2 == rig;
+            let again = |s: &(u64, String, String)| s.0 > since && s.1 == task && s.2 == machine;
             w.starts.iter().any(again)
         });
         for i in 0..3 {
             let clock = w.clock(i);
-            let core = &mut w.nodes[i].as_mut().expect("alive").core;
-            core.on_report(late.clone(), clock);
+            let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
+            controller.on_heartbeat(late.clone(), clock);
         }
         let starts = |w: &World| w.starts.iter().filter(|s| s.1 == task).count();
         let before = starts(&w);
@@ -234,18 +239,18 @@
         w.cloud_up = false;
         let leader = w.leader().expect("leads");
         let stale = (0..3).find(|&i| i != leader).expect("three of them");
-        let other = |at: &usize| w.holder(&w.workers[*at].rig.name) != Some(stale);
+        let other = |at: &usize| w.holder(&w.workers[*at].machine.name) != Some(stale);
         let at = (0..3).find(other).expect("one is held by another");
-        let rig = w.workers[at].rig.name.clone();
+        let machine = w.workers[at].machine.name.clone();
         w.workers[at].cut = true;
         w.run_ms = 6000;
         w.submit(1, w.spec(12));
         w.until(4000, "bound", |w| {
-            !block_of(w, &rig).1.machines[&rig].queue.is_empty()
+            !block_of(w, &machine).1.machines[&machine].queue.is_empty()
         });
         // A controller is granted the block, and is then cut from all but the workers.
         let stale_grant = grant_of(&w, stale);
-        let (key, _) = block_of(&w, &rig);
+        let (key, _) = block_of(&w, &machine);
         w.state
             .overwrite(&key.replace("block", "grant"), &stale_grant);
         w.run(200);
@@ -256,13 +261,13 @@
         w.workers[at].reclaim_s = Some(30.0);
         w.run_ms = 60_000;
         w.until(9000, "freed", |w| {
-            block_of(w, &rig).1.machines[&rig].queue.is_empty()
+            block_of(w, &machine).1.machines[&machine].queue.is_empty()
         });
         w.until(9000, "it runs elsewhere", |w| w.running() >= 4);
         w.restart_machine(at);
         w.workers[at].reclaim_s = None;
         w.workers[at].at = stale;
-        assert!(w.core(stale).has_authority(w.clock(stale)));
+        assert!(w.controller(stale).has_authority(w.clock(stale)));
         w.run(3000);
         w.assert_kept();
     }
@@ -271,7 +276,9 @@
 /// The grant of some block that a controller holds.
 fn grant_of(w: &World, i: usize) -> serde_json::Value {
     let (items, _) = w.state.list("qb/grant/");
-    let values = items.into_iter().filter_map(|item| w.state.value(&item.k));
+    let values = items
+        .into_iter()
+        .filter_map(|item| w.state.value(&item.key));
     let name = format!("n{i}");
     let mut mine = values.filter(|v| v["h"] == name.as_str());
     mine.next().expect("it holds something")
@@ -286,7 +293,7 @@
         w.run(3000);
         let leader = w.leader().expect("leads");
         w.run_ms = 20_000;
-        w.links[leader].state = Mood::Slow(2500);
+        w.links[leader].state = StoreFault::Slow(2500);
         for n in 1..=4 {
             w.submit(n, w.spec(4));
             w.run(300);
@@ -295,7 +302,7 @@
             w.state.limits = None;
             w.run(700);
         }
-        w.links[leader].state = Mood::Good;
+        w.links[leader].state = StoreFault::Good;
         w.run(5000);
         w.assert_kept();
     }
@@ -306,23 +313,26 @@
     let (mut w, _) = World::busy(3, 3, 60_000);
     let runs = |m: &support::Worker| !m.tasks.is_empty();
     let at = w.workers.iter().position(runs).expect("something runs");
-    let rig = w.workers[at].rig.name.clone();
-    let holder = w.holder(&rig).expect("held");
-    let before = block_of(&w, &rig).1.machines[&rig].queue.clone();
-    let mut report = w.workers[at].report();
-    report.sequence += 1;
-    let listed = report.legs[0].clone();
-    report.legs[0].status = LegStatus::Ended;
-    report.legs[0].cause = Some(Cause::InUse);
+    let machine = w.workers[at].machine.name.clone();
+    let holder = w.holder(&machine).expect("held");
+    let before = block_of(&w, &machine).1.machines[&machine].queue.clone();
+    let mut heartbeat = w.workers[at].heartbeat();
+    heartbeat.sequence += 1;
+    let listed = heartbeat.tasks[0].clone();
+    heartbeat.tasks[0].status = TaskPhase::Ended;
+    heartbeat.tasks[0].cause = Some(ExitReason::InUse);
     let attempt = listed.attempt - 1;
-    report.legs.push(Leg { attempt, ..listed });
+    heartbeat.tasks.push(TaskStatus { attempt, ..listed });
     let clock = w.clock(holder);
-    let core = &mut w.nodes[holder].as_mut().expect("alive").core;
-    core.on_report(report, clock);
+    let controller = &mut w.live_controllers[holder]
+        .as_mut()
+        .expect("alive")
+        .controller;
+    controller.on_heartbeat(heartbeat, clock);
     // Its worker is out of sight for a moment: nothing else tells of the task.
     w.workers[at].cut = true;
     w.run(4000);
-    assert_eq!(block_of(&w, &rig).1.machines[&rig].queue, before);
+    assert_eq!(block_of(&w, &machine).1.machines[&machine].queue, before);
 }
 
 #[test]
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -3,15 +3,15 @@
 
 mod support;
 
-use quillbend::controller::Outcome;
+use quillbend::controller::CommitOutcome;
 use quillbend::jobs::chained::Predecessor;
 use quillbend::jobs::gradual::{Step, Stored, plan_step};
 use quillbend::jobs::new_record;
-use quillbend::protocol::{JobSpec, JobStatus, Urgency};
+use quillbend::protocol::{JobSpec, JobStatus, Priority};
 use quillbend::replica::{job_key, past_key, waiting_key};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use support::{Mood, PLATFORM, World};
+use support::{PLATFORM, StoreFault, World};
 
 /// A chain of so many jobs of two tasks each, numbered from `n`; the first waits for nothing.
 fn chain_of(w: &mut World, n: u32, jobs: u32) -> Vec<String> {
@@ -25,17 +25,19 @@
 
 /// What every controller that is up to date answers.
 fn all_answer(w: &mut World, job: &str) -> Vec<JobStatus> {
-    (0..w.nodes.len()).filter_map(|i| w.ask(i, job)).collect()
+    (0..w.live_controllers.len())
+        .filter_map(|i| w.ask(i, job))
+        .collect()
 }
 
 /// Plays on until each of these jobs is shown as withdrawn by every controller, within the time that
 /// a cancellation has, and archived as such in the end.
-fn all_withdrawn(w: &mut World, jobs: &[String]) {
+fn all_cancelled(w: &mut World, jobs: &[String]) {
     w.run(w.cancel_ms());
     for job in jobs {
         let answers = all_answer(w, job);
         assert!(
-            !answers.is_empty() && answers.iter().all(|a| *a == JobStatus::Withdrawn),
+            !answers.is_empty() && answers.iter().all(|a| *a == JobStatus::Cancelled),
             "{job}: {answers:?}"
         );
         assert_eq!(w.running_of(job), 0, "{job}");
@@ -43,7 +45,7 @@
     let archived = |w: &World, j: &String| w.state.value(&past_key(j)).is_some();
     w.until(120_000, "archived", |w| jobs.iter().all(|j| archived(w, j)));
     for job in jobs {
-        assert_eq!(w.job(job).map(|j| j.status), Some(JobStatus::Withdrawn));
+        assert_eq!(w.job(job).map(|j| j.status), Some(JobStatus::Cancelled));
     }
 }
 
@@ -119,7 +121,7 @@
     w.run_ms = 100_000;
     let first = w.submit(1, w.spec(2));
     let mut large = w.spec(400);
-    large.urgency = Urgency::Critical;
+    large.priority = Priority::Critical;
     for n in 2..20 {
         w.chain(n, large.clone(), &[&first]);
     }
@@ -137,23 +139,23 @@
 
 /// Whether the first job of a chain whose last one has this priority and deadline is done before one
 /// like it that nobody needs, on a fleet that is full of ordinary work.
-fn first_is_served_early(urgency: Urgency, due_s: Option<f64>) -> bool {
+fn first_is_served_early(priority: Priority, due_s: Option<f64>) -> bool {
     let mut w = World::settled(5, 3, 3);
     w.cloud_up = false;
     w.run_ms = 6000;
-    let spec = |w: &World, urgency: Urgency| JobSpec {
-        urgency,
+    let spec = |w: &World, priority: Priority| JobSpec {
+        priority,
         team: "red".into(),
         ..w.spec(2)
     };
     for n in 1..=24 {
-        w.submit(n, spec(&w, Urgency::Normal));
+        w.submit(n, spec(&w, Priority::Normal));
     }
     w.run(3000);
-    let alone = w.submit(40, spec(&w, Urgency::BestEffort));
-    let first = w.submit(41, spec(&w, Urgency::BestEffort));
-    let second = w.chain(42, spec(&w, Urgency::BestEffort), &[&first]);
-    let mut last = spec(&w, urgency);
+    let alone = w.submit(40, spec(&w, Priority::BestEffort));
+    let first = w.submit(41, spec(&w, Priority::BestEffort));
+    let second = w.chain(42, spec(&w, Priority::BestEffort), &[&first]);
+    let mut last = spec(&w, priority);
     last.due_s = due_s;
     w.chain(43, last, &[&second]);
     w.until(120_000, "one is done", |w| {
@@ -165,16 +167,16 @@
 
 #[test]
 fn the_priority_of_the_last_job_counts_for_those_before_it() {
-    assert!(first_is_served_early(Urgency::Urgent, None));
+    assert!(first_is_served_early(Priority::Urgent, None));
     assert!(
-        !first_is_served_early(Urgency::BestEffort, None),
+        !first_is_served_early(Priority::BestEffort, None),
         "nothing presses"
     );
 }
 
 #[test]
 fn the_deadline_of_the_last_job_counts_for_those_before_it() {
-    assert!(first_is_served_early(Urgency::BestEffort, Some(90.0)));
+    assert!(first_is_served_early(Priority::BestEffort, Some(90.0)));
 }
 
 #[test]
@@ -192,7 +194,10 @@
         let aside = w.chain(30, w.spec(1), &[&right]);
         w.run(1500);
         let victim = [&top, &left][cancelled_at].clone();
-        assert!(matches!(w.cancel_through(0, &victim), Outcome::Done(_)));
+        assert!(matches!(
+            w.cancel_through(0, &victim),
+            CommitOutcome::Done(_)
+        ));
         let mut over = vec![victim.clone(), bottom, tail];
         over.extend(fan);
         if cancelled_at == 0 {
@@ -201,10 +206,10 @@
         // Whoever knows of the cancellation answers alike, at once.
         w.run(100);
         for job in &over {
-            assert_eq!(w.ask(0, job), Some(JobStatus::Withdrawn), "{job}");
+            assert_eq!(w.ask(0, job), Some(JobStatus::Cancelled), "{job}");
         }
         w.run_ms = 3000;
-        all_withdrawn(&mut w, &over);
+        all_cancelled(&mut w, &over);
         if cancelled_at == 1 {
             let named = [right, aside];
             w.until(200_000, "the others go on", |w| {
@@ -225,9 +230,9 @@
     w.run(500);
     // Its predecessor was withdrawn with the first; later both are archived.
     let third = w.chain(3, w.spec(2), &[&second]);
-    all_withdrawn(&mut w, &[first.clone(), second.clone(), third]);
+    all_cancelled(&mut w, &[first.clone(), second.clone(), third]);
     let fourth = w.chain(4, w.spec(2), &[&second]);
-    all_withdrawn(&mut w, &[fourth]);
+    all_cancelled(&mut w, &[fourth]);
     w.assert_kept();
 }
 
@@ -247,11 +252,11 @@
             }
             let i = seed as usize % 3;
             match w.cancel_through(i, &first) {
-                Outcome::Done(_)
+                CommitOutcome::Done(_)
                     if w.job(&first)
-                        .is_some_and(|j| j.status == JobStatus::Withdrawn) =>
+                        .is_some_and(|j| j.status == JobStatus::Cancelled) =>
                 {
-                    all_withdrawn(&mut w, &[first, next.clone()]);
+                    all_cancelled(&mut w, &[first, next.clone()]);
                     assert_eq!(w.starts_of(&next), 0);
                 }
                 _ => w.until(60_000, "the chain goes on", |w| w.is_done(&next)),
@@ -272,14 +277,17 @@
         w.until(30_000, "it is ready", |w| w.is_done(&first));
         // An answer that is lost, a copy that is carried out later, a controller that refuses.
         let leader = w.leader().expect("leads");
-        w.links[leader].state =
-            [Mood::LosesAnswers, Mood::Late(2500), Mood::Good][seed as usize % 3];
+        w.links[leader].state = [
+            StoreFault::LosesAnswers,
+            StoreFault::Late(2500),
+            StoreFault::Good,
+        ][seed as usize % 3];
         w.run(100 * (seed % 4));
         let outcome = w.cancel_through((leader + 1) % 3, &next);
-        assert!(matches!(outcome, Outcome::Done(_)));
+        assert!(matches!(outcome, CommitOutcome::Done(_)));
         w.run(4000);
         w.heal();
-        all_withdrawn(&mut w, &[next, last]);
+        all_cancelled(&mut w, &[next, last]);
         w.assert_kept();
     }
 }
@@ -292,8 +300,8 @@
         let first = w.submit(1, w.spec(1));
         w.run(1000);
         // Decided on what controller 0 shows; carried out after the other has changed the key.
-        let core = w.core(0);
-        let named = vec![(first.clone(), core.view.predecessor(&first))];
+        let controller = w.controller(0);
+        let named = vec![(first.clone(), controller.replica.predecessor(&first))];
         let record = quillbend::jobs::new_record(w.spec(1), w.now);
         let planned =
             quillbend::jobs::chained::plan_acceptance("wk-000002", record, named, &w.settings);
@@ -302,15 +310,21 @@
         } else {
             w.until(30_000, "done", |w| w.is_done(&first));
         }
-        let txn = planned.expect("planned").txn().clone();
-        assert!(matches!(w.state.commit(&txn), Outcome::Conflict(_)));
+        let transaction = planned.expect("planned").transaction().clone();
+        assert!(matches!(
+            w.state.commit(&transaction),
+            CommitOutcome::Conflict(_)
+        ));
         w.until(90_000, "archived", |w| {
             w.state.value(&past_key(&first)).is_some()
         });
-        assert!(matches!(w.state.commit(&txn), Outcome::Conflict(_)));
+        assert!(matches!(
+            w.state.commit(&transaction),
+            CommitOutcome::Conflict(_)
+        ));
         let second = w.chain(2, w.spec(1), &[&first]);
         match cancelled {
-            true => all_withdrawn(&mut w, &[second]),
+            true => all_cancelled(&mut w, &[second]),
             false => w.until(30_000, "done", |w| w.is_done(&second)),
         }
         w.assert_kept();
@@ -331,9 +345,15 @@
     );
     let record = quillbend::jobs::new_record(w.spec(1), w.now);
     let ordinary = quillbend::jobs::accept(&second, &record);
-    assert!(matches!(w.state.commit(&ordinary), Outcome::Conflict(_)));
+    assert!(matches!(
+        w.state.commit(&ordinary),
+        CommitOutcome::Conflict(_)
+    ));
     w.until(60_000, "done", |w| w.is_done(&second));
-    assert!(matches!(w.state.commit(&ordinary), Outcome::Conflict(_)));
+    assert!(matches!(
+        w.state.commit(&ordinary),
+        CommitOutcome::Conflict(_)
+    ));
     assert_eq!(w.starts_of(&second), 1);
     w.assert_kept();
 }
@@ -374,7 +394,7 @@
 
 #[test]
 fn a_predecessor_that_an_older_version_archived_is_found_in_the_archive() {
-    for status in [JobStatus::Done, JobStatus::Withdrawn] {
+    for status in [JobStatus::Done, JobStatus::Cancelled] {
         let mut w = World::settled(23, 3, 4);
         w.run_ms = 3000;
         let first = w.submit(1, w.spec(1));
@@ -388,7 +408,7 @@
         w.state.forget(&job_key(&first));
         match status {
             JobStatus::Done => w.until(30_000, "done", |w| w.is_done(&next)),
-            _ => all_withdrawn(&mut w, &[next]),
+            _ => all_cancelled(&mut w, &[next]),
         }
     }
 }
@@ -414,14 +434,15 @@
             w.run(luck.random_range(2000..8000));
         }
         let called_off = all[5].clone();
-        let cancelled = w.is_open(&called_off) && matches!(w.cancel(&called_off), Outcome::Done(_));
+        let cancelled =
+            w.is_open(&called_off) && matches!(w.cancel(&called_off), CommitOutcome::Done(_));
         let (over, rest): (Vec<String>, Vec<String>) = all.into_iter().partition(|j| {
             cancelled && ["wk-000201", "wk-000202", "wk-000203"].contains(&j.as_str())
         });
         w.run_asking(20_000, &over);
         w.all_end_well(&rest);
         if cancelled {
-            all_withdrawn(&mut w, &over);
+            all_cancelled(&mut w, &over);
         }
         w.assert_kept();
     }
@@ -436,14 +457,17 @@
         w.run(4000);
         let at = seed as usize % 2;
         let leader = w.leader().expect("leads");
-        assert!(matches!(w.cancel_through(at, &chain[0]), Outcome::Done(_)));
+        assert!(matches!(
+            w.cancel_through(at, &chain[0]),
+            CommitOutcome::Done(_)
+        ));
         w.outage(true);
         w.run_asking(3000, &chain);
         w.crash(leader);
         w.run(3000);
         w.heal();
         w.run_asking(15_000, &chain);
-        all_withdrawn(&mut w, &chain);
+        all_cancelled(&mut w, &chain);
         w.assert_kept();
     }
 }
@@ -451,20 +475,20 @@
 /// The next write by which controller 0 accepts a job that names these; what was written before is
 /// known to it.
 fn next_step(w: &World, name: &str, spec: &JobSpec, awaits: &[String]) -> Step {
-    let view = &w.core(0).view;
+    let replica = &w.controller(0).replica;
     let archived = |name: &str| match w.job(name).map(|j| j.status) {
         Some(JobStatus::Done) => Predecessor::Done,
-        Some(JobStatus::Withdrawn) => Predecessor::Withdrawn,
+        Some(JobStatus::Cancelled) => Predecessor::Cancelled,
         _ => Predecessor::Unwatched,
     };
-    let known = |name: &String| match view.predecessor(name) {
+    let known = |name: &String| match replica.predecessor(name) {
         Predecessor::Unwatched => archived(name),
         shown => shown,
     };
     let named: Vec<_> = awaits.iter().map(|a| (a.clone(), known(a))).collect();
-    let stored = view.incomplete_waiting(name).map(|waiting| Stored {
+    let stored = replica.incomplete_waiting(name).map(|waiting| Stored {
         record: &waiting.record,
-        stamp: waiting.stamp,
+        mod_revision: waiting.mod_revision,
     });
     let record = new_record(spec.clone(), w.now);
     plan_step(name, &record, &named, stored, &w.settings).expect("planned")
@@ -480,10 +504,13 @@
     w.run(3000);
     w.note_submission("wk-000099", w.spec(1), &awaits);
     let step = next_step(&w, "wk-000099", &w.spec(1), &awaits);
-    let Step::Incomplete(txn) = &step else {
+    let Step::Incomplete(transaction) = &step else {
         panic!("{step:?}")
     };
-    assert!(matches!(w.state.commit(txn), Outcome::Done(_)));
+    assert!(matches!(
+        w.state.commit(transaction),
+        CommitOutcome::Done(_)
+    ));
     w.run(1000);
     (w, awaits, step)
 }
@@ -505,15 +532,18 @@
     w.run(8000);
     assert_eq!(w.starts_of(&job), 0, "it is incomplete");
     let last = next_step(&w, &job, &w.spec(1), &awaits);
-    let Step::Complete(txn) = last else {
+    let Step::Complete(transaction) = last else {
         panic!("{last:?}")
     };
     // The first write arrives late once more.
     let Step::Incomplete(first) = first else {
         panic!("{first:?}")
     };
-    assert!(matches!(w.state.commit(&first), Outcome::Conflict(_)));
-    assert!(matches!(w.state.commit(&txn), Outcome::Done(_)));
+    assert!(matches!(w.state.commit(&first), CommitOutcome::Conflict(_)));
+    assert!(matches!(
+        w.state.commit(&transaction),
+        CommitOutcome::Done(_)
+    ));
     w.run(500);
     assert_eq!(w.ask(0, &job), Some(JobStatus::Pending));
     w.until(120_000, "all that it names is done", |w| {
@@ -539,7 +569,7 @@
     let Step::Incomplete(first) = first else {
         panic!("{first:?}")
     };
-    assert!(matches!(w.state.commit(&first), Outcome::Conflict(_)));
+    assert!(matches!(w.state.commit(&first), CommitOutcome::Conflict(_)));
     assert_eq!(w.starts_of("wk-000099"), 0);
     w.assert_kept();
 }
@@ -548,14 +578,17 @@
 fn a_cancellation_between_two_writes_of_an_acceptance_cancels_the_job() {
     let (mut w, awaits, _) = begun_gradually(34);
     let job = "wk-000099".to_owned();
-    assert!(matches!(w.cancel(&awaits[3]), Outcome::Done(_)));
+    assert!(matches!(w.cancel(&awaits[3]), CommitOutcome::Done(_)));
     w.run(500);
     let step = next_step(&w, &job, &w.spec(1), &awaits);
-    let Step::Withdrawn(txn) = step else {
+    let Step::Cancelled(transaction) = step else {
         panic!("{step:?}")
     };
-    assert!(matches!(w.state.commit(&txn), Outcome::Done(_)));
-    assert_eq!(w.job(&job).map(|j| j.status), Some(JobStatus::Withdrawn));
+    assert!(matches!(
+        w.state.commit(&transaction),
+        CommitOutcome::Done(_)
+    ));
+    assert_eq!(w.job(&job).map(|j| j.status), Some(JobStatus::Cancelled));
     assert!(w.state.value(&waiting_key(&job)).is_none());
     w.run(5000);
     assert_eq!(w.starts_of(&job), 0);
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -20,8 +20,8 @@
 
 /// Machines that some controller holds.
 fn held(w: &World) -> usize {
-    let rigs = w.workers.iter().map(|m| &m.rig.name);
-    rigs.filter(|r| w.holder(r).is_some()).count()
+    let machines = w.workers.iter().map(|m| &m.machine.name);
+    machines.filter(|r| w.holder(r).is_some()).count()
 }
 
 /// Plays until every machine is held, for so many seconds at most.
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -235,7 +235,7 @@
                 assert_eq!(none.map(|n| n.0), Some(404));
             }
             if accepted {
-                worker.report(&places[..1], &log).await;
+                worker.heartbeat(&places[..1], &log).await;
                 let url = format!("{base}/api/jobs/wk-000007");
                 if let Some((200, v)) = call("GET", &url, None).await {
                     done = v["status"] == "done" && v["done"] == 6;
--- a/tests/loopback_cells.rs
+++ b/tests/loopback_cells.rs
@@ -95,7 +95,7 @@
     }
 }
 
-type LoopbackMachine = quillbend::protocol::ListedRig;
+type LoopbackMachine = quillbend::protocol::CloudMachine;
 
 /// The machines of a cell, named apart from those of all others.
 fn machines_of(cell: usize) -> Vec<LoopbackMachine> {
@@ -141,7 +141,7 @@
 /// Jobs that the state service of a cell shows as lent to a cell.
 fn lent_to(cell: &Cell, borrower: &str) -> usize {
     let (items, _) = cell.outside.state.lock().expect("lock").list("qb/job/");
-    let jobs = items.iter().filter_map(|i| i.v.read::<Value>().ok());
+    let jobs = items.iter().filter_map(|i| i.value.read::<Value>().ok());
     let lent = jobs.filter(|job| job["st"] == "pending" && job["x"]["l"]["c"] == borrower);
     lent.count()
 }
@@ -167,7 +167,7 @@
                 let mut worker = LoopbackWorker::new(machine.clone(), RUN_MS);
                 actix_web::rt::spawn(async move {
                     loop {
-                        worker.report(&places, &log).await;
+                        worker.heartbeat(&places, &log).await;
                         actix_web::rt::time::sleep(Duration::from_millis(300)).await;
                     }
                 });
--- a/tests/missed_messages.rs
+++ b/tests/missed_messages.rs
@@ -4,20 +4,20 @@
 
 mod support;
 
-use quillbend::clock::Ms;
-use quillbend::protocol::{JobStatus, Urgency};
-use support::{Mood, World};
+use quillbend::clock::Timestamp;
+use quillbend::protocol::{JobStatus, Priority};
+use support::{StoreFault, World};
 
 /// A world that has settled: somebody leads and every machine is held and obeys.
-fn settled(seed: u64, nodes: usize, machines: usize) -> World {
-    let mut w = World::settled(seed, nodes, machines);
+fn settled(seed: u64, live_controllers: usize, machines: usize) -> World {
+    let mut w = World::settled(seed, live_controllers, machines);
     w.run(3000);
     w
 }
 
 /// A settled world in which all tasks of one job run, each for `run_ms`.
-fn busy(seed: u64, nodes: usize, run_ms: u64) -> (World, String) {
-    let mut w = settled(seed, nodes, 6);
+fn busy(seed: u64, live_controllers: usize, run_ms: u64) -> (World, String) {
+    let mut w = settled(seed, live_controllers, 6);
     let job = w.fill(run_ms, 16);
     (w, job)
 }
@@ -42,7 +42,7 @@
     // Three CPUs' worth of urgent work for each CPU that the team may use, before and after.
     w.flood(15);
     let mut large = w.spec(200);
-    large.urgency = Urgency::BestEffort;
+    large.priority = Priority::BestEffort;
     large.cpus = 2.0;
     let large = w.submit(1, large);
     let submitted = w.now;
@@ -59,7 +59,7 @@
     w.cloud_up = false;
     for n in 1..=20 {
         let mut flood = w.spec(40);
-        flood.urgency = Urgency::Urgent;
+        flood.priority = Priority::Urgent;
         w.submit(n, flood);
     }
     w.run(10_000);
@@ -80,12 +80,12 @@
     long.estimate_s = 20.0;
     w.submit(1, long);
     w.until(30_000, "machines come", |w| w.workers.len() > 2);
-    let deaf = w.workers.len() - 1;
-    w.workers[deaf].deaf = true;
-    let rig = w.workers[deaf].rig.name.clone();
+    let unreachable_since = w.workers.len() - 1;
+    w.workers[unreachable_since].unreachable_since = true;
+    let machine = w.workers[unreachable_since].machine.name.clone();
     let grants = w.state.writes_to("qb/grant/");
-    w.until(150_000, "it is returned", |w| w.returned.contains(&rig));
-    assert!(w.starts.iter().all(|s| s.2 != rig));
+    w.until(150_000, "it is returned", |w| w.returned.contains(&machine));
+    assert!(w.starts.iter().all(|s| s.2 != machine));
     let moved = w.state.writes_to("qb/grant/") - grants;
     assert!(moved <= 3, "its wandering moved {moved} grants");
     w.assert_kept();
@@ -93,18 +93,18 @@
 
 #[test]
 fn tasks_of_a_machine_that_no_longer_hears_run_again_after_its_lease_and_once() {
-    for nodes in [3, 5] {
-        let (mut w, job) = busy(4, nodes, 30_000);
+    for live_controllers in [3, 5] {
+        let (mut w, job) = busy(4, live_controllers, 30_000);
         let at = with_tasks(&w)[0];
-        w.workers[at].deaf = true;
+        w.workers[at].unreachable_since = true;
         let since = w.now;
-        let rig = w.workers[at].rig.name.clone();
+        let machine = w.workers[at].machine.name.clone();
         w.until(150_000, "done", |w| w.is_done(&job));
         w.assert_kept();
         let again: Vec<_> = w.starts.iter().filter(|s| s.0 > since).collect();
         assert!(again.iter().all(|s| s.0 > since + 9000), "{again:?}");
         assert!(
-            again.iter().all(|s| s.2 != rig),
+            again.iter().all(|s| s.2 != machine),
             "bound where nothing arrives"
         );
     }
@@ -114,11 +114,11 @@
 fn a_machine_that_hears_again_is_used_again() {
     let mut w = settled(5, 3, 1);
     w.cloud_up = false;
-    w.workers[0].deaf = true;
+    w.workers[0].unreachable_since = true;
     let job = w.submit(1, w.spec(8));
     w.run(40_000);
     assert_eq!(w.starts.len(), 0);
-    w.workers[0].deaf = false;
+    w.workers[0].unreachable_since = false;
     w.until(90_000, "done", |w| w.is_done(&job));
     w.assert_kept();
 }
@@ -163,7 +163,7 @@
     w.copies = vec![3000, 9000, 16_000, 30_000];
     w.run(4000);
     let at = with_tasks(&w)[0];
-    let gone = w.workers.remove(at).rig.name;
+    let gone = w.workers.remove(at).machine.name;
     // It goes with nothing said, while the leader and a memory of it change.
     let leader = w.leader().expect("leads");
     w.crash(leader);
@@ -173,9 +173,9 @@
     w.run(45_000);
     w.assert_kept();
     for i in 0..3 {
-        let view = &w.core(i).view;
-        let there = view.names.machines.get(&gone);
-        assert!(!there.is_some_and(|m| view.machines.contains_key(&m)));
+        let replica = &w.controller(i).replica;
+        let there = replica.names.machines.get(&gone);
+        assert!(!there.is_some_and(|m| replica.machines.contains_key(&m)));
     }
 }
 
@@ -187,8 +187,8 @@
     w.cloud_up = false;
     let at = with_tasks(&w)[0];
     let gone = w.workers.remove(at);
-    let copy = gone.report();
-    let holder = w.holder(&gone.rig.name).expect("held");
+    let copy = gone.heartbeat();
+    let holder = w.holder(&gone.machine.name).expect("held");
     w.crash(holder);
     w.run(500);
     w.start(holder);
@@ -198,8 +198,8 @@
         w.run(2000);
         for i in 0..3 {
             let clock = w.clock(i);
-            let core = &mut w.nodes[i].as_mut().expect("alive").core;
-            core.on_report(copy.clone(), clock);
+            let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
+            controller.on_heartbeat(copy.clone(), clock);
         }
     }
     w.assert_kept();
@@ -207,21 +207,30 @@
 
 #[test]
 fn a_stranded_controller_stops_in_time_and_hands_over_what_runs() {
-    for (nodes, leads) in [(3, false), (3, true), (5, false), (5, true)] {
-        let (mut w, job) = busy(11, nodes, 60_000);
+    for (live_controllers, leads) in [(3, false), (3, true), (5, false), (5, true)] {
+        let (mut w, job) = busy(11, live_controllers, 60_000);
         let leader = w.leader().expect("leads");
-        let i = if leads { leader } else { (leader + 1) % nodes };
+        let i = if leads {
+            leader
+        } else {
+            (leader + 1) % live_controllers
+        };
         let cut = w.now;
         w.strand(i);
         w.run(4000);
-        assert!(!w.core(i).ready(Ms(w.now)), "users are sent to it");
+        assert!(
+            !w.controller(i).ready(Timestamp(w.now)),
+            "users are sent to it"
+        );
         let cancel_ms = w.settings.platform.settings.workers.cancel_s * 1000.0;
-        while w.core(i).has_authority(Ms(w.now)) {
+        while w.controller(i).has_authority(Timestamp(w.now)) {
             w.step();
             assert!((w.now - cut) as f64 <= cancel_ms, "it acts for too long");
         }
         w.until(40_000, "others hold its machines", |w| {
-            w.workers.iter().all(|m| w.holder(&m.rig.name).is_some())
+            w.workers
+                .iter()
+                .all(|m| w.holder(&m.machine.name).is_some())
         });
         nothing_lost(&mut w, &job);
     }
@@ -237,27 +246,27 @@
     let cancel_s = w.settings.platform.settings.workers.cancel_s;
     w.run((cancel_s * 1000.0) as u64);
     assert_eq!(w.running(), 0);
-    assert_eq!(w.job(&job).map(|j| j.status), Some(JobStatus::Withdrawn));
+    assert_eq!(w.job(&job).map(|j| j.status), Some(JobStatus::Cancelled));
     w.assert_kept();
 }
 
 #[test]
 fn controllers_back_within_a_moment_amid_an_election_lose_nothing() {
-    for (seed, nodes) in [(13, 3), (14, 5), (15, 5)] {
-        let (mut w, job) = busy(seed, nodes, 40_000);
+    for (seed, live_controllers) in [(13, 3), (14, 5), (15, 5)] {
+        let (mut w, job) = busy(seed, live_controllers, 40_000);
         // Writes of the earlier lives arrive when the later ones have begun.
-        (0..nodes).for_each(|i| w.links[i].state = Mood::Late(900));
+        (0..live_controllers).for_each(|i| w.links[i].state = StoreFault::Late(900));
         w.run(500);
         let leader = w.leader().expect("leads");
         w.crash(leader);
         w.run(2700);
         // The others are about to elect; now everybody is replaced within 300 ms.
         w.start(leader);
-        for i in 0..nodes {
+        for i in 0..live_controllers {
             w.crash(i);
             w.run(100);
             w.start(i);
-            w.links[i].state = Mood::Good;
+            w.links[i].state = StoreFault::Good;
             w.run(200);
         }
         nothing_lost(&mut w, &job);
@@ -268,19 +277,22 @@
 fn a_machine_back_within_a_moment_runs_its_tasks_again_and_is_used() {
     let (mut w, job) = busy(16, 3, 15_000);
     let at = with_tasks(&w)[0];
-    let rig = w.workers[at].rig.name.clone();
-    let lost = w.workers[at].tasks.len();
+    let machine = w.workers[at].machine.name.clone();
+    let presumed_dead = w.workers[at].tasks.len();
     w.restart_machine(at);
     w.until(90_000, "done", |w| w.is_done(&job));
     w.assert_kept();
-    assert_eq!(w.starts.len(), 16 + lost);
+    assert_eq!(w.starts.len(), 16 + presumed_dead);
     let again = w.submit(2, w.spec(40));
     w.cloud_up = false;
     let before = w.now;
     w.until(120_000, "done", |w| w.is_done(&again));
     w.assert_kept();
-    let used = w.starts.iter().any(|s| s.0 > before && s.2 == rig);
-    assert!(used || w.returned.contains(&rig), "its new life is ignored");
+    let used = w.starts.iter().any(|s| s.0 > before && s.2 == machine);
+    assert!(
+        used || w.returned.contains(&machine),
+        "its new life is ignored"
+    );
 }
 
 #[test]
@@ -300,10 +312,10 @@
 
 #[test]
 fn refused_connections_between_controllers_change_no_leader_and_no_holder() {
-    for nodes in [3, 5] {
-        let (mut w, job) = busy(17, nodes, 30_000);
+    for live_controllers in [3, 5] {
+        let (mut w, job) = busy(17, live_controllers, 30_000);
         let (leader, grants) = (w.leader(), w.state.writes_to("qb/grant/"));
-        (0..nodes).for_each(|i| w.links[i].peers = false);
+        (0..live_controllers).for_each(|i| w.links[i].peers = false);
         w.run(20_000);
         assert_eq!(w.leader(), leader);
         assert_eq!(w.state.writes_to("qb/grant/"), grants);
@@ -356,7 +368,7 @@
                         let at = luck.random_range(0..all);
                         match n {
                             6 => w.workers[at].cut = true,
-                            7 => w.workers[at].deaf = true,
+                            7 => w.workers[at].unreachable_since = true,
                             _ => w.restart_machine(at),
                         }
                     }
@@ -389,7 +401,7 @@
     }
     w.run(60_000);
     let count = |f: fn(&quillbend::controller::Counters) -> u64| -> u64 {
-        (0..3).map(|i| f(&w.core(i).counters)).sum()
+        (0..3).map(|i| f(&w.controller(i).counters)).sum()
     };
     let (steals, hops) = (count(|c| c.steals), count(|c| c.hops));
     assert!(steals > 20, "only {steals} steals");
@@ -407,17 +419,19 @@
     let job = w.submit(1, w.spec(16));
     w.until(20_000, "all run", |w| w.running() == 16);
     let south = |w: &World| -> Vec<usize> {
-        let of = |&i: &usize| w.workers[i].rig.zone == "south";
+        let of = |&i: &usize| w.workers[i].machine.zone == "south";
         (0..w.workers.len()).filter(of).collect()
     };
     south(&w).into_iter().for_each(|i| w.workers[i].cut = true);
     let there: Vec<String> = south(&w)
         .into_iter()
-        .map(|i| w.workers[i].rig.name.clone())
+        .map(|i| w.workers[i].machine.name.clone())
         .collect();
     w.submit(2, w.spec(200));
     w.run(70_000);
-    let kept = there.iter().filter(|rig| !w.returned.contains(*rig));
+    let kept = there
+        .iter()
+        .filter(|machine| !w.returned.contains(*machine));
     assert_eq!(kept.count(), there.len(), "{:?}", w.returned);
     w.heal();
     w.until(150_000, "done", |w| w.is_done(&job));
@@ -427,35 +441,42 @@
 #[test]
 fn a_controller_that_is_late_itself_calls_no_machine_deaf() {
     // While its answers were slow, a controller had 165 machines returned that missed them.
-    let deaf = |misses: &dyn Fn(usize) -> bool| {
+    let unreachable_since = |misses: &dyn Fn(usize) -> bool| {
         let mut w = settled(21, 3, 15);
         let i = (w.leader().expect("leads") + 1) % 3;
-        let held = |w: &World, at: &usize| w.holder(&w.workers[*at].rig.name) == Some(i);
+        let held = |w: &World, at: &usize| w.holder(&w.workers[*at].machine.name) == Some(i);
         let mine: Vec<usize> = (0..15).filter(|at| held(&w, at)).collect();
         assert!(mine.len() > 3, "{mine:?}");
         let mut now = w.now;
         for round in 1..=4 {
             now += 4200;
             for (n, &at) in mine.iter().enumerate() {
-                let mut report = w.workers[at].report();
+                let mut heartbeat = w.workers[at].heartbeat();
                 // Who had no answer has asked another controller in between.
                 let step = if misses(n) { 2 } else { 1 };
-                report.sequence += round * step;
+                heartbeat.sequence += round * step;
                 let at = if misses(n) { now } else { w.now + round * 1000 };
-                let core = &mut w.nodes[i].as_mut().expect("alive").core;
-                core.on_report(report, Ms(at));
+                let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
+                controller.on_heartbeat(heartbeat, Timestamp(at));
             }
         }
-        let core = &mut w.nodes[i].as_mut().expect("alive").core;
-        let fleet = core.peer_news(true, Ms(now)).fleet.expect("a long message");
+        let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
+        let fleet = controller
+            .peer_message(true, Timestamp(now))
+            .fleet
+            .expect("a long message");
         fleet.machines.iter().filter(|m| !m.obeys).count()
     };
     assert_eq!(
-        deaf(&|n| n == 0),
+        unreachable_since(&|n| n == 0),
         1,
         "one that misses its answers is found out"
     );
-    assert_eq!(deaf(&|_| true), 0, "all that miss them are not to blame");
+    assert_eq!(
+        unreachable_since(&|_| true),
+        0,
+        "all that miss them are not to blame"
+    );
 }
 
 #[test]
@@ -469,7 +490,7 @@
         (0..3).for_each(|i| w.start(i));
         w.run(12_000);
         w.run_ms = 5000;
-        (0..3).for_each(|i| w.links[i].state = Mood::Slow(1500));
+        (0..3).for_each(|i| w.links[i].state = StoreFault::Slow(1500));
         let jobs: Vec<String> = (1..=12)
             .map(|n| {
                 w.run(2000);
@@ -489,43 +510,51 @@
     // Machines that came up by the hundred stood idle for half an interval of reports.
     let mut w = settled(23, 3, 1);
     w.cloud_up = false;
-    let rig = w.workers[0].rig.name.clone();
-    let i = w.holder(&rig).expect("held");
+    let machine = w.workers[0].machine.name.clone();
+    let i = w.holder(&machine).expect("held");
     w.run(6000);
     let clock = w.clock(i);
     w.workers[0].sequence += 1;
-    let report = w.workers[0].report();
-    let number = (report.session, report.sequence);
-    let core = &mut w.nodes[i].as_mut().expect("alive").core;
-    core.on_report(report.clone(), clock);
-    assert!(core.may_wait(&rig, number, clock).is_some());
+    let heartbeat = w.workers[0].heartbeat();
+    let number = (heartbeat.worker_epoch, heartbeat.sequence);
+    let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
+    controller.on_heartbeat(heartbeat.clone(), clock);
+    assert!(controller.may_wait(&machine, number, clock).is_some());
     let job = w.submit(1, w.spec(2));
     w.workers[0].cut = true;
     w.until(3000, "it is bound", |w| {
-        w.core(i).view.machines.values().any(|m| m.queue.len() == 2)
+        w.controller(i)
+            .replica
+            .machines
+            .values()
+            .any(|m| m.queue.len() == 2)
     });
     let clock = w.clock(i);
-    let core = &mut w.nodes[i].as_mut().expect("alive").core;
-    assert_eq!(core.woken(), std::slice::from_ref(&rig));
+    let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
+    assert_eq!(controller.woken_machines(), std::slice::from_ref(&machine));
     let orders = |reply| match reply {
-        quillbend::controller::Reply::Orders(o) => o.orders.len(),
+        quillbend::controller::HeartbeatResponse::HeartbeatAck(o) => o.orders.len(),
         _ => 0,
     };
-    assert_eq!(orders(core.answer_late(&rig, number, clock)), 2, "{job}");
+    assert_eq!(
+        orders(controller.answer_late(&machine, number, clock)),
+        2,
+        "{job}"
+    );
     // What was launched this way counts as begun until a newer report shows it.
-    assert_eq!(orders(core.answer_late(&rig, number, clock)), 0);
-    assert_eq!(core.may_wait(&rig, number, clock), None);
+    assert_eq!(orders(controller.answer_late(&machine, number, clock)), 0);
+    assert_eq!(controller.may_wait(&machine, number, clock), None);
     // An answer to a report that was overtaken, or under a grant that is gone, starts nothing.
-    let mut newer = report;
+    let mut newer = heartbeat;
     newer.sequence += 1;
-    core.on_report(newer, clock);
-    assert_eq!(orders(core.answer_late(&rig, number, clock)), 0);
+    controller.on_heartbeat(newer, clock);
+    assert_eq!(orders(controller.answer_late(&machine, number, clock)), 0);
     w.strand(i);
     w.run(40_000);
     let clock = w.clock(i);
-    let core = &mut w.nodes[i].as_mut().expect("alive").core;
+    let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
     assert_eq!(
-        orders(core.answer_late(&rig, (number.0, number.1 + 1), clock)),
+        orders(controller.answer_late(&machine, (number.0, number.1 + 1), clock)),
         0
     );
 }
@@ -553,7 +582,7 @@
         .collect();
     let largest = |w: &World| {
         let blocks = w.state.list("qb/block/").0;
-        blocks.iter().map(|b| b.v.size()).max().unwrap_or(0)
+        blocks.iter().map(|b| b.value.size()).max().unwrap_or(0)
     };
     let mut full = 0;
     for _ in 0..60 {
@@ -574,19 +603,33 @@
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
     w.run(10_000);
-    let holder = w.holder(&w.workers[0].rig.name).expect("held");
+    let holder = w.holder(&w.workers[0].machine.name).expect("held");
     let mut at = w.now;
     for _ in 0..8 {
         at += 6200;
         w.workers[0].sequence += 1;
-        let report = w.workers[0].report();
-        let core = &mut w.nodes[holder].as_mut().expect("alive").core;
-        core.on_report(report, Ms(at));
+        let heartbeat = w.workers[0].heartbeat();
+        let controller = &mut w.live_controllers[holder]
+            .as_mut()
+            .expect("alive")
+            .controller;
+        controller.on_heartbeat(heartbeat, Timestamp(at));
     }
-    let core = &mut w.nodes[holder].as_mut().expect("alive").core;
-    let fleet = core.peer_news(true, Ms(at)).fleet.expect("a long message");
-    let rig = &w.workers[0].rig.name;
-    assert!(fleet.machines.iter().any(|m| m.rig == *rig && m.obeys));
+    let controller = &mut w.live_controllers[holder]
+        .as_mut()
+        .expect("alive")
+        .controller;
+    let fleet = controller
+        .peer_message(true, Timestamp(at))
+        .fleet
+        .expect("a long message");
+    let machine = &w.workers[0].machine.name;
+    assert!(
+        fleet
+            .machines
+            .iter()
+            .any(|m| m.machine == *machine && m.obeys)
+    );
 }
 
 #[test]
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -125,7 +125,7 @@
             actix_web::rt::spawn(async move {
                 let mut worker = LoopbackWorker::new(machine, RUN_MS);
                 loop {
-                    worker.report(&places, &log).await;
+                    worker.heartbeat(&places, &log).await;
                     actix_web::rt::time::sleep(REPORT_EVERY).await;
                 }
             });
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -3,16 +3,16 @@
 
 mod support;
 
-use quillbend::clock::Ms;
-use quillbend::controller::Outcome;
-use quillbend::protocol::{JobStatus, Urgency};
+use quillbend::clock::Timestamp;
+use quillbend::controller::CommitOutcome;
+use quillbend::protocol::{JobStatus, Priority};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use support::{Mood, World};
+use support::{StoreFault, World};
 
 /// The state service refuses one controller alone; its watch hangs.
 fn refuse(w: &mut World, i: usize) {
-    w.links[i].state = Mood::Refuses;
+    w.links[i].state = StoreFault::Refuses;
     w.links[i].watch_hangs = true;
 }
 
@@ -32,7 +32,7 @@
 
 #[test]
 fn what_is_cancelled_just_before_an_outage_is_gone_in_time_at_the_controller_that_missed_it() {
-    for (seed, nodes, leads, deaf_to_peers) in [
+    for (seed, live_controllers, leads, deaf_to_peers) in [
         (1, 3, true, false),
         (2, 3, true, true),
         (3, 5, true, true),
@@ -40,16 +40,23 @@
         (5, 3, false, false),
     ] {
         for pause in [0, 900, 2000] {
-            let (mut w, job) = World::busy(seed, nodes, 300_000);
+            let (mut w, job) = World::busy(seed, live_controllers, 300_000);
             w.drift[0] = -0.0005;
             w.drift[1] = 0.0005;
             let leader = w.leader().expect("leads");
-            let old = if leads { leader } else { (leader + 1) % nodes };
+            let old = if leads {
+                leader
+            } else {
+                (leader + 1) % live_controllers
+            };
             refuse(&mut w, old);
             w.links[old].peers = !deaf_to_peers;
             w.run(pause);
-            let other = (old + 1) % nodes;
-            assert!(matches!(w.cancel_through(other, &job), Outcome::Done(_)));
+            let other = (old + 1) % live_controllers;
+            assert!(matches!(
+                w.cancel_through(other, &job),
+                CommitOutcome::Done(_)
+            ));
             w.run(100);
             w.outage(true);
             w.run(64_000);
@@ -75,9 +82,9 @@
         let held = w
             .workers
             .iter()
-            .filter(|m| w.holder(&m.rig.name) == Some(i));
-        let legs = held.flat_map(|m| m.tasks.iter().map(|t| t.leg.clone()));
-        legs.filter(|l| l.starts_with(&called_off)).count()
+            .filter(|m| w.holder(&m.machine.name) == Some(i));
+        let tasks = held.flat_map(|m| m.tasks.iter().map(|t| t.task.clone()));
+        tasks.filter(|l| l.starts_with(&called_off)).count()
     };
     let old = (0..3).max_by_key(|&i| there(&w, i)).expect("some");
     assert!(there(&w, old) > 0);
@@ -100,20 +107,23 @@
     let i = (w.leader().expect("leads") + 1) % 3;
     w.outage(true);
     let sent = w.clock(i);
-    let until = w.core(i).authority_until().expect("it has some");
-    assert!(until <= Ms(sent.0 + w.settings.block_lease_ms()));
+    let until = w.controller(i).authority_until().expect("it has some");
+    assert!(until <= Timestamp(sent.0 + w.settings.block_lease_ms()));
     w.run(20_000);
-    let (now, ledger) = (w.clock(i), w.state.ledger());
-    let core = &mut w.nodes[i].as_mut().expect("alive").core;
-    let empty = quillbend::protocol::NewsList {
-        ledger,
-        news: Vec::new(),
+    let (now, revision) = (w.clock(i), w.state.revision());
+    let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
+    let empty = quillbend::protocol::WatchResponse {
+        revision,
+        events: Vec::new(),
     };
-    core.on_news(empty, sent, now);
-    assert!(core.authority_until().expect("some") <= Ms(sent.0 + 24_000));
+    controller.on_watch_response(empty, sent, now);
+    assert!(controller.authority_until().expect("some") <= Timestamp(sent.0 + 24_000));
     w.run(5000);
     let now = w.clock(i);
-    assert!(!w.core(i).has_authority(now), "an old answer prolongs it");
+    assert!(
+        !w.controller(i).has_authority(now),
+        "an old answer prolongs it"
+    );
 }
 
 #[test]
@@ -144,15 +154,15 @@
 
 #[test]
 fn controllers_hand_over_and_back_all_end_and_one_returns_within_a_second() {
-    for (seed, nodes) in [(10, 3), (11, 5)] {
-        let (mut w, job) = World::busy(seed, nodes, 40_000);
-        for i in 0..nodes {
+    for (seed, live_controllers) in [(10, 3), (11, 5)] {
+        let (mut w, job) = World::busy(seed, live_controllers, 40_000);
+        for i in 0..live_controllers {
             w.crash(i);
             w.run(700);
             w.start(i);
             w.run(2500);
         }
-        (0..nodes).for_each(|i| w.crash(i));
+        (0..live_controllers).for_each(|i| w.crash(i));
         w.run(600);
         w.start(1);
         w.run(4000);
@@ -162,11 +172,12 @@
 
 #[test]
 fn a_leader_ends_while_machines_with_long_tasks_do_not_hear_its_successor() {
-    for (seed, deaf) in [(12, true), (13, false)] {
+    for (seed, unreachable_since) in [(12, true), (13, false)] {
         let (mut w, job) = World::busy(seed, 3, 60_000);
         let hit: Vec<usize> = with_tasks(&w).into_iter().take(2).collect();
         for &at in &hit {
-            (w.workers[at].deaf, w.workers[at].cut) = (deaf, !deaf);
+            (w.workers[at].unreachable_since, w.workers[at].cut) =
+                (unreachable_since, !unreachable_since);
         }
         let leader = w.leader().expect("leads");
         w.crash(leader);
@@ -174,7 +185,7 @@
         w.start(leader);
         // Within their lease they go on, beside whatever was decided meanwhile.
         hit.iter().for_each(|&at| {
-            w.workers[at].deaf = false;
+            w.workers[at].unreachable_since = false;
             w.workers[at].cut = false;
         });
         w.run(30_000);
@@ -237,7 +248,7 @@
     }
     let all: u32 = jobs
         .iter()
-        .map(|j| w.job(j).expect("known").spec.legs)
+        .map(|j| w.job(j).expect("known").spec.task_count)
         .sum();
     all_once(&mut w, &jobs, all as usize);
     w.run_asking(15_000, &jobs);
@@ -258,7 +269,7 @@
         w.run(9000);
         w.run_ms = 12_000;
         let mut jobs = Vec::new();
-        (0..3).for_each(|i| w.links[i].state = Mood::Slow(1500));
+        (0..3).for_each(|i| w.links[i].state = StoreFault::Slow(1500));
         for n in 1..=8 {
             let mut spec = w.spec(14);
             (spec.one_zone, spec.spread) = (n % 2 == 0, n % 2 == 1);
@@ -284,10 +295,10 @@
         let inside = (w.leader().expect("leads") + 1) % 3;
         w.side[inside] = 1;
         w.strand(inside);
-        let lost: Vec<usize> = (0..w.workers.len())
-            .filter(|&i| w.workers[i].rig.zone == "south")
+        let presumed_dead: Vec<usize> = (0..w.workers.len())
+            .filter(|&i| w.workers[i].machine.zone == "south")
             .collect();
-        for &at in &lost {
+        for &at in &presumed_dead {
             // They reach the controller inside and nobody else.
             w.workers[at].only = Some(inside);
         }
@@ -318,7 +329,7 @@
         w.run_ms = 20_000;
         let jobs: Vec<String> = (1..=4).map(|n| w.submit(n, w.spec(6))).collect();
         w.until(20_000, "some run", |w| w.running() >= 12);
-        (0..3).for_each(|i| w.links[i].state = Mood::Slow(1200));
+        (0..3).for_each(|i| w.links[i].state = StoreFault::Slow(1200));
         w.run_asking(4000, &jobs);
         let leader = w.leader().expect("leads");
         refuse(&mut w, leader);
@@ -347,7 +358,11 @@
             for i in 0..3 {
                 let late = luck.random_bool(0.5);
                 let ms = luck.random_range(2000..12_000);
-                w.links[i].state = if late { Mood::Late(ms) } else { Mood::Good };
+                w.links[i].state = if late {
+                    StoreFault::Late(ms)
+                } else {
+                    StoreFault::Good
+                };
             }
             w.run(luck.random_range(500..3000));
             if luck.random_bool(0.3) {
@@ -356,7 +371,7 @@
                 w.run(300);
                 w.start(i);
             }
-            (0..3).for_each(|i| w.links[i].state = Mood::Good);
+            (0..3).for_each(|i| w.links[i].state = StoreFault::Good);
             w.run(luck.random_range(500..4000));
         }
         w.all_end_well(&jobs);
@@ -365,8 +380,8 @@
 
 #[test]
 fn jobs_are_cancelled_through_the_new_leader_while_the_old_one_is_stranded_with_its_workers() {
-    for (seed, nodes) in [(40, 3), (41, 5)] {
-        let (mut w, job) = World::busy(seed, nodes, 200_000);
+    for (seed, live_controllers) in [(40, 3), (41, 5)] {
+        let (mut w, job) = World::busy(seed, live_controllers, 200_000);
         let old = w.leader().expect("leads");
         w.strand(old);
         w.until(20_000, "another leads", |w| w.leader_but(old).is_some());
@@ -383,17 +398,23 @@
 #[test]
 fn a_controller_that_alone_is_refused_is_replaced_within_seconds_and_nobody_notices() {
     // Nothing was bound, and what was bound to its machines not started, before its lease ran out.
-    for (seed, nodes, leads) in [(42, 3, true), (43, 3, false), (44, 5, true), (45, 5, false)] {
-        let (mut w, job) = World::busy(seed, nodes, 60_000);
+    for (seed, live_controllers, leads) in
+        [(42, 3, true), (43, 3, false), (44, 5, true), (45, 5, false)]
+    {
+        let (mut w, job) = World::busy(seed, live_controllers, 60_000);
         let leader = w.leader().expect("leads");
-        let old = if leads { leader } else { (leader + 1) % nodes };
+        let old = if leads {
+            leader
+        } else {
+            (leader + 1) % live_controllers
+        };
         refuse(&mut w, old);
         w.until(7000, "others hold every machine and lead", |w| {
-            let held = |m: &support::Worker| w.holder_of_all_but(old, &m.rig.name);
+            let held = |m: &support::Worker| w.holder_of_all_but(old, &m.machine.name);
             w.leader_but(old).is_some() && w.workers.iter().all(held)
         });
         let mut urgent = w.spec(4);
-        (urgent.urgency, urgent.team) = (Urgency::Urgent, "red".into());
+        (urgent.priority, urgent.team) = (Priority::Urgent, "red".into());
         let urgent = w.submit(2, urgent);
         w.until(10_000, "urgent work starts", |w| w.running_of(&urgent) == 4);
         assert!(w.returned.is_empty(), "{:?}", w.returned);
@@ -418,11 +439,13 @@
         // Nobody can take over meanwhile.
         (0..3)
             .filter(|&i| i != leader)
-            .for_each(|i| w.links[i].state = Mood::Refuses);
+            .for_each(|i| w.links[i].state = StoreFault::Refuses);
         let others: Vec<usize> = (0..3).filter(|&i| i != leader).collect();
         w.freeze(leader, ms);
         w.run(ms - 200);
-        others.iter().for_each(|&i| w.links[i].state = Mood::Good);
+        others
+            .iter()
+            .for_each(|&i| w.links[i].state = StoreFault::Good);
         w.run(30_000);
         assert!(w.returned.is_empty(), "after {ms} ms: {:?}", w.returned);
         assert_eq!(w.running(), 32, "{job} and the other go on or run again");
@@ -442,16 +465,16 @@
         w.workers[at].cut = true;
         w.run(14_000);
         w.workers[at].cut = false;
-        let held: Vec<_> = w.workers.iter().map(|m| m.report()).collect();
+        let held: Vec<_> = w.workers.iter().map(|m| m.heartbeat()).collect();
         let leader = w.leader().expect("leads");
         w.crash(leader);
         w.run(5000);
         // Held back until somebody else has acted.
-        for report in held {
+        for heartbeat in held {
             for i in 0..3 {
                 let now = w.clock(i);
-                if let Some(n) = w.nodes[i].as_mut() {
-                    n.core.on_report(report.clone(), now);
+                if let Some(n) = w.live_controllers[i].as_mut() {
+                    n.controller.on_heartbeat(heartbeat.clone(), now);
                 }
             }
         }
@@ -521,9 +544,13 @@
         for turn in 0..6 {
             let i = (w.leader().unwrap_or(0) + turn) % 3;
             // Answers are lost for a moment, then the controller is.
-            w.workers.iter_mut().for_each(|m| m.deaf = true);
+            w.workers
+                .iter_mut()
+                .for_each(|m| m.unreachable_since = true);
             w.run(900);
-            w.workers.iter_mut().for_each(|m| m.deaf = false);
+            w.workers
+                .iter_mut()
+                .for_each(|m| m.unreachable_since = false);
             w.links[i].workers = false;
             w.run(3500);
             w.links[i].workers = true;
@@ -537,7 +564,7 @@
 
 #[test]
 fn a_cancellation_a_question_and_a_repeat_meet_the_end_of_the_last_task() {
-    let (mut done, mut withdrawn) = (0, 0);
+    let (mut done, mut cancelled) = (0, 0);
     for seed in 0..24 {
         let mut w = World::settled(70, 3, 3);
         w.run_ms = 3000;
@@ -550,7 +577,7 @@
         }
         let outcome = match record.status {
             JobStatus::Pending => w.cancel_through((seed % 3) as usize, &job),
-            _ => Outcome::Conflict(0),
+            _ => CommitOutcome::Conflict(0),
         };
         for _ in 0..120 {
             w.step();
@@ -561,12 +588,12 @@
         // A repeat of the submission is refused by what is there, also once that was moved.
         let again = quillbend::jobs::new_record(w.spec(2), w.now);
         let again = w.state.commit(&quillbend::jobs::accept(&job, &again));
-        assert!(matches!(again, Outcome::Conflict(_)));
+        assert!(matches!(again, CommitOutcome::Conflict(_)));
         let last = w.ask(0, &job).expect("answered");
         match outcome {
-            Outcome::Done(_) => {
-                withdrawn += 1;
-                assert_eq!(last, JobStatus::Withdrawn);
+            CommitOutcome::Done(_) => {
+                cancelled += 1;
+                assert_eq!(last, JobStatus::Cancelled);
             }
             _ => {
                 done += 1;
@@ -575,7 +602,7 @@
         }
         w.assert_kept();
     }
-    assert!(done > 0 && withdrawn > 0, "{done} and {withdrawn}");
+    assert!(done > 0 && cancelled > 0, "{done} and {cancelled}");
 }
 
 #[test]
@@ -587,13 +614,13 @@
     for n in 1..=30 {
         let mut spec = w.spec(6);
         spec.estimate_s = 5.0;
-        spec.urgency = [Urgency::Urgent, Urgency::Normal, Urgency::BestEffort][n % 3];
+        spec.priority = [Priority::Urgent, Priority::Normal, Priority::BestEffort][n % 3];
         spec.team = ["blue", "red"][n % 2].into();
         spec.cpus = [1.0, 2.0, 4.0][n % 3];
         jobs.push(w.submit(n as u32, spec));
         w.run(700);
     }
-    (0..3).for_each(|i| w.links[i].state = Mood::Slow(800));
+    (0..3).for_each(|i| w.links[i].state = StoreFault::Slow(800));
     w.run(15_000);
     w.all_end_well(&jobs);
 }
@@ -604,12 +631,12 @@
     let mut w = World::settled(72, 3, 4);
     w.cloud_up = false;
     let mut hopeless = w.spec(4);
-    hopeless.frames = Some(vec!["large".into()]);
+    hopeless.machine_types = Some(vec!["large".into()]);
     w.submit(1, hopeless);
     w.run_ms = 6000;
     w.flood(10);
     let mut late = w.spec(20);
-    late.urgency = Urgency::BestEffort;
+    late.priority = Priority::BestEffort;
     let late = w.submit(2, late);
     let submitted = w.now;
     w.flood(150);
@@ -622,9 +649,9 @@
 #[test]
 fn chance_meetings_keep_the_rules() {
     for seed in 0..16 {
-        let nodes = [3, 5][seed as usize % 2];
+        let live_controllers = [3, 5][seed as usize % 2];
         let mut luck = SmallRng::seed_from_u64(900 + seed);
-        let mut w = World::settled(900 + seed, nodes, 8);
+        let mut w = World::settled(900 + seed, live_controllers, 8);
         w.drift[0] = -0.0005;
         w.drift[1] = 0.0005;
         if seed % 3 == 0 {
@@ -642,18 +669,18 @@
                 all.push(job.clone());
                 open.push(job);
             }
-            let i = luck.random_range(0..nodes);
+            let i = luck.random_range(0..live_controllers);
             let at = luck.random_range(0..w.workers.len().max(1));
             match luck.random_range(0..13) {
                 kind @ 0..=4 => w.trouble(i, kind, &mut luck),
                 5 => w.strand(i),
                 6 => refuse(&mut w, i),
                 7 => w.outage(true),
-                8 if luck.random_bool(0.3) => (0..nodes).for_each(|i| w.crash(i)),
-                8 => w.links[i].state = Mood::Late(luck.random_range(2000..12_000)),
+                8 if luck.random_bool(0.3) => (0..live_controllers).for_each(|i| w.crash(i)),
+                8 => w.links[i].state = StoreFault::Late(luck.random_range(2000..12_000)),
                 kind if at < w.workers.len() => match kind {
                     9 => w.workers[at].cut = true,
-                    10 => w.workers[at].deaf = true,
+                    10 => w.workers[at].unreachable_since = true,
                     11 => w.workers[at].hung = true,
                     _ => w.restart_machine(at),
                 },
