--- a/tests/processes/mod.rs
+++ b/tests/processes/mod.rs
@@ -7,19 +7,22 @@
 use crate::support::{PLATFORM, State, catalog};
 use actix_web::dev::ServerHandle;
 use actix_web::{App, HttpResponse, HttpServer, web};
-use quillbend::controller::Outcome;
-use quillbend::protocol::{Cause, Leg, LegStatus, ListedRig, Order, Orders, Report, Rigs, Txn};
+use quillbend::controller::CommitOutcome;
+use quillbend::protocol::{
+    CloudMachine, Command, ExitReason, Heartbeat, HeartbeatAck, MachineNames, TaskPhase,
+    TaskStatus, Transaction,
+};
 use serde_json::{Value, json};
 use std::collections::{HashMap, HashSet};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
+use std::process::{self, Child, Stdio};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 type Store = web::Data<Mutex<State>>;
-type Machines = web::Data<Vec<ListedRig>>;
+type Machines = web::Data<Vec<CloudMachine>>;
 
 /// Workers' lease in the settings, ms.
 const LEASE_MS: u64 = 12_000;
@@ -34,50 +37,56 @@
 
 async fn keys(s: Store, q: web::Query<HashMap<String, String>>) -> HttpResponse {
     let starts = q.get("starts").cloned().unwrap_or_default();
-    let (items, ledger) = s.lock().expect("lock").list(&starts);
-    HttpResponse::Ok().json(json!({ "items": items, "hasNext": false, "ledger": ledger }))
+    let (items, revision) = s.lock().expect("lock").list(&starts);
+    HttpResponse::Ok().json(json!({ "items": items, "hasNext": false, "ledger": revision }))
 }
 
-async fn key(s: Store, k: web::Path<String>) -> HttpResponse {
+async fn key(s: Store, key: web::Path<String>) -> HttpResponse {
     let s = s.lock().expect("lock");
-    match s.value(&k) {
-        Some(v) => HttpResponse::Ok().json(json!({ "k": *k, "v": v, "stamp": s.stamp(&k) })),
+    match s.value(&key) {
+        Some(v) => {
+            HttpResponse::Ok().json(json!({ "k": *key, "v": v, "stamp": s.mod_revision(&key) }))
+        }
         None => HttpResponse::NotFound().json(json!({ "ledger": 0 })),
     }
 }
 
-async fn commit(s: Store, txn: web::Json<Txn>) -> HttpResponse {
-    match s.lock().expect("lock").commit(&txn) {
-        Outcome::Done(ledger) => HttpResponse::Ok().json(json!({ "ledger": ledger })),
-        Outcome::Conflict(ledger) => HttpResponse::Conflict().json(json!({ "ledger": ledger })),
-        Outcome::NoLease => HttpResponse::BadRequest().json(json!({ "error": "no such lease" })),
+async fn commit(s: Store, transaction: web::Json<Transaction>) -> HttpResponse {
+    match s.lock().expect("lock").commit(&transaction) {
+        CommitOutcome::Done(revision) => HttpResponse::Ok().json(json!({ "ledger": revision })),
+        CommitOutcome::Conflict(revision) => {
+            HttpResponse::Conflict().json(json!({ "ledger": revision }))
+        }
+        CommitOutcome::NoLease => {
+            HttpResponse::BadRequest().json(json!({ "error": "no such lease" }))
+        }
         _ => HttpResponse::BadRequest().json(json!({ "error": "malformed" })),
     }
 }
 
 async fn lease(s: Store, body: web::Json<Value>) -> HttpResponse {
     let life = body["lifeMs"].as_u64().unwrap_or(1000);
-    let permit = s.lock().expect("lock").lease(life, elapsed_ms());
-    HttpResponse::Ok().json(json!({ "permit": permit }))
+    let lease_id = s.lock().expect("lock").lease(life, elapsed_ms());
+    HttpResponse::Ok().json(json!({ "permit": lease_id }))
 }
 
-async fn extend(s: Store, permit: web::Path<u64>) -> HttpResponse {
-    match s.lock().expect("lock").renew(*permit, elapsed_ms()) {
+async fn extend(s: Store, lease_id: web::Path<u64>) -> HttpResponse {
+    match s.lock().expect("lock").renew(*lease_id, elapsed_ms()) {
         true => HttpResponse::Ok().json(json!({})),
         false => HttpResponse::NotFound().finish(),
     }
 }
 
 async fn watch(s: Store, q: web::Query<HashMap<String, String>>) -> HttpResponse {
-    let number = |k: &str| q.get(k).and_then(|v| v.parse::<u64>().ok()).unwrap_or(0);
+    let number = |key: &str| q.get(key).and_then(|v| v.parse::<u64>().ok()).unwrap_or(0);
     let until = elapsed_ms() + number("waitMs");
     loop {
         let list = {
             let mut s = s.lock().expect("lock");
             s.pass(elapsed_ms());
-            s.news(q.get("starts").map_or("", String::as_str), number("after"))
+            s.events(q.get("starts").map_or("", String::as_str), number("after"))
         };
-        if !list.news.is_empty() || elapsed_ms() >= until {
+        if !list.events.is_empty() || elapsed_ms() >= until {
             return HttpResponse::Ok().json(list);
         }
         actix_web::rt::time::sleep(Duration::from_millis(10)).await;
@@ -96,16 +105,16 @@
     HttpResponse::ServiceUnavailable().json(json!({ "error": "no capacity" }))
 }
 
-async fn give_back(_: web::Json<Rigs>) -> HttpResponse {
+async fn give_back(_: web::Json<MachineNames>) -> HttpResponse {
     HttpResponse::Ok().json(json!({}))
 }
 
 /// A machine that runs already, as the cloud lists it.
-pub fn running_machine(name: &str) -> ListedRig {
-    ListedRig {
+pub fn running_machine(name: &str) -> CloudMachine {
+    CloudMachine {
         name: name.into(),
         endpoint: "127.0.0.1:1".into(),
-        frame: "small".into(),
+        machine_type: "small".into(),
         zone: "north".into(),
         spot: false,
         status: "running".into(),
@@ -122,7 +131,7 @@
 
 impl OutsideServices {
     /// Serves an empty store and these machines.
-    pub fn start(machines: Vec<ListedRig>) -> Self {
+    pub fn start(machines: Vec<CloudMachine>) -> Self {
         let state = Arc::new(Mutex::new(State::default()));
         let (store, machines) = (web::Data::from(state.clone()), web::Data::new(machines));
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -135,7 +144,7 @@
                 .route("/keys/{key:.*}", web::get().to(key))
                 .route("/commit", web::post().to(commit))
                 .route("/leases", web::post().to(lease))
-                .route("/leases/{permit}/extend", web::post().to(extend))
+                .route("/leases/{lease_id}/extend", web::post().to(extend))
                 .route("/watch", web::get().to(watch))
                 .route("/catalog", web::get().to(machine_types))
                 .route("/machines", web::get().to(list_machines))
@@ -235,7 +244,7 @@
         let name = format!("quillbend-{}.toml", places[i].public.replace(':', "-"));
         let settings = std::env::temp_dir().join(name);
         std::fs::write(&settings, settings_of(i, places, outside)).expect("written");
-        let child = Command::new(binary)
+        let child = process::Command::new(binary)
             .args(arguments)
             .arg("--config")
             .arg(&settings)
@@ -332,16 +341,16 @@
 
 /// A task on a worker.
 struct RunningTask {
-    leg: Leg,
+    task: TaskStatus,
     ends_ms: u64,
 }
 
 /// The worker of one machine. Tasks need no image, and run for as long as it is told.
 pub struct LoopbackWorker {
-    pub machine: ListedRig,
+    pub machine: CloudMachine,
     run_ms: u64,
     at: usize,
-    session: u64,
+    worker_epoch: u64,
     sequence: u64,
     token: u64,
     tasks: Vec<RunningTask>,
@@ -350,12 +359,12 @@
 }
 
 impl LoopbackWorker {
-    pub fn new(machine: ListedRig, run_ms: u64) -> Self {
+    pub fn new(machine: CloudMachine, run_ms: u64) -> Self {
         Self {
             machine,
             run_ms,
             at: 0,
-            session: 1,
+            worker_epoch: 1,
             sequence: 0,
             token: 0,
             tasks: Vec::new(),
@@ -364,7 +373,7 @@
     }
 
     /// Ends what is over, sends one report, and does as it is told.
-    pub async fn report(&mut self, places: &[Place], log: &Mutex<WorkLog>) {
+    pub async fn heartbeat(&mut self, places: &[Place], log: &Mutex<WorkLog>) {
         let sent = elapsed_ms();
         self.end_tasks(sent, log);
         self.sequence += 1;
@@ -381,18 +390,18 @@
         }
     }
 
-    fn message(&self) -> Report {
-        Report {
-            rig: self.machine.name.clone(),
+    fn message(&self) -> Heartbeat {
+        Heartbeat {
+            machine: self.machine.name.clone(),
             endpoint: self.machine.endpoint.clone(),
-            frame: self.machine.frame.clone(),
+            machine_type: self.machine.machine_type.clone(),
             zone: self.machine.zone.clone(),
             spot: self.machine.spot,
-            session: self.session,
+            worker_epoch: self.worker_epoch,
             sequence: self.sequence,
             token: self.token,
             reclaim_s: None,
-            legs: self.tasks.iter().map(|t| t.leg.clone()).collect(),
+            tasks: self.tasks.iter().map(|t| t.task.clone()).collect(),
         }
     }
 
@@ -400,23 +409,23 @@
     fn end_tasks(&mut self, now: u64, log: &Mutex<WorkLog>) {
         let mut log = log.lock().expect("lock");
         for task in &mut self.tasks {
-            if task.leg.status == LegStatus::Running && now >= task.ends_ms {
-                task.leg.status = LegStatus::Ended;
-                task.leg.cause = Some(Cause::Done);
-                log.note_end(&task.leg.leg, &self.machine.name, true);
+            if task.task.status == TaskPhase::Running && now >= task.ends_ms {
+                task.task.status = TaskPhase::Ended;
+                task.task.cause = Some(ExitReason::Done);
+                log.note_end(&task.task.task, &self.machine.name, true);
             }
         }
         if now > self.answered_ms + LEASE_MS {
             for task in self.tasks.drain(..) {
-                log.note_end(&task.leg.leg, &self.machine.name, false);
+                log.note_end(&task.task.task, &self.machine.name, false);
             }
-            self.session += 1;
+            self.worker_epoch += 1;
             self.answered_ms = now;
         }
     }
 
     fn obey(&mut self, answer: Value, sent: u64, log: &Mutex<WorkLog>) {
-        let Ok(orders) = serde_json::from_value::<Orders>(answer) else {
+        let Ok(orders) = serde_json::from_value::<HeartbeatAck>(answer) else {
             return;
         };
         if orders.token < self.token {
@@ -427,47 +436,47 @@
         let mut log = log.lock().expect("lock");
         for order in orders.orders {
             match order {
-                Order::Launch { leg, attempt } => self.launch(leg, attempt, &mut log),
-                Order::Stop { leg, attempt, .. } => self.stop(&leg, attempt, &mut log),
-                Order::Clear { leg, attempt } => {
+                Command::Launch { task, attempt } => self.launch(task, attempt, &mut log),
+                Command::Stop { task, attempt, .. } => self.stop(&task, attempt, &mut log),
+                Command::Clear { task, attempt } => {
                     self.tasks.retain(|t| {
-                        t.leg.leg != leg
-                            || t.leg.attempt != attempt
-                            || t.leg.status != LegStatus::Ended
+                        t.task.task != task
+                            || t.task.attempt != attempt
+                            || t.task.status != TaskPhase::Ended
                     });
                 }
             }
         }
     }
 
-    fn launch(&mut self, leg: String, attempt: u64, log: &mut WorkLog) {
+    fn launch(&mut self, task: String, attempt: u64, log: &mut WorkLog) {
         let known = self
             .tasks
             .iter()
-            .any(|t| t.leg.leg == leg && t.leg.attempt == attempt);
+            .any(|t| t.task.task == task && t.task.attempt == attempt);
         if known {
             return;
         }
         let refused = self
             .tasks
             .iter()
-            .any(|t| t.leg.leg == leg && t.leg.status != LegStatus::Ended);
+            .any(|t| t.task.task == task && t.task.status != TaskPhase::Ended);
         if !refused {
-            log.note_start(&leg, &self.machine.name);
+            log.note_start(&task, &self.machine.name);
         }
         // A result is kept: a task that was done once ends at once.
-        let left = if log.done.contains(&leg) {
+        let left = if log.done.contains(&task) {
             0
         } else {
             self.run_ms
         };
         let (status, cause) = match refused {
-            true => (LegStatus::Ended, Some(Cause::InUse)),
-            false => (LegStatus::Running, None),
+            true => (TaskPhase::Ended, Some(ExitReason::InUse)),
+            false => (TaskPhase::Running, None),
         };
         self.tasks.push(RunningTask {
-            leg: Leg {
-                leg,
+            task: TaskStatus {
+                task,
                 attempt,
                 status,
                 cause,
@@ -477,13 +486,13 @@
         });
     }
 
-    fn stop(&mut self, leg: &str, attempt: u64, log: &mut WorkLog) {
+    fn stop(&mut self, name: &str, attempt: u64, log: &mut WorkLog) {
         for task in &mut self.tasks {
-            let meant = task.leg.leg == leg && task.leg.attempt == attempt;
-            if meant && task.leg.status != LegStatus::Ended {
-                task.leg.status = LegStatus::Ended;
-                task.leg.cause = Some(Cause::Halted);
-                log.note_end(leg, &self.machine.name, false);
+            let meant = task.task.task == name && task.task.attempt == attempt;
+            if meant && task.task.status != TaskPhase::Ended {
+                task.task.status = TaskPhase::Ended;
+                task.task.cause = Some(ExitReason::Halted);
+                log.note_end(name, &self.machine.name, false);
             }
         }
     }
--- a/tests/recovery_at_night.rs
+++ b/tests/recovery_at_night.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use quillbend::protocol::{JobStatus, Urgency};
+use quillbend::protocol::{JobStatus, Priority};
 use support::World;
 
 /// Seconds of a story's time until something of a job starts.
@@ -20,9 +20,9 @@
     w.cloud_up = false;
     w.run_ms = 6000;
     let mut giant = w.spec(3000);
-    (giant.team, giant.urgency) = ("guest".into(), Urgency::BestEffort);
+    (giant.team, giant.priority) = ("guest".into(), Priority::BestEffort);
     (giant.cpus, giant.memory_gb) = (0.25, 0.1);
-    assert_eq!(w.core(0).never_runs(&giant), None);
+    assert_eq!(w.controller(0).never_runs(&giant), None);
     let giant = w.submit(1, giant);
     begins_within(&mut w, &giant, 10_000);
     w.until(10_000, "it borrows the whole fleet", |w| {
@@ -59,7 +59,7 @@
     }
     let urgent = {
         let mut spec = w.spec(4);
-        spec.urgency = Urgency::Urgent;
+        spec.priority = Priority::Urgent;
         w.submit(1000, spec)
     };
     begins_within(&mut w, &urgent, 15_000);
@@ -91,7 +91,7 @@
     let small = w.submit(2, small);
     w.until(200_000, "done", |w| w.is_done(&large) && w.is_done(&small));
     w.assert_kept();
-    let moved: u64 = (0..3).map(|i| w.core(i).counters.stolen_tasks).sum();
+    let moved: u64 = (0..3).map(|i| w.controller(i).counters.stolen_tasks).sum();
     assert!(moved <= 64 * 2, "{moved} moves of 64 tasks");
     assert_eq!(w.starts.len(), 64);
 }
@@ -133,15 +133,15 @@
 #[test]
 fn controllers_that_stand_still_across_each_deadline_act_on_nothing_that_is_over() {
     // The clock runs on: silence, leases, authority and answers are all late when it wakes.
-    for (seed, nodes) in [(5, 3), (6, 5)] {
+    for (seed, live_controllers) in [(5, 3), (6, 5)] {
         for ms in [1500, 3000, 6000, 13_000, 24_000, 40_000] {
             for who in 0..3 {
-                let (mut w, job) = World::busy(seed, nodes, 30_000);
+                let (mut w, job) = World::busy(seed, live_controllers, 30_000);
                 let leader = w.leader().expect("leads");
                 let frozen = match who {
                     0 => vec![leader],
-                    1 => vec![(leader + 1) % nodes],
-                    _ => vec![leader, (leader + 1) % nodes],
+                    1 => vec![(leader + 1) % live_controllers],
+                    _ => vec![leader, (leader + 1) % live_controllers],
                 };
                 frozen.iter().for_each(|&i| w.freeze(i, ms));
                 let grants = w.state.writes_to("qb/grant/");
@@ -168,12 +168,12 @@
         w.run_ms = 8000;
         let job = w.submit(1, w.spec(8));
         w.until(30_000, "machines are rented", |w| !w.workers.is_empty());
-        let first: Vec<String> = w.workers.iter().map(|m| m.rig.name.clone()).collect();
+        let first: Vec<String> = w.workers.iter().map(|m| m.machine.name.clone()).collect();
         w.run(5000);
         w.slow_boot = None;
         w.until(90_000, "done on others", |w| w.is_done(&job));
         w.run(200_000);
-        let kept = w.workers.iter().filter(|m| first.contains(&m.rig.name));
+        let kept = w.workers.iter().filter(|m| first.contains(&m.machine.name));
         assert_eq!(kept.count(), 0, "they are kept for nothing");
         w.assert_kept();
     }
@@ -191,11 +191,11 @@
         w.running_of(&first) == 16
     });
     w.slow_boot = Some(u64::MAX / 4);
-    spec.legs = 40;
-    let known: Vec<String> = w.workers.iter().map(|m| m.rig.name.clone()).collect();
+    spec.task_count = 40;
+    let known: Vec<String> = w.workers.iter().map(|m| m.machine.name.clone()).collect();
     let second = w.submit(2, spec);
     w.until(30_000, "more are rented", |w| w.workers.len() > known.len());
-    let mut rented = w.workers.iter().map(|m| m.rig.name.clone());
+    let mut rented = w.workers.iter().map(|m| m.machine.name.clone());
     let late = rented.find(|m| !known.contains(m)).expect("rented");
     w.run(500);
     w.slow_boot = None;
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -3,11 +3,11 @@
 
 mod support;
 
-use quillbend::clock::Ms;
-use quillbend::controller::{Outcome, Reply};
+use quillbend::clock::Timestamp;
+use quillbend::controller::{CommitOutcome, HeartbeatResponse};
 use quillbend::protocol::JobStatus;
 use quillbend::records::BlockRecord;
-use support::{Mood, World};
+use support::{StoreFault, World};
 
 /// A settled world of three controllers.
 fn settled(seed: u64, machines: usize) -> World {
@@ -90,9 +90,9 @@
 fn a_holder_without_the_state_service_loses_its_authority_in_time() {
     let mut w = settled(6, 3);
     let i = (w.leader().expect("leads") + 1) % 3;
-    w.links[i].state = Mood::Refuses;
+    w.links[i].state = StoreFault::Refuses;
     let cut = w.now;
-    while w.core(i).has_authority(Ms(w.now)) {
+    while w.controller(i).has_authority(Timestamp(w.now)) {
         w.step();
         assert!(w.now < cut + 40_000, "authority never ends");
     }
@@ -110,25 +110,25 @@
     let i = (w.leader().expect("leads") + 1) % 3;
     w.links[i].watch_hangs = true;
     w.run(30_000);
-    assert!(!w.core(i).has_authority(Ms(w.now)));
+    assert!(!w.controller(i).has_authority(Timestamp(w.now)));
     w.links[i].watch_hangs = false;
     w.run(1000);
-    assert!(w.core(i).has_authority(Ms(w.now)));
+    assert!(w.controller(i).has_authority(Timestamp(w.now)));
 }
 
 #[test]
 fn lost_answers_and_late_copies_of_writes_do_no_harm() {
-    for mood in [Mood::LosesAnswers, Mood::Late(3000)] {
+    for fault in [StoreFault::LosesAnswers, StoreFault::Late(3000)] {
         let mut w = settled(8, 6);
         let leader = w.leader().expect("leads");
         let jobs: Vec<String> = (1..=2).map(|n| w.submit(n, w.spec(20))).collect();
         for _ in 0..6 {
             for i in 0..3 {
-                w.links[i].state = mood;
+                w.links[i].state = fault;
             }
             w.run(700);
             for i in 0..3 {
-                w.links[i].state = Mood::Good;
+                w.links[i].state = StoreFault::Good;
             }
             w.run(2500);
         }
@@ -143,7 +143,7 @@
     // Its peers hear it, and its keys last for a whole lease; but its earlier life is over.
     let (mut w, job) = busy(24, 9, 40_000, 16);
     let leader = w.leader().expect("leads");
-    w.links[leader].state = Mood::Refuses;
+    w.links[leader].state = StoreFault::Refuses;
     (0..3).for_each(|i| w.crash(i));
     w.run(3000);
     (0..3).for_each(|i| w.start(i));
@@ -158,11 +158,11 @@
     let mut w = settled(9, 6);
     let old = w.leader().expect("leads");
     // Its writes are under way for long; meanwhile it is cut from its peers and replaced.
-    w.links[old].state = Mood::Late(20_000);
+    w.links[old].state = StoreFault::Late(20_000);
     w.links[old].peers = false;
     let job = w.submit(1, w.spec(16));
     w.until(60_000, "another leads and finishes", |w| w.is_done(&job));
-    w.links[old].state = Mood::Good;
+    w.links[old].state = StoreFault::Good;
     w.run(30_000);
     w.assert_kept();
     assert_eq!(w.starts.len(), 16);
@@ -204,11 +204,11 @@
         .expect("busy");
     w.workers[at].cut = true;
     let since = w.now;
-    let lost = w.workers[at].tasks.len();
+    let presumed_dead = w.workers[at].tasks.len();
     w.until(120_000, "done", |w| w.is_done(&job));
     w.assert_kept();
     let again: Vec<_> = w.starts.iter().filter(|s| s.0 > since).collect();
-    assert!(again.len() >= lost);
+    assert!(again.len() >= presumed_dead);
     assert!(again.iter().all(|s| s.0 > since + 10_000), "{again:?}");
 }
 
@@ -218,7 +218,7 @@
     w.run_ms = 60_000;
     let job = w.submit(1, w.spec(40));
     w.until(15_000, "some run", |w| w.running() >= 10);
-    assert!(matches!(w.cancel(&job), Outcome::Done(_)));
+    assert!(matches!(w.cancel(&job), CommitOutcome::Done(_)));
     let at = w.now;
     w.run(8000);
     assert_eq!(w.running(), 0);
@@ -227,7 +227,7 @@
         w.starts.iter().all(|s| s.0 <= at + 300),
         "nothing starts any more"
     );
-    assert_eq!(w.job(&job).map(|j| j.status), Some(JobStatus::Withdrawn));
+    assert_eq!(w.job(&job).map(|j| j.status), Some(JobStatus::Cancelled));
     w.assert_kept();
 }
 
@@ -238,7 +238,7 @@
     w.until(30_000, "done", |w| w.is_done(&job));
     let record = w.job(&job).expect("known");
     let stale = quillbend::jobs::cancel(&job, &record, 1, w.settings.value_bytes());
-    assert!(matches!(w.state.commit(&stale), Outcome::Conflict(_)));
+    assert!(matches!(w.state.commit(&stale), CommitOutcome::Conflict(_)));
     w.run(10_000);
     assert!(w.is_done(&job), "also after it left the watched part");
 }
@@ -255,22 +255,26 @@
     w.state.forget("qb/catalog");
     (0..3).for_each(|i| w.start(i));
     w.run(8000);
-    assert!((0..3).all(|i| !w.core(i).catalog_known()));
+    assert!((0..3).all(|i| !w.controller(i).catalog_known()));
     w.cloud_up = true;
     // The machines are silent from here on: only what was taken in before counts.
     let held: Vec<u64> = w.workers.iter().map(|m| m.up_at).collect();
     w.workers.iter_mut().for_each(|m| m.up_at = u64::MAX);
     w.run(8000);
-    assert!((0..3).all(|i| w.core(i).catalog_known()));
+    assert!((0..3).all(|i| w.controller(i).catalog_known()));
     for i in 0..3 {
-        let core = w.core(i);
-        for ix in core.view.machines_sorted() {
-            let listed = core.view.machines[&ix].queue.len();
-            let name = core.view.names.machines.name(ix);
-            let on_it = w.workers.iter().find(|m| m.rig.name == name);
+        let controller = w.controller(i);
+        for machine_id in controller.replica.machines_sorted() {
+            let listed = controller.replica.machines[&machine_id].queue.len();
+            let name = controller.replica.names.machines.name(machine_id);
+            let on_it = w.workers.iter().find(|m| m.machine.name == name);
             let on_it = on_it.map_or(0, |m| m.tasks.len());
             if w.holder(name) == Some(i) {
-                assert_eq!(core.tasks_seen(ix), on_it, "{name}: {listed} listed");
+                assert_eq!(
+                    controller.tasks_seen(machine_id),
+                    on_it,
+                    "{name}: {listed} listed"
+                );
             }
         }
     }
@@ -284,24 +288,32 @@
 #[test]
 fn late_reports_and_those_of_strangers_are_not_answered_with_orders() {
     let mut w = settled(16, 3);
-    let rig = w.workers[0].rig.name.clone();
-    let holder = w.holder(&rig).expect("held");
+    let machine = w.workers[0].machine.name.clone();
+    let holder = w.holder(&machine).expect("held");
     w.run(3000);
-    let mut late = w.workers[0].report();
+    let mut late = w.workers[0].heartbeat();
     late.sequence -= 1;
-    let now = Ms(w.now);
-    let node = w.nodes[holder].as_mut().expect("alive");
-    assert_eq!(node.core.on_report(late, now), Reply::Unavailable);
-    let mut newer = w.workers[0].report();
+    let now = Timestamp(w.now);
+    let node = w.live_controllers[holder].as_mut().expect("alive");
+    assert_eq!(
+        node.controller.on_heartbeat(late, now),
+        HeartbeatResponse::Unavailable
+    );
+    let mut newer = w.workers[0].heartbeat();
     newer.sequence += 1;
     newer.token += 1000;
-    assert_eq!(node.core.on_report(newer, now), Reply::Elsewhere(None));
-    let name = node.core.my_name().to_owned();
-    let report = w.workers[0].report();
-    let other = w.nodes[(holder + 1) % 3].as_mut().expect("alive");
     assert_eq!(
-        other.core.on_report(report, now),
-        Reply::Elsewhere(Some(name))
+        node.controller.on_heartbeat(newer, now),
+        HeartbeatResponse::Elsewhere(None)
+    );
+    let name = node.controller.my_name().to_owned();
+    let heartbeat = w.workers[0].heartbeat();
+    let other = w.live_controllers[(holder + 1) % 3]
+        .as_mut()
+        .expect("alive");
+    assert_eq!(
+        other.controller.on_heartbeat(heartbeat, now),
+        HeartbeatResponse::Elsewhere(Some(name))
     );
 }
 
@@ -318,7 +330,7 @@
     w.cloud_up = true;
     w.until(90_000, "done", |w| w.is_done(&job));
     w.assert_kept();
-    let moved: u64 = (0..3).map(|i| w.core(i).counters.stolen_tasks).sum();
+    let moved: u64 = (0..3).map(|i| w.controller(i).counters.stolen_tasks).sum();
     assert!(moved > 0, "machines that came later stole nothing");
     assert_eq!(w.starts.len(), 16);
 }
@@ -333,14 +345,14 @@
     w.cloud_up = false;
     w.run_ms = 60_000;
     w.submit(1, w.spec(8));
-    let rig = w.workers[0].rig.name.clone();
-    let queue = |w: &World| w.block("qb/block/0000").machines[&rig].queue.clone();
+    let machine = w.workers[0].machine.name.clone();
+    let queue = |w: &World| w.block("qb/block/0000").machines[&machine].queue.clone();
     w.until(20_000, "the machine is full", |w| w.running() == 4);
     w.run(3000);
-    let holder = w.holder(&rig).expect("held");
+    let holder = w.holder(&machine).expect("held");
     let before = queue(&w);
     // On notice the holder concludes that the unstarted tasks are free, but cannot write it.
-    w.links[holder].state = Mood::Refuses;
+    w.links[holder].state = StoreFault::Refuses;
     w.workers[0].reclaim_s = Some(30.0);
     w.run(2500);
     w.workers[0].reclaim_s = None;
@@ -350,7 +362,7 @@
     let theirs = serde_json::json!({ "h": "other", "b": 1 });
     w.state.overwrite("qb/grant/0000", &theirs);
     w.state.overwrite("qb/grant/0000", &mine);
-    w.links[holder].state = Mood::Good;
+    w.links[holder].state = StoreFault::Good;
     w.run(2000);
     assert_eq!(queue(&w), before);
 }
@@ -366,10 +378,10 @@
         w.until(15_000, "many run", |w| w.running() >= 14);
         for _ in 0..4 {
             let i = (w.leader().unwrap_or(0) + 1) % 3;
-            w.links[i].state = Mood::Refuses;
+            w.links[i].state = StoreFault::Refuses;
             w.links[i].peers = false;
             w.run(5000 + seed * 700);
-            w.links[i].state = Mood::Good;
+            w.links[i].state = StoreFault::Good;
             w.links[i].peers = true;
             w.run(4000);
         }
@@ -387,9 +399,15 @@
     w.run(3000);
     (0..3).for_each(|i| w.start(i));
     w.run(25_000);
-    let known = |i: usize| w.core(i).view.names.machines.get(&gone.rig.name);
+    let known = |i: usize| {
+        w.controller(i)
+            .replica
+            .names
+            .machines
+            .get(&gone.machine.name)
+    };
     for i in 0..3 {
-        let listed = known(i).is_some_and(|m| w.core(i).view.machines.contains_key(&m));
+        let listed = known(i).is_some_and(|m| w.controller(i).replica.machines.contains_key(&m));
         assert!(!listed, "its tasks still wait on it");
     }
     w.until(100_000, "done", |w| w.is_done(&job));
@@ -436,19 +454,19 @@
     let mut w = settled(18, 6);
     let first = w.submit(1, w.spec(16));
     w.until(60_000, "done", |w| w.is_done(&first));
-    let sick = w.workers[0].rig.name.clone();
-    w.workers[0].sick = true;
+    let quarantined = w.workers[0].machine.name.clone();
+    w.workers[0].quarantined = true;
     let jobs: Vec<String> = (2..=3).map(|n| w.submit(n, w.spec(30))).collect();
     w.until(150_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
     w.run(15_000);
     w.assert_kept();
-    assert!(w.returned.contains(&sick), "{:?}", w.returned);
+    assert!(w.returned.contains(&quarantined), "{:?}", w.returned);
 }
 
 #[test]
 fn a_job_that_fails_everywhere_does_not_condemn_the_fleet() {
     let mut w = settled(19, 4);
-    w.workers.iter_mut().for_each(|m| m.sick = true);
+    w.workers.iter_mut().for_each(|m| m.quarantined = true);
     w.submit(1, w.spec(2));
     w.run(60_000);
     assert!(w.returned.len() < 4, "{:?}", w.returned);
@@ -510,7 +528,7 @@
         w.drift = vec![0.0005, 0.0, -0.0005];
         let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(20))).collect();
         for i in 0..3 {
-            w.links[i].state = Mood::Moody;
+            w.links[i].state = StoreFault::FaultyStore;
         }
         w.run(30_000);
         let busy = w.workers.iter().position(|m| !m.tasks.is_empty());
@@ -539,7 +557,7 @@
     w.run(2500);
     let recorded: u32 = {
         let blocks = w.state.list("qb/block/").0.into_iter();
-        let blocks = blocks.map(|b| b.v.read::<BlockRecord>().expect("a block"));
+        let blocks = blocks.map(|b| b.value.read::<BlockRecord>().expect("a block"));
         let queued = blocks.flat_map(|b| b.machines.into_values().flat_map(|m| m.queue));
         queued.map(|(_, tasks, _)| tasks.len()).sum()
     };
--- a/tests/spillover.rs
+++ b/tests/spillover.rs
@@ -12,7 +12,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use support::cells::{Cells, Way};
-use support::{Mood, World};
+use support::{StoreFault, World};
 
 const EAST: usize = 0;
 const NORTH: usize = 1;
@@ -52,7 +52,7 @@
     // The loans leave the borrower's watched keys once their ends are known at home.
     let theirs = c.submit_many(NORTH, 6, 4);
     c.until(60_000, "archived", |c| {
-        let kept = |job: &String| c.cells[NORTH].state.stamp(&job_key(job)) > 0;
+        let kept = |job: &String| c.cells[NORTH].state.mod_revision(&job_key(job)) > 0;
         theirs.iter().all(|job| c.cells[NORTH].is_done(job)) && !jobs.iter().any(kept)
     });
     // The cell has recovered: what comes now stays.
@@ -70,7 +70,10 @@
     w.run(30_000);
     assert!(w.cell_calls.is_empty());
     for item in w.state.list("qb/job/").0 {
-        assert_eq!(item.v.read::<JobRecord>().expect("a job").transfer, None);
+        assert_eq!(
+            item.value.read::<JobRecord>().expect("a job").transfer,
+            None
+        );
     }
     let format = w.state.value("qb/format").expect("recorded");
     assert_eq!(format["v"], SPILLOVER_FORMAT - 1);
@@ -208,7 +211,7 @@
         for job in &lent {
             assert_eq!(c.cells[NORTH].running_of(job), 0);
             let state = c.cells[EAST].job(job).expect("known").status;
-            assert_eq!(state, JobStatus::Withdrawn);
+            assert_eq!(state, JobStatus::Cancelled);
         }
         let rest: Vec<String> = jobs.into_iter().filter(|j| !lent.contains(j)).collect();
         c.all_end_well(EAST, &rest);
@@ -246,7 +249,7 @@
     c.shut.insert((NORTH, shut));
     c.run(14_000);
     // Its machines go on, for its peers tell it what was confirmed.
-    let held = |m: &&support::Worker| c.cells[NORTH].holder(&m.rig.name) == Some(shut);
+    let held = |m: &&support::Worker| c.cells[NORTH].holder(&m.machine.name) == Some(shut);
     let busy = c.cells[NORTH].workers.iter().filter(held);
     assert!(busy.flat_map(|m| &m.tasks).any(|t| t.ended.is_none()));
     c.all_end_well(EAST, &jobs);
@@ -336,7 +339,7 @@
     let lent = c.lent(EAST);
     c.cells[NORTH].run_ms = 100_000;
     let mut urgent = c.cells[NORTH].spec(12);
-    urgent.urgency = quillbend::protocol::Urgency::Urgent;
+    urgent.priority = quillbend::protocol::Priority::Urgent;
     c.cells[NORTH].submit(900, urgent);
     c.until(60_000, "home, or begun there", |c| {
         let begun = |job: &String| c.cells[NORTH].starts_of(job) > 0;
@@ -358,8 +361,8 @@
     assert!(c.starts_in(WEST, &east) + c.starts_in(WEST, &north) > 0);
     let marks = |cell: usize| c.cells[cell].state.list("qb/job/").0;
     for item in marks(NORTH).into_iter().chain(marks(WEST)) {
-        let job: JobRecord = item.v.read().expect("a job");
-        let name = &item.k["qb/job/".len()..];
+        let job: JobRecord = item.value.read().expect("a job");
+        let name = &item.key["qb/job/".len()..];
         if east.iter().any(|j| j == name) {
             assert!(matches!(
                 job.transfer.as_deref(),
@@ -446,7 +449,7 @@
     c.until(10_000, "given up", |c| {
         c.cells[NORTH]
             .job(&job)
-            .is_some_and(|j| j.status == JobStatus::Withdrawn)
+            .is_some_and(|j| j.status == JobStatus::Cancelled)
     });
     assert!(runs(&c, &job));
     assert_eq!(decision(&mut c), Decision::Later(Reason::Over));
@@ -458,21 +461,23 @@
 #[test]
 fn requests_of_unknown_cells_and_versions_are_refused_and_counted() {
     let mut c = Cells::new(54, &[2, 2]);
-    let node = c.cells[NORTH].nodes[0].as_mut().expect("alive");
+    let node = c.cells[NORTH].live_controllers[0].as_mut().expect("alive");
     let request = |version: u32, from: &str| quillbend::spillover::CellRequest {
         version,
         from: from.into(),
         body: RequestBody::Status,
     };
     let refused = |why| Some(CellAnswer::Refused(why));
-    let mut refuse =
-        |version, from: &str| node.core.refuse_cell_request(&request(version, from), None);
+    let mut refuse = |version, from: &str| {
+        node.controller
+            .refuse_cell_request(&request(version, from), None)
+    };
     assert_eq!(refuse(VERSION, "south"), refused(Refusal::UnknownCell));
     assert_eq!(refuse(VERSION, ""), refused(Refusal::UnknownCell));
     assert_eq!(refuse(VERSION, "north"), refused(Refusal::UnknownCell));
     assert_eq!(refuse(VERSION + 1, "east"), refused(Refusal::Version));
     assert_eq!(refuse(VERSION, "east"), None);
-    let page = node.core.status_page(quillbend::clock::Ms(0));
+    let page = node.controller.status_page(quillbend::clock::Timestamp(0));
     assert_eq!(page["spillover"]["counters"]["rejected"], 4);
 }
 
@@ -553,8 +558,8 @@
         2 => c.cells[cell].outage(true),
         3 => c.cells[cell].freeze(node, ms),
         4 => (0..3).for_each(|i| c.cells[cell].freeze(i, ms)),
-        5 => c.cells[cell].links[node].state = Mood::Moody,
-        6 => c.cells[cell].links[node].state = Mood::Late(ms.min(12_000)),
+        5 => c.cells[cell].links[node].state = StoreFault::FaultyStore,
+        6 => c.cells[cell].links[node].state = StoreFault::Late(ms.min(12_000)),
         7 => c.cells[cell].strand(node),
         8 => c.cut_off(cell),
         9 => c.ways[cell][other] = Way::Cut,
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -26,7 +26,7 @@
     node: usize,
     to: (usize, usize),
     call: CellCall,
-    sent: Ms,
+    sent: Timestamp,
     /// Whether somebody waits for the answer.
     awaited: bool,
 }
@@ -48,14 +48,18 @@
 }
 
 /// The settings of a cell that knows these others.
-pub fn spillover_settings(cell: usize, others: &[usize], nodes: usize) -> SpilloverSettings {
+pub fn spillover_settings(
+    cell: usize,
+    others: &[usize],
+    live_controllers: usize,
+) -> SpilloverSettings {
     let mut text = format!("<spillover cell=\"{}\">", NAMES[cell]);
     text += "<loan lease-s=\"10\" ask-s=\"1\" silent-s=\"8\"/>";
     text += "<policy start-above-s=\"10\" stop-below-s=\"3\" sustain-s=\"1\" margin-s=\"2\" \
              period-s=\"1\" idle-s=\"4\"/>";
     for &other in others {
         text += &format!("<cell name=\"{}\" worker-lease-s=\"12\">", NAMES[other]);
-        for node in 0..nodes {
+        for node in 0..live_controllers {
             text += &format!("<controller>{}</controller>", address(other, node));
         }
         text += "</cell>";
@@ -75,20 +79,20 @@
 }
 
 /// Whether a transaction lends a job.
-pub fn lends(txn: &Txn) -> bool {
-    let lent = |change: &Change| match change {
-        Change::Put { v, .. } => v
+pub fn lends(transaction: &Transaction) -> bool {
+    let lent = |change: &Mutation| match change {
+        Mutation::Put { value, .. } => value
             .read::<JobRecord>()
             .is_ok_and(|job| matches!(job.transfer.as_deref(), Some(Transfer::Lent(_)))),
-        Change::Drop { .. } => false,
+        Mutation::Delete { .. } => false,
     };
-    txn.then.iter().any(lent)
+    transaction.mutations.iter().any(lent)
 }
 
 impl State {
     /// Whether a write that lends jobs is still to be carried out.
     pub fn is_lending_late(&self) -> bool {
-        self.late.iter().any(|(_, txn)| lends(txn))
+        self.late.iter().any(|(_, transaction)| lends(transaction))
     }
 }
 
@@ -100,13 +104,13 @@
             let mut world = World::new(seed * 10 + cell as u64, machines);
             world.cell = cell;
             let others: Vec<usize> = all.iter().copied().filter(|&o| o != cell).collect();
-            let nodes = world.nodes.len();
-            world.settings.spillover = Some(spillover_settings(cell, &others, nodes));
+            let live_controllers = world.live_controllers.len();
+            world.settings.spillover = Some(spillover_settings(cell, &others, live_controllers));
             // What is over leaves the watched keys at once.
             world.settings.options.jobs_kept = 0.0;
             // What is there stays there.
             world.settings.options.fleet_idle_s = 3600.0;
-            (0..nodes).for_each(|i| world.start(i));
+            (0..live_controllers).for_each(|i| world.start(i));
             world.no_capacity = true;
             world
         });
@@ -188,7 +192,7 @@
         let (items, _) = self.cells[cell].state.list("qb/job/");
         let names = items
             .iter()
-            .map(|item| item.k["qb/job/".len()..].to_owned());
+            .map(|item| item.key["qb/job/".len()..].to_owned());
         names
             .filter(|job| self.is_lent(cell, job) && self.cells[cell].is_open(job))
             .collect()
@@ -203,7 +207,7 @@
     pub fn restart_with(&mut self, cell: usize, change: impl FnOnce(&mut SpilloverSettings)) {
         let world = &mut self.cells[cell];
         change(world.settings.spillover.as_mut().expect("turned on"));
-        for i in 0..world.nodes.len() {
+        for i in 0..world.live_controllers.len() {
             world.crash(i);
             world.start(i);
         }
@@ -270,10 +274,11 @@
     fn deliver(&mut self, request: Request) {
         let (cell, node) = request.to;
         let world = &mut self.cells[cell];
-        let deaf = world.frozen(node)
+        let unreachable_since = world.frozen(node)
             || (request.from != cell && self.shut.contains(&(cell, node)))
-            || world.nodes[node].is_none();
-        let answer = (!deaf).then(|| world.take_cell_request(node, &request.call.request));
+            || world.live_controllers[node].is_none();
+        let answer =
+            (!unreachable_since).then(|| world.take_cell_request(node, &request.call.request));
         if request.awaited {
             self.answer(&request, answer);
         }
@@ -286,9 +291,9 @@
             true => true,
             false => self.ways[request.to.0][request.from] != Way::Cut,
         };
-        if let Some(node) = &mut world.nodes[request.node] {
-            let core = &mut node.core;
-            core.on_cell_answer(&request.call, answer.filter(|_| back), request.sent, now);
+        if let Some(node) = &mut world.live_controllers[request.node] {
+            let controller = &mut node.controller;
+            controller.on_cell_answer(&request.call, answer.filter(|_| back), request.sent, now);
         }
     }
 
@@ -302,7 +307,7 @@
             .map(|(c, w)| {
                 w.workers
                     .iter()
-                    .map(|m| format!("{c}:{}", m.rig.name))
+                    .map(|m| format!("{c}:{}", m.machine.name))
                     .collect()
             })
             .collect();
@@ -310,7 +315,7 @@
             let workers = world.workers.iter().zip(names);
             workers.flat_map(|(worker, name)| {
                 let on = worker.tasks.iter().filter(|t| t.is_on_machine());
-                on.map(move |t| (t.leg.as_str(), name.as_str()))
+                on.map(move |t| (t.task.as_str(), name.as_str()))
             })
         });
         if let Some(double) = occupancy::double_start(present) {
@@ -338,58 +343,61 @@
     /// A controller takes a request of another cell, as its door does.
     pub fn take_cell_request(&mut self, node: usize, request: &CellRequest) -> CellAnswer {
         let now = self.clock(node);
-        let mut taken = self.nodes[node].take().expect("alive");
-        let core = &mut taken.core;
-        let answer = match (core.refuse_cell_request(request, None), &request.body) {
+        let mut taken = self.live_controllers[node].take().expect("alive");
+        let controller = &mut taken.controller;
+        let answer = match (controller.refuse_cell_request(request, None), &request.body) {
             (Some(refusal), _) => refusal,
-            (None, RequestBody::Offer(offers)) if core.leads().is_some() => {
+            (None, RequestBody::Offer(offers)) if controller.leads().is_some() => {
                 let answers = offers.iter().map(|offer| OfferAnswer {
                     loan: offer.loan.clone(),
-                    decision: self.decide(node, core, &request.from, offer),
+                    decision: self.decide(node, controller, &request.from, offer),
                 });
                 CellAnswer::Offers(answers.collect())
             }
             (None, body) => {
                 if let RequestBody::Confirm { loans, .. } = body {
-                    for txn in core.plan_loan_ends(&request.from, loans, now) {
-                        if let Outcome::Done(ledger) = self.write(node, &txn) {
-                            core.on_loan_end(&txn, ledger);
+                    for transaction in controller.plan_loan_ends(&request.from, loans, now) {
+                        if let CommitOutcome::Done(revision) = self.write(node, &transaction) {
+                            controller.on_loan_end(&transaction, revision);
                         }
                     }
                 }
-                core.answer_cell(request, now)
+                controller.answer_cell(request, now)
             }
         };
-        self.nodes[node] = Some(taken);
+        self.live_controllers[node] = Some(taken);
         answer
     }
 
     fn decide(
         &mut self,
         node: usize,
-        core: &mut Core,
+        controller: &mut Controller,
         from: &str,
         offer: &quillbend_spillover::message::Offer<JobSpec>,
     ) -> Decision {
         let now = self.clock(node);
         let mut archived = None;
         for _ in 0..2 {
-            let plan = core.plan_offer(from, offer, archived.as_ref(), now);
-            let (txn, decision) = match plan {
+            let plan = controller.plan_offer(from, offer, archived.as_ref(), now);
+            let (transaction, decision) = match plan {
                 OfferPlan::Answer(decision) => return decision,
-                OfferPlan::Write { txn, decision } => (txn, decision),
+                OfferPlan::Write {
+                    transaction,
+                    decision,
+                } => (transaction, decision),
             };
-            match self.write(node, &txn) {
-                Outcome::Done(ledger) => {
-                    core.view.apply_own(&txn, ledger);
+            match self.write(node, &transaction) {
+                CommitOutcome::Done(revision) => {
+                    controller.replica.apply_own(&transaction, revision);
                     return decision;
                 }
-                Outcome::Conflict(_) => {
+                CommitOutcome::Conflict(_) => {
                     let key = past_key(&offer.loan.job);
                     let value = self.state.value(&key);
                     archived = value.map(|v| Archived {
                         record: serde_json::from_value(v).expect("a job's value"),
-                        stamp: self.state.stamp(&key),
+                        mod_revision: self.state.mod_revision(&key),
                     });
                 }
                 _ => break,
@@ -399,23 +407,23 @@
     }
 
     /// Sends a transaction of a controller's door.
-    fn write(&mut self, node: usize, txn: &Txn) -> Outcome {
-        self.check_size(node, txn);
+    fn write(&mut self, node: usize, transaction: &Transaction) -> CommitOutcome {
+        self.check_size(node, transaction);
         match self.link(node).state {
-            Mood::Good | Mood::Slow(_) => self.state.commit(txn),
-            Mood::LosesAnswers => {
-                self.state.commit(txn);
-                Outcome::Unknown
+            StoreFault::Good | StoreFault::Slow(_) => self.state.commit(transaction),
+            StoreFault::LosesAnswers => {
+                self.state.commit(transaction);
+                CommitOutcome::Unknown
             }
-            Mood::Late(ms) => {
-                self.state.late.push((self.now + ms, txn.clone()));
-                Outcome::Unknown
+            StoreFault::Late(ms) => {
+                self.state.late.push((self.now + ms, transaction.clone()));
+                CommitOutcome::Unknown
             }
-            Mood::Moody if self.rng.random_bool(0.3) => {
-                self.state.commit(txn);
-                Outcome::Unknown
+            StoreFault::FaultyStore if self.rng.random_bool(0.3) => {
+                self.state.commit(transaction);
+                CommitOutcome::Unknown
             }
-            Mood::Moody | Mood::Refuses => Outcome::Refused,
+            StoreFault::FaultyStore | StoreFault::Refuses => CommitOutcome::Refused,
         }
     }
 }
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -4,16 +4,16 @@
 
 impl World {
     /// The cloud's list, which lags, and may be older than the one before it.
-    pub(super) fn cloud_list(&mut self) -> Vec<ListedRig> {
-        let current = self.workers.iter().map(|w| w.rig.clone()).collect();
+    pub(super) fn cloud_list(&mut self) -> Vec<CloudMachine> {
+        let current = self.workers.iter().map(|w| w.machine.clone()).collect();
         if self.list_lag_ms == 0 {
             return current;
         }
         let lag = self
             .rng
             .random_range(self.list_lag_ms / 2..=self.list_lag_ms * 2);
-        let then = self.now.saturating_sub(lag);
-        let shown = self.lists.iter().rev().find(|l| l.0 <= then);
+        let mutations = self.now.saturating_sub(lag);
+        let shown = self.lists.iter().rev().find(|l| l.0 <= mutations);
         shown.map_or_else(Vec::new, |l| l.1.clone())
     }
 
@@ -22,7 +22,7 @@
         if self.list_lag_ms == 0 || !self.now.is_multiple_of(1000) {
             return;
         }
-        let current = self.workers.iter().map(|w| w.rig.clone()).collect();
+        let current = self.workers.iter().map(|w| w.machine.clone()).collect();
         self.lists.push_back((self.now, current));
         let oldest = self.now.saturating_sub(self.list_lag_ms * 2 + 2000);
         while self.lists.front().is_some_and(|l| l.0 < oldest) {
--- a/tests/support/days.rs
+++ b/tests/support/days.rs
@@ -56,7 +56,7 @@
     RestartAtOnce,
     StateRefuses,
     StateLate,
-    StateMoody,
+    StateFaults,
     StateSlow,
     WatchHangs,
     Outage,
@@ -82,7 +82,7 @@
     Trouble::RestartAtOnce,
     Trouble::StateRefuses,
     Trouble::StateLate,
-    Trouble::StateMoody,
+    Trouble::StateFaults,
     Trouble::StateSlow,
     Trouble::WatchHangs,
     Trouble::Outage,
@@ -148,7 +148,7 @@
             day.world.cloud_up = true;
         }
         if !day.world.broken.is_empty() {
-            return Err(day.report());
+            return Err(day.heartbeat());
         }
     }
     day.world.heal();
@@ -156,10 +156,10 @@
     day.world.run(30_000);
     match day.world.broken.is_empty() {
         true => Ok(DayResult {
-            revision: day.world.state.ledger(),
+            revision: day.world.state.revision(),
             starts: std::mem::take(&mut day.world.starts),
         }),
-        false => Err(day.report()),
+        false => Err(day.heartbeat()),
     }
 }
 
@@ -216,7 +216,7 @@
         self.log.push((self.world.now, what));
     }
 
-    fn report(&self) -> Vec<String> {
+    fn heartbeat(&self) -> Vec<String> {
         let mut lines = vec![format!("{:?}", self.plan)];
         lines.extend(self.world.broken.iter().take(3).cloned());
         let log = self.log.iter().map(|(at, what)| format!("{at} {what}"));
@@ -230,10 +230,10 @@
             let mut spec = self.world.spec(self.luck.random_range(1..24));
             spec.cpus = [1.0, 1.0, 2.0][self.luck.random_range(0..3)];
             spec.team = ["blue", "red", "guest"][self.luck.random_range(0..3)].into();
-            spec.urgency = match self.luck.random_range(0..4) {
-                0 => Urgency::Urgent,
-                1 => Urgency::BestEffort,
-                _ => Urgency::Normal,
+            spec.priority = match self.luck.random_range(0..4) {
+                0 => Priority::Urgent,
+                1 => Priority::BestEffort,
+                _ => Priority::Normal,
             };
             spec.one_zone = self.luck.random_bool(0.1);
             if self.world.save_ms > 0 {
@@ -274,10 +274,10 @@
         if kind == Trouble::MachinesRestart && !self.plan.restarts {
             return;
         }
-        let nodes = self.world.nodes.len();
+        let live_controllers = self.world.live_controllers.len();
         let i = match (self.world.leader(), self.luck.random_bool(0.3)) {
             (Some(leader), true) => leader,
-            _ => self.luck.random_range(0..nodes),
+            _ => self.luck.random_range(0..live_controllers),
         };
         let ms = self.luck.random_range(500..30_000);
         let machines = self.some_machines();
@@ -302,9 +302,9 @@
             let worker = &mut world.workers[at];
             match kind {
                 Trouble::MachinesCut => worker.cut = true,
-                Trouble::MachinesDeaf => worker.deaf = true,
+                Trouble::MachinesDeaf => worker.unreachable_since = true,
                 Trouble::MachinesHang => worker.hung = true,
-                Trouble::MachinesSick => worker.sick = true,
+                Trouble::MachinesSick => worker.quarantined = true,
                 Trouble::SpotNotice => worker.reclaim_s = Some(20.0),
                 Trouble::MachinesRestart => world.restart_machine(at),
                 _ => {
@@ -318,16 +318,16 @@
         let world = &mut self.world;
         match kind {
             Trouble::Crash => world.crash(i),
-            Trouble::CrashAll => (0..world.nodes.len()).for_each(|n| world.crash(n)),
+            Trouble::CrashAll => (0..world.live_controllers.len()).for_each(|n| world.crash(n)),
             Trouble::RestartAtOnce => {
                 world.crash(i);
                 world.run(300);
                 world.start(i);
             }
-            Trouble::StateRefuses => world.links[i].state = Mood::Refuses,
-            Trouble::StateLate => world.links[i].state = Mood::Late(ms.min(12_000)),
-            Trouble::StateMoody => world.links[i].state = Mood::Moody,
-            Trouble::StateSlow => world.links[i].state = Mood::Slow(ms.min(3000)),
+            Trouble::StateRefuses => world.links[i].state = StoreFault::Refuses,
+            Trouble::StateLate => world.links[i].state = StoreFault::Late(ms.min(12_000)),
+            Trouble::StateFaults => world.links[i].state = StoreFault::FaultyStore,
+            Trouble::StateSlow => world.links[i].state = StoreFault::Slow(ms.min(3000)),
             Trouble::WatchHangs => world.links[i].watch_hangs = true,
             Trouble::Outage => world.outage(true),
             Trouble::PeersCut => world.links[i].peers = false,
@@ -336,15 +336,15 @@
             Trouble::Frozen => world.freeze(i, ms),
             Trouble::ZoneCut => {
                 let zone = ["north", "south"][i % 2];
-                let of_zone = world.workers.iter_mut().filter(|w| w.rig.zone == zone);
+                let of_zone = world.workers.iter_mut().filter(|w| w.machine.zone == zone);
                 of_zone.for_each(|w| w.only = Some(i));
                 world.links[i].peers = false;
-                world.links[i].state = Mood::Refuses;
+                world.links[i].state = StoreFault::Refuses;
                 world.links[i].watch_hangs = true;
             }
             Trouble::CloudDown => world.cloud_up = false,
             _ => world.workers.iter_mut().for_each(|w| {
-                (w.only, w.sick, w.reclaim_s) = (None, false, None);
+                (w.only, w.quarantined, w.reclaim_s) = (None, false, None);
             }),
         }
     }
--- a/tests/support/machines.rs
+++ b/tests/support/machines.rs
@@ -6,7 +6,7 @@
     /// Tasks of a job that run now.
     pub fn running_of(&self, job: &str) -> usize {
         let tasks = self.workers.iter().flat_map(|w| &w.tasks);
-        let of_job = |t: &&Task| job_of(&t.leg) == job;
+        let of_job = |t: &&Task| job_of(&t.task) == job;
         tasks.filter(of_job).filter(|t| t.ended.is_none()).count()
     }
 
@@ -16,35 +16,41 @@
         self.starts.iter().filter(of_job).count()
     }
 
-    pub(super) fn machine(&mut self, frame: &str, zone: &str, spot: bool, boot: u64) -> String {
+    pub(super) fn machine(
+        &mut self,
+        machine_type: &str,
+        zone: &str,
+        spot: bool,
+        boot_ms: u64,
+    ) -> String {
         self.rented += 1;
         let name = format!("m-{:06}", self.rented);
-        let rig = ListedRig {
+        let machine = CloudMachine {
             name: name.clone(),
             endpoint: String::new(),
-            frame: frame.into(),
+            machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
             status: "running".into(),
             held_s: 0.0,
         };
         self.workers.push(Worker {
-            rig,
-            up_at: self.now + boot,
-            session: 1,
+            machine,
+            up_at: self.now + boot_ms,
+            worker_epoch: 1,
             sequence: 0,
             token: 0,
             tasks: Vec::new(),
-            at: self.rented as usize % self.nodes.len(),
-            next_report: self.now + boot,
+            at: self.rented as usize % self.live_controllers.len(),
+            next_heartbeat: self.now + boot_ms,
             silent_until: 0,
-            answered: self.now + boot,
+            answered: self.now + boot_ms,
             held: None,
             cut: false,
-            deaf: false,
+            unreachable_since: false,
             hung: false,
             only: None,
-            sick: false,
+            quarantined: false,
             reclaim_s: None,
         });
         name
@@ -53,12 +59,12 @@
     /// A machine that is off for a moment: its worker starts anew, and everything on it is gone.
     pub fn restart_machine(&mut self, at: usize) {
         let w = &mut self.workers[at];
-        tracing::debug!(now = self.now, rig = w.rig.name, "begins anew");
-        (w.session, w.sequence, w.token) = (1, 0, 0);
+        tracing::debug!(now = self.now, machine = w.machine.name, "begins anew");
+        (w.worker_epoch, w.sequence, w.token) = (1, 0, 0);
         w.tasks.clear();
         w.held = None;
         w.answered = self.now;
-        w.next_report = self.now + 200;
+        w.next_heartbeat = self.now + 200;
     }
 
     pub(super) fn play_worker(&mut self, at: usize) {
@@ -72,7 +78,7 @@
             return;
         }
         if now > w.answered + lease {
-            w.session += 1;
+            w.worker_epoch += 1;
             w.sequence = 0;
             w.tasks.clear();
             w.answered = now;
@@ -87,7 +93,7 @@
             if t.fetch_ms > 0 {
                 t.fetch_ms = t.fetch_ms.saturating_sub(100);
                 if t.fetch_ms == 0 {
-                    begun.push(t.leg.clone());
+                    begun.push(t.task.clone());
                     changed = true;
                 }
                 continue;
@@ -95,29 +101,33 @@
             if let Some(left) = &mut t.save_ms {
                 *left = left.saturating_sub(100);
                 if *left == 0 {
-                    t.ended = Some(Cause::Halted);
+                    t.ended = Some(ExitReason::Halted);
                     changed = true;
                 }
                 continue;
             }
             t.left_ms = t.left_ms.saturating_sub(100);
             if t.left_ms == 0 {
-                let job = job_of(&t.leg);
-                let fails = w.sick || self.faulty.contains(job);
-                if !fails {
-                    self.completed.insert(t.leg.clone());
+                let job = job_of(&t.task);
+                let failure_streaks = w.quarantined || self.faulty.contains(job);
+                if !failure_streaks {
+                    self.completed.insert(t.task.clone());
                 }
-                t.ended = Some(if fails { Cause::Error } else { Cause::Done });
+                t.ended = Some(if failure_streaks {
+                    ExitReason::Error
+                } else {
+                    ExitReason::Done
+                });
                 changed = true;
             }
         }
-        for leg in begun {
-            self.note_start(at, leg);
+        for task in begun {
+            self.note_start(at, task);
         }
         let w = &mut self.workers[at];
         if let Some((sent, until, node)) = w.held {
             // One report at a time: it is still waiting for this answer.
-            let (rig, number) = (w.rig.name.clone(), (w.session, w.sequence));
+            let (machine, number) = (w.machine.name.clone(), (w.worker_epoch, w.sequence));
             let clock = self.clock(node);
             let reached = self.links[node].workers && !self.workers[at].cut;
             if self.frozen(node) {
@@ -126,81 +136,92 @@
                 }
                 return;
             }
-            let Some(core) = self.nodes[node].as_mut().map(|n| &mut n.core) else {
+            let Some(controller) = self.live_controllers[node]
+                .as_mut()
+                .map(|n| &mut n.controller)
+            else {
                 self.give_up(at, sent);
                 return;
             };
-            let given = core.woken();
+            let given = controller.woken_machines();
             self.given.extend(given);
-            if now < until && !self.given.remove(&rig) {
+            if now < until && !self.given.remove(&machine) {
                 return;
             }
             let _span = tracing::debug_span!("controller", node, now).entered();
-            let reply = core.answer_late(&rig, number, clock);
+            let reply = controller.answer_late(&machine, number, clock);
             match reached {
                 true => self.take_answer(at, reply, sent),
                 false => self.give_up(at, sent),
             }
             return;
         }
-        if (now < w.next_report && !changed) || now < w.silent_until || w.cut {
+        if (now < w.next_heartbeat && !changed) || now < w.silent_until || w.cut {
             return;
         }
-        w.next_report = now + report_ms;
+        w.next_heartbeat = now + report_ms;
         w.sequence += 1;
-        let report = w.report();
+        let heartbeat = w.heartbeat();
         let node = w.at;
         tracing::debug!(
             now,
             node,
-            rig = report.rig,
-            token = report.token,
-            session = report.session,
-            sequence = report.sequence,
+            machine = heartbeat.machine,
+            token = heartbeat.token,
+            worker_epoch = heartbeat.worker_epoch,
+            sequence = heartbeat.sequence,
             "sends a report"
         );
         let reaches = w.only.is_none_or(|o| o == node);
         for &age in &self.copies {
-            let to = self.rng.random_range(0..self.nodes.len());
-            self.late_reports.push((now + age, to, report.clone()));
+            let to = self.rng.random_range(0..self.live_controllers.len());
+            self.late_heartbeats
+                .push((now + age, to, heartbeat.clone()));
         }
         if self.copies_for_next && self.rng.random_bool(0.3) && self.kept_copies.len() < 5000 {
-            self.kept_copies.push(report.clone());
+            self.kept_copies.push(heartbeat.clone());
         }
         if self.frozen(node) {
             // It finds the report when it goes on; nobody waits for the answer any more.
-            self.late_reports.push((now + 100, node, report));
+            self.late_heartbeats.push((now + 100, node, heartbeat));
             self.give_up(at, now);
             return;
         }
         let _span = self.span(node).entered();
         let clock = self.clock(node);
-        let (rig, number) = (report.rig.clone(), (report.session, report.sequence));
-        let state_refuses = self.link(node).state == Mood::Refuses;
-        let reply = match (&mut self.nodes[node], self.links[node].workers && reaches) {
+        let (machine, number) = (
+            heartbeat.machine.clone(),
+            (heartbeat.worker_epoch, heartbeat.sequence),
+        );
+        let state_refuses = self.link(node).state == StoreFault::Refuses;
+        let reply = match (
+            &mut self.live_controllers[node],
+            self.links[node].workers && reaches,
+        ) {
             (Some(n), true) => {
-                let reply = n.core.on_report(report.clone(), clock);
+                let reply = n.controller.on_heartbeat(heartbeat.clone(), clock);
                 // It is confirmed as the door does it, by a read of the state service.
-                let current = n.core.view.ledger >= self.state.ledger;
+                let current = n.controller.replica.revision >= self.state.revision;
                 let reply = match reply {
-                    Reply::Unconfirmed if current && !state_refuses => {
-                        n.core.on_confirmed_report(report, clock)
+                    HeartbeatResponse::Unconfirmed if current && !state_refuses => {
+                        n.controller.on_confirmed_heartbeat(heartbeat, clock)
                     }
                     reply => reply,
                 };
-                let nothing = matches!(&reply, Reply::Orders(o) if o.orders.is_empty());
-                let patience = nothing.then(|| n.core.may_wait(&rig, number, clock));
+                let nothing =
+                    matches!(&reply, HeartbeatResponse::HeartbeatAck(o) if o.orders.is_empty());
+                let patience = nothing.then(|| n.controller.may_wait(&machine, number, clock));
                 if let Some(ms) = patience.flatten()
-                    && !self.workers[at].deaf
+                    && !self.workers[at].unreachable_since
                 {
                     self.workers[at].held = Some((now, now + ms, node));
                     return;
                 }
                 reply
             }
-            _ => Reply::Unavailable,
+            _ => HeartbeatResponse::Unavailable,
         };
-        if self.workers[at].deaf {
+        if self.workers[at].unreachable_since {
             self.give_up(at, now);
             return;
         }
@@ -209,89 +230,91 @@
 
     /// A worker that has no answer to what it sent gives up and goes on to the next controller.
     pub(super) fn give_up(&mut self, at: usize, sent: u64) {
-        let nodes = self.nodes.len();
+        let live_controllers = self.live_controllers.len();
         let w = &mut self.workers[at];
         w.held = None;
-        w.at = (w.at + 1) % nodes;
-        w.next_report = sent + 5000;
-        w.silent_until = w.next_report;
+        w.at = (w.at + 1) % live_controllers;
+        w.next_heartbeat = sent + 5000;
+        w.silent_until = w.next_heartbeat;
     }
 
-    pub(super) fn take_answer(&mut self, at: usize, reply: Reply, sent: u64) {
+    pub(super) fn take_answer(&mut self, at: usize, reply: HeartbeatResponse, sent: u64) {
         let now = self.now;
         let w = &mut self.workers[at];
         w.held = None;
         match reply {
-            Reply::Orders(o) if o.token >= w.token => {
+            HeartbeatResponse::HeartbeatAck(o) if o.token >= w.token => {
                 if o.token > w.token {
-                    w.next_report = now + 500;
+                    w.next_heartbeat = now + 500;
                 }
                 w.token = o.token;
                 w.answered = sent;
                 self.execute(at, o.orders);
             }
-            Reply::Orders(_) => {}
-            Reply::Elsewhere(Some(to)) => {
+            HeartbeatResponse::HeartbeatAck(_) => {}
+            HeartbeatResponse::Elsewhere(Some(to)) => {
                 w.at = position(&to).unwrap_or(0);
-                w.next_report = now + 100;
+                w.next_heartbeat = now + 100;
             }
-            Reply::Elsewhere(None) | Reply::Unavailable | Reply::Unconfirmed => {
-                w.at = (w.at + 1) % self.nodes.len();
-                w.next_report = now + 1000;
+            HeartbeatResponse::Elsewhere(None)
+            | HeartbeatResponse::Unavailable
+            | HeartbeatResponse::Unconfirmed => {
+                w.at = (w.at + 1) % self.live_controllers.len();
+                w.next_heartbeat = now + 1000;
             }
         }
     }
 
-    pub(super) fn execute(&mut self, at: usize, orders: Vec<Order>) {
+    pub(super) fn execute(&mut self, at: usize, orders: Vec<Command>) {
         for order in orders {
             match order {
-                Order::Launch { leg, attempt } => self.launch(at, leg, attempt),
-                Order::Stop {
-                    leg,
+                Command::Launch { task, attempt } => self.launch(at, task, attempt),
+                Command::Stop {
+                    task,
                     attempt,
                     grace_s,
                 } => {
                     let save_ms = self.save_ms;
                     let mut tasks = self.workers[at].tasks.iter_mut();
-                    if let Some(t) = tasks.find(|t| t.leg == leg && t.attempt == attempt) {
+                    if let Some(t) = tasks.find(|t| t.task == task && t.attempt == attempt) {
                         t.stop(save_ms, (grace_s * 1000.0) as u64);
                     }
                 }
-                Order::Clear { leg, attempt } => {
+                Command::Clear { task, attempt } => {
                     let w = &mut self.workers[at];
                     w.tasks
-                        .retain(|t| !(t.leg == leg && t.attempt == attempt && t.ended.is_some()));
+                        .retain(|t| !(t.task == task && t.attempt == attempt && t.ended.is_some()));
                 }
             }
         }
     }
 
     /// A machine is told to start a task (PROTOCOL, orders).
-    pub(super) fn launch(&mut self, at: usize, leg: String, attempt: u64) {
-        let held = |t: &Task| t.leg == leg;
+    pub(super) fn launch(&mut self, at: usize, task: String, attempt: u64) {
+        let held = |t: &Task| t.task == task;
         let tasks = &self.workers[at].tasks;
         if tasks.iter().any(|t| held(t) && t.attempt == attempt) {
             return;
         }
         let refused = if tasks.iter().any(|t| held(t) && t.ended.is_none()) {
-            Some(Cause::InUse)
-        } else if !self.has_room(at, &leg) {
-            Some(Cause::Full)
+            Some(ExitReason::InUse)
+        } else if !self.has_room(at, &task) {
+            Some(ExitReason::Full)
         } else {
             None
         };
-        let job = self.job(job_of(&leg));
+        let job = self.job(job_of(&task));
         if job.is_some_and(|j| j.status == JobStatus::Done) {
-            let what = format!("{leg} is launched after its job is done");
+            let what = format!("{task} is launched after its job is done");
             self.broken.push(what);
         }
-        let left_ms = match self.completed.contains(&leg) {
+        let left_ms = match self.completed.contains(&task) {
             true => 100,
             false => self.run_ms,
         };
         let fetch_ms = self.fetch_ms;
         self.workers[at].tasks.push(Task {
-            leg: leg.clone(),
+            task: task.clone(),
             attempt,
             fetch_ms,
             left_ms,
@@ -299,14 +322,14 @@
             ended: refused,
         });
         if refused.is_none() && fetch_ms == 0 {
-            self.note_start(at, leg);
+            self.note_start(at, task);
         }
     }
 
     /// Puts a task on a machine behind everybody's back, for stories of the checker itself.
-    pub fn plant(&mut self, at: usize, leg: &str) {
+    pub fn plant(&mut self, at: usize, task: &str) {
         self.workers[at].tasks.push(Task {
-            leg: leg.to_owned(),
+            task: task.to_owned(),
             attempt: u64::MAX,
             fetch_ms: 0,
             left_ms: 60_000,
@@ -316,28 +339,30 @@
     }
 
     /// Whether a machine has CPUs for one more task; those that fetch count.
-    pub(super) fn has_room(&self, at: usize, leg: &str) -> bool {
+    pub(super) fn has_room(&self, at: usize, task: &str) -> bool {
         let w = &self.workers[at];
-        let cpus = |leg: &str| self.specs.get(job_of(leg)).map_or(0.0, |s| s.cpus);
+        let cpus = |task: &str| self.specs.get(job_of(task)).map_or(0.0, |s| s.cpus);
         let open = w.tasks.iter().filter(|t| t.ended.is_none());
-        let used: f64 = open.map(|t| cpus(&t.leg)).sum();
-        let frames = catalog().frames;
-        let frame = frames.iter().find(|f| f.label == w.rig.frame);
-        frame.is_none_or(|f| used + cpus(leg) <= f.cpus + 1e-6)
+        let used: f64 = open.map(|t| cpus(&t.task)).sum();
+        let machine_types = catalog().machine_types;
+        let machine_type = machine_types
+            .iter()
+            .find(|f| f.label == w.machine.machine_type);
+        machine_type.is_none_or(|f| used + cpus(task) <= f.cpus + 1e-6)
     }
 
     /// A task has its image and starts.
-    pub(super) fn note_start(&mut self, at: usize, leg: String) {
-        let rig = self.workers[at].rig.name.clone();
-        self.check_double_start_of(&leg);
-        let job = job_of(&leg);
+    pub(super) fn note_start(&mut self, at: usize, task: String) {
+        let machine = self.workers[at].machine.name.clone();
+        self.check_double_start_of(&task);
+        let job = job_of(&task);
         self.check_place(at, job);
         let named = self.awaits.get(job).into_iter().flatten();
         if let Some(early) = named.clone().find(|a| !self.is_done(a)) {
-            let what = format!("too_early: {leg} starts before {early} is done");
+            let what = format!("too_early: {task} starts before {early} is done");
             self.broken.push(what);
         }
-        self.starts.push((self.now, leg, rig));
+        self.starts.push((self.now, task, machine));
     }
 
     pub fn running(&self) -> usize {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -2,8 +2,8 @@
 //! world that plays several controllers against them on a fake clock with seeded luck.
 #![allow(dead_code)]
 
-use quillbend::clock::Ms;
-use quillbend::controller::{Action, Core, Op, Outcome, Reply};
+use quillbend::clock::Timestamp;
+use quillbend::controller::{CommitOutcome, Controller, Effect, HeartbeatResponse, WriteKind};
 use quillbend::jobs;
 use quillbend::jobs::chained::{self, Acceptance, Predecessor, plan_acceptance};
 use quillbend::protocol::*;
@@ -31,7 +31,7 @@
 
 /// How the state service treats the transactions of a controller.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Mood {
+pub enum StoreFault {
     Good,
     /// Carried out, but the answer is lost.
     LosesAnswers,
@@ -40,13 +40,13 @@
     /// 429 or 503.
     Refuses,
     /// Any of these, as luck has it.
-    Moody,
+    FaultyStore,
     /// Carried out, but some answers are lost, and the watch comes this many ms late.
     Slow(u64),
 }
 
 pub struct Node {
-    pub core: Core,
+    pub controller: Controller,
     /// It stands still until then, while its clock runs on.
     pub frozen_until: u64,
     next_watch: u64,
@@ -56,7 +56,7 @@
 /// What happens between a controller and the others.
 #[derive(Clone, Copy)]
 pub struct Link {
-    pub state: Mood,
+    pub state: StoreFault,
     /// The watch hangs although other requests are answered.
     pub watch_hangs: bool,
     pub peers: bool,
@@ -64,7 +64,7 @@
 }
 
 const GOOD: Link = Link {
-    state: Mood::Good,
+    state: StoreFault::Good,
     watch_hangs: false,
     peers: true,
     workers: true,
@@ -74,7 +74,7 @@
 pub struct World {
     pub now: u64,
     pub state: State,
-    pub nodes: Vec<Option<Node>>,
+    pub live_controllers: Vec<Option<Node>>,
     pub links: Vec<Link>,
     pub workers: Vec<Worker>,
     pub cloud_up: bool,
@@ -94,14 +94,14 @@
     /// The cloud's lists are as old as this, or up to twice as old.
     pub list_lag_ms: u64,
     /// Lists as they were, with the time of each.
-    lists: VecDeque<(u64, Vec<ListedRig>)>,
+    lists: VecDeque<(u64, Vec<CloudMachine>)>,
     /// Specifications of all jobs.
     specs: HashMap<String, JobSpec>,
     /// Tasks whose result is kept: started again they end as soon as they have their image.
     completed: BTreeSet<String>,
     /// Copies of reports that are kept until another controller leads.
     pub copies_for_next: bool,
-    kept_copies: Vec<Report>,
+    kept_copies: Vec<Heartbeat>,
     last_leader: Option<usize>,
     pub starts: Vec<(u64, String, String)>,
     pub broken: Vec<String>,
@@ -130,13 +130,13 @@
     pub copies: Vec<u64>,
     /// Of each message between controllers copies arrive this many ms later.
     pub peer_copies: Vec<u64>,
-    late_news: Vec<(u64, usize, PeerNews)>,
+    late_messages: Vec<(u64, usize, PeerMessage)>,
     /// Controllers on different sides do not reach each other.
     pub side: Vec<u8>,
-    late_reports: Vec<(u64, usize, Report)>,
+    late_heartbeats: Vec<(u64, usize, Heartbeat)>,
     /// Machines whose waiting answers are due.
     given: BTreeSet<String>,
-    bookings: HashMap<String, Vec<String>>,
+    request_counter: HashMap<String, Vec<String>>,
     rng: SmallRng,
     rented: u32,
 }
@@ -157,24 +157,35 @@
     }
 
     /// A world of so many controllers and machines.
-    pub fn sized(seed: u64, nodes: usize, machines: usize) -> World {
-        World::of_platform(seed, nodes, machines, PLATFORM, false)
+    pub fn sized(seed: u64, live_controllers: usize, machines: usize) -> World {
+        World::of_platform(seed, live_controllers, machines, PLATFORM, false)
     }
 
     /// A world in production: its controllers run the version before, and the settings name the
     /// limits that the state service will have after the upgrade.
-    pub fn in_production(seed: u64, nodes: usize, machines: usize) -> World {
+    pub fn in_production(seed: u64, live_controllers: usize, machines: usize) -> World {
         let platform = PLATFORM.replace("txn_ops = 12\n", &format!("txn_ops = 12\n{NEXT_LIMITS}"));
-        World::of_platform(seed, nodes, machines, &platform, true)
+        World::of_platform(seed, live_controllers, machines, &platform, true)
     }
 
     /// A world with other limits than the usual ones.
-    pub fn with_platform(seed: u64, nodes: usize, machines: usize, platform: &str) -> World {
-        World::of_platform(seed, nodes, machines, platform, false)
+    pub fn with_platform(
+        seed: u64,
+        live_controllers: usize,
+        machines: usize,
+        platform: &str,
+    ) -> World {
+        World::of_platform(seed, live_controllers, machines, platform, false)
     }
 
-    fn of_platform(seed: u64, nodes: usize, machines: usize, platform: &str, old: bool) -> World {
-        let count = format!("count = {nodes}");
+    fn of_platform(
+        seed: u64,
+        live_controllers: usize,
+        machines: usize,
+        platform: &str,
+        old: bool,
+    ) -> World {
+        let count = format!("count = {live_controllers}");
         let parse = |text: &str| {
             let platform = Platform::parse(&text.replace("count = 3", &count)).expect("good");
             Settings::new(platform, Options::default())
@@ -183,8 +194,8 @@
         let mut w = World {
             now: BEGIN,
             state: State::default(),
-            nodes: (0..nodes).map(|_| None).collect(),
-            links: vec![GOOD; nodes],
+            live_controllers: (0..live_controllers).map(|_| None).collect(),
+            links: vec![GOOD; live_controllers],
             workers: Vec::new(),
             cloud_up: true,
             no_capacity: false,
@@ -209,43 +220,45 @@
             slow_boot: None,
             cancelled: BTreeMap::new(),
             told: BTreeMap::new(),
-            drift: vec![0.0; nodes],
+            drift: vec![0.0; live_controllers],
             settings,
             old_settings,
-            old: vec![old; nodes],
+            old: vec![old; live_controllers],
             old_format: 0,
             awaits: BTreeMap::new(),
             copies: Vec::new(),
             peer_copies: Vec::new(),
-            late_news: Vec::new(),
-            side: vec![0; nodes],
-            late_reports: Vec::new(),
+            late_messages: Vec::new(),
+            side: vec![0; live_controllers],
+            late_heartbeats: Vec::new(),
             given: BTreeSet::new(),
-            bookings: HashMap::new(),
+            request_counter: HashMap::new(),
             rng: SmallRng::seed_from_u64(seed),
             rented: 0,
         };
         for i in 0..machines {
             w.machine("small", ["north", "south"][i % 2], false, 0);
         }
-        (0..nodes).for_each(|i| w.start(i));
+        (0..live_controllers).for_each(|i| w.start(i));
         w
     }
 
     /// A world that has settled: somebody leads and every machine is held.
-    pub fn settled(seed: u64, nodes: usize, machines: usize) -> World {
-        let mut w = World::sized(seed, nodes, machines);
+    pub fn settled(seed: u64, live_controllers: usize, machines: usize) -> World {
+        let mut w = World::sized(seed, live_controllers, machines);
         w.until(5000, "a leader", |w| w.leader().is_some());
         w.until(8000, "every machine is held", |w| {
-            w.workers.iter().all(|m| w.holder(&m.rig.name).is_some())
+            w.workers
+                .iter()
+                .all(|m| w.holder(&m.machine.name).is_some())
         });
         w
     }
 
     /// A world that has settled and in which all tasks of a job run, each for `run_ms`; what is
     /// submitted later runs for 8 s a task.
-    pub fn busy(seed: u64, nodes: usize, run_ms: u64) -> (World, String) {
-        let mut w = World::settled(seed, nodes, 8);
+    pub fn busy(seed: u64, live_controllers: usize, run_ms: u64) -> (World, String) {
+        let mut w = World::settled(seed, live_controllers, 8);
         w.run(3000);
         let job = w.fill(run_ms, 12);
         w.run_ms = 8000;
@@ -254,13 +267,13 @@
 
     /// Ends every trouble and starts what is down.
     pub fn heal(&mut self) {
-        self.links = vec![GOOD; self.nodes.len()];
+        self.links = vec![GOOD; self.live_controllers.len()];
         self.workers
             .iter_mut()
-            .for_each(|m| (m.cut, m.deaf, m.hung) = (false, false, false));
+            .for_each(|m| (m.cut, m.unreachable_since, m.hung) = (false, false, false));
         self.outage(false);
-        for i in 0..self.nodes.len() {
-            if self.nodes[i].is_none() {
+        for i in 0..self.live_controllers.len() {
+            if self.live_controllers[i].is_none() {
                 self.start(i);
             }
         }
@@ -295,7 +308,7 @@
         self.state.pass(self.now);
         self.note_list();
         self.release_kept_copies();
-        for i in 0..self.nodes.len() {
+        for i in 0..self.live_controllers.len() {
             if !self.frozen(i) {
                 self.play_node(i);
             }
@@ -303,29 +316,34 @@
         for w in 0..self.workers.len() {
             self.play_worker(w);
         }
-        let frozen: Vec<bool> = (0..self.nodes.len()).map(|i| self.frozen(i)).collect();
+        let frozen: Vec<bool> = (0..self.live_controllers.len())
+            .map(|i| self.frozen(i))
+            .collect();
         let due = |at: u64, node: usize| at <= self.now && !frozen[node];
-        let due_news: Vec<_> = self.late_news.extract_if(.., |n| due(n.0, n.1)).collect();
-        let due = self.late_reports.extract_if(.., |r| due(r.0, r.1));
-        for (_, node, report) in due.collect::<Vec<_>>() {
+        let due_messages: Vec<_> = self
+            .late_messages
+            .extract_if(.., |n| due(n.0, n.1))
+            .collect();
+        let due = self.late_heartbeats.extract_if(.., |r| due(r.0, r.1));
+        for (_, node, heartbeat) in due.collect::<Vec<_>>() {
             let _span = self.span(node).entered();
             let clock = self.clock(node);
-            if let Some(n) = self.nodes[node].as_mut() {
+            if let Some(n) = self.live_controllers[node].as_mut() {
                 tracing::debug!(
-                    rig = report.rig,
-                    token = report.token,
-                    session = report.session,
-                    sequence = report.sequence,
+                    machine = heartbeat.machine,
+                    token = heartbeat.token,
+                    worker_epoch = heartbeat.worker_epoch,
+                    sequence = heartbeat.sequence,
                     "a copy arrives"
                 );
                 // Whatever is answered to a copy, nobody waits for it.
-                n.core.on_report(report, clock);
+                n.controller.on_heartbeat(heartbeat, clock);
             }
         }
-        for (_, node, news) in due_news {
+        for (_, node, message) in due_messages {
             let clock = self.clock(node);
-            if let Some(n) = self.nodes[node].as_mut() {
-                n.core.answer_peer(news, clock);
+            if let Some(n) = self.live_controllers[node].as_mut() {
+                n.controller.respond_to_peer(message, clock);
             }
         }
         self.check();
@@ -341,19 +359,19 @@
             return;
         }
         self.last_leader = leader;
-        for report in std::mem::take(&mut self.kept_copies) {
+        for heartbeat in std::mem::take(&mut self.kept_copies) {
             let after = self.rng.random_range(100..6000);
-            for node in 0..self.nodes.len() {
-                self.late_reports
-                    .push((self.now + after, node, report.clone()));
+            for node in 0..self.live_controllers.len() {
+                self.late_heartbeats
+                    .push((self.now + after, node, heartbeat.clone()));
             }
         }
     }
 }
 
 /// The job of a task.
-fn job_of(leg: &str) -> &str {
-    leg.rsplit_once('/').expect("a task").0
+fn job_of(task: &str) -> &str {
+    task.rsplit_once('/').expect("a task").0
 }
 
 /// The number in a controller's name.
--- a/tests/support/rules.rs
+++ b/tests/support/rules.rs
@@ -14,16 +14,16 @@
     }
 
     /// The same for one task, at the moment at which it starts.
-    pub(super) fn check_double_start_of(&mut self, leg: &str) {
-        self.check_double_starts_among(|other| other == leg);
+    pub(super) fn check_double_start_of(&mut self, task: &str) {
+        self.check_double_starts_among(|other| other == task);
     }
 
     fn check_double_starts_among(&mut self, concerns: impl Fn(&str) -> bool) {
         let present = self.workers.iter().flat_map(|w| {
             let on = w.tasks.iter().filter(|t| t.is_on_machine());
-            on.map(|t| (t.leg.as_str(), w.rig.name.as_str()))
+            on.map(|t| (t.task.as_str(), w.machine.name.as_str()))
         });
-        let present = present.filter(|(leg, _)| concerns(leg));
+        let present = present.filter(|(task, _)| concerns(task));
         if let Some(double) = occupancy::double_start(present) {
             let [one, other] = double.machines;
             let what = format!(
@@ -41,25 +41,28 @@
         let Some(spec) = self.job(name).map(|j| j.spec) else {
             return;
         };
-        let rig = &self.workers[at].rig;
-        let of_job = |t: &&Task| t.ended.is_none() && job_of(&t.leg) == name;
+        let machine = &self.workers[at].machine;
+        let of_job = |t: &&Task| t.ended.is_none() && job_of(&t.task) == name;
         let in_zone = |here: bool| -> usize {
             let zone = self
                 .workers
                 .iter()
-                .filter(|w| (w.rig.zone == rig.zone) == here);
+                .filter(|w| (w.machine.zone == machine.zone) == here);
             zone.flat_map(|w| &w.tasks).filter(of_job).count()
         };
         let wrong = spec
-            .frames
+            .machine_types
             .as_ref()
-            .is_some_and(|f| !f.contains(&rig.frame))
-            || spec.zone.as_ref().is_some_and(|y| *y != rig.zone)
-            || (rig.spot && !spec.spot)
+            .is_some_and(|f| !f.contains(&machine.machine_type))
+            || spec.zone.as_ref().is_some_and(|y| *y != machine.zone)
+            || (machine.spot && !spec.spot)
             || (spec.one_zone && in_zone(false) > 0)
-            || (spec.spread && in_zone(true) > spec.legs.div_ceil(2) as usize);
+            || (spec.spread && in_zone(true) > spec.task_count.div_ceil(2) as usize);
         if wrong {
-            let what = format!("wrong_place: {name} on {} in {}", rig.name, rig.zone);
+            let what = format!(
+                "wrong_place: {name} on {} in {}",
+                machine.name, machine.zone
+            );
             self.broken.push(what);
         }
     }
@@ -69,13 +72,16 @@
         let cancel_ms = self.cancel_ms();
         for w in &self.workers {
             for t in w.tasks.iter().filter(|t| t.ended.is_none()) {
-                let job = job_of(&t.leg);
+                let job = job_of(&t.task);
                 let cancelled = self.cancelled.get(job).copied();
                 if let Some(at) = cancelled.or_else(|| self.orphaned_since(job))
                     && self.now > at + cancel_ms
                 {
                     let late = self.now - at;
-                    let what = format!("ran_cancelled: {} on {} after {late}", t.leg, w.rig.name);
+                    let what = format!(
+                        "ran_cancelled: {} on {} after {late}",
+                        t.task, w.machine.name
+                    );
                     self.broken.push(what);
                 }
             }
@@ -100,7 +106,7 @@
         let mut used: HashMap<String, f64> = HashMap::new();
         for w in &self.workers {
             for t in w.tasks.iter().filter(|t| t.is_on_machine()) {
-                let spec = &self.specs[job_of(&t.leg)];
+                let spec = &self.specs[job_of(&t.task)];
                 *used.entry(spec.team.clone()).or_default() += spec.cpus;
             }
         }
--- a/tests/support/state.rs
+++ b/tests/support/state.rs
@@ -1,24 +1,24 @@
 //! The stand-in of the state service.
 
-use quillbend::controller::Outcome;
-use quillbend::protocol::{Change, Item, Json, News, NewsList, Txn};
+use quillbend::controller::CommitOutcome;
+use quillbend::protocol::{Json, KeyValue, Mutation, Transaction, WatchEvent, WatchResponse};
 use std::collections::{BTreeMap, HashMap};
 
 struct Key {
-    v: Json,
-    stamp: u64,
-    permit: Option<u64>,
+    value: Json,
+    mod_revision: u64,
+    lease_id: Option<u64>,
 }
 
 /// The state service.
 #[derive(Default)]
 pub struct State {
     keys: BTreeMap<String, Key>,
-    pub(super) ledger: u64,
-    pub(super) history: Vec<News>,
+    pub(super) revision: u64,
+    pub(super) history: Vec<WatchEvent>,
     pub(super) leases: HashMap<u64, (u64, u64)>,
     pub(super) next_lease: u64,
-    pub(super) late: Vec<(u64, Txn)>,
+    pub(super) late: Vec<(u64, Transaction)>,
     /// It answers nobody, and leases stand still.
     pub out: bool,
     /// Its revision at each moment.
@@ -33,82 +33,94 @@
 }
 
 impl State {
-    pub fn commit(&mut self, txn: &Txn) -> Outcome {
+    pub fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
         if let Some((value_bytes, txn_ops)) = self.limits
-            && (txn.then.len() > txn_ops || txn.then.iter().any(|c| c.value_bytes() > value_bytes))
+            && (transaction.mutations.len() > txn_ops
+                || transaction
+                    .mutations
+                    .iter()
+                    .any(|c| c.value_bytes() > value_bytes))
         {
             self.too_large += 1;
-            return Outcome::Malformed;
+            return CommitOutcome::Malformed;
         }
         if let Some((_, left)) = &mut self.budget {
-            let changes = txn.then.len() as f64;
+            let changes = transaction.mutations.len() as f64;
             if *left < changes {
-                return Outcome::Refused;
+                return CommitOutcome::Refused;
             }
             *left -= changes;
         }
-        for c in &txn.then {
-            if let Change::Put {
-                permit: Some(p), ..
+        for c in &transaction.mutations {
+            if let Mutation::Put {
+                lease_id: Some(p), ..
             } = c
                 && !self.leases.contains_key(p)
             {
-                return Outcome::NoLease;
+                return CommitOutcome::NoLease;
             }
         }
-        let stamp = |k: &str| self.keys.get(k).map_or(0, |k| k.stamp);
-        if txn.guards.iter().any(|g| stamp(&g.k) != g.stamp) {
-            return Outcome::Conflict(self.ledger);
+        let mod_revision = |key: &str| self.keys.get(key).map_or(0, |k| k.mod_revision);
+        if transaction
+            .preconditions
+            .iter()
+            .any(|g| mod_revision(&g.key) != g.mod_revision)
+        {
+            return CommitOutcome::Conflict(self.revision);
         }
-        self.ledger += 1;
-        self.writes += txn.then.len() as u64;
-        for c in &txn.then {
+        self.revision += 1;
+        self.writes += transaction.mutations.len() as u64;
+        for c in &transaction.mutations {
             match c {
-                Change::Put { put, v, permit } => self.put(put, v.clone(), *permit),
-                Change::Drop { drop } => self.drop_key(drop),
+                Mutation::Put {
+                    key,
+                    value,
+                    lease_id,
+                } => self.put(key, value.clone(), *lease_id),
+                Mutation::Delete { key } => self.drop_key(key),
             }
         }
-        Outcome::Done(self.ledger)
+        CommitOutcome::Done(self.revision)
     }
 
-    fn put(&mut self, k: &str, v: Json, permit: Option<u64>) {
-        let stamp = self.ledger;
-        let key = Key {
-            v: v.clone(),
-            stamp,
-            permit,
+    fn put(&mut self, key: &str, value: Json, lease_id: Option<u64>) {
+        let mod_revision = self.revision;
+        let stored = Key {
+            value: value.clone(),
+            mod_revision,
+            lease_id,
         };
-        self.keys.insert(k.into(), key);
-        let put = Some(k.into());
-        self.history.push(News {
+        self.keys.insert(key.into(), stored);
+        let put = Some(key.into());
+        self.history.push(WatchEvent {
             put,
             drop: None,
-            v,
-            stamp,
+            value,
+            mod_revision,
         });
     }
 
-    fn drop_key(&mut self, k: &str) {
-        if self.keys.remove(k).is_some() {
-            let (drop, stamp) = (Some(k.into()), self.ledger);
-            let v = Json::default();
-            self.history.push(News {
+    fn drop_key(&mut self, key: &str) {
+        if self.keys.remove(key).is_some() {
+            let (drop, mod_revision) = (Some(key.into()), self.revision);
+            let value = Json::default();
+            self.history.push(WatchEvent {
                 put: None,
                 drop,
-                v,
-                stamp,
+                value,
+                mod_revision,
             });
         }
     }
 
     /// Its revision.
-    pub fn ledger(&self) -> u64 {
-        self.ledger
+    pub fn revision(&self) -> u64 {
+        self.revision
     }
 
     /// How often keys with a prefix were written.
     pub fn writes_to(&self, starts: &str) -> usize {
-        let of = |n: &&News| n.put.as_ref().is_some_and(|k| k.starts_with(starts));
+        let of = |n: &&WatchEvent| n.put.as_ref().is_some_and(|k| k.starts_with(starts));
         self.history.iter().filter(of).count()
     }
 
@@ -119,47 +131,47 @@
     }
 
     /// Removes a key behind everybody's back.
-    pub fn forget(&mut self, k: &str) {
-        self.ledger += 1;
-        self.drop_key(k);
+    pub fn forget(&mut self, key: &str) {
+        self.revision += 1;
+        self.drop_key(key);
     }
 
     /// Writes a key behind everybody's back; its lease stays.
-    pub fn overwrite(&mut self, k: &str, v: &serde_json::Value) {
-        self.ledger += 1;
-        let permit = self.keys.get(k).and_then(|k| k.permit);
-        self.put(k, Json::of(v), permit);
+    pub fn overwrite(&mut self, key: &str, value: &serde_json::Value) {
+        self.revision += 1;
+        let lease_id = self.keys.get(key).and_then(|k| k.lease_id);
+        self.put(key, Json::of(value), lease_id);
     }
 
-    pub fn value(&self, k: &str) -> Option<serde_json::Value> {
-        self.keys.get(k).and_then(|k| k.v.read().ok())
+    pub fn value(&self, key: &str) -> Option<serde_json::Value> {
+        self.keys.get(key).and_then(|k| k.value.read().ok())
     }
 
-    pub fn stamp(&self, k: &str) -> u64 {
-        self.keys.get(k).map_or(0, |k| k.stamp)
+    pub fn mod_revision(&self, key: &str) -> u64 {
+        self.keys.get(key).map_or(0, |k| k.mod_revision)
     }
 
-    pub fn list(&self, starts: &str) -> (Vec<Item>, u64) {
+    pub fn list(&self, starts: &str) -> (Vec<KeyValue>, u64) {
         let items = self.keys.iter().filter(|(k, _)| k.starts_with(starts));
-        let items = items.map(|(k, key)| Item {
-            k: k.clone(),
-            v: key.v.clone(),
-            stamp: key.stamp,
+        let items = items.map(|(k, key)| KeyValue {
+            key: k.clone(),
+            value: key.value.clone(),
+            mod_revision: key.mod_revision,
         });
-        (items.collect(), self.ledger)
+        (items.collect(), self.revision)
     }
 
-    pub fn news(&self, starts: &str, after: u64) -> NewsList {
-        let of = |n: &&News| {
-            n.stamp > after
+    pub fn events(&self, starts: &str, after: u64) -> WatchResponse {
+        let of = |n: &&WatchEvent| {
+            n.mod_revision > after
                 && n.put
                     .as_ref()
                     .or(n.drop.as_ref())
                     .is_some_and(|k| k.starts_with(starts))
         };
-        NewsList {
-            ledger: self.ledger,
-            news: self.history.iter().filter(of).cloned().collect(),
+        WatchResponse {
+            revision: self.revision,
+            events: self.history.iter().filter(of).cloned().collect(),
         }
     }
 
@@ -170,8 +182,8 @@
     }
 
     /// Renews a lease, if it is not over.
-    pub fn renew(&mut self, permit: u64, now: u64) -> bool {
-        match self.leases.get_mut(&permit) {
+    pub fn renew(&mut self, lease_id: u64, now: u64) -> bool {
+        match self.leases.get_mut(&lease_id) {
             Some(l) => {
                 l.1 = now + l.0;
                 true
@@ -181,17 +193,17 @@
     }
 
     /// What had changed by a moment.
-    pub fn news_by(&self, starts: &str, after: u64, moment: u64) -> NewsList {
+    pub fn messages_by(&self, starts: &str, after: u64, moment: u64) -> WatchResponse {
         let at = self.marks.partition_point(|m| m.0 <= moment);
-        let ledger = self.marks[..at].last().map_or(0, |m| m.1).max(after);
-        let mut list = self.news(starts, after);
-        list.news.retain(|n| n.stamp <= ledger);
-        list.ledger = ledger;
+        let revision = self.marks[..at].last().map_or(0, |m| m.1).max(after);
+        let mut list = self.events(starts, after);
+        list.events.retain(|n| n.mod_revision <= revision);
+        list.revision = revision;
         list
     }
 
     pub fn pass(&mut self, now: u64) {
-        self.marks.push((now, self.ledger));
+        self.marks.push((now, self.revision));
         if let Some((rate, left)) = &mut self.budget {
             *left = (*left + *rate / 10.0).min(*rate);
         }
@@ -200,13 +212,13 @@
             self.leases.values_mut().for_each(|l| l.1 = now + l.0);
             return;
         }
-        let due: Vec<Txn> = self
+        let due: Vec<Transaction> = self
             .late
             .extract_if(.., |l| l.0 <= now)
             .map(|l| l.1)
             .collect();
-        for txn in due {
-            self.commit(&txn);
+        for transaction in due {
+            self.commit(&transaction);
         }
         let over: Vec<u64> = self
             .leases
@@ -214,15 +226,15 @@
             .filter(|(_, l)| l.1 <= now)
             .map(|l| *l.0)
             .collect();
-        for permit in over {
-            self.leases.remove(&permit);
+        for lease_id in over {
+            self.leases.remove(&lease_id);
             let keys: Vec<String> = self
                 .keys
                 .iter()
-                .filter(|(_, k)| k.permit == Some(permit))
+                .filter(|(_, k)| k.lease_id == Some(lease_id))
                 .map(|k| k.0.clone())
                 .collect();
-            self.ledger += 1;
+            self.revision += 1;
             for k in keys {
                 self.drop_key(&k);
             }
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -8,7 +8,7 @@
         for _ in 0..seconds {
             self.flood += 1;
             let mut urgent = self.spec(8);
-            urgent.urgency = Urgency::Urgent;
+            urgent.priority = Priority::Urgent;
             self.submit(self.flood, urgent);
             self.run(1000);
         }
@@ -19,7 +19,7 @@
         let end = self.now + ms;
         while self.now < end {
             self.run(500);
-            for i in 0..self.nodes.len() {
+            for i in 0..self.live_controllers.len() {
                 for job in jobs {
                     self.ask(i, job);
                 }
@@ -35,19 +35,19 @@
         job
     }
 
-    pub fn spec(&self, legs: u32) -> JobSpec {
+    pub fn spec(&self, task_count: u32) -> JobSpec {
         JobSpec {
             class: "nightly".into(),
             team: "blue".into(),
-            shape: Shape::Batch,
-            urgency: Urgency::Normal,
-            legs,
+            shape: JobKind::Batch,
+            priority: Priority::Normal,
+            task_count,
             cpus: 1.0,
             gpus: 0.0,
             memory_gb: 1.0,
             image: "img".into(),
             image_gb: 0.1,
-            frames: None,
+            machine_types: None,
             zone: None,
             one_zone: false,
             spread: false,
@@ -62,9 +62,9 @@
     pub fn submit(&mut self, n: u32, spec: JobSpec) -> String {
         let name = format!("wk-{n:06}");
         self.specs.insert(name.clone(), spec.clone());
-        let txn = jobs::accept(&name, &jobs::new_record(spec, self.now));
+        let transaction = jobs::accept(&name, &jobs::new_record(spec, self.now));
         assert!(
-            matches!(self.state.commit(&txn), Outcome::Done(_)),
+            matches!(self.state.commit(&transaction), CommitOutcome::Done(_)),
             "accepted"
         );
         name
@@ -81,15 +81,17 @@
     ) -> Option<String> {
         let name = format!("wk-{n:06}");
         let clock = self.clock(i);
-        let core = &self.nodes[i].as_ref()?.core;
-        if core.view.ledger < self.state.ledger() || self.link(i).state == Mood::Refuses {
+        let controller = &self.live_controllers[i].as_ref()?.controller;
+        if controller.replica.revision < self.state.revision()
+            || self.link(i).state == StoreFault::Refuses
+        {
             return None;
         }
         let named = awaits.iter().map(|a| {
-            let shown = core.view.predecessor(a);
+            let shown = controller.replica.predecessor(a);
             let archived = || match self.job(a).map(|j| j.status) {
                 Some(JobStatus::Done) => Predecessor::Done,
-                Some(JobStatus::Withdrawn) => Predecessor::Withdrawn,
+                Some(JobStatus::Cancelled) => Predecessor::Cancelled,
                 _ => Predecessor::Unwatched,
             };
             let known = match shown {
@@ -100,16 +102,17 @@
         });
         let kept = spec.clone();
         let record = jobs::new_record(spec, self.now);
-        let accepted = plan_acceptance(&name, record, named.collect(), &core.settings).ok()?;
-        if matches!(accepted, Acceptance::Waiting(_)) && !core.accepts_waiting(clock) {
+        let accepted =
+            plan_acceptance(&name, record, named.collect(), &controller.settings).ok()?;
+        if matches!(accepted, Acceptance::Waiting(_)) && !controller.accepts_waiting(clock) {
             return None;
         }
-        let txn = accepted.txn().clone();
-        let Outcome::Done(ledger) = self.state.commit(&txn) else {
+        let transaction = accepted.transaction().clone();
+        let CommitOutcome::Done(revision) = self.state.commit(&transaction) else {
             return None;
         };
-        if let Some(node) = &mut self.nodes[i] {
-            node.core.view.apply_own(&txn, ledger);
+        if let Some(node) = &mut self.live_controllers[i] {
+            node.controller.replica.apply_own(&transaction, revision);
         }
         self.note_submission(&name, kept, awaits);
         Some(name)
@@ -126,7 +129,7 @@
         let awaits: Vec<String> = awaits.iter().map(|a| (*a).clone()).collect();
         let end = self.now + 20_000;
         while self.now < end {
-            for i in 0..self.nodes.len() {
+            for i in 0..self.live_controllers.len() {
                 if let Some(name) = self.submit_after(i, n, spec.clone(), &awaits) {
                     return name;
                 }
@@ -151,35 +154,35 @@
         serde_json::from_value(self.state.value(&waiting_key(name))?).ok()
     }
 
-    pub fn cancel(&mut self, name: &str) -> Outcome {
+    pub fn cancel(&mut self, name: &str) -> CommitOutcome {
         self.call_off(name).1
     }
 
-    pub(super) fn call_off(&mut self, name: &str) -> (Txn, Outcome) {
-        let txn = match self.waiting(name) {
+    pub(super) fn call_off(&mut self, name: &str) -> (Transaction, CommitOutcome) {
+        let transaction = match self.waiting(name) {
             Some(record) => {
-                let stamp = self.state.stamp(&waiting_key(name));
-                chained::cancel_waiting(name, &record, stamp)
+                let mod_revision = self.state.mod_revision(&waiting_key(name));
+                chained::cancel_waiting(name, &record, mod_revision)
             }
             None => {
                 let record = self.job(name).expect("known");
-                let stamp = self.state.stamp(&job_key(name));
-                jobs::cancel(name, &record, stamp, self.settings.value_bytes())
+                let mod_revision = self.state.mod_revision(&job_key(name));
+                jobs::cancel(name, &record, mod_revision, self.settings.value_bytes())
             }
         };
-        let outcome = self.state.commit(&txn);
-        if let Outcome::Done(_) = outcome {
+        let outcome = self.state.commit(&transaction);
+        if let CommitOutcome::Done(_) = outcome {
             self.cancelled.insert(name.into(), self.now);
-            self.tell(name, JobStatus::Withdrawn);
+            self.tell(name, JobStatus::Cancelled);
         }
-        (txn, outcome)
+        (transaction, outcome)
     }
 
     /// A user cancels through a controller that is to know at once, as the one that is asked does.
-    pub fn cancel_through(&mut self, i: usize, name: &str) -> Outcome {
-        let (txn, outcome) = self.call_off(name);
-        if let (Outcome::Done(ledger), Some(n)) = (outcome, &mut self.nodes[i]) {
-            n.core.view.apply_own(&txn, ledger);
+    pub fn cancel_through(&mut self, i: usize, name: &str) -> CommitOutcome {
+        let (transaction, outcome) = self.call_off(name);
+        if let (CommitOutcome::Done(revision), Some(n)) = (outcome, &mut self.live_controllers[i]) {
+            n.controller.replica.apply_own(&transaction, revision);
         }
         outcome
     }
@@ -187,18 +190,22 @@
     /// A user asks a controller, which answers from its replica once that has reached the state
     /// service's revision, as the door does; none if it has not yet.
     pub fn ask(&mut self, i: usize, name: &str) -> Option<JobStatus> {
-        let view = &self.nodes[i].as_ref()?.core.view;
-        if view.ledger < self.state.ledger() {
+        let replica = &self.live_controllers[i].as_ref()?.controller.replica;
+        if replica.revision < self.state.revision() {
             return None;
         }
-        let known = view.names.jobs.get(name).and_then(|ix| view.status_of(ix));
+        let known = replica
+            .names
+            .jobs
+            .get(name)
+            .and_then(|job_id| replica.status_of(job_id));
         let status = match known {
             Some(status) => status,
             None => self.job(name)?.status,
         };
         if let Some(at) = self
             .orphaned_since(name)
-            .filter(|_| status != JobStatus::Withdrawn)
+            .filter(|_| status != JobStatus::Cancelled)
         {
             let what = format!("orphaned: {name} is {status:?}, cancelled at {at}");
             self.broken.push(what);
@@ -212,7 +219,8 @@
             self.broken
                 .push(format!("went_back: {name} {before:?}, then {status:?}"));
         }
-        if status == JobStatus::Done && self.done(name) < self.job(name).map_or(0, |j| j.spec.legs)
+        if status == JobStatus::Done
+            && self.done(name) < self.job(name).map_or(0, |j| j.spec.task_count)
         {
             self.broken.push(format!("not_done: {name}"));
         }
@@ -233,7 +241,7 @@
     pub fn done(&self, name: &str) -> u32 {
         let mut done = self.job(name).map(|j| j.done.tasks).unwrap_or_default();
         for item in self.state.list("qb/block/").0 {
-            let block: BlockRecord = item.v.read().expect("a block");
+            let block: BlockRecord = item.value.read().expect("a block");
             for (job, tasks) in &block.done {
                 if block.jobs[*job] == name {
                     done.union(tasks);
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -1,10 +1,10 @@
 //! The stand-in of a worker.
 
-use quillbend::protocol::{Cause, Leg, LegStatus, ListedRig, Report};
+use quillbend::protocol::{CloudMachine, ExitReason, Heartbeat, TaskPhase, TaskStatus};
 
 /// A task on a worker.
 pub struct Task {
-    pub leg: String,
+    pub task: String,
     pub attempt: u64,
     /// Until its image is there.
     pub fetch_ms: u64,
@@ -12,7 +12,7 @@
     pub left_ms: u64,
     /// Until its progress is saved, once it was told to stop.
     pub save_ms: Option<u64>,
-    pub ended: Option<Cause>,
+    pub ended: Option<ExitReason>,
 }
 
 impl Task {
@@ -23,12 +23,12 @@
     }
 
     /// As its worker reports it.
-    fn status(&self) -> LegStatus {
+    fn status(&self) -> TaskPhase {
         match (self.ended, self.save_ms) {
-            (Some(_), _) => LegStatus::Ended,
-            (None, Some(_)) => LegStatus::Flushing,
-            (None, None) if self.fetch_ms > 0 => LegStatus::Fetching,
-            (None, None) => LegStatus::Running,
+            (Some(_), _) => TaskPhase::Ended,
+            (None, Some(_)) => TaskPhase::Flushing,
+            (None, None) if self.fetch_ms > 0 => TaskPhase::Fetching,
+            (None, None) => TaskPhase::Running,
         }
     }
 
@@ -41,21 +41,21 @@
         if saves && leeway_ms >= save_ms {
             self.save_ms = Some(save_ms);
         } else {
-            self.ended = Some(Cause::Halted);
+            self.ended = Some(ExitReason::Halted);
         }
     }
 }
 
 /// A worker.
 pub struct Worker {
-    pub rig: ListedRig,
+    pub machine: CloudMachine,
     pub up_at: u64,
-    pub session: u64,
+    pub worker_epoch: u64,
     pub sequence: u64,
     pub token: u64,
     pub tasks: Vec<Task>,
     pub at: usize,
-    pub(super) next_report: u64,
+    pub(super) next_heartbeat: u64,
     /// A report is under way until then.
     pub(super) silent_until: u64,
     pub(super) answered: u64,
@@ -64,36 +64,36 @@
     /// No report leaves it and nothing reaches it.
     pub cut: bool,
     /// Its reports arrive, but no answer reaches it.
-    pub deaf: bool,
+    pub unreachable_since: bool,
     /// It stands still with all that runs on it, and may go on at any time.
     pub hung: bool,
     /// It reaches this controller alone.
     pub only: Option<usize>,
     /// It fails whatever it starts.
-    pub sick: bool,
+    pub quarantined: bool,
     pub reclaim_s: Option<f64>,
 }
 
 impl Worker {
-    pub fn report(&self) -> Report {
-        let leg = |t: &Task| Leg {
-            leg: t.leg.clone(),
+    pub fn heartbeat(&self) -> Heartbeat {
+        let task = |t: &Task| TaskStatus {
+            task: t.task.clone(),
             attempt: t.attempt,
             status: t.status(),
             cause: t.ended,
             saved: None,
         };
-        Report {
-            rig: self.rig.name.clone(),
+        Heartbeat {
+            machine: self.machine.name.clone(),
             endpoint: String::new(),
-            frame: self.rig.frame.clone(),
-            zone: self.rig.zone.clone(),
-            spot: self.rig.spot,
-            session: self.session,
+            machine_type: self.machine.machine_type.clone(),
+            zone: self.machine.zone.clone(),
+            spot: self.machine.spot,
+            worker_epoch: self.worker_epoch,
             sequence: self.sequence,
             token: self.token,
             reclaim_s: self.reclaim_s,
-            legs: self.tasks.iter().map(leg).collect(),
+            tasks: self.tasks.iter().map(task).collect(),
         }
     }
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -4,13 +4,13 @@
 
 mod support;
 
-use quillbend::controller::Outcome;
-use quillbend::protocol::{Item, JobStatus, Urgency};
+use quillbend::controller::CommitOutcome;
+use quillbend::protocol::{JobStatus, KeyValue, Priority};
 use quillbend::records::{CHAINS_FORMAT, DENSE_FORMAT, NEWEST_FORMAT};
 use quillbend::replica::{FORMAT, job_key, past_key};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use support::{Mood, World};
+use support::{StoreFault, World};
 
 /// Ends a controller; it comes back with the new version.
 fn upgrade(w: &mut World, i: usize, away_ms: u64) {
@@ -27,11 +27,13 @@
 }
 
 /// A world in production that has settled.
-fn in_production(seed: u64, nodes: usize, machines: usize) -> World {
-    let mut w = World::in_production(seed, nodes, machines);
+fn in_production(seed: u64, live_controllers: usize, machines: usize) -> World {
+    let mut w = World::in_production(seed, live_controllers, machines);
     w.until(5000, "a leader", |w| w.leader().is_some());
     w.until(8000, "every machine is held", |w| {
-        w.workers.iter().all(|m| w.holder(&m.rig.name).is_some())
+        w.workers
+            .iter()
+            .all(|m| w.holder(&m.machine.name).is_some())
     });
     w
 }
@@ -124,13 +126,13 @@
 #[test]
 fn work_goes_on_through_a_rolling_upgrade_and_what_runs_is_not_lost() {
     for seed in 5..8 {
-        let nodes = [3, 5][seed as usize % 2];
-        let mut w = in_production(seed, nodes, 8);
+        let live_controllers = [3, 5][seed as usize % 2];
+        let mut w = in_production(seed, live_controllers, 8);
         w.run(2000);
         let long = w.fill(60_000, 10);
         w.run_ms = 6000;
         let mut jobs = vec![long];
-        for i in 0..nodes {
+        for i in 0..live_controllers {
             let mut red = w.spec(5);
             red.team = "red".into();
             jobs.push(w.submit(10 + i as u32, red));
@@ -141,7 +143,7 @@
         w.all_end_well(&jobs);
         assert_eq!(
             w.starts.len(),
-            10 + 5 * nodes,
+            10 + 5 * live_controllers,
             "work was lost or begun twice"
         );
         assert_eq!(w.state.too_large, 0);
@@ -165,7 +167,7 @@
     let most = w.settings.value_bytes();
     let largest = |w: &World| {
         let blocks = w.state.list("qb/block/").0;
-        blocks.iter().map(|b| b.v.size()).max().unwrap_or(0)
+        blocks.iter().map(|b| b.value.size()).max().unwrap_or(0)
     };
     assert!(
         largest(&w) > most,
@@ -228,7 +230,7 @@
 /// Blocks that have machines.
 fn used_blocks(w: &World) -> usize {
     let blocks = w.state.list("qb/block/").0;
-    let machines = |b: &Item| w.block(&b.k).machines.len();
+    let machines = |b: &KeyValue| w.block(&b.key).machines.len();
     blocks.iter().filter(|b| machines(b) > 0).count()
 }
 
@@ -354,8 +356,8 @@
         let mut w = in_production(10, 3, 4);
         w.run_ms = 3000;
         let mut spec = w.spec(4);
-        let frames = (0..120).map(|n| format!("a-type-that-is-no-longer-sold-{n}"));
-        spec.frames = Some(frames.chain(["small".to_owned()]).collect());
+        let machine_types = (0..120).map(|n| format!("a-type-that-is-no-longer-sold-{n}"));
+        spec.machine_types = Some(machine_types.chain(["small".to_owned()]).collect());
         let job = w.submit(1, spec);
         assert!(
             w.state
@@ -371,9 +373,9 @@
         lower_limits(&mut w);
         w.run(1500);
         if cancelled {
-            assert!(matches!(w.cancel(&job), Outcome::Done(_)));
+            assert!(matches!(w.cancel(&job), CommitOutcome::Done(_)));
         }
-        let over = [JobStatus::Done, JobStatus::Withdrawn][usize::from(cancelled)];
+        let over = [JobStatus::Done, JobStatus::Cancelled][usize::from(cancelled)];
         w.until(60_000, "over", |w| {
             w.job(&job).is_some_and(|j| j.status == over)
         });
@@ -400,7 +402,7 @@
         w.run_ms = 5000;
         let mut jobs = Vec::new();
         for n in 0..40 {
-            if w.nodes.iter().all(Option::is_none) {
+            if w.live_controllers.iter().all(Option::is_none) {
                 w.heal();
             }
             let mut spec = w.spec(luck.random_range(1..30));
@@ -416,7 +418,7 @@
             let at = luck.random_range(0..3);
             match luck.random_range(0..8) {
                 0 => w.crash(at),
-                1 => w.links[at].state = Mood::Moody,
+                1 => w.links[at].state = StoreFault::FaultyStore,
                 2 => w.heal(),
                 _ => {}
             }
@@ -433,19 +435,19 @@
 #[test]
 fn chance_troubles_during_an_upgrade_with_chains_keep_the_rules() {
     for seed in 20..28 {
-        let nodes = [3, 5][seed as usize % 2];
-        let mut w = in_production(seed, nodes, 10);
+        let live_controllers = [3, 5][seed as usize % 2];
+        let mut w = in_production(seed, live_controllers, 10);
         if seed % 4 < 2 {
             // The older version is the one that knows chained jobs already.
             w.old_format = CHAINS_FORMAT;
-            (0..nodes).for_each(|i| w.start(i));
+            (0..live_controllers).for_each(|i| w.start(i));
             w.run(3000);
         }
         let mut luck = SmallRng::seed_from_u64(seed);
         w.run_ms = 6000;
         let mut jobs: Vec<String> = Vec::new();
         let mut over: Vec<String> = Vec::new();
-        let mut to_upgrade: Vec<usize> = (0..nodes).collect();
+        let mut to_upgrade: Vec<usize> = (0..live_controllers).collect();
         for n in 0..40u32 {
             if n % 6 == 5
                 && let Some(i) = to_upgrade.pop()
@@ -457,13 +459,13 @@
             }
             let mut spec = w.spec(luck.random_range(1..12));
             if luck.random_bool(0.3) {
-                spec.urgency = Urgency::Urgent;
+                spec.priority = Priority::Urgent;
             }
             spec.team = ["blue", "red"][n as usize % 2].into();
             let named: Vec<String> = (0..luck.random_range(0..3))
                 .filter_map(|_| jobs.get(luck.random_range(0..jobs.len().max(1))).cloned())
                 .collect();
-            let at = luck.random_range(0..nodes);
+            let at = luck.random_range(0..live_controllers);
             let taken = match named.is_empty() {
                 true => Some(w.submit(n + 1, spec)),
                 false => w.submit_after(at, n + 1, spec, &named),
@@ -478,11 +480,11 @@
                 w.cancel(&job);
                 over.push(job);
             }
-            let at = luck.random_range(0..nodes);
+            let at = luck.random_range(0..live_controllers);
             match luck.random_range(0..10) {
                 // One that dies before its turn comes back old.
                 0 => w.crash(at),
-                1 => w.links[at].state = Mood::Moody,
+                1 => w.links[at].state = StoreFault::FaultyStore,
                 2 => w.links[at].peers = false,
                 3 => w.freeze(at, luck.random_range(500..5000)),
                 4 | 5 => w.heal(),
@@ -524,8 +526,8 @@
     assert_eq!(w.state.writes, writes + 1, "it wrote something");
     for i in 0..3 {
         let now = w.clock(i);
-        assert!(!w.core(i).ready(now) && !w.core(i).has_authority(now));
-        assert_eq!(w.core(i).status_page(now)["outdated"], true);
+        assert!(!w.controller(i).ready(now) && !w.controller(i).has_authority(now));
+        assert_eq!(w.controller(i).status_page(now)["outdated"], true);
     }
     assert_eq!(w.state.value(FORMAT), Some(newer));
 }
@@ -543,8 +545,8 @@
     w.until(20_000, "the others go on", |w| w.is_done(&other));
     w.run(60_000);
     assert_eq!(w.state.value(&job_key(&odd)), Some(unknown));
-    let core = w.core(0);
-    assert!(core.view.is_unreadable(&odd) && !core.view.is_unreadable(&other));
-    let page = core.status_page(w.clock(0));
+    let controller = w.controller(0);
+    assert!(controller.replica.is_unreadable(&odd) && !controller.replica.is_unreadable(&other));
+    let page = controller.status_page(w.clock(0));
     assert_eq!(page["unreadable"], serde_json::json!([job_key(&odd)]));
 }
