--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -13,6 +13,17 @@
 /// keys and conditions included.
 pub(crate) const TXN_BYTES: usize = 56 * 1024;
 
+/// Completions and moves that are still to be recorded.
+#[derive(Debug, Default)]
+pub(crate) struct Completions {
+    /// Outcomes to be recorded, by the machine on which they were found out.
+    pub(crate) pending: HashMap<MachineId, Vec<(Binding, TaskOutcome)>>,
+    /// Moves to be made with the next write of the victim's block.
+    pub(crate) planned_moves: Vec<Move>,
+    /// Bindings that take part in a move and may not be started meanwhile.
+    pub(crate) reserved: HashSet<Binding>,
+}
+
 impl Controller {
     /// Gives up machines whose tasks are surely gone.
     pub(crate) fn find_presumed_dead(&mut self, now: Timestamp) {
@@ -20,7 +31,7 @@
         let stranger = self.settings.unfenced_gone_ms();
         let mut presumed_dead: Vec<MachineId> = Vec::new();
         let mut ended_tasks = Vec::new();
-        for (&machine_id, runtime) in &mut self.runtime {
+        for (&machine_id, runtime) in &mut self.held.machines {
             if runtime.presumed_dead {
                 presumed_dead.push(machine_id);
                 continue;
@@ -62,8 +73,12 @@
             };
             // What moves away at this moment keeps its attempt: it completions here only if the move
             // fails and the task is still listed here.
-            for e in m.queue.iter().filter(|e| !self.reserved.contains(e)) {
-                let completions = self.pending_completions.entry(machine_id).or_default();
+            for e in m
+                .queue
+                .iter()
+                .filter(|e| !self.completions.reserved.contains(e))
+            {
+                let completions = self.completions.pending.entry(machine_id).or_default();
                 if !completions.iter().any(|x| x.0 == *e) {
                     completions.push((*e, TaskOutcome::Free));
                 }
@@ -76,11 +91,11 @@
         if self.grants_first(now) {
             return;
         }
-        let machines = self.pending_completions.keys().copied();
-        let machines = machines.chain(self.moves.iter().map(|m| m.victim));
+        let machines = self.completions.pending.keys().copied();
+        let machines = machines.chain(self.completions.planned_moves.iter().map(|m| m.victim));
         let blocks: std::collections::BTreeSet<BlockId> = machines
             .filter_map(|m| Some(self.replica.machines.get(&m)?.block))
-            .chain(self.oversized.iter().copied())
+            .chain(self.block_upkeep.oversized.iter().copied())
             .collect();
         for id in blocks {
             let write_kind = WriteKind::Ends(id);
@@ -96,7 +111,7 @@
 
     /// Tasks that were done on the machines held here and that are not recorded yet.
     pub(crate) fn unrecorded_done(&self) -> BTreeMap<JobId, RangeSet> {
-        let completions = self.pending_completions.values().flatten();
+        let completions = self.completions.pending.values().flatten();
         let mut done: BTreeMap<JobId, RangeSet> = BTreeMap::new();
         for (entry, _) in completions.filter(|(_, end)| *end == TaskOutcome::Done) {
             let tasks = done.entry(entry.task.job).or_default();
@@ -112,7 +127,7 @@
     /// the holders, and its blocks follow in their turns.
     pub(crate) fn reported_done(&self) -> BTreeMap<JobId, RangeSet> {
         let mut done = self.unrecorded_done();
-        for (&job, tasks) in self.peers.values().flat_map(|p| &p.done) {
+        for (&job, tasks) in self.peers.states.values().flat_map(|p| &p.done) {
             done.entry(job).or_default().union(tasks);
         }
         done
@@ -127,7 +142,8 @@
         let mut edit = self.replica.edit(id);
         for (&machine_id, m) in &mut edit.machines {
             for (entry, end) in self
-                .pending_completions
+                .completions
+                .pending
                 .get(&machine_id)
                 .into_iter()
                 .flatten()
@@ -150,7 +166,7 @@
     /// Plans the write of a block's endings and moves.
     fn plan_ends(&mut self, id: BlockId) -> Option<(Transaction, WriteIntent)> {
         let (edit, mut intent) = self.draft_without_ended(id);
-        if self.oversized.contains(&id)
+        if self.block_upkeep.oversized.contains(&id)
             && let Some(split) = self.plan_split(id, &edit, &intent)
         {
             return Some(split);
@@ -173,7 +189,7 @@
             // The thief's block, or the transaction, has no room for more: the endings go without
             // the moves.
             for e in intent.moves.iter().flat_map(|m| &m.entries) {
-                self.reserved.remove(e);
+                self.completions.reserved.remove(e);
             }
             return self.plan_ends(id);
         }
@@ -223,7 +239,7 @@
     ) {
         let most = self.settings.platform.settings.state.txn_ops / 2;
         let mut later = Vec::new();
-        for task_move in std::mem::take(&mut self.moves) {
+        for task_move in std::mem::take(&mut self.completions.planned_moves) {
             let victim = self.replica.machines.get(&task_move.victim);
             if victim.is_some_and(|m| m.block != id) {
                 later.push(task_move);
@@ -237,7 +253,7 @@
             };
             let (Some(to), Some(())) = (to.filter(|to| !to.leaving), whole()) else {
                 for e in &task_move.entries {
-                    self.reserved.remove(e);
+                    self.completions.reserved.remove(e);
                 }
                 continue;
             };
@@ -260,7 +276,7 @@
             }
             intent.moves.push(task_move);
         }
-        self.moves = later;
+        self.completions.planned_moves = later;
     }
 
     /// Chooses jobs whose own keys take over the done tasks of a block that has grown large.
@@ -351,7 +367,7 @@
 
     /// Whether a machine that obeys our token surely has not been told to start a task.
     pub(crate) fn unstarted(&self, machine_id: MachineId, e: &Binding) -> bool {
-        self.runtime.get(&machine_id).is_some_and(|runtime| {
+        self.held.machines.get(&machine_id).is_some_and(|runtime| {
             runtime.fenced
                 && !runtime.presumed_dead
                 && !runtime.tasks.contains_key(&e.task)
--- a/src/controller/formats.rs
+++ b/src/controller/formats.rs
@@ -29,14 +29,38 @@
     seen: Timestamp,
 }
 
+/// Which format of stored values this controller and the others read.
+#[derive(Debug)]
+pub(crate) struct FormatTracker {
+    /// Format that this controller reads and writes at most.
+    pub(crate) own: u32,
+    /// Whether it was logged that this version is too old for what is stored.
+    outdated_logged: bool,
+    /// Controllers that were seen to run an older version.
+    older: HashMap<HostId, OlderVersion>,
+}
+
+impl FormatTracker {
+    /// A controller that reads this format and has seen no other one yet.
+    pub(crate) fn new(own: u32) -> Self {
+        Self {
+            own,
+            outdated_logged: false,
+            older: HashMap::default(),
+        }
+    }
+}
+
 impl Controller {
     /// Takes note of the version that a controller runs.
     pub(crate) fn note_format(&mut self, host: HostId, format: u32, now: Timestamp) {
-        if format < self.format {
+        if format < self.formats.own {
             let seen = now;
-            self.older.insert(host, OlderVersion { format, seen });
+            self.formats
+                .older
+                .insert(host, OlderVersion { format, seen });
         } else {
-            self.older.remove(&host);
+            self.formats.older.remove(&host);
         }
     }
 
@@ -67,14 +91,17 @@
     /// recorded: another controller has turned on what needs it.
     pub(crate) fn follow_recorded_format(&mut self) {
         let recorded = self.replica.format;
-        if recorded > self.format && self.format >= CURRENT_FORMAT && recorded <= NEWEST_FORMAT {
-            self.format = recorded;
+        if recorded > self.formats.own
+            && self.formats.own >= CURRENT_FORMAT
+            && recorded <= NEWEST_FORMAT
+        {
+            self.formats.own = recorded;
         }
     }
 
     /// Says once that this version cannot serve here.
     pub(crate) fn note_outdated(&mut self) {
-        if !std::mem::replace(&mut self.outdated_logged, true) {
+        if !std::mem::replace(&mut self.formats.outdated_logged, true) {
             error!(
                 stored = self.replica.format,
                 read = NEWEST_FORMAT,
@@ -85,7 +112,7 @@
 
     /// The newest format that all controllers read which are there, or were a moment ago.
     pub fn common_format(&self, now: Timestamp) -> u32 {
-        let lately = self.older.values();
+        let lately = self.formats.older.values();
         let lately = lately.filter(|older| now.since(older.seen) < OLDER_GONE_MS);
         let keys = self
             .replica
@@ -95,13 +122,13 @@
         lately
             .map(|older| older.format)
             .chain(keys.map(|(_, node)| node.format))
-            .fold(self.format, u32::min)
+            .fold(self.formats.own, u32::min)
     }
 
     /// Whether jobs may be accepted that wait for others. Once all controllers were seen to read
     /// them this stays so, whatever comes back for a moment.
     pub fn accepts_waiting(&self, now: Timestamp) -> bool {
-        self.format >= CHAINS_FORMAT
+        self.formats.own >= CHAINS_FORMAT
             && (self.replica.format >= CHAINS_FORMAT || self.common_format(now) >= CHAINS_FORMAT)
     }
 
@@ -125,10 +152,10 @@
     /// Guards against an older version that leads for a moment: it knows nothing of jobs that
     /// wait, and archives those that they need.
     pub(crate) fn ask_archive(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if now < self.next_archived || self.replica.waiting.jobs.is_empty() {
+        if now < self.schedule.next_archive_query || self.replica.waiting.jobs.is_empty() {
             return;
         }
-        self.next_archived = now.plus(ARCHIVE_MS);
+        self.schedule.next_archive_query = now.plus(ARCHIVE_MS);
         let missing = self.replica.missing_predecessors().into_iter();
         let names = missing.map(|job| self.replica.names.jobs.name(job).to_owned());
         let names: Vec<String> = names.take(ARCHIVE_JOBS).collect();
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -66,13 +66,14 @@
             zone: r.zone.clone(),
             spot: r.spot,
         };
-        if self.unowned_machines.len() >= MAX_UNOWNED_MACHINES
-            && !self.unowned_machines.contains_key(&r.machine)
+        if self.held.unowned.len() >= MAX_UNOWNED_MACHINES
+            && !self.held.unowned.contains_key(&r.machine)
         {
             return;
         }
         let s = self
-            .unowned_machines
+            .held
+            .unowned
             .entry(r.machine.clone())
             .or_insert(new_entry);
         if (r.worker_epoch, r.sequence) <= s.newest && now.since(s.last) < 60_000 {
@@ -127,7 +128,7 @@
             return HeartbeatResponse::Elsewhere(name);
         }
         let block = self.replica.machines.get(&machine_id).map(|m| m.block);
-        if let Some(&(_, holder)) = block.and_then(|b| self.peer_reported_grants.get(&b))
+        if let Some(&(_, holder)) = block.and_then(|b| self.peers.reported_grants.get(&b))
             && holder != self.me
         {
             self.counters.redirects += 1;
@@ -147,7 +148,7 @@
         if self.must_wait_for_confirmation(&r, now) {
             return HeartbeatResponse::Unavailable;
         }
-        let mut runtime = self.runtime.remove(&machine_id).unwrap_or_default();
+        let mut runtime = self.held.machines.remove(&machine_id).unwrap_or_default();
         let reply = match self.classify_heartbeat(machine_id, &mut runtime, &r, confirmed, now) {
             HeartbeatVerdict::Nothing => HeartbeatResponse::Unavailable,
             HeartbeatVerdict::Unconfirmed => HeartbeatResponse::Unconfirmed,
@@ -155,7 +156,7 @@
                 self.revive(machine_id, &mut runtime, &r, grant.mod_revision, now)
             }
             HeartbeatVerdict::Answer => {
-                self.unowned_machines.remove(&r.machine);
+                self.held.unowned.remove(&r.machine);
                 let orders = self.answer(
                     machine_id,
                     &mut runtime,
@@ -171,7 +172,7 @@
                 })
             }
         };
-        self.runtime.insert(machine_id, runtime);
+        self.held.machines.insert(machine_id, runtime);
         reply
     }
 
@@ -289,7 +290,7 @@
         let number = (r.worker_epoch, r.sequence);
         if r.token == token.0 {
             runtime.newest = number;
-            self.urgent_update |= !runtime.fenced;
+            self.peers.urgent_update |= !runtime.fenced;
             runtime.fenced = true;
             runtime.heard = Some(now);
         } else if number > runtime.unproven {
@@ -305,7 +306,8 @@
         runtime.waits = false;
         let before = std::mem::take(&mut runtime.tasks);
         let ends_before = self
-            .pending_completions
+            .completions
+            .pending
             .get(&machine_id)
             .map_or(&[][..], Vec::as_slice);
         let ended_before = |e: &Binding| ends_before.iter().any(|x| x.0 == *e);
@@ -439,7 +441,11 @@
         self.count_running(&before, false);
         self.count_running(&runtime.tasks, true);
         for (class, ratio) in ratios {
-            let r = self.ratios.entry(class).or_insert(ratio.clamp(0.2, 5.0));
+            let r = self
+                .held
+                .run_time_ratios
+                .entry(class)
+                .or_insert(ratio.clamp(0.2, 5.0));
             *r += (ratio.clamp(0.2, 5.0) - *r) * 0.05;
         }
         for (entry, end) in new_ends {
@@ -483,7 +489,7 @@
                 }
                 continue;
             };
-            if on_it || self.reserved.contains(e) || ended {
+            if on_it || self.completions.reserved.contains(e) || ended {
                 continue;
             }
             let name = self.replica.names.jobs.name(e.task.job);
@@ -527,7 +533,7 @@
     /// worker's lease counts from when it sent the report.
     pub fn may_wait(&mut self, machine: &str, number: (u64, u64), now: Timestamp) -> Option<u64> {
         let machine_id = self.replica.names.machines.get(machine)?;
-        let runtime = self.runtime.get(&machine_id)?;
+        let runtime = self.held.machines.get(&machine_id)?;
         let machine = self.replica.machines.get(&machine_id)?;
         let idle = runtime.tasks.values().all(|l| l.status == TaskPhase::Ended);
         let usable = runtime.obeys()
@@ -542,13 +548,13 @@
         {
             return None;
         }
-        self.runtime.get_mut(&machine_id)?.waits = true;
+        self.held.machines.get_mut(&machine_id)?.waits = true;
         Some(self.settings.answer_wait_ms())
     }
 
     /// Machines whose answers wait and that have been given tasks since.
     pub fn woken_machines(&mut self) -> Vec<String> {
-        let woken_machines = std::mem::take(&mut self.woken_machines);
+        let woken_machines = std::mem::take(&mut self.held.woken);
         let names = woken_machines
             .iter()
             .map(|&machine_id| self.replica.names.machines.name(machine_id));
@@ -571,7 +577,7 @@
         if !self.holds(&grant) || !self.has_authority(now) {
             return HeartbeatResponse::Elsewhere(None);
         }
-        let Some(mut runtime) = self.runtime.remove(&job_id) else {
+        let Some(mut runtime) = self.held.machines.remove(&job_id) else {
             return HeartbeatResponse::Unavailable;
         };
         // Under another token, or after another report, nobody waits for this answer any more.
@@ -602,7 +608,7 @@
         } else {
             HeartbeatResponse::Unavailable
         };
-        self.runtime.insert(job_id, runtime);
+        self.held.machines.insert(job_id, runtime);
         reply
     }
 
@@ -610,12 +616,15 @@
     /// work, or a good part of its machines seem to miss answers at the same time.
     fn slow(&self, now: Timestamp) -> bool {
         let missing = self
-            .runtime
+            .held
+            .machines
             .values()
             .filter(|runtime| runtime.missed_acks > 0)
             .count();
-        self.stalled_at.is_some_and(|at| now.since(at) < 15_000)
-            || missing > (self.runtime.len() / 10).max(2)
+        self.pauses
+            .stalled_at
+            .is_some_and(|at| now.since(at) < 15_000)
+            || missing > (self.held.machines.len() / 10).max(2)
     }
 
     /// Finds out whether answers reach a machine whose reports arrive.
@@ -669,7 +678,8 @@
         runtime: &mut MachineRuntime,
         now: Timestamp,
     ) {
-        self.pending_completions
+        self.completions
+            .pending
             .entry(machine_id)
             .or_default()
             .push((entry, end));
@@ -677,15 +687,19 @@
         match end {
             TaskOutcome::Done => {
                 runtime.failed.clear();
-                self.failure_streaks.remove(&job);
+                self.held.failure_streaks.remove(&job);
                 // Others wait for it: the leader hears of its last endings soon.
-                self.urgent_update |= self.replica.dependencies.is_needed(job);
+                self.peers.urgent_update |= self.replica.dependencies.is_needed(job);
             }
             TaskOutcome::Failed => {
-                let f = self.failure_streaks.entry(job).or_insert(FailureStreak {
-                    count: 0,
-                    last: now,
-                });
+                let f = self
+                    .held
+                    .failure_streaks
+                    .entry(job)
+                    .or_insert(FailureStreak {
+                        count: 0,
+                        last: now,
+                    });
                 f.count += 1;
                 f.last = now;
                 runtime.failed.push(job);
--- a/src/controller/observations.rs
+++ b/src/controller/held_machines.rs
@@ -2,6 +2,23 @@
 
 use super::*;
 
+/// Machines that this controller holds or hears of.
+#[derive(Debug, Default)]
+pub(crate) struct HeldMachines {
+    /// What is known of each machine held.
+    pub(crate) machines: HashMap<MachineId, MachineRuntime>,
+    /// Tasks that run on the machines held, by job.
+    pub(crate) running_tasks: HashMap<JobId, u32>,
+    /// Machines whose heartbeats wait for an answer and that have been given tasks.
+    pub(crate) woken: Vec<MachineId>,
+    /// Machines that report here and are held by another controller or by none.
+    pub(crate) unowned: HashMap<String, UnownedMachineState>,
+    /// Failures of jobs one after the other.
+    pub(crate) failure_streaks: HashMap<JobId, FailureStreak>,
+    /// Observed run times over the owners' estimates, by class.
+    pub(crate) run_time_ratios: HashMap<ClassId, f64>,
+}
+
 /// A task as the last report shows it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TaskRuntime {
--- a/src/controller/lease.rs
+++ b/src/controller/lease.rs
@@ -2,51 +2,90 @@
 
 use super::*;
 
+/// This controller's lease and incarnation, and what its authority rests on.
+#[derive(Debug)]
+pub(crate) struct Membership {
+    /// The present incarnation of this controller.
+    pub(crate) incarnation: Incarnation,
+    /// The lease held, or held last.
+    pub(crate) lease_id: Option<u64>,
+    /// Whether the key of this controller was written under the present lease.
+    pub(crate) joined: bool,
+    /// When the last renewal that succeeded was sent.
+    pub(crate) renewed_at: Option<Timestamp>,
+    /// When the last read or watch that was answered was sent.
+    pub(crate) replica_confirmed_at: Option<Timestamp>,
+    pub(crate) next_renewal: Timestamp,
+    pub(crate) renewal_in_flight: bool,
+    /// Since when the state service does not renew the lease.
+    pub(crate) store_failing_since: Option<Timestamp>,
+}
+
+impl Membership {
+    /// A controller without a lease.
+    pub(crate) fn new(incarnation: Incarnation) -> Self {
+        Self {
+            incarnation,
+            lease_id: None,
+            joined: false,
+            renewed_at: None,
+            replica_confirmed_at: None,
+            next_renewal: Timestamp(0),
+            renewal_in_flight: false,
+            store_failing_since: None,
+        }
+    }
+}
+
 impl Controller {
     /// A lease was granted to a request sent at `sent`.
     pub fn on_lease(&mut self, lease_id: u64, sent: Timestamp) {
-        self.lease_busy = false;
-        self.state_bad_since = None;
+        self.membership.renewal_in_flight = false;
+        self.membership.store_failing_since = None;
         // A life completions with its lease, so that nothing granted to the earlier life counts on.
-        if self.lease_id.is_some() {
-            self.incarnation = Incarnation(self.rng.random::<u64>() >> 12);
+        if self.membership.lease_id.is_some() {
+            self.membership.incarnation = Incarnation(self.rng.random::<u64>() >> 12);
             self.replica.touch_all();
         }
-        self.lease_id = Some(lease_id);
-        self.joined = false;
-        self.renewed = Some(sent);
-        self.next_renew = sent.plus(self.renew_ms());
-        info!(lease_id, incarnation = self.incarnation.0, "lease granted");
+        self.membership.lease_id = Some(lease_id);
+        self.membership.joined = false;
+        self.membership.renewed_at = Some(sent);
+        self.membership.next_renewal = sent.plus(self.renew_ms());
+        info!(
+            lease_id,
+            incarnation = self.membership.incarnation.0,
+            "lease granted"
+        );
     }
 
     /// A renewal sent at `sent` succeeded.
     pub fn on_renewed(&mut self, lease_id: u64, sent: Timestamp) {
-        self.lease_busy = false;
-        self.state_bad_since = None;
-        if self.lease_id == Some(lease_id) {
-            self.renewed = self.renewed.max(Some(sent));
-            self.next_renew = sent.plus(self.renew_ms());
+        self.membership.renewal_in_flight = false;
+        self.membership.store_failing_since = None;
+        if self.membership.lease_id == Some(lease_id) {
+            self.membership.renewed_at = self.membership.renewed_at.max(Some(sent));
+            self.membership.next_renewal = sent.plus(self.renew_ms());
         }
     }
 
     /// The lease is over at the state service.
     pub fn on_lease_gone(&mut self, lease_id: u64, now: Timestamp) {
-        self.lease_busy = false;
-        if self.lease_id == Some(lease_id) {
+        self.membership.renewal_in_flight = false;
+        if self.membership.lease_id == Some(lease_id) {
             warn!(lease_id, "lease is gone");
-            self.joined = false;
-            self.renewed = None;
-            self.next_renew = now;
-            self.in_flight.remove(&WriteKind::Join);
+            self.membership.joined = false;
+            self.membership.renewed_at = None;
+            self.membership.next_renewal = now;
+            self.writes.in_flight.remove(&WriteKind::Join);
         }
     }
 
     /// Asking for a lease or a renewal did not succeed.
     pub fn on_lease_failed(&mut self, now: Timestamp) {
-        self.lease_busy = false;
-        self.state_bad_since.get_or_insert(now);
+        self.membership.renewal_in_flight = false;
+        self.membership.store_failing_since.get_or_insert(now);
         let wait = self.rng.random_range(250..500);
-        self.next_renew = now.plus(wait);
+        self.membership.next_renewal = now.plus(wait);
     }
 
     pub(crate) fn renew_ms(&self) -> u64 {
@@ -58,10 +97,13 @@
     /// Guards against renewals that succeed while the watch hangs, and the reverse: both the
     /// lease and the replica must have been confirmed by requests *sent* within the time.
     pub fn authority_until(&self) -> Option<Timestamp> {
-        if !self.joined || !self.replica.synced {
+        if !self.membership.joined || !self.replica.synced {
             return None;
         }
-        let basis = self.renewed?.min(self.confirmed?);
+        let basis = self
+            .membership
+            .renewed_at?
+            .min(self.membership.replica_confirmed_at?);
         Some(basis.plus(self.settings.authority_ms()))
     }
 
@@ -72,7 +114,7 @@
 
     /// Whether a key names this controller in its present life.
     pub(crate) fn is_mine(&self, owner: &Holder) -> bool {
-        owner.host == self.me && owner.incarnation == self.incarnation
+        owner.host == self.me && owner.incarnation == self.membership.incarnation
     }
 
     /// Whether this controller holds a block by this grant and its replica shows all that earlier
@@ -91,8 +133,11 @@
     /// well, and the replica may show a leadership that is over. Nothing is concluded before a
     /// watch that was opened since has answered and the peers have had time to speak.
     pub(crate) fn caught_up_after_pause(&self, now: Timestamp) -> bool {
-        self.resumed_at.is_none_or(|at| {
-            let seen = self.confirmed.is_some_and(|c| c >= at);
+        self.pauses.resumed_at.is_none_or(|at| {
+            let seen = self
+                .membership
+                .replica_confirmed_at
+                .is_some_and(|c| c >= at);
             let period = self.settings.options.peers_period_ms * 2.0;
             seen && now.since(at) > period as u64
         })
@@ -101,25 +146,30 @@
     /// How old the replica may be: every change that was made so long ago is in. None before it is
     /// whole.
     pub(crate) fn replica_age_ms(&self, now: Timestamp) -> Option<u64> {
-        let whole = self.replica.synced && self.replica.revision >= self.plan_after_revision;
-        let confirmed = self.confirmed.filter(|_| whole)?;
+        let whole = self.replica.synced && self.replica.revision >= self.writes.plan_after_revision;
+        let confirmed = self.membership.replica_confirmed_at.filter(|_| whole)?;
         Some(now.since(confirmed))
     }
 
     /// Whether the state service has answered lately.
     pub fn state_ok(&self, now: Timestamp) -> bool {
-        self.state_bad_since.is_none_or(|s| now.since(s) < 1200)
-            && self.confirmed.is_some_and(|c| now.since(c) < 8000)
+        self.membership
+            .store_failing_since
+            .is_none_or(|s| now.since(s) < 1200)
+            && self
+                .membership
+                .replica_confirmed_at
+                .is_some_and(|c| now.since(c) < 8000)
     }
 
     /// Whether the state service refused something for its budget a moment ago.
     pub(crate) fn refused_lately(&self, now: Timestamp) -> bool {
-        self.refused_at.is_some_and(|t| now.since(t) < 3000)
+        self.writes.refused_at.is_some_and(|t| now.since(t) < 3000)
     }
 
     /// Whether users should be sent here.
     pub fn ready(&self, now: Timestamp) -> bool {
-        if !self.replica.synced || !self.catalog_known() || self.lease_id.is_none() {
+        if !self.replica.synced || !self.catalog_known() || self.membership.lease_id.is_none() {
             return false;
         }
         if self.is_outdated() {
@@ -134,18 +184,18 @@
         let heard: Vec<&PeerState> = self
             .others
             .iter()
-            .filter_map(|h| self.peers.get(h))
+            .filter_map(|h| self.peers.states.get(h))
             .filter(|p| p.heard.is_some_and(|h| now.since(h) < 3000))
             .collect();
         (self.others.is_empty() || !heard.is_empty()) && heard.iter().all(|p| !p.state_ok)
     }
 
     pub(crate) fn tick_lease(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if self.lease_busy || now < self.next_renew {
+        if self.membership.renewal_in_flight || now < self.membership.next_renewal {
             return;
         }
-        self.lease_busy = true;
-        match (self.lease_id, self.renewed) {
+        self.membership.renewal_in_flight = true;
+        match (self.membership.lease_id, self.membership.renewed_at) {
             (Some(lease_id), Some(_)) => out.push(Effect::Renew { lease_id }),
             _ => out.push(Effect::NewLease {
                 life_ms: self.settings.block_lease_ms(),
@@ -154,17 +204,20 @@
     }
 
     pub(crate) fn tick_join(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        let Some(lease_id) = self.lease_id else {
+        let Some(lease_id) = self.membership.lease_id else {
             return;
         };
-        if self.joined || self.renewed.is_none() || !self.idle(WriteKind::Join, now) {
+        if self.membership.joined
+            || self.membership.renewed_at.is_none()
+            || !self.idle(WriteKind::Join, now)
+        {
             return;
         }
         let key = node_key(self.my_name());
         let record = ControllerRecord {
-            incarnation: self.incarnation.0,
+            incarnation: self.membership.incarnation.0,
             lease: lease_id,
-            format: self.format,
+            format: self.formats.own,
         };
         let transaction = Transaction {
             preconditions: vec![self.precondition(&key)],
@@ -191,8 +244,8 @@
         self.replica.load(items, revision);
         // What moved from one page to another in between may be in neither: nothing is planned
         // before the watch has made the replica whole.
-        self.plan_after_revision = self.plan_after_revision.max(upto);
-        self.confirmed = self.confirmed.max(Some(sent));
+        self.writes.plan_after_revision = self.writes.plan_after_revision.max(upto);
+        self.membership.replica_confirmed_at = self.membership.replica_confirmed_at.max(Some(sent));
         self.after_replica_change(now);
         info!(
             revision,
@@ -204,9 +257,9 @@
 
     /// A watch opened at `sent` answered.
     pub fn on_watch_response(&mut self, list: WatchResponse, sent: Timestamp, now: Timestamp) {
-        self.write_pace.note(list.events.len());
+        self.writes.pace.note(list.events.len());
         self.replica.apply_watch_events(list.events, list.revision);
-        self.confirmed = self.confirmed.max(Some(sent));
+        self.membership.replica_confirmed_at = self.membership.replica_confirmed_at.max(Some(sent));
         self.after_replica_change(now);
     }
 
@@ -216,20 +269,20 @@
         if !released.is_empty() {
             // The index may come back as another job: nothing may remember it.
             let stays = |j: &JobId| !released.contains(j);
-            for runtime in self.runtime.values_mut() {
+            for runtime in self.held.machines.values_mut() {
                 runtime.tasks.retain(|t, _| stays(&t.job));
                 runtime.launched.retain(|t| stays(&t.job));
                 runtime.failed.retain(stays);
             }
-            for completions in self.pending_completions.values_mut() {
+            for completions in self.completions.pending.values_mut() {
                 completions.retain(|(e, _)| stays(&e.task.job));
             }
-            self.reserved.retain(|e| stays(&e.task.job));
-            self.running.retain(|j, _| stays(j));
-            self.failure_streaks.retain(|j, _| stays(j));
-            self.peer_reported_cancellations.retain(stays);
+            self.completions.reserved.retain(|e| stays(&e.task.job));
+            self.held.running_tasks.retain(|j, _| stays(j));
+            self.held.failure_streaks.retain(|j, _| stays(j));
+            self.peers.reported_cancellations.retain(stays);
             self.leadership.forget_jobs(&released);
-            for p in self.peers.values_mut() {
+            for p in self.peers.states.values_mut() {
                 p.failure_streaks.retain(|f| stays(&f.0));
                 p.running.retain(|j, _| stays(j));
                 p.done.retain(|j, _| stays(j));
@@ -247,10 +300,11 @@
         let changes = std::mem::take(&mut self.replica.changes);
         self.note_cancelled(changes.cancelled, now);
         let grants = &self.replica.grants;
-        self.peer_reported_grants
+        self.peers
+            .reported_grants
             .retain(|id, told| grants.get(id).is_some_and(|g| g.mod_revision < told.0));
         for host in changes.loads {
-            self.last_load_seen.insert(host, now);
+            self.peers.last_load_seen.insert(host, now);
         }
         for machine_id in changes.machines {
             if !self.replica.machines.contains_key(&machine_id) {
@@ -269,12 +323,12 @@
             let machines = self.replica.blocks.get(&id).map(|b| b.machines.clone());
             for machine_id in machines.unwrap_or_default() {
                 self.follow_machine(machine_id, token, now);
-                if let Some(runtime) = self.runtime.get_mut(&machine_id)
+                if let Some(runtime) = self.held.machines.get_mut(&machine_id)
                     && runtime.waits
                     && self.replica.lists_any(machine_id)
                 {
                     runtime.waits = false;
-                    self.woken_machines.push(machine_id);
+                    self.held.woken.push(machine_id);
                 }
             }
         }
@@ -289,7 +343,8 @@
             return;
         };
         if self
-            .runtime
+            .held
+            .machines
             .get(&machine_id)
             .is_none_or(|runtime| runtime.token != token)
         {
@@ -299,19 +354,19 @@
             let completed = self.completed_in_queue(machine_id);
             self.drop_machine(machine_id);
             if !completed.is_empty() {
-                self.pending_completions.insert(machine_id, completed);
+                self.completions.pending.insert(machine_id, completed);
             }
             let runtime = MachineRuntime {
                 token,
                 since: now,
                 ..MachineRuntime::default()
             };
-            self.runtime.insert(machine_id, runtime);
-        } else if let Some(completions) = self.pending_completions.get_mut(&machine_id) {
+            self.held.machines.insert(machine_id, runtime);
+        } else if let Some(completions) = self.completions.pending.get_mut(&machine_id) {
             let queue = self.replica.machines.get(&machine_id).map(|m| &m.queue);
             completions.retain(|(e, _)| queue.is_some_and(|q| q.contains(e)));
             if completions.is_empty() {
-                self.pending_completions.remove(&machine_id);
+                self.completions.pending.remove(&machine_id);
             }
         }
     }
@@ -324,7 +379,8 @@
     fn completed_in_queue(&self, machine_id: MachineId) -> Vec<(Binding, TaskOutcome)> {
         let queue = self.replica.machines.get(&machine_id).map(|m| &m.queue);
         let completions = self
-            .pending_completions
+            .completions
+            .pending
             .get(&machine_id)
             .into_iter()
             .flatten();
@@ -335,16 +391,17 @@
 
     /// Forgets what this controller knew of a machine as its holder.
     fn drop_machine(&mut self, machine_id: MachineId) {
-        if let Some(runtime) = self.runtime.remove(&machine_id) {
+        if let Some(runtime) = self.held.machines.remove(&machine_id) {
             self.count_running(&runtime.tasks, false);
         }
-        self.pending_completions.remove(&machine_id);
+        self.completions.pending.remove(&machine_id);
         for task_move in self
-            .moves
+            .completions
+            .planned_moves
             .extract_if(.., |task_move| task_move.victim == machine_id)
         {
             for e in &task_move.entries {
-                self.reserved.remove(e);
+                self.completions.reserved.remove(e);
             }
         }
     }
@@ -352,14 +409,14 @@
     /// Keeps count of the tasks that run on the machines held.
     pub(crate) fn count_running(&mut self, tasks: &HashMap<TaskId, TaskRuntime>, more: bool) {
         for (task, _) in tasks.iter().filter(|l| l.1.status == TaskPhase::Running) {
-            let n = self.running.entry(task.job).or_default();
+            let n = self.held.running_tasks.entry(task.job).or_default();
             if more {
                 *n += 1;
             } else {
                 *n = n.saturating_sub(1);
             }
             if *n == 0 {
-                self.running.remove(&task.job);
+                self.held.running_tasks.remove(&task.job);
             }
         }
     }
--- a/src/controller/merging.rs
+++ b/src/controller/merging.rs
@@ -41,10 +41,10 @@
 
     /// Writes two small blocks held here as one, now and then.
     pub(super) fn tick_merge(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if now < self.next_merge || self.replica.encoding() != Encoding::Dense {
+        if now < self.block_upkeep.next_merge || self.replica.encoding() != Encoding::Dense {
             return;
         }
-        self.next_merge = now.plus(MERGE_MS);
+        self.block_upkeep.next_merge = now.plus(MERGE_MS);
         if self.used_blocks() <= self.bearable_blocks() {
             return;
         }
@@ -85,7 +85,7 @@
             let Some(grant) = grant else { continue };
             let quiet = self.idle_early(WriteKind::Ends(id), now)
                 && !self.block_busy(id)
-                && !self.oversized.contains(&id);
+                && !self.block_upkeep.oversized.contains(&id);
             let machines = block.machines.iter();
             let known = machines.filter_map(|m| self.replica.machines.get(m));
             let expected = self.expected_size(known);
--- a/src/controller/metrics.rs
+++ b/src/controller/metrics.rs
@@ -48,7 +48,7 @@
     pub(super) fn log_metrics(&self) {
         let c = &self.counters;
         info!(
-            machines = self.runtime.len(),
+            machines = self.held.machines.len(),
             heartbeats = c.heartbeats,
             redirects = c.redirects,
             launches = c.launches,
@@ -74,7 +74,7 @@
     pub fn status_page(&self, now: Timestamp) -> serde_json::Value {
         let names = &self.replica.names;
         let machines: BTreeMap<&str, serde_json::Value> = self
-            .runtime
+            .held.machines
             .iter()
             .map(|(&m, runtime)| {
                 let queue = self.replica.machines.get(&m).map_or(0, |m| m.queue.len());
@@ -87,7 +87,7 @@
             })
             .collect();
         let mut page = serde_json::json!({
-            "host": self.my_name(), "boot": self.incarnation.0, "ready": self.ready(now),
+            "host": self.my_name(), "boot": self.membership.incarnation.0, "ready": self.ready(now),
             "authority": self.has_authority(now), "leads": self.leads().map(|l| l.mod_revision),
             "leader": self.replica.leader.map(|l| names.hosts.name(l.host)),
             "ledger": self.replica.revision, "jobs": self.replica.jobs.len(),
@@ -119,6 +119,6 @@
         let hosts = &self.replica.names.hosts;
         let live_controllers = self.replica.live_controllers.iter();
         let shown = live_controllers.map(|(&host, node)| (hosts.name(host), node.format));
-        shown.chain([(self.my_name(), self.format)]).collect()
+        shown.chain([(self.my_name(), self.formats.own)]).collect()
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -3,23 +3,35 @@
 //! No input or output happens here. The service feeds in what arrived and when, and carries out
 //! the [`Action`]s that come back; tests do the same with fakes.
 
+mod block_upkeep;
 pub(crate) mod completions;
 mod formats;
 mod heartbeats;
+mod held_machines;
 mod lease;
 mod merging;
 mod metrics;
-mod observations;
+mod pauses;
 mod peers;
 mod splitting;
 mod usage;
 pub(crate) mod write_pacing;
 pub(crate) mod writes;
 
+pub(crate) use block_upkeep::BlockUpkeep;
+pub(crate) use completions::Completions;
+pub(crate) use formats::FormatTracker;
 pub(crate) use heartbeats::NO_TOKEN;
+pub(crate) use held_machines::HeldMachines;
+use held_machines::UnownedMachineState;
+pub(crate) use held_machines::{
+    FailureStreak, MachineInfo, MachineRuntime, PeerState, TaskRuntime,
+};
+pub(crate) use lease::Membership;
 pub use metrics::Counters;
-use observations::UnownedMachineState;
-pub(crate) use observations::{FailureStreak, MachineInfo, MachineRuntime, PeerState, TaskRuntime};
+pub(crate) use pauses::PauseDetector;
+pub(crate) use peers::Peers;
+pub(crate) use writes::WritePipeline;
 
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
@@ -43,7 +55,7 @@
 use crate::spillover::{CellCall, Spillover};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 use tracing::{debug, error, info, warn};
 
 /// Something for the service to do.
@@ -169,93 +181,47 @@
     pub others: Vec<HostId>,
     /// Counters.
     pub counters: Counters,
-    pub(crate) incarnation: Incarnation,
-    lease_id: Option<u64>,
-    pub(crate) joined: bool,
-    renewed: Option<Timestamp>,
-    confirmed: Option<Timestamp>,
-    next_renew: Timestamp,
-    lease_busy: bool,
-    state_bad_since: Option<Timestamp>,
+    /// Lease, incarnation and what the authority of this controller rests on.
+    pub(crate) membership: Membership,
+    /// Pauses of this process.
+    pub(crate) pauses: PauseDetector,
+    /// Which format of stored values each controller reads.
+    pub(crate) formats: FormatTracker,
+    /// What the other controllers said, and what they are told next.
+    pub(crate) peers: Peers,
+    /// Machines that this controller holds or hears of.
+    pub(crate) held: HeldMachines,
+    /// Completions and moves that are still to be recorded.
+    pub(crate) completions: Completions,
+    /// Transactions that are planned, in flight or in doubt.
+    pub(crate) writes: WritePipeline,
+    /// Blocks that are to be split, merged or granted.
+    pub(crate) block_upkeep: BlockUpkeep,
+    /// When periodic duties are due.
+    pub(crate) schedule: Schedule,
     pub(crate) rng: SmallRng,
-    pub(crate) runtime: HashMap<MachineId, MachineRuntime>,
-    /// Endings to be recorded, by the machine on which they were found out.
-    pending_completions: HashMap<MachineId, Vec<(Binding, TaskOutcome)>>,
-    /// Tasks that run on the machines held, by job.
-    running: HashMap<JobId, u32>,
-    pub(crate) moves: Vec<Move>,
-    pub(crate) reserved: HashSet<Binding>,
-    /// What writes that failed may have done all the same, by a copy that had no answer, until the
-    /// replica shows whether they did.
-    unacknowledged: Vec<writes::UnacknowledgedWrite>,
-    in_flight: HashMap<WriteKind, writes::InFlightWrite>,
-    next_turn: HashMap<WriteKind, write_pacing::WriteTurn>,
-    /// How fast the turns of gathered writes follow one another.
-    write_pace: write_pacing::WritePace,
-    /// Since when many blocks have no valid grant, and the change of the replica that it was last
-    /// judged at.
-    unheld_since: Option<Timestamp>,
-    unheld_judged: u64,
-    /// When two small blocks may be merged again.
-    next_merge: Timestamp,
-    /// Blocks held here that are to be divided.
-    oversized: BTreeSet<BlockId>,
-    /// Revision that the replica must reach before the next one of a kind is planned.
-    awaited_revisions: HashMap<WriteKind, u64>,
-    /// When the state service last refused a write for its budget.
-    refused_at: Option<Timestamp>,
-    /// When a user was last refused for it.
-    user_refused: Option<Timestamp>,
-    /// Machines whose answers wait and that have been given tasks.
-    woken_machines: Vec<MachineId>,
-    /// Nothing new is planned before the replica is at this revision.
-    plan_after_revision: u64,
-    pub(crate) peers: HashMap<HostId, PeerState>,
-    /// When each controller's queue totals last arrived by way of the state service.
-    last_load_seen: HashMap<HostId, Timestamp>,
-    unowned_machines: HashMap<String, UnownedMachineState>,
-    /// Jobs that were cancelled lately, and when that became known here.
-    cancelled: VecDeque<(Timestamp, String)>,
-    /// Jobs that the replica shows as pending and a peer knows to be cancelled.
-    peer_reported_cancellations: HashSet<JobId>,
-    /// Blocks of ours that a peer knows to be granted anew: the token, and the holder.
-    peer_reported_grants: HashMap<BlockId, (u64, HostId)>,
-    pub(crate) failure_streaks: HashMap<JobId, FailureStreak>,
-    pub(crate) ratios: HashMap<ClassId, f64>,
-    /// Catalog by index, once known.
+    /// Machine types of the catalog by index, once known.
     pub(crate) machine_types: HashMap<MachineTypeId, MachineType>,
-    next_catalog: Timestamp,
-    next_peers: Timestamp,
-    /// Messages to peers so far: some of them are long.
-    peer_turn: u32,
-    /// Whether machines can be used of which the leader has not been told yet.
-    urgent_update: bool,
-    /// When it may be told at the earliest.
-    next_urgent_update: Timestamp,
-    pub(crate) next_round: Timestamp,
     pub(crate) leadership: LeaderState,
+    /// Milliseconds since the day began, by the wall clock.
     pub(crate) day_ms: u64,
-    pub(crate) outbox: Vec<(HostId, crate::protocol::StealMessage)>,
-    pub(crate) started: Option<Timestamp>,
-    last_tick: Timestamp,
-    /// When this controller was last kept from looking at what is due.
-    stalled_at: Option<Timestamp>,
-    /// When this controller went on after it had stood still for so long that others may have
-    /// acted in its place.
-    resumed_at: Option<Timestamp>,
-    next_metrics: Timestamp,
-    /// Format of stored values that this controller reads.
-    pub(crate) format: u32,
-    /// Whether it was said that this version is too old for what is stored.
-    outdated_logged: bool,
-    /// Controllers that were seen to run an older version.
-    older: HashMap<HostId, formats::OlderVersion>,
-    /// When the archive may be asked again for jobs that others need.
-    next_archived: Timestamp,
     /// Jobs lent to other cells and borrowed from them.
     pub(crate) spillover: Spillover,
 }
 
+/// When the duties are due that follow no event.
+#[derive(Debug, Default)]
+pub(crate) struct Schedule {
+    /// When the catalog is read again.
+    pub(crate) next_catalog: Timestamp,
+    /// When the next round of work stealing begins.
+    pub(crate) next_round: Timestamp,
+    /// When the counters are logged next.
+    next_metrics: Timestamp,
+    /// When the archive may be asked again for jobs that others need.
+    pub(crate) next_archive_query: Timestamp,
+}
+
 /// A gap between two looks at what is due that shows that the controller cannot keep up, ms.
 const STALL_MS: u64 = 1000;
 /// Interval of the counters in the log, ms.
@@ -291,67 +257,26 @@
             me,
             others,
             counters: Counters::default(),
-            incarnation,
-            lease_id: None,
-            joined: false,
-            renewed: None,
-            confirmed: None,
-            next_renew: Timestamp(0),
-            lease_busy: false,
-            state_bad_since: None,
+            membership: Membership::new(incarnation),
+            pauses: PauseDetector::default(),
+            formats: FormatTracker::new(format),
+            peers: Peers::default(),
+            held: HeldMachines::default(),
+            completions: Completions::default(),
+            writes: WritePipeline::default(),
+            block_upkeep: BlockUpkeep::default(),
+            schedule: Schedule::default(),
             rng,
-            runtime: HashMap::default(),
-            pending_completions: HashMap::default(),
-            running: HashMap::default(),
-            moves: Vec::new(),
-            reserved: HashSet::default(),
-            unacknowledged: Vec::new(),
-            in_flight: HashMap::default(),
-            next_turn: HashMap::default(),
-            write_pace: write_pacing::WritePace::default(),
-            unheld_since: None,
-            unheld_judged: 0,
-            next_merge: Timestamp(0),
-            oversized: BTreeSet::new(),
-            awaited_revisions: HashMap::default(),
-            refused_at: None,
-            user_refused: None,
-            woken_machines: Vec::new(),
-            plan_after_revision: 0,
-            peers: HashMap::default(),
-            last_load_seen: HashMap::default(),
-            unowned_machines: HashMap::default(),
-            cancelled: VecDeque::new(),
-            peer_reported_cancellations: HashSet::default(),
-            peer_reported_grants: HashMap::default(),
-            failure_streaks: HashMap::default(),
-            ratios: HashMap::default(),
             machine_types: HashMap::default(),
-            next_catalog: Timestamp(0),
-            next_peers: Timestamp(0),
-            peer_turn: 0,
-            urgent_update: false,
-            next_urgent_update: Timestamp(0),
-            next_round: Timestamp(0),
             leadership: LeaderState::default(),
             day_ms: 0,
-            outbox: Vec::new(),
-            started: None,
-            last_tick: Timestamp(0),
-            stalled_at: None,
-            resumed_at: None,
-            next_metrics: Timestamp(0),
-            format,
-            outdated_logged: false,
-            older: HashMap::default(),
-            next_archived: Timestamp(0),
             spillover,
         }
     }
 
     /// Makes this controller behave as one of the version before did, for stories of upgrades.
     pub fn run_as_format(&mut self, format: u32) {
-        self.format = format;
+        self.formats.own = format;
     }
 
     /// This controller's name.
@@ -368,26 +293,28 @@
     pub fn tick(&mut self, now: Timestamp, day_ms: u64) -> Vec<Effect> {
         let mut out = Vec::new();
         self.day_ms = day_ms;
-        if self.started.is_some() && now.since(self.last_tick) > STALL_MS {
-            self.stalled_at = Some(now);
+        if self.pauses.started_at.is_some() && now.since(self.pauses.last_tick_at) > STALL_MS {
+            self.pauses.stalled_at = Some(now);
         }
-        if self.started.is_some() && now.since(self.last_tick) > self.silent_ms() {
-            warn!(ms = now.since(self.last_tick), "stood still");
-            self.resumed_at = Some(now);
+        if self.pauses.started_at.is_some()
+            && now.since(self.pauses.last_tick_at) > self.silent_ms()
+        {
+            warn!(ms = now.since(self.pauses.last_tick_at), "stood still");
+            self.pauses.resumed_at = Some(now);
         }
-        let started = *self.started.get_or_insert(now);
-        self.last_tick = now;
+        let started = *self.pauses.started_at.get_or_insert(now);
+        self.pauses.last_tick_at = now;
         if self.is_outdated() {
             self.note_outdated();
             return out;
         }
-        if now >= self.next_metrics {
-            self.next_metrics = now.plus(METRICS_MS);
+        if now >= self.schedule.next_metrics {
+            self.schedule.next_metrics = now.plus(METRICS_MS);
             self.log_metrics();
         }
-        if now >= self.next_catalog {
+        if now >= self.schedule.next_catalog {
             let wait = if self.catalog_known() { 30_000 } else { 1000 };
-            self.next_catalog = now.plus(wait);
+            self.schedule.next_catalog = now.plus(wait);
             out.push(Effect::Catalog);
         }
         self.adjust_write_pace(now);
@@ -410,7 +337,10 @@
         }
         self.ask_archive(now, &mut out);
         self.tick_spillover(now, &mut out);
-        if now >= self.next_peers || !self.outbox.is_empty() || self.urgent_update_due(now) {
+        if now >= self.peers.next_message
+            || !self.peers.outbox.is_empty()
+            || self.urgent_update_due(now)
+        {
             self.tick_peers(now, &mut out);
         }
         out
@@ -428,7 +358,12 @@
 
     /// Expected seconds of a task, the owners' estimates corrected by what was observed.
     pub(crate) fn run_s(&self, job: &Job) -> f64 {
-        let ratio = self.ratios.get(&job.class).copied().unwrap_or(1.0);
+        let ratio = self
+            .held
+            .run_time_ratios
+            .get(&job.class)
+            .copied()
+            .unwrap_or(1.0);
         (job.spec.estimate_s * ratio).max(0.5)
     }
 
@@ -438,7 +373,7 @@
             return 0.0;
         };
         let Some(size) = self.size(m) else { return 0.0 };
-        let runtime = self.runtime.get(&machine_id);
+        let runtime = self.held.machines.get(&machine_id);
         let work: f64 = m
             .queue
             .iter()
@@ -481,7 +416,8 @@
         }
         let names = &self.replica.names.machines;
         let mut loads: Vec<(f64, MachineId)> = self
-            .runtime
+            .held
+            .machines
             .keys()
             .map(|&m| ((self.queue_load(m, now) * 10.0).round() / 10.0, m))
             .collect();
@@ -513,7 +449,7 @@
         let key = load_key(self.my_name());
         let transaction = Transaction {
             preconditions: Vec::new(),
-            mutations: vec![put(&key, &record, self.lease_id)],
+            mutations: vec![put(&key, &record, self.membership.lease_id)],
         };
         self.submit(
             WriteKind::Load,
@@ -531,7 +467,7 @@
     ) -> Option<MachineInfo> {
         let (_, grant) = self.replica.holder(machine_id)?;
         if grant.host == self.me {
-            let runtime = self.runtime.get(&machine_id)?;
+            let runtime = self.held.machines.get(&machine_id)?;
             return Some(MachineInfo {
                 age_ms: runtime.heard.map(|h| now.since(h)),
                 obeys: runtime.obeys(),
@@ -540,7 +476,7 @@
                 restarted: runtime.restarted,
             });
         }
-        let peer = self.peers.get(&grant.host)?;
+        let peer = self.peers.states.get(&grant.host)?;
         let age = now.since(peer.machines_at?);
         let message = peer.machines.get(&machine_id)?;
         Some(MachineInfo {
@@ -559,6 +495,7 @@
             Some((_, g)) => {
                 let message = self
                     .peers
+                    .states
                     .get(&g.host)
                     .and_then(|p| p.machines.get(&machine_id));
                 message.map_or(0.0, |n| n.load)
@@ -569,14 +506,18 @@
 
     /// Running tasks of a job as far as this controller has heard, for display.
     pub fn running(&self, job: JobId) -> u32 {
-        let mine = self.running.get(&job).copied().unwrap_or(0);
-        let theirs = self.peers.values().filter_map(|p| p.running.get(&job));
+        let mine = self.held.running_tasks.get(&job).copied().unwrap_or(0);
+        let theirs = self
+            .peers
+            .states
+            .values()
+            .filter_map(|p| p.running.get(&job));
         mine + theirs.sum::<u32>()
     }
 
     /// Whether no task of a job may run any more, as far as this controller knows.
     pub(crate) fn is_over(&self, job_id: JobId, job: &Job) -> bool {
-        job.status != JobStatus::Pending || self.peer_reported_cancellations.contains(&job_id)
+        job.status != JobStatus::Pending || self.peers.reported_cancellations.contains(&job_id)
     }
 }
 
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -10,6 +10,31 @@
 /// After a peer has said for so long that it alone is refused, others act in its place, ms.
 const REFUSED_MS: u64 = 2000;
 
+/// What the other controllers said, and what they are told next.
+#[derive(Debug, Default)]
+pub(crate) struct Peers {
+    /// What is known of each peer.
+    pub(crate) states: HashMap<HostId, PeerState>,
+    /// When each controller's queue totals last arrived by way of the state service.
+    pub(crate) last_load_seen: HashMap<HostId, Timestamp>,
+    /// Jobs that were cancelled lately, and when that became known here.
+    pub(crate) recent_cancellations: VecDeque<(Timestamp, String)>,
+    /// Jobs that the replica shows as pending and a peer knows to be cancelled.
+    pub(crate) reported_cancellations: HashSet<JobId>,
+    /// Blocks held here that a peer knows to be granted again: fencing token and holder.
+    pub(crate) reported_grants: HashMap<BlockId, (u64, HostId)>,
+    /// When the next periodic message is due.
+    pub(crate) next_message: Timestamp,
+    /// Periodic messages so far: every fourth one tells of all machines.
+    pub(crate) message_count: u32,
+    /// Whether machines can be used of which the leader has not been told yet.
+    pub(crate) urgent_update: bool,
+    /// When the leader may be told of them at the earliest.
+    pub(crate) next_urgent_update: Timestamp,
+    /// Messages of work stealing that wait for the next message to a peer.
+    pub(crate) outbox: Vec<(HostId, crate::protocol::StealMessage)>,
+}
+
 impl Controller {
     pub(crate) fn silent_ms(&self) -> u64 {
         (self.settings.options.peers_silent_s * 1000.0) as u64
@@ -27,6 +52,7 @@
         host == self.me
             || self
                 .peers
+                .states
                 .get(&host)
                 .and_then(|p| p.heard)
                 .is_some_and(|h| now.since(h) <= self.silent_ms())
@@ -40,6 +66,7 @@
             && self.hears(host, now)
             && self
                 .peers
+                .states
                 .get(&host)
                 .and_then(|p| p.incarnation)
                 .is_some_and(|b| b != incarnation)
@@ -58,7 +85,7 @@
                 .filter(|&&h| h != host && self.hears(h, now))
         };
         let misses = |h: &&HostId| {
-            self.peers.get(*h).is_some_and(|p| {
+            self.peers.states.get(*h).is_some_and(|p| {
                 p.hears
                     .get(&host)
                     .is_none_or(|&age| age + 300 > self.silent_ms())
@@ -68,7 +95,7 @@
         if missing == 0 || missing * 2 < heard().count() {
             return false;
         }
-        let signed = self.last_load_seen.get(&host).is_some_and(|&at| {
+        let signed = self.peers.last_load_seen.get(&host).is_some_and(|&at| {
             let period = (self.settings.options.balance_period_s * 1000.0) as u64;
             now.since(at) < period + self.silent_ms()
         });
@@ -125,12 +152,12 @@
         }
         let record = HolderRecord {
             host: self.my_name().to_owned(),
-            incarnation: self.incarnation.0,
+            incarnation: self.membership.incarnation.0,
         };
         let key = crate::replica::LEAD;
         let transaction = Transaction {
             preconditions: vec![self.precondition(key)],
-            mutations: vec![put(key, &record, self.lease_id)],
+            mutations: vec![put(key, &record, self.membership.lease_id)],
         };
         info!(before = ?self.replica.leader.map(|l| self.replica.names.hosts.name(l.host).to_owned()), "asking for the leadership");
         self.submit(
@@ -143,26 +170,26 @@
 
     /// Whether the leader is to be told now of machines that came up.
     pub(crate) fn urgent_update_due(&self, now: Timestamp) -> bool {
-        self.urgent_update && now >= self.next_urgent_update
+        self.peers.urgent_update && now >= self.peers.next_urgent_update
     }
 
     pub(crate) fn tick_peers(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        let periodic = now >= self.next_peers;
+        let periodic = now >= self.peers.next_message;
         if periodic {
-            self.next_peers = now.plus(self.settings.options.peers_period_ms as u64);
+            self.peers.next_message = now.plus(self.settings.options.peers_period_ms as u64);
         }
         // Machines that come up are of use only once the leader knows of them.
         let urgent_update = self.urgent_update_due(now);
         if urgent_update {
-            self.urgent_update = false;
-            self.next_urgent_update = now.plus(URGENT_UPDATE_INTERVAL_MS);
+            self.peers.urgent_update = false;
+            self.peers.next_urgent_update = now.plus(URGENT_UPDATE_INTERVAL_MS);
         }
         let leader = self
             .replica
             .leader
             .map(|l| l.host)
             .filter(|_| urgent_update);
-        let mut outbox = std::mem::take(&mut self.outbox);
+        let mut outbox = std::mem::take(&mut self.peers.outbox);
         for host in self.others.clone() {
             let mut steal_messages = Vec::new();
             outbox.retain_mut(|(h, a)| {
@@ -183,14 +210,14 @@
                 });
             }
         }
-        self.peer_turn += u32::from(periodic);
+        self.peers.message_count += u32::from(periodic);
     }
 
     /// Whether this controller speaks to a peer first. The answer tells as much as the request,
     /// so one of the two suffices, unless it has not been heard for a while.
     fn begins_with(&self, host: HostId, now: Timestamp) -> bool {
         let patience = (self.settings.options.peers_period_ms * 1.5) as u64;
-        let heard = self.peers.get(&host).and_then(|p| p.heard);
+        let heard = self.peers.states.get(&host).and_then(|p| p.heard);
         self.my_name() < self.replica.names.hosts.name(host)
             || heard.is_none_or(|h| now.since(h) > patience)
     }
@@ -199,7 +226,7 @@
     /// others roughly.
     fn tells_all(&self, host: HostId) -> bool {
         let leads = self.replica.leader.is_some_and(|l| l.host == host);
-        leads || self.peer_turn.is_multiple_of(4)
+        leads || self.peers.message_count.is_multiple_of(4)
     }
 
     /// The answer to a peer's message.
@@ -218,21 +245,21 @@
     /// Takes note of cancellations that the replica shows.
     pub(crate) fn note_cancelled(&mut self, jobs: Vec<JobId>, now: Timestamp) {
         for job in jobs {
-            self.peer_reported_cancellations.remove(&job);
+            self.peers.reported_cancellations.remove(&job);
             // A loan that was given up may come again, under another token; whether it stands its
             // lender says.
             if self.is_loan(job) {
                 continue;
             }
             let name = self.replica.names.jobs.name(job).to_owned();
-            self.cancelled.push_back((now, name));
+            self.peers.recent_cancellations.push_back((now, name));
         }
         let cancel_ms = (self.settings.platform.settings.workers.cancel_s * 1000.0) as u64;
         let old = |w: &(Timestamp, String)| now.since(w.0) > cancel_ms;
-        while self.cancelled.len() > MAX_RECENT_CANCELLATIONS
-            || self.cancelled.front().is_some_and(old)
+        while self.peers.recent_cancellations.len() > MAX_RECENT_CANCELLATIONS
+            || self.peers.recent_cancellations.front().is_some_and(old)
         {
-            self.cancelled.pop_front();
+            self.peers.recent_cancellations.pop_front();
         }
     }
 
@@ -252,10 +279,15 @@
         // Own writes show in the replica before the next look at what a watch brought.
         let newly_cancelled = std::mem::take(&mut self.replica.changes.cancelled);
         self.note_cancelled(newly_cancelled, now);
-        if self.peers.get(&host).is_none_or(|p| p.state_ok) {
+        if self.peers.states.get(&host).is_none_or(|p| p.state_ok) {
             return;
         }
-        message.cancelled = self.cancelled.iter().map(|w| w.1.clone()).collect();
+        message.cancelled = self
+            .peers
+            .recent_cancellations
+            .iter()
+            .map(|w| w.1.clone())
+            .collect();
         let hosts = &self.replica.names.hosts;
         let grants = self.replica.grants.iter();
         message.grants = grants
@@ -266,7 +298,7 @@
     /// Whether the state service answers some other controller that is heard, but not us.
     pub(crate) fn alone_without_store(&self, now: Timestamp) -> bool {
         let served = |h: &&HostId| {
-            let peer = self.peers.get(*h);
+            let peer = self.peers.states.get(*h);
             self.hears(**h, now) && peer.is_some_and(|p| p.state_ok)
         };
         !self.state_ok(now) && self.others.iter().any(|h| served(&h))
@@ -281,6 +313,7 @@
             && self.hears(host, now)
             && self
                 .peers
+                .states
                 .get(&host)
                 .and_then(|p| p.refused_since)
                 .is_some_and(|since| now.since(since) >= REFUSED_MS)
@@ -288,18 +321,19 @@
 
     /// What this controller tells its peers; a long message tells of its machines.
     pub fn peer_message(&mut self, long: bool, now: Timestamp) -> PeerMessage {
-        self.unowned_machines
-            .retain(|_, s| now.since(s.last) < 7000);
+        self.held.unowned.retain(|_, s| now.since(s.last) < 7000);
         let names = &self.replica.names;
         let since = |t: Timestamp| now.since(t);
         let fleet = long.then(|| FleetSummary {
             machines: self
-                .runtime
+                .held
+                .machines
                 .iter()
                 .map(|(&m, runtime)| self.machine_summary(m, runtime, now))
                 .collect(),
             running: self
-                .running
+                .held
+                .running_tasks
                 .iter()
                 .map(|(&j, &n)| (names.jobs.name(j).to_owned(), n))
                 .collect(),
@@ -311,11 +345,15 @@
         });
         PeerMessage {
             host: self.my_name().to_owned(),
-            incarnation: self.incarnation.0,
+            incarnation: self.membership.incarnation.0,
             state_ok: self.state_ok(now),
-            short: self.user_refused.is_some_and(|t| now.since(t) < 1000),
+            short: self
+                .writes
+                .user_refused_at
+                .is_some_and(|t| now.since(t) < 1000),
             heard: self
                 .peers
+                .states
                 .iter()
                 .filter_map(|(&h, p)| Some((names.hosts.name(h).to_owned(), since(p.heard?))))
                 .collect(),
@@ -323,24 +361,27 @@
             unowned_machines: self.unowned_machines_to_report(now),
             steal_messages: Vec::new(),
             ratios: self
-                .ratios
+                .held
+                .run_time_ratios
                 .iter()
                 .map(|(&c, &r)| (names.classes.name(c).to_owned(), r))
                 .collect(),
             failure_streaks: self
+                .held
                 .failure_streaks
                 .iter()
                 .map(|(&j, f)| (names.jobs.name(j).to_owned(), f.count, since(f.last)))
                 .collect(),
             cancelled: Vec::new(),
             grants: Vec::new(),
-            format: self.format,
+            format: self.formats.own,
             loans: self.heard_loans(now),
         }
     }
 
     pub(crate) fn unowned_machines_to_report(&self, now: Timestamp) -> Vec<UnownedMachine> {
-        self.unowned_machines
+        self.held
+            .unowned
             .iter()
             .filter(|(_, s)| now.since(s.last) < 6000)
             .map(|(machine, s)| UnownedMachine {
@@ -407,7 +448,7 @@
                 ))
             })
             .collect();
-        let peer = self.peers.entry(host).or_default();
+        let peer = self.peers.states.entry(host).or_default();
         peer.heard = Some(now);
         peer.incarnation = Some(Incarnation(message.incarnation));
         peer.state_ok = message.state_ok;
@@ -444,7 +485,7 @@
             };
             let pending = self.replica.jobs.get(&job_id);
             if pending.is_some_and(|j| j.status == JobStatus::Pending) && !self.is_loan(job_id) {
-                self.peer_reported_cancellations.insert(job_id);
+                self.peers.reported_cancellations.insert(job_id);
             }
         }
         for (id, token, holder) in message.grants {
@@ -453,14 +494,15 @@
                 continue;
             };
             if held.is_some_and(|g| g.host == self.me && g.mod_revision < token) {
-                self.peer_reported_grants
+                self.peers
+                    .reported_grants
                     .insert(BlockId(id), (token, holder));
             }
         }
         for (class, ratio) in message.ratios {
             let class = self.replica.names.classes.intern(&class);
             // Peers' experience counts until there is some of our own.
-            self.ratios.entry(class).or_insert(ratio);
+            self.held.run_time_ratios.entry(class).or_insert(ratio);
         }
         self.on_heard_loans(message.loans, now);
         for agent in message.steal_messages {
--- a/src/controller/splitting.rs
+++ b/src/controller/splitting.rs
@@ -46,9 +46,9 @@
         let held = self.replica.grants.get(&id).is_some_and(|g| self.holds(g));
         let block = self.replica.blocks.get(&id).filter(|_| held);
         if block.is_some_and(|b| self.is_oversized(b)) {
-            self.oversized.insert(id);
+            self.block_upkeep.oversized.insert(id);
         } else {
-            self.oversized.remove(&id);
+            self.block_upkeep.oversized.remove(&id);
         }
     }
 
--- a/src/controller/write_pacing.rs
+++ b/src/controller/write_pacing.rs
@@ -107,7 +107,10 @@
     /// at once: the grants of fifty blocks then took six seconds, and with the time of the restart
     /// the leases of workers ran out.
     pub(crate) fn note_unheld(&mut self, now: Timestamp) {
-        if std::mem::replace(&mut self.unheld_judged, self.replica.version) == self.replica.version
+        if std::mem::replace(
+            &mut self.block_upkeep.unheld_checked_version,
+            self.replica.version,
+        ) == self.replica.version
         {
             return;
         }
@@ -120,24 +123,28 @@
         };
         let unheld = self.replica.blocks.keys().filter(|id| !valid(id)).count();
         if unheld < UNHELD_BLOCKS {
-            self.unheld_since = None;
+            self.block_upkeep.unheld_since = None;
         } else {
-            self.unheld_since.get_or_insert(now);
+            self.block_upkeep.unheld_since.get_or_insert(now);
         }
     }
 
     /// Whether gathered writes give way to grants.
     pub(crate) fn grants_first(&self, now: Timestamp) -> bool {
-        self.unheld_since
+        self.block_upkeep
+            .unheld_since
             .is_some_and(|since| now.since(since) < UNHELD_MS)
     }
 
     /// Looks at how much of the budget of changes is used.
     pub(crate) fn adjust_write_pace(&mut self, now: Timestamp) {
         let budget = self.settings.platform.settings.state.write_rps;
-        let refused =
-            self.users_refused(now) || self.refused_at.is_some_and(|t| now.since(t) < SHORT_MS);
-        self.write_pace.adjust(budget, refused, now);
+        let refused = self.users_refused(now)
+            || self
+                .writes
+                .refused_at
+                .is_some_and(|t| now.since(t) < SHORT_MS);
+        self.writes.pace.adjust(budget, refused, now);
     }
 
     /// Spreads writes over time: each block has its turn, and what comes in between is gathered for
@@ -153,17 +160,18 @@
         let part = if self.users_refused(now) {
             SHORT_FACTOR
         } else {
-            self.write_pace.factor()
+            self.writes.pace.factor()
         };
         let ms = self.turn_ms(share) * writes as f64 / part;
         let turn = WriteTurn {
             due: now.plus((ms as u64).max(least)),
             early: now.plus(least),
         };
-        self.next_turn.insert(write_kind, turn);
-        if self.next_turn.len() > 1000 {
-            self.next_turn.retain(|_, t| now < t.due);
-            self.awaited_revisions
+        self.writes.turns.insert(write_kind, turn);
+        if self.writes.turns.len() > 1000 {
+            self.writes.turns.retain(|_, t| now < t.due);
+            self.writes
+                .awaited_revisions
                 .retain(|_, l| self.replica.revision < *l);
         }
     }
@@ -178,18 +186,21 @@
     /// next, together.
     pub(crate) fn turns_s(&self) -> f64 {
         let slowest_ms = self.turn_ms(EDITS) + self.turn_ms(ENDINGS);
-        slowest_ms / self.write_pace.factor() / 1000.0
+        slowest_ms / self.writes.pace.factor() / 1000.0
     }
 
     /// A user's write was refused because the budget of changes was used up.
     pub fn on_user_refused(&mut self, now: Timestamp) {
-        self.user_refused = Some(now);
+        self.writes.user_refused_at = Some(now);
     }
 
     /// Whether some controller had to refuse a user a moment ago, as far as is known here.
     pub(crate) fn users_refused(&self, now: Timestamp) -> bool {
-        let mine = self.user_refused.is_some_and(|t| now.since(t) < SHORT_MS);
-        let theirs = self.peers.values();
+        let mine = self
+            .writes
+            .user_refused_at
+            .is_some_and(|t| now.since(t) < SHORT_MS);
+        let theirs = self.peers.states.values();
         mine || theirs
             .filter_map(|p| p.short_at)
             .any(|t| now.since(t) < SHORT_MS)
--- a/src/controller/writes.rs
+++ b/src/controller/writes.rs
@@ -1,6 +1,6 @@
 //! Transactions under way: sent, settled, paced.
 
-use super::write_pacing::WriteTurn;
+use super::write_pacing::{WritePace, WriteTurn};
 use super::*;
 
 /// Pause after a write that the service called malformed, ms.
@@ -51,24 +51,45 @@
     intent: WriteIntent,
 }
 
+/// Transactions that are in flight or in doubt, and when the next ones may be planned.
+#[derive(Debug, Default)]
+pub(crate) struct WritePipeline {
+    /// What failed writes may have done all the same, by a copy that had no answer, until the
+    /// replica shows whether they did.
+    pub(crate) unacknowledged: Vec<UnacknowledgedWrite>,
+    pub(crate) in_flight: HashMap<WriteKind, InFlightWrite>,
+    pub(crate) turns: HashMap<WriteKind, WriteTurn>,
+    /// How fast the turns of gathered writes follow one another.
+    pub(crate) pace: WritePace,
+    /// Revision that the replica must reach before the next write of a kind is planned.
+    pub(crate) awaited_revisions: HashMap<WriteKind, u64>,
+    /// Nothing new is planned before the replica is at this revision.
+    pub(crate) plan_after_revision: u64,
+    /// When the state service last refused a write for its budget.
+    pub(crate) refused_at: Option<Timestamp>,
+    /// When a user was last refused for it.
+    pub(crate) user_refused_at: Option<Timestamp>,
+}
+
 impl Controller {
     /// Forgets what the replica has caught up with.
     pub(crate) fn resolve_unacknowledged(&mut self) {
-        let (reached, confirmed) = (self.replica.revision, self.confirmed);
+        let (reached, confirmed) = (self.replica.revision, self.membership.replica_confirmed_at);
         let shown = |u: &mut UnacknowledgedWrite| match u.settled {
             ResolvedWhen::AtRevision(revision) => revision <= reached,
             ResolvedWhen::ByWatchSince(sent) => confirmed.is_some_and(|c| c >= sent),
         };
-        for seen in self.unacknowledged.extract_if(.., shown) {
+        for seen in self.writes.unacknowledged.extract_if(.., shown) {
             for e in seen.intent.moves.iter().flat_map(|m| &m.entries) {
-                self.reserved.remove(e);
+                self.completions.reserved.remove(e);
             }
         }
     }
 
     /// Whether an ending of this entry waits to be recorded.
     pub(crate) fn ended(&self, machine_id: MachineId, e: &Binding) -> bool {
-        self.pending_completions
+        self.completions
+            .pending
             .get(&machine_id)
             .is_some_and(|completions| completions.iter().any(|x| x.0 == *e))
     }
@@ -78,7 +99,8 @@
     pub(crate) fn idle(&self, write_kind: WriteKind, now: Timestamp) -> bool {
         self.is_free(write_kind)
             && self
-                .next_turn
+                .writes
+                .turns
                 .get(&write_kind)
                 .is_none_or(|turn| now >= turn.due)
     }
@@ -87,7 +109,8 @@
     pub(crate) fn idle_early(&self, write_kind: WriteKind, now: Timestamp) -> bool {
         self.is_free(write_kind)
             && self
-                .next_turn
+                .writes
+                .turns
                 .get(&write_kind)
                 .is_none_or(|turn| now >= turn.early)
     }
@@ -96,18 +119,20 @@
     /// failed.
     fn is_free(&self, write_kind: WriteKind) -> bool {
         let waits = self
+            .writes
             .awaited_revisions
             .get(&write_kind)
             .copied()
             .unwrap_or(0);
-        !self.in_flight.contains_key(&write_kind)
-            && self.replica.revision >= self.plan_after_revision.max(waits)
+        !self.writes.in_flight.contains_key(&write_kind)
+            && self.replica.revision >= self.writes.plan_after_revision.max(waits)
     }
 
     /// Whether this controller has a write of a block under way: a second one would only make
     /// one of the two fail.
     pub(crate) fn block_busy(&self, id: BlockId) -> bool {
-        self.in_flight
+        self.writes
+            .in_flight
             .values()
             .any(|f| f.intent.blocks.contains(&id))
     }
@@ -115,8 +140,8 @@
     /// What writes do that are under way, or that may have been carried out without the replica
     /// showing it yet.
     fn intents(&self) -> impl Iterator<Item = &WriteIntent> {
-        let flights = self.in_flight.values().map(|f| &f.intent);
-        flights.chain(self.unacknowledged.iter().map(|u| &u.intent))
+        let flights = self.writes.in_flight.values().map(|f| &f.intent);
+        flights.chain(self.writes.unacknowledged.iter().map(|u| &u.intent))
     }
 
     /// Tasks whose binding is under way.
@@ -139,7 +164,7 @@
 
     /// Blocks that some write under way touches.
     pub(crate) fn blocks_in_flight(&self) -> impl Iterator<Item = BlockId> + '_ {
-        let flights = self.in_flight.values();
+        let flights = self.writes.in_flight.values();
         flights.flat_map(|f| &f.intent.blocks).copied()
     }
 
@@ -160,12 +185,12 @@
             again: None,
             intent,
         };
-        self.in_flight.insert(write_kind, flight);
+        self.writes.in_flight.insert(write_kind, flight);
     }
 
     /// Sends again what had no answer.
     pub(crate) fn send_again(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        for (&write_kind, f) in &mut self.in_flight {
+        for (&write_kind, f) in &mut self.writes.in_flight {
             if f.again.is_some_and(|t| now >= t) {
                 f.again = None;
                 let transaction = f.transaction.clone();
@@ -179,7 +204,7 @@
 
     /// A transaction was answered, or was not.
     pub fn on_commit(&mut self, write_kind: WriteKind, outcome: CommitOutcome, now: Timestamp) {
-        let Some(flight) = self.in_flight.get_mut(&write_kind) else {
+        let Some(flight) = self.writes.in_flight.get_mut(&write_kind) else {
             return;
         };
         let jitter = self.rng.random_range(0..200);
@@ -201,7 +226,7 @@
             }
             _ => {}
         }
-        let Some(flight) = self.in_flight.remove(&write_kind) else {
+        let Some(flight) = self.writes.in_flight.remove(&write_kind) else {
             return;
         };
         match outcome {
@@ -210,8 +235,8 @@
                 self.pace(write_kind, flight.transaction.mutations.len(), now);
                 match write_kind {
                     WriteKind::Join => {
-                        self.joined = true;
-                        info!(incarnation = self.incarnation.0, "joined");
+                        self.membership.joined = true;
+                        info!(incarnation = self.membership.incarnation.0, "joined");
                     }
                     WriteKind::Lead => info!(term = revision, "took the leadership"),
                     WriteKind::Ends(_) => self.on_completions_committed(&flight.intent, revision),
@@ -223,34 +248,34 @@
             CommitOutcome::Conflict(revision) => {
                 self.counters.conflicts += 1;
                 debug!(?write_kind, revision, "a condition failed");
-                self.awaited_revisions.insert(write_kind, revision);
+                self.writes.awaited_revisions.insert(write_kind, revision);
                 // An unanswered copy may have made the moves, bound the tasks or placed the
                 // machines: until the replica shows whether it did, the tasks stay put, and nothing
                 // is bound or placed in another block. Other blocks need not wait for this one's
                 // failed guard.
-                self.unacknowledged.push(UnacknowledgedWrite {
+                self.writes.unacknowledged.push(UnacknowledgedWrite {
                     settled: ResolvedWhen::AtRevision(revision),
                     intent: flight.intent,
                 });
                 // Somebody else was faster; the next try need not wait for its turn.
                 let again = WriteTurn::at(now.plus(jitter / 4));
-                self.next_turn.insert(write_kind, again);
+                self.writes.turns.insert(write_kind, again);
                 self.after_replica_change(now);
             }
             CommitOutcome::NoLease | CommitOutcome::Refused | CommitOutcome::Malformed => {
                 self.counters.refused += 1;
                 if outcome != CommitOutcome::Malformed {
-                    self.refused_at = Some(now);
+                    self.writes.refused_at = Some(now);
                 }
                 if flight.unsure {
                     // The limits may have fallen since a copy that had no answer was carried out.
-                    self.unacknowledged.push(UnacknowledgedWrite {
+                    self.writes.unacknowledged.push(UnacknowledgedWrite {
                         settled: ResolvedWhen::ByWatchSince(now),
                         intent: flight.intent,
                     });
                 } else {
                     for e in flight.intent.moves.iter().flat_map(|m| &m.entries) {
-                        self.reserved.remove(e);
+                        self.completions.reserved.remove(e);
                     }
                 }
                 // What the service calls malformed is never sent again as it is, and what takes
@@ -260,7 +285,7 @@
                     _ => 200,
                 };
                 let again = WriteTurn::at(now.plus(pause + jitter));
-                self.next_turn.insert(write_kind, again);
+                self.writes.turns.insert(write_kind, again);
             }
             CommitOutcome::Unknown => {}
         }
@@ -286,10 +311,10 @@
 
     fn on_completions_committed(&mut self, intent: &WriteIntent, revision: u64) {
         for (machine_id, entry, end) in &intent.outcomes {
-            if let Some(completions) = self.pending_completions.get_mut(machine_id) {
+            if let Some(completions) = self.completions.pending.get_mut(machine_id) {
                 completions.retain(|e| e.0 != *entry);
                 if completions.is_empty() {
-                    self.pending_completions.remove(machine_id);
+                    self.completions.pending.remove(machine_id);
                 }
             }
             match end {
@@ -309,7 +334,7 @@
             self.counters.packs += 1;
             self.counters.stolen_tasks += task_move.entries.len() as u64;
             for e in &task_move.entries {
-                self.reserved.remove(e);
+                self.completions.reserved.remove(e);
             }
             debug!(
                 victim = self.replica.names.machines.name(task_move.victim),
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -98,7 +98,7 @@
 
     /// A job that fails and fails is tried again ever more slowly.
     pub(crate) fn held_back(&self, job: JobId, now: Timestamp) -> bool {
-        let theirs = self.peers.values().flat_map(|p| &p.failure_streaks);
+        let theirs = self.peers.states.values().flat_map(|p| &p.failure_streaks);
         let (mut count, mut last) = (0, Timestamp(0));
         for &(j, n, at) in theirs {
             if j == job {
@@ -106,7 +106,7 @@
                 last = last.max(at);
             }
         }
-        if let Some(f) = self.failure_streaks.get(&job) {
+        if let Some(f) = self.held.failure_streaks.get(&job) {
             count += f.count;
             last = last.max(f.last);
         }
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -114,7 +114,7 @@
 
     /// Machines that report, or that an earlier leader rented, and that no block has.
     fn note_strangers(&mut self, now: Timestamp) {
-        let peers = self.peers.values().flat_map(|p| &p.unowned_machines);
+        let peers = self.peers.states.values().flat_map(|p| &p.unowned_machines);
         let unknown: Vec<crate::protocol::UnownedMachine> = self
             .unowned_machines_to_report(now)
             .into_iter()
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -9,7 +9,7 @@
     /// Whether this controller has listened for long enough to call another one silent. Hearing
     /// goes on whoever leads, so a new leader that has been up for a while need not wait.
     pub(crate) fn listened(&self, now: Timestamp) -> bool {
-        let since = self.started.unwrap_or(now);
+        let since = self.pauses.started_at.unwrap_or(now);
         now.since(since) > self.settling_ms()
     }
 
@@ -22,14 +22,14 @@
             return false;
         };
         if host == self.me {
-            return node.incarnation == self.incarnation;
+            return node.incarnation == self.membership.incarnation;
         }
         if self.store_refuses_only(host, now) {
             return false;
         }
         let restarted = self.restarted(host, node.incarnation, now);
         (self.hears(host, now) && !restarted)
-            || (!self.listened(now) && !self.peers.contains_key(&host))
+            || (!self.listened(now) && !self.peers.states.contains_key(&host))
     }
 
     /// Grants blocks that nobody holds, or whose holder is gone or silent, and evens them out.
@@ -194,6 +194,7 @@
         let mine = self.unowned_machines_to_report(now);
         let theirs = self
             .peers
+            .states
             .iter()
             .filter(|&(&h, _)| self.hears(h, now))
             .flat_map(|(&h, p)| p.unowned_machines.iter().map(move |s| (h, s)));
--- a/src/leadership/work_stealing.rs
+++ b/src/leadership/work_stealing.rs
@@ -23,11 +23,11 @@
 
     /// Begins a round when it is time: publishes totals, takes the mean, packs up and steals.
     pub(crate) fn tick_balance(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if now < self.next_round || !self.catalog_known() {
+        if now < self.schedule.next_round || !self.catalog_known() {
             return;
         }
         let period = (self.settings.options.balance_period_s * 1000.0) as u64;
-        self.next_round = now.plus(period);
+        self.schedule.next_round = now.plus(period);
         self.publish_loads(now, out);
         let mut loads: HashMap<MachineId, f64> = HashMap::default();
         // The mean goes over everybody's totals, also of machines that are not named.
@@ -45,7 +45,7 @@
                 }
             }
         }
-        let mine: Vec<MachineId> = self.runtime.keys().copied().collect();
+        let mine: Vec<MachineId> = self.held.machines.keys().copied().collect();
         for &m in &mine {
             let load = self.queue_load(m, now);
             count += 1;
@@ -99,7 +99,7 @@
         let packs = &round.packs;
         round
             .victims
-            .retain(|(m, _)| packs.contains_key(m) || !self.runtime.contains_key(m));
+            .retain(|(m, _)| packs.contains_key(m) || !self.held.machines.contains_key(m));
         // The lightest ask first, and no more is asked for than the victims may have to give.
         let mut thieves: Vec<(MachineId, u32)> =
             round.steals.iter().map(|(&m, &n)| (m, n)).collect();
@@ -157,7 +157,7 @@
     pub(crate) fn movable(&self, machine_id: MachineId) -> Vec<(Binding, f64)> {
         let (Some(m), Some(runtime)) = (
             self.replica.machines.get(&machine_id),
-            self.runtime.get(&machine_id),
+            self.held.machines.get(&machine_id),
         ) else {
             return Vec::new();
         };
@@ -182,7 +182,7 @@
 
     pub(crate) fn may_move(&self, machine_id: MachineId, e: &Binding) -> bool {
         self.unstarted(machine_id, e)
-            && !self.reserved.contains(e)
+            && !self.completions.reserved.contains(e)
             && !self.ended(machine_id, e)
             && self
                 .replica
@@ -222,8 +222,8 @@
                 continue;
             };
             if holder.host != self.me {
-                if self.outbox.len() < self.replica.machines.len().max(FEWEST_MESSAGES) {
-                    self.outbox.push((holder.host, agent));
+                if self.peers.outbox.len() < self.replica.machines.len().max(FEWEST_MESSAGES) {
+                    self.peers.outbox.push((holder.host, agent));
                 }
                 continue;
             }
@@ -239,7 +239,7 @@
         let Some(machine_id) = self.replica.names.machines.get(to) else {
             return;
         };
-        if !self.runtime.contains_key(&machine_id) || !self.has_authority(now) {
+        if !self.held.machines.contains_key(&machine_id) || !self.has_authority(now) {
             return;
         }
         let replies = self.receive(machine_id, agent, now);
@@ -324,8 +324,8 @@
         }
         let Some(pack) = given else { return false };
         // From here on the tasks are not started, until the move is settled.
-        self.reserved.extend(&pack.tasks);
-        self.moves.push(Move {
+        self.completions.reserved.extend(&pack.tasks);
+        self.completions.planned_moves.push(Move {
             victim,
             thief,
             entries: pack.tasks,
@@ -353,7 +353,11 @@
             return false;
         };
         let mut used = self.used_on(thief);
-        let coming = self.moves.iter().filter(|m| m.thief == thief);
+        let coming = self
+            .completions
+            .planned_moves
+            .iter()
+            .filter(|m| m.thief == thief);
         for e in coming.flat_map(|m| &m.entries).chain(&pack.tasks) {
             if let Some(job) = self.replica.jobs.get(&e.task.job) {
                 used.add(&job.room(), 1.0);
