--- a/src/controller/merging.rs
+++ b/src/controller/blocks/merging.rs
@@ -3,8 +3,8 @@
 //! Each block is written in its own turn, and a turn is the longer the more blocks there are: fewer and
 //! fuller blocks let endings and bindings wait for less time.
 
-use super::writes::WriteIntent;
-use super::*;
+use crate::controller::writes::WriteIntent;
+use crate::controller::*;
 use crate::records::Encoding;
 use crate::replica::BlockEdit;
 
@@ -40,7 +40,7 @@
     }
 
     /// Writes two small blocks held here as one, now and then.
-    pub(super) fn tick_merge(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+    pub(crate) fn tick_merge(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if now < self.block_upkeep.next_merge || self.replica.encoding() != Encoding::Dense {
             return;
         }
--- a/src/controller/splitting.rs
+++ b/src/controller/blocks/splitting.rs
@@ -1,7 +1,7 @@
 //! Blocks whose values are larger than the state service takes, or will take.
 
-use super::writes::WriteIntent;
-use super::*;
+use crate::controller::writes::WriteIntent;
+use crate::controller::*;
 use crate::records::Encoding;
 use crate::replica::{Block, BlockEdit};
 
@@ -66,7 +66,7 @@
     }
 
     /// Bytes that machines may come to fill in their block's value.
-    pub(super) fn expected_size<'a>(&self, machines: impl Iterator<Item = &'a Machine>) -> usize {
+    pub(crate) fn expected_size<'a>(&self, machines: impl Iterator<Item = &'a Machine>) -> usize {
         let bytes: usize = machines.map(|m| self.expected_bytes(m.machine_type)).sum();
         match self.replica.encoding() {
             Encoding::Compatible => bytes,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -3,22 +3,19 @@
 //! No input or output happens here. The service feeds in what arrived and when, and carries out
 //! the [`Action`]s that come back; tests do the same with fakes.
 
-mod block_upkeep;
+mod blocks;
 pub(crate) mod completions;
 mod formats;
 mod heartbeats;
 mod held_machines;
 mod lease;
-mod merging;
 mod metrics;
 mod pauses;
 mod peers;
-mod splitting;
 mod usage;
-pub(crate) mod write_pacing;
 pub(crate) mod writes;
 
-pub(crate) use block_upkeep::BlockUpkeep;
+pub(crate) use blocks::BlockUpkeep;
 pub(crate) use completions::Completions;
 pub(crate) use formats::FormatTracker;
 pub(crate) use heartbeats::NO_TOKEN;
--- a/src/controller/writes.rs
+++ b/src/controller/writes/mod.rs
@@ -1,7 +1,9 @@
 //! Transactions under way: sent, settled, paced.
 
-use super::write_pacing::{WritePace, WriteTurn};
+pub(crate) mod pacing;
+
 use super::*;
+use pacing::{WritePace, WriteTurn};
 
 /// Pause after a write that the service called malformed, ms.
 const MALFORMED_MS: u64 = 3000;
--- a/src/controller/write_pacing.rs
+++ b/src/controller/writes/pacing.rs
@@ -1,7 +1,7 @@
 //! Pace of gathered writes: each block has its turn, so that all controllers together stay within
 //! the state service's budget of changes.
 
-use super::*;
+use crate::controller::*;
 
 /// Part of the state service's changes that the leader's edits of blocks may take.
 pub(crate) const EDITS: f64 = 0.45;
