--- a/src/jobs/chained.rs
+++ b/src/jobs/chained.rs
@@ -201,10 +201,7 @@
         value: Json::of(&record),
         lease_id: None,
     }];
-    let preconditions = vec![Precondition {
-        key: key,
-        mod_revision,
-    }];
+    let preconditions = vec![Precondition { key, mod_revision }];
     Transaction {
         preconditions,
         mutations,
--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -115,7 +115,7 @@
             }
             transaction.preconditions.push(self.precondition(&key));
             transaction.mutations.push(change);
-            transaction.mutations.push(Mutation::Delete { key: key });
+            transaction.mutations.push(Mutation::Delete { key });
         }
         (!transaction.mutations.is_empty()).then_some(transaction)
     }
