--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -8,7 +8,7 @@
 mod formats;
 mod heartbeats;
 mod held_machines;
-mod lease;
+mod membership;
 mod metrics;
 mod pauses;
 mod peers;
@@ -24,7 +24,7 @@
 pub(crate) use held_machines::{
     FailureStreak, MachineInfo, MachineRuntime, PeerState, TaskRuntime,
 };
-pub(crate) use lease::Membership;
+pub(crate) use membership::Membership;
 pub use metrics::Counters;
 pub(crate) use pauses::PauseDetector;
 pub(crate) use peers::Peers;
