--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -5,167 +5,60 @@
 
 mod blocks;
 pub(crate) mod completions;
+mod effects;
 mod formats;
 mod heartbeats;
 mod held_machines;
+mod machine_status;
 mod membership;
 mod metrics;
+mod outcomes;
 mod pauses;
 mod peers;
+mod queue_load;
 mod usage;
 pub(crate) mod writes;
 
 pub(crate) use blocks::BlockUpkeep;
 pub(crate) use completions::Completions;
+pub(crate) use effects::put;
+pub use effects::{CommitOutcome, Effect, HeartbeatResponse, WriteKind};
 pub(crate) use formats::FormatTracker;
 pub(crate) use heartbeats::NO_TOKEN;
 pub(crate) use held_machines::HeldMachines;
 use held_machines::UnownedMachineState;
-pub(crate) use held_machines::{
-    FailureStreak, MachineInfo, MachineRuntime, PeerState, TaskRuntime,
-};
+pub(crate) use held_machines::{FailureStreak, MachineRuntime, PeerState, TaskRuntime};
 pub(crate) use membership::Membership;
 pub use metrics::Counters;
+pub use outcomes::{Move, TaskOutcome};
 pub(crate) use pauses::PauseDetector;
 pub(crate) use peers::Peers;
+pub(crate) use queue_load::needs_of;
 pub(crate) use writes::WritePipeline;
 
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
 use crate::leadership::LeaderState;
 use crate::names::{ClassId, HostId, JobId, MachineId, MachineTypeId, TeamId, ZoneId};
-use crate::placement::{Needs, Room};
+use crate::placement::Room;
 use crate::protocol::{
     Command, ExitReason, Heartbeat, HeartbeatAck, JobStatus, Json, MachineSummary, MachineType,
     Mutation, PeerMessage, Precondition, TaskPhase, TaskStatus, Transaction, UnownedMachine,
     WatchResponse,
 };
 use crate::ranges::RangeSet;
-use crate::records::{
-    CURRENT_FORMAT, ControllerRecord, HolderRecord, LoadRecord, SPILLOVER_FORMAT,
-};
+use crate::records::{CURRENT_FORMAT, ControllerRecord, HolderRecord, SPILLOVER_FORMAT};
 use crate::replica::{
-    Binding, BlockId, FencingToken, Holder, Incarnation, Job, Machine, Replica, TaskId, block_key,
-    grant_key, job_key, load_key, node_key,
+    Binding, BlockId, FencingToken, Holder, Incarnation, Machine, Replica, TaskId, block_key,
+    grant_key, job_key, node_key,
 };
 use crate::settings::Settings;
-use crate::spillover::{CellCall, Spillover};
+use crate::spillover::Spillover;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
 use tracing::{debug, error, info, warn};
 
-/// Something for the service to do.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Effect {
-    /// Ask the state service for a lease.
-    NewLease {
-        /// Its length.
-        life_ms: u64,
-    },
-    /// Renew the lease.
-    Renew {
-        /// The lease.
-        lease_id: u64,
-    },
-    /// Send a transaction.
-    Commit {
-        /// What it is for.
-        write_kind: WriteKind,
-        /// The transaction.
-        transaction: Transaction,
-    },
-    /// Send news to a peer.
-    Peer {
-        /// The peer.
-        host: HostId,
-        /// The news.
-        message: Box<PeerMessage>,
-    },
-    /// Read the catalog.
-    Catalog,
-    /// Read the list of machines.
-    List,
-    /// Read the final states of jobs from the archive.
-    Archived(Vec<String>),
-    /// Rent machines.
-    Rent(crate::protocol::RentRequest),
-    /// Return machines.
-    Return(Vec<String>),
-    /// Ask a controller of another cell.
-    Cell(Box<CellCall>),
-}
-
-/// What a transaction is for. At most one of each kind is under way.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum WriteKind {
-    /// Enter the controller's own key.
-    Join,
-    /// Take the leadership.
-    Lead,
-    /// A write that only the leader may make: grants, finished jobs, the catalog.
-    Leader,
-    /// The leader's changes of a block: machines in and out, new tasks.
-    Edit(BlockId),
-    /// Endings of a block that this controller holds, and moves out of it.
-    Ends(BlockId),
-    /// Queue totals.
-    Load,
-}
-
-/// How a transaction went.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CommitOutcome {
-    /// Carried out at this revision.
-    Done(u64),
-    /// A condition failed; the service was at this revision.
-    Conflict(u64),
-    /// It named a lease that is over.
-    NoLease,
-    /// Not carried out.
-    Refused,
-    /// Not carried out: too large, or not as the service wants it.
-    Malformed,
-    /// No answer: carried out, or not, or later.
-    Unknown,
-}
-
-/// Answer to a worker.
-#[derive(Debug, Clone, PartialEq)]
-pub enum HeartbeatResponse {
-    /// 200.
-    HeartbeatAck(HeartbeatAck),
-    /// 421, naming a controller if one is known to be better.
-    Elsewhere(Option<String>),
-    /// To be taken in again by [`Core::on_confirmed_report`] once the replica shows everything that
-    /// was written before the report arrived.
-    Unconfirmed,
-    /// 503.
-    Unavailable,
-}
-
-/// Why a task leaves a queue.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TaskOutcome {
-    /// Completed.
-    Done,
-    /// Failed on the machine.
-    Failed,
-    /// Not started, or stopped, or its machine is gone: it may be bound again.
-    Free,
-}
-
-/// A move of unstarted tasks from one queue to another.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Move {
-    /// From.
-    pub victim: MachineId,
-    /// To.
-    pub thief: MachineId,
-    /// Tasks.
-    pub entries: Vec<Binding>,
-}
-
 /// The state of one controller.
 pub struct Controller {
     /// Settings.
@@ -343,55 +236,6 @@
         out
     }
 
-    /// What one task of a job takes and where it may be.
-    pub fn needs(&self, job: &Job) -> Needs {
-        needs_of(job)
-    }
-
-    /// Size of a machine; none while its type is unknown.
-    pub(crate) fn size(&self, m: &Machine) -> Option<Room> {
-        self.machine_types.get(&m.machine_type).map(Room::from)
-    }
-
-    /// Expected seconds of a task, the owners' estimates corrected by what was observed.
-    pub(crate) fn run_s(&self, job: &Job) -> f64 {
-        let ratio = self
-            .held
-            .run_time_ratios
-            .get(&job.class)
-            .copied()
-            .unwrap_or(1.0);
-        (job.spec.estimate_s * ratio).max(0.5)
-    }
-
-    /// Seconds of work per CPU in a machine's queue, started tasks counted with what is left.
-    pub(crate) fn queue_load(&self, machine_id: MachineId, now: Timestamp) -> f64 {
-        let Some(m) = self.replica.machines.get(&machine_id) else {
-            return 0.0;
-        };
-        let Some(size) = self.size(m) else { return 0.0 };
-        let runtime = self.held.machines.get(&machine_id);
-        let work: f64 = m
-            .queue
-            .iter()
-            .filter_map(|e| {
-                let job = self.replica.jobs.get(&e.task.job)?;
-                let run = self.run_s(job);
-                let task = runtime.and_then(|runtime| runtime.tasks.get(&e.task));
-                let left = match task {
-                    Some(l) if l.status == TaskPhase::Ended => 0.0,
-                    Some(l) => {
-                        let ran = l.running_since.map_or(0, |s| now.since(s));
-                        (run - ran as f64 / 1000.0).max(run * 0.1)
-                    }
-                    None => run,
-                };
-                Some(left * job.spec.cpus)
-            })
-            .sum();
-        work / size.cpus.max(1e-6)
-    }
-
     /// The cloud's catalog arrived.
     pub fn on_catalog(&mut self, catalog: crate::protocol::Catalog) {
         for f in catalog.machine_types {
@@ -405,117 +249,6 @@
             }
         }
     }
-
-    /// Publishes this controller's queue totals, for the mean of the next round.
-    pub(crate) fn publish_loads(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if !self.idle(WriteKind::Load, now) {
-            return;
-        }
-        let names = &self.replica.names.machines;
-        let mut loads: Vec<(f64, MachineId)> = self
-            .held
-            .machines
-            .keys()
-            .map(|&m| ((self.queue_load(m, now) * 10.0).round() / 10.0, m))
-            .collect();
-        loads.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        let mut record = LoadRecord {
-            count: loads.len(),
-            sum: loads.iter().map(|l| l.0).sum(),
-            machines: BTreeMap::new(),
-        };
-        // From both completions inwards, as far as the value has room: those in between neither give
-        // nor take. A name, a number and what stands between them have 10 bytes to spare here.
-        let mut room = self.settings.value_bytes().saturating_sub(100);
-        let (mut low, mut high) = (0, loads.len());
-        while low < high {
-            let at = if (low + loads.len() - high).is_multiple_of(2) {
-                high -= 1;
-                high
-            } else {
-                low += 1;
-                low - 1
-            };
-            let name = names.name(loads[at].1);
-            let Some(left) = room.checked_sub(name.len() + 14) else {
-                break;
-            };
-            room = left;
-            record.machines.insert(name.to_owned(), loads[at].0);
-        }
-        let key = load_key(self.my_name());
-        let transaction = Transaction {
-            preconditions: Vec::new(),
-            mutations: vec![put(&key, &record, self.membership.lease_id)],
-        };
-        self.submit(
-            WriteKind::Load,
-            transaction,
-            writes::WriteIntent::default(),
-            out,
-        );
-    }
-
-    /// What is known of a machine now, from its holder.
-    pub(crate) fn machine_info(
-        &self,
-        machine_id: MachineId,
-        now: Timestamp,
-    ) -> Option<MachineInfo> {
-        let (_, grant) = self.replica.holder(machine_id)?;
-        if grant.host == self.me {
-            let runtime = self.held.machines.get(&machine_id)?;
-            return Some(MachineInfo {
-                age_ms: runtime.heard.map(|h| now.since(h)),
-                obeys: runtime.obeys(),
-                recalled: runtime.recall_at.is_some(),
-                quarantined: self.unfit(runtime, now),
-                restarted: runtime.restarted,
-            });
-        }
-        let peer = self.peers.states.get(&grant.host)?;
-        let age = now.since(peer.machines_at?);
-        let message = peer.machines.get(&machine_id)?;
-        Some(MachineInfo {
-            age_ms: message.age_ms.map(|a| a + age),
-            obeys: message.obeys,
-            recalled: message.recalled,
-            quarantined: message.quarantined,
-            restarted: message.restarted,
-        })
-    }
-
-    /// Load of a machine's queue, as its holder sees it; 0 if that is unknown.
-    pub(crate) fn known_load(&self, machine_id: MachineId, now: Timestamp) -> f64 {
-        match self.replica.holder(machine_id) {
-            Some((_, g)) if g.host == self.me => self.queue_load(machine_id, now),
-            Some((_, g)) => {
-                let message = self
-                    .peers
-                    .states
-                    .get(&g.host)
-                    .and_then(|p| p.machines.get(&machine_id));
-                message.map_or(0.0, |n| n.load)
-            }
-            None => 0.0,
-        }
-    }
-
-    /// Running tasks of a job as far as this controller has heard, for display.
-    pub fn running(&self, job: JobId) -> u32 {
-        let mine = self.held.running_tasks.get(&job).copied().unwrap_or(0);
-        let theirs = self
-            .peers
-            .states
-            .values()
-            .filter_map(|p| p.running.get(&job));
-        mine + theirs.sum::<u32>()
-    }
-
-    /// Whether no task of a job may run any more, as far as this controller knows.
-    pub(crate) fn is_over(&self, job_id: JobId, job: &Job) -> bool {
-        job.status != JobStatus::Pending || self.peers.reported_cancellations.contains(&job_id)
-    }
 }
 
 fn task_runtime(
@@ -529,27 +262,5 @@
     }
 }
 
-/// What one task of a job takes and where it may be.
-pub(crate) fn needs_of(job: &Job) -> Needs {
-    let s = &job.spec;
-    Needs {
-        room: job.room(),
-        machine_types: job.machine_types.clone(),
-        zone: job.zone,
-        spot: s.spot,
-        one_zone: s.one_zone,
-        zone_most: s.spread.then(|| s.task_count.div_ceil(2)),
-    }
-}
-
-/// A change that writes `value`.
-pub(crate) fn put(key: &str, value: &impl serde::Serialize, lease_id: Option<u64>) -> Mutation {
-    Mutation::Put {
-        key: key.to_owned(),
-        value: Json::of(value),
-        lease_id,
-    }
-}
-
 #[cfg(test)]
 pub(crate) mod tests;
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -394,33 +394,6 @@
             .collect()
     }
 
-    pub(crate) fn machine_summary(
-        &self,
-        m: MachineId,
-        runtime: &MachineRuntime,
-        now: Timestamp,
-    ) -> MachineSummary {
-        MachineSummary {
-            machine: self.replica.names.machines.name(m).to_owned(),
-            age_ms: runtime.heard.map(|h| now.since(h)),
-            obeys: runtime.obeys(),
-            recalled: runtime.recall_at.is_some(),
-            quarantined: self.unfit(runtime, now),
-            restarted: runtime.restarted,
-            load: self.queue_load(m, now),
-        }
-    }
-
-    /// Whether a machine is to be replaced: it fails what it starts, or has heard nothing of what
-    /// it is told for a whole lease.
-    pub(crate) fn unfit(&self, runtime: &MachineRuntime, now: Timestamp) -> bool {
-        let lease = self.settings.worker_gone_ms();
-        runtime.quarantined
-            || runtime
-                .unreachable_since
-                .is_some_and(|since| now.since(since) > lease)
-    }
-
     /// What a peer says, in a request or in the answer to one.
     pub fn on_peer_message(&mut self, message: PeerMessage, now: Timestamp) {
         let Some(host) = self.replica.names.hosts.get(&message.host) else {
