--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -54,6 +54,7 @@
 };
 use crate::settings::Settings;
 use crate::spillover::Spillover;
+use crate::stealing::WorkStealing;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
@@ -93,6 +94,8 @@
     /// Machine types of the catalog by index, once known.
     pub(crate) machine_types: HashMap<MachineTypeId, MachineType>,
     pub(crate) leadership: LeaderState,
+    /// The part that this controller plays in work stealing.
+    pub(crate) work_stealing: WorkStealing,
     /// Milliseconds since the day began, by the wall clock.
     pub(crate) day_ms: u64,
     /// Jobs lent to other cells and borrowed from them.
@@ -104,8 +107,6 @@
 pub(crate) struct Schedule {
     /// When the catalog is read again.
     pub(crate) next_catalog: Timestamp,
-    /// When the next round of work stealing begins.
-    pub(crate) next_round: Timestamp,
     /// When the counters are logged next.
     next_metrics: Timestamp,
     /// When the archive may be asked again for jobs that others need.
@@ -159,6 +160,7 @@
             rng,
             machine_types: HashMap::default(),
             leadership: LeaderState::default(),
+            work_stealing: WorkStealing::default(),
             day_ms: 0,
             spillover,
         }
@@ -222,13 +224,13 @@
                 if !self.alone_without_store(now) {
                     self.tick_leader(now, &mut out);
                 }
-                self.tick_balance(now, &mut out);
+                self.tick_work_stealing(now, &mut out);
             }
         }
         self.ask_archive(now, &mut out);
         self.tick_spillover(now, &mut out);
         if now >= self.peers.next_message
-            || !self.peers.outbox.is_empty()
+            || self.work_stealing.has_outgoing()
             || self.urgent_update_due(now)
         {
             self.tick_peers(now, &mut out);
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -31,8 +31,6 @@
     pub(crate) urgent_update: bool,
     /// When the leader may be told of them at the earliest.
     pub(crate) next_urgent_update: Timestamp,
-    /// Messages of work stealing that wait for the next message to a peer.
-    pub(crate) outbox: Vec<(HostId, crate::protocol::StealMessage)>,
 }
 
 impl Controller {
@@ -189,7 +187,7 @@
             .leader
             .map(|l| l.host)
             .filter(|_| urgent_update);
-        let mut outbox = std::mem::take(&mut self.peers.outbox);
+        let mut outbox = self.work_stealing.take_outgoing();
         for host in self.others.clone() {
             let mut steal_messages = Vec::new();
             outbox.retain_mut(|(h, a)| {
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -120,8 +120,8 @@
     /// Seconds for which nothing of a job was begun, or nothing more.
     fn waited_s(&self, job_id: JobId, job: &Job, now: Timestamp) -> f64 {
         let age = self.day_ms.saturating_sub(job.since_ms()) as f64 / 1000.0;
-        match self.leadership.served.get(&job_id) {
-            Some(&at) => now.since(at) as f64 / 1000.0,
+        match self.leadership.turns.served_at(job_id) {
+            Some(at) => now.since(at) as f64 / 1000.0,
             None if job.done.is_empty() && self.replica.bound_len(job_id) == 0 => age,
             None => age.min(now.since(self.leadership.since) as f64 / 1000.0),
         }
@@ -191,12 +191,12 @@
     /// Chooses queues for unbound tasks, most pressing jobs first, and tasks to be stopped.
     pub(crate) fn plan_bindings(&mut self, now: Timestamp) -> BindPlan {
         let mut plan = BindPlan::default();
-        if now < self.leadership.next_bind {
+        if !self.leadership.turns.binding_due(now) {
             return plan;
         }
         // The larger the world, the more a look at it costs and the less hangs on each task.
         let pause = 200 + (self.replica.machines.len() + self.replica.jobs.len()) as u64 / 10;
-        self.leadership.next_bind = now.plus(pause);
+        self.leadership.turns.delay_binding(pause, now);
         let mut underway: HashMap<JobId, Vec<u32>> = HashMap::default();
         for (_, e) in self.binding() {
             underway.entry(e.task.job).or_default().push(e.task.number);
@@ -236,12 +236,7 @@
             // work, or is late beyond help, would not begin before the stream completions. Each has its
             // turn: one that fits no machine which is there would otherwise keep it for ever.
             if may && waited > self.settings.options.queue_floor_s {
-                let turn = self
-                    .leadership
-                    .turns
-                    .get(&job_id)
-                    .copied()
-                    .unwrap_or(Timestamp(0));
+                let turn = self.leadership.turns.last_turn(job_id);
                 if first.is_none_or(|f| (turn, -waited) < (f.0, -f.1)) {
                     first = Some((turn, waited, job_id));
                 }
@@ -273,7 +268,7 @@
         let mut spare: Vec<Candidate> = Vec::new();
         let first = first.map(|f| f.2);
         if let Some(job_id) = first {
-            self.leadership.turns.insert(job_id, now);
+            self.leadership.turns.note_turn(job_id, now);
         }
         let rest = order
             .iter()
@@ -359,10 +354,10 @@
             bindings = plan.bindings.len(),
             "planned"
         );
-        if now >= self.leadership.next_evict {
+        if self.leadership.turns.eviction_due(now) {
             plan.evict = self.plan_evictions(&jobs, &teams);
             if !plan.evict.is_empty() {
-                self.leadership.next_evict = now.plus(pause);
+                self.leadership.turns.delay_eviction(pause, now);
             }
         }
         plan
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -80,8 +80,8 @@
         self.note_strangers(now);
         let mut gone = Vec::new();
         for (set, leaving) in [
-            (&self.leadership.gone, false),
-            (&self.leadership.leave, true),
+            (self.leadership.inventory.returned(), false),
+            (self.leadership.scale_in.to_drain(), true),
         ] {
             for &machine_id in set {
                 let Some(m) = self.replica.machines.get(&machine_id) else {
@@ -107,7 +107,7 @@
             }
         }
         for machine in gone {
-            self.leadership.removed.insert(machine, now);
+            self.leadership.inventory.note_removed(machine, now);
         }
         self.place_machines(edits, now);
     }
@@ -126,20 +126,16 @@
             .collect();
         for s in unknown {
             // One report alone may be a late copy from a machine that is gone.
-            if s.for_ms >= 500 && !self.leadership.removed.contains_key(&s.machine) {
+            if s.for_ms >= 500 {
                 let machine = NewMachine {
                     machine_type: s.machine_type,
                     zone: s.zone,
                     spot: s.spot,
                 };
-                self.leadership.place.entry(s.machine).or_insert(machine);
+                self.leadership.inventory.note_unplaced(s.machine, machine);
             }
         }
-        let names = &self.replica.names.machines;
-        let machines = &self.replica.machines;
-        self.leadership
-            .place
-            .retain(|name, _| names.get(name).is_none_or(|m| !machines.contains_key(&m)));
+        self.leadership.inventory.forget_placed(&self.replica);
     }
 
     /// Bytes that a machine may come to fill in its block's value: its name, and its tasks.
@@ -160,7 +156,7 @@
         edits: &mut BTreeMap<BlockId, (BlockEdit, WriteIntent)>,
         now: Timestamp,
     ) {
-        if self.leadership.place.is_empty() {
+        if self.leadership.inventory.to_place().is_empty() {
             return;
         }
         let underway: HashSet<MachineId> = self.placing();
@@ -185,7 +181,7 @@
         }
         // Hundreds of machines may wait here, for as long as the budget of changes is used up.
         let writable = self.open_blocks(now);
-        for (name, new) in self.leadership.place.clone() {
+        for (name, new) in self.leadership.inventory.to_place().clone() {
             let names = &mut self.replica.names;
             let machine_id = names.machines.intern(&name);
             if underway.contains(&machine_id) {
@@ -281,7 +277,7 @@
                 let jobs: HashSet<JobId> = bindings.iter().map(|b| b.job).collect();
                 if self.write_block(id, edit, intent, out) {
                     for job in jobs {
-                        self.leadership.served.insert(job, now);
+                        self.leadership.turns.note_served(job, now);
                     }
                     break;
                 }
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -40,13 +40,7 @@
         if usable.is_empty() {
             return None;
         }
-        self.leadership.avoid.retain(|_, until| now < *until);
-        if usable
-            .iter()
-            .any(|h| !self.leadership.avoid.contains_key(h))
-        {
-            usable.retain(|h| !self.leadership.avoid.contains_key(h));
-        }
+        self.leadership.grants.retain_unavoided(&mut usable, now);
         let mut count: HashMap<HostId, usize> = HashMap::default();
         for (id, g) in &self.replica.grants {
             if let Some(b) = self.replica.blocks.get(id) {
@@ -61,16 +55,7 @@
             .filter(|g| self.restarted(g.host, g.incarnation, now))
             .map(|g| g.host)
             .collect();
-        let restarted_since = &mut self.leadership.restarted_since;
-        restarted_since.retain(|h, _| odd.contains(h));
-        for &h in &odd {
-            restarted_since.entry(h).or_insert(now);
-        }
-        let restarted: HashSet<HostId> = restarted_since
-            .iter()
-            .filter(|(_, t)| now.since(**t) >= 1500)
-            .map(|(&h, _)| h)
-            .collect();
+        let restarted = self.leadership.grants.note_restarted(&odd, now);
         let mut give: Vec<(BlockId, HostId, &'static str)> = Vec::new();
         for (&id, block) in &self.replica.blocks {
             let grant = self.replica.grants.get(&id);
@@ -117,8 +102,8 @@
             *count.entry(to).or_default() += block.machines.len() + 1;
             give.push((id, to, why));
         }
-        if give.is_empty() && now >= self.leadership.next_even && self.grace_over(now) {
-            self.leadership.next_even = now.plus(6000);
+        if give.is_empty() && self.leadership.grants.rebalance_due(now) && self.grace_over(now) {
+            self.leadership.grants.delay_rebalance(now);
             let heavy = usable.iter().max_by_key(|h| count.get(h));
             let light = usable.iter().min_by_key(|h| count.get(h));
             if let (Some(&heavy), Some(&light)) = (heavy, light) {
@@ -150,7 +135,7 @@
             if let (Some(g), "holder cut off from its workers") =
                 (self.replica.grants.get(&id), why)
             {
-                self.leadership.avoid.insert(g.host, now.plus(30_000));
+                self.leadership.grants.avoid(g.host, now);
             }
             let node = self.replica.live_controllers.get(&host)?;
             let key = grant_key(id);
@@ -172,8 +157,8 @@
     fn restarted_machines(&self, id: BlockId, now: Timestamp) -> bool {
         // A grant that was not there at the last look is new: what is known of its machines is older.
         let token = self.replica.grants.get(&id).map(|g| g.mod_revision);
-        let granted = self.leadership.granted.get(&id);
-        granted.is_some_and(|g| Some(g.0) == token && now.since(g.1) > RESTART_GRANT_INTERVAL_MS)
+        let known_for = self.leadership.grants.known_for(id, token, now);
+        known_for.is_some_and(|known_ms| known_ms > RESTART_GRANT_INTERVAL_MS)
             && self.replica.blocks.get(&id).is_some_and(|b| {
                 let restarted =
                     |m: &MachineId| self.machine_info(*m, now).is_some_and(|i| i.restarted);
--- a/src/leadership/machines.rs
+++ b/src/leadership/machines.rs
@@ -12,122 +12,74 @@
 
 /// Whether a machine is dear, given the least prices of a CPU and of a machine.
 fn is_dear(machine_type: &MachineType, spot: bool, cheapest: (f64, f64)) -> bool {
-    per_cpu(machine_type, spot) > cheapest.0 * scaling::DEAR
+    per_cpu(machine_type, spot) > cheapest.0 * scaling::EXPENSIVE_CPU_FACTOR
         || machine_type.price_of(spot) > cheapest.1 * DEAR_TO_HOLD
 }
 
 impl Controller {
-    /// Keeps track of what machines are there and since when.
-    pub(crate) fn note_machines(&mut self, now: Timestamp) {
-        let ages: Vec<(MachineId, u64)> = self
-            .replica
-            .machines
-            .keys()
-            .filter_map(|&job_id| Some((job_id, self.machine_info(job_id, now)?.age_ms?)))
-            .collect();
-        for &(job_id, age) in &ages {
-            if !self.leadership.heard.contains_key(&job_id) {
-                self.note_start(job_id, Timestamp(now.0.saturating_sub(age)));
-            }
-        }
-        let lead = &mut self.leadership;
-        for (job_id, age) in ages {
-            let at = Timestamp(now.0.saturating_sub(age));
-            let heard = lead.heard.entry(job_id).or_insert(at);
-            *heard = at.max(*heard);
-        }
-        for (&id, g) in &self.replica.grants {
-            let known = lead.granted.entry(id).or_insert((g.mod_revision, now));
-            if known.0 != g.mod_revision {
-                *known = (g.mod_revision, now);
-            }
-        }
-        for (&job_id, m) in &self.replica.machines {
-            lead.first_seen.entry(job_id).or_insert(now);
-            if m.queue.is_empty() {
-                lead.idle_since.entry(job_id).or_insert(now);
-            } else {
-                lead.idle_since.remove(&job_id);
-            }
-            for e in &m.queue {
-                if let Some(job) = self.replica.jobs.get(&e.task.job) {
-                    let warm = lead.warm.entry(job_id).or_default();
-                    if !warm.contains(&job.image) {
-                        warm.push(job.image);
-                    }
-                }
-            }
-        }
-        let there = |m: &MachineId| self.replica.machines.contains_key(m);
-        lead.first_seen.retain(|m, _| there(m));
-        lead.heard.retain(|m, _| there(m));
-        lead.idle_since.retain(|m, _| there(m));
-        lead.warm.retain(|m, _| there(m));
-        lead.gone.retain(there);
-        lead.leave.retain(there);
-        lead.removed.retain(|_, t| now.since(*t) < 120_000);
-        // Machines of one zone that fall silent together are cut off, not dead.
-        let lease = self.settings.worker_gone_ms();
-        let mut zones: HashMap<ZoneId, (usize, usize)> = HashMap::default();
-        for (job_id, &at) in &self.leadership.heard {
-            if let Some(m) = self.replica.machines.get(job_id) {
-                let zone = zones.entry(m.zone).or_default();
-                zone.0 += usize::from(now.since(at) > lease);
-                zone.1 += 1;
+    /// Takes stock of machines and grants.
+    pub(crate) fn observe_machines(&mut self, now: Timestamp) {
+        let heartbeats = self.last_heartbeats(now);
+        self.note_start_times(&heartbeats);
+        let silent_ms = self.settings.worker_gone_ms();
+        let leadership = &mut self.leadership;
+        leadership.grants.note_grants(&self.replica, now);
+        leadership.inventory.retain_existing(&self.replica, now);
+        leadership.scale_in.retain_existing(&self.replica);
+        let machines = &mut leadership.machines;
+        machines.note_heartbeats(&heartbeats);
+        machines.note_queues(&self.replica, now);
+        machines.retain_existing(&self.replica);
+        machines.find_partitioned_zones(&self.replica, silent_ms, now);
+    }
+
+    /// When the holders of all machines heard them last.
+    fn last_heartbeats(&self, now: Timestamp) -> Vec<LastHeard> {
+        let machines = self.replica.machines.keys();
+        let heard = machines.filter_map(|&machine_id| {
+            let age_ms = self.machine_info(machine_id, now)?.age_ms?;
+            let at = Timestamp(now.0.saturating_sub(age_ms));
+            Some(LastHeard { machine_id, at })
+        });
+        heard.collect()
+    }
+
+    /// Records how long machines took to their first heartbeat.
+    fn note_start_times(&mut self, heartbeats: &[LastHeard]) {
+        for heartbeat in heartbeats {
+            if !self.leadership.machines.was_heard(heartbeat.machine_id) {
+                self.note_start_time(heartbeat);
             }
         }
-        let cut = zones
-            .into_iter()
-            .filter(|(_, (silent, all))| *all >= 4 && silent * 2 > *all);
-        self.leadership.cut_zones = cut.map(|z| z.0).collect();
     }
 
-    /// Notes how long a machine took to report for the first time, if this leader rented it: of
-    /// the others it is not known whether the report is their first.
-    fn note_start(&mut self, machine_id: MachineId, reported_at: Timestamp) {
-        let Some(machine_type) = self
-            .replica
-            .machines
-            .get(&machine_id)
-            .map(|m| m.machine_type)
-        else {
+    /// Records how long a machine took to its first heartbeat, if this leader rented it: of the
+    /// others it is not known whether the heartbeat is their first.
+    fn note_start_time(&mut self, first: &LastHeard) {
+        let Some(machine) = self.replica.machines.get(&first.machine_id) else {
             return;
         };
-        let listed = self.leadership.listed.get(&machine_id).map(|l| l.rented_at);
-        let Some(rented_at) = listed.or(self.leadership.first_seen.get(&machine_id).copied())
-        else {
+        let machine_type = machine.machine_type;
+        let listed = self.leadership.inventory.listed(first.machine_id);
+        let listed = listed.map(|listed| listed.rented_at);
+        let first_seen = self.leadership.machines.first_seen(first.machine_id);
+        let Some(rented_at) = listed.or(first_seen) else {
             return;
         };
         if rented_at > self.leadership.since {
-            let seconds = reported_at.since(rented_at) as f64 / 1000.0;
-            self.leadership
-                .start_times
-                .entry(machine_type)
-                .or_default()
-                .note(seconds);
+            let seconds = first.at.since(rented_at) as f64 / 1000.0;
+            let machines = &mut self.leadership.machines;
+            machines.note_start_time(machine_type, seconds);
         }
     }
 
-    /// Seconds that a machine of a type may take to report before it is overdue.
-    fn start_overdue_s(&self, machine_type: MachineTypeId, boot_s: f64) -> f64 {
-        let unacknowledged = StartTimes::default();
-        let seen = self
-            .leadership
-            .start_times
-            .get(&machine_type)
-            .unwrap_or(&unacknowledged);
-        seen.overdue_s(boot_s)
-    }
-
     /// Whether a machine is silent together with most others of its zone.
     pub(crate) fn cut_off(&self, machine_id: MachineId, now: Timestamp) -> bool {
-        let zone = self.replica.machines.get(&machine_id).map(|m| m.zone);
-        zone.is_some_and(|z| self.leadership.cut_zones.contains(&z))
-            && self
-                .leadership
-                .heard
-                .get(&machine_id)
-                .is_some_and(|&at| now.since(at) > self.settings.worker_gone_ms())
+        let observed = &self.leadership.machines;
+        let machine = self.replica.machines.get(&machine_id);
+        let silent_for = observed.silent_for(machine_id, now);
+        machine.is_some_and(|machine| observed.is_partitioned(machine.zone))
+            && silent_for.is_some_and(|silent_ms| silent_ms > self.settings.worker_gone_ms())
     }
 
     /// Whether tasks may be bound to a machine now.
@@ -137,8 +89,8 @@
             .machines
             .get(&machine_id)
             .is_some_and(|m| !m.leaving)
-            && !self.leadership.gone.contains(&machine_id)
-            && !self.leadership.leave.contains(&machine_id)
+            && !self.leadership.inventory.returned().contains(&machine_id)
+            && !self.leadership.scale_in.is_draining(machine_id)
             && self.machine_info(machine_id, now).is_some_and(|i| {
                 i.obeys && i.age_ms.is_some_and(|a| a < recent_ms) && !i.recalled && !i.quarantined
             })
@@ -165,13 +117,13 @@
             else {
                 continue;
             };
-            let closed = self.leadership.closed.contains(&machine_id);
+            let closed = self.leadership.scale_in.is_cordoned(machine_id);
             let regular = open.contains(&m.block);
             let writable = regular || early.contains(&m.block);
             if !writable || (closed && !closed_too) || !self.available(machine_id, now) {
                 continue;
             }
-            let warm = self.leadership.warm.get(&machine_id);
+            let images = self.leadership.machines.cached_images(machine_id);
             let coming = coming.get(&machine_id).map_or(&[][..], Vec::as_slice);
             slots.push(Slot {
                 machine: machine_id,
@@ -182,9 +134,7 @@
                 used: self.used(m.queue.iter().chain(coming)),
                 load: self.known_load(machine_id, now),
                 fetch_gb_per_s: machine_type.fetch_gb_per_s,
-                warm: warm
-                    .map(|w| w.iter().copied().collect())
-                    .unwrap_or_default(),
+                warm: images.iter().copied().collect(),
                 dear: is_dear(machine_type, m.spot, cheapest),
                 closed,
                 early: !regular,
@@ -254,24 +204,17 @@
         if !self.grace_over(now) {
             return false;
         }
-        let listed = self.leadership.listed.get(&machine_id);
-        if listed.is_some_and(|l| l.failed) {
+        let listed = self.leadership.inventory.listed(machine_id);
+        if listed.is_some_and(|listed| listed.failed) {
             return true;
         }
         // A list may be twice as late as it should be, so a machine counts as missing only after
         // it has been known here for longer than that. It need not have been listed to this
         // leader: it may have gone while another led, or nobody.
         let lag = (self.settings.platform.settings.cloud.list_lag_s * 2000.0) as u64 + 2000;
-        let absent = self
-            .leadership
-            .absent
-            .get(&machine_id)
-            .is_some_and(|&n| n >= 2);
-        let seen = self
-            .leadership
-            .first_seen
-            .get(&machine_id)
-            .map_or(0, |&t| now.since(t));
+        let absent = self.leadership.inventory.is_absent(machine_id);
+        let observed = &self.leadership.machines;
+        let seen = observed.known_for(machine_id, now);
         let missing = absent && seen > lag;
         let presumed_dead = self.settings.worker_gone_ms() + 8000;
         if self.machine_info(machine_id, now).is_none() {
@@ -279,14 +222,8 @@
         }
         // A new holder has not heard any of its machines at first. That says nothing of them:
         // what earlier holders heard counts on, and the new one gets its time.
-        let granted = self.leadership.granted.get(&m.block);
-        let held_for = granted.map_or(0, |g| now.since(g.1));
-        match self
-            .leadership
-            .heard
-            .get(&machine_id)
-            .map(|&at| now.since(at))
-        {
+        let held_for = self.leadership.grants.held_for(m.block, now);
+        match observed.silent_for(machine_id, now) {
             Some(age) => {
                 // An earlier holder that is cut off from all but its workers may still be
                 // answering this machine, for as long as its authority lasts.
@@ -303,7 +240,7 @@
             None => {
                 let held = listed.map_or(seen, |l| now.since(l.rented_at));
                 let patience =
-                    (self.start_overdue_s(m.machine_type, machine_type.boot_s) * 1000.0) as u64;
+                    (observed.start_overdue_s(m.machine_type, machine_type.boot_s) * 1000.0) as u64;
                 missing || (held > patience && seen > presumed_dead && held_for > presumed_dead)
             }
         }
@@ -320,7 +257,9 @@
                     .is_some_and(|i| i.quarantined)
             })
             .collect();
-        self.leadership.leave.extend(quarantined);
+        for machine_id in quarantined {
+            self.leadership.scale_in.drain(machine_id);
+        }
     }
 
     /// Keeps the machine types where a controller finds them that starts while the cloud is
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -7,27 +7,17 @@
         if !self.catalog_known() {
             return;
         }
-        if now >= self.leadership.next_list && !self.leadership.list_busy {
-            self.leadership.list_busy = true;
-            let lag = self.settings.platform.settings.cloud.list_lag_s;
-            self.leadership.next_list = now.plus((lag.clamp(2.0, 10.0) * 1000.0) as u64);
+        let lag_s = self.settings.platform.settings.cloud.list_lag_s;
+        let list_interval_ms = (lag_s.clamp(2.0, 10.0) * 1000.0) as u64;
+        if self.leadership.inventory.begin_list(list_interval_ms, now) {
             out.push(Effect::List);
         }
-        let stuck: Vec<RentRequest> = self
-            .leadership
-            .renting
-            .values_mut()
-            .filter(|(_, at)| now >= *at)
-            .map(|(r, at)| {
-                *at = now.plus(10_000);
-                r.clone()
-            })
-            .collect();
-        out.extend(stuck.into_iter().map(Effect::Rent));
-        if now < self.leadership.next_fleet {
+        let overdue = self.leadership.rent.take_overdue(now);
+        out.extend(overdue.into_iter().map(Effect::Rent));
+        if !self.leadership.rent.review_due(now) {
             return;
         }
-        self.leadership.next_fleet = now.plus(500);
+        self.leadership.rent.review_at(now.plus(500));
         self.give_up_machines(now);
         let (demand, fleet) = (self.demand(now), self.fleet(now));
         let rules = Rules {
@@ -39,18 +29,18 @@
         // The replica must show what is bound before idleness means anything.
         if self.grace_over(now) {
             self.close_machines(&demand, &fleet, &rules, now);
-            for machine_id in scaling::give_back(&demand, &fleet, &rules) {
-                self.leadership.leave.insert(machine_id);
+            for machine_id in scaling::machines_to_return(&demand, &fleet, &rules) {
+                self.leadership.scale_in.drain(machine_id);
             }
         }
         self.rent_machines(&demand, fleet, &rules, term, now, out);
-        if !self.leadership.returning {
+        if self.leadership.rent.may_return() {
             let names: Vec<String> = self
                 .replica
                 .machines
                 .iter()
                 .filter(|(machine_id, m)| {
-                    !self.leadership.gone.contains(machine_id)
+                    !self.leadership.inventory.returned().contains(machine_id)
                         && ((m.leaving && m.queue.is_empty()) || self.is_dead(**machine_id, now))
                 })
                 .map(|(&machine_id, _)| self.replica.names.machines.name(machine_id).to_owned())
@@ -58,7 +48,7 @@
                 .collect();
             if !names.is_empty() {
                 info!(machines = names.join(" "), "returning");
-                self.leadership.returning = true;
+                self.leadership.rent.begin_return();
                 out.push(Effect::Return(names));
             }
         }
@@ -76,46 +66,46 @@
     ) {
         let offers = self.offers();
         let fleet = self.with_coming(fleet);
-        let refused = &self.leadership.refused;
-        let asked: HashSet<(MachineTypeId, ZoneId, bool)> = self
-            .leadership
-            .renting
-            .values()
-            .filter_map(|(r, _)| {
-                let machine_type = self.replica.names.machine_types.get(&r.machine_type)?;
-                Some((machine_type, self.replica.names.zones.get(&r.zone)?, r.spot))
+        let names = &self.replica.names;
+        let leadership = &self.leadership;
+        let asked: HashSet<CapacityPool> = leadership
+            .rent
+            .pending()
+            .filter_map(|request| {
+                Some(CapacityPool {
+                    machine_type: names.machine_types.get(&request.machine_type)?,
+                    zone: names.zones.get(&request.zone)?,
+                    spot: request.spot,
+                })
             })
             .collect();
-        let orders = scaling::rent(demand, &fleet, &offers, rules, |f, z, s| {
-            refused.get(&(f, z, s)).is_none_or(|&until| now >= until)
-                && !asked.contains(&(f, z, s))
-                && !self.leadership.cut_zones.contains(&z)
+        let orders = scaling::plan_rentals(demand, &fleet, &offers, rules, |pool| {
+            leadership.rent.may_ask(pool, now)
+                && !asked.contains(&pool)
+                && !leadership.machines.is_partitioned(pool.zone)
         });
         for o in orders.into_iter().take(6) {
-            self.leadership.request_counter += 1;
             let rental = RentRequest {
-                request_id: format!("b-{}-{}", term.0, self.leadership.request_counter),
+                request_id: self.leadership.rent.next_request_id(term),
                 machine_type: self
                     .replica
                     .names
                     .machine_types
-                    .name(o.machine_type)
+                    .name(o.pool.machine_type)
                     .to_owned(),
-                zone: self.replica.names.zones.name(o.zone).to_owned(),
-                spot: o.spot,
-                number: o.number.min(MOST_RENTED),
+                zone: self.replica.names.zones.name(o.pool.zone).to_owned(),
+                spot: o.pool.spot,
+                number: o.number.min(scaling::MAX_MACHINES_PER_REQUEST),
             };
             info!(
                 request_id = rental.request_id,
                 machine_type = rental.machine_type,
                 zone = rental.zone,
-                spot = o.spot,
+                spot = o.pool.spot,
                 number = rental.number,
                 "renting"
             );
-            let at = now.plus(10_000);
-            let name = rental.request_id.clone();
-            self.leadership.renting.insert(name, (rental.clone(), at));
+            self.leadership.rent.begin_rent(rental.clone(), now);
             out.push(Effect::Rent(rental));
         }
     }
@@ -129,21 +119,29 @@
         rules: &Rules,
         now: Timestamp,
     ) {
-        let up: Vec<(Rented, f64)> = fleet
+        let up: Vec<BusyMachine> = fleet
             .iter()
             .filter(|m| self.available(m.machine, now))
-            .map(|m| (m.clone(), self.used_on(m.machine).cpus))
+            .map(|m| BusyMachine {
+                machine: m.clone(),
+                used_cpus: self.used_on(m.machine).cpus,
+            })
             .collect();
-        self.leadership.closed = scaling::close(demand, &up, rules).into_iter().collect();
-        if now < self.leadership.next_consolidation {
+        let cordoned = scaling::machines_to_cordon(demand, &up, rules);
+        self.leadership.scale_in.set_cordoned(cordoned);
+        if !self.leadership.scale_in.consolidation_due(now) {
             return;
         }
         let free: f64 = up
             .iter()
-            .filter(|(m, _)| !self.leadership.closed.contains(&m.machine))
-            .map(|(m, used)| (m.size.cpus - used).max(0.0))
+            .filter(|busy| !self.leadership.scale_in.is_cordoned(busy.machine.machine))
+            .map(|busy| (busy.machine.size.cpus - busy.used_cpus).max(0.0))
             .sum();
-        let worth = up.iter().filter(|(m, used)| {
+        let worth = up.iter().filter(|busy| {
+            let BusyMachine {
+                machine: m,
+                used_cpus: used,
+            } = *busy;
             let Some(machine) = self.replica.machines.get(&m.machine) else {
                 return false;
             };
@@ -153,17 +151,17 @@
             };
             let load = self.known_load(m.machine, now);
             let left_s = load * m.size.cpus / used.max(0.1);
-            self.leadership.closed.contains(&m.machine)
+            self.leadership.scale_in.is_cordoned(m.machine)
                 && *used > 0.0
                 && *used <= m.size.cpus * 0.5
                 && *used <= free * 0.8
                 && left_s > 30.0
                 && machine.queue.iter().all(saves)
         });
-        let dearest = worth.max_by(|a, b| a.0.price.total_cmp(&b.0.price));
-        if let Some((m, _)) = dearest {
-            self.leadership.next_consolidation = now.plus(6000);
-            self.leadership.leave.insert(m.machine);
+        let dearest = worth.max_by(|a, b| a.machine.price.total_cmp(&b.machine.price));
+        if let Some(busy) = dearest {
+            let machine_id = busy.machine.machine;
+            self.leadership.scale_in.consolidate(machine_id, now);
         }
     }
 
@@ -172,14 +170,15 @@
     pub(crate) fn with_coming(&self, mut fleet: Vec<Rented>) -> Vec<Rented> {
         let placed = self
             .leadership
-            .place
+            .inventory
+            .to_place()
             .values()
             .map(|r| (&r.machine_type, &r.zone, r.spot, 1));
         let asked = self
             .leadership
-            .renting
-            .values()
-            .map(|(r, _)| (&r.machine_type, &r.zone, r.spot, r.number));
+            .rent
+            .pending()
+            .map(|r| (&r.machine_type, &r.zone, r.spot, r.number));
         for (machine_type, zone, spot, number) in placed.chain(asked) {
             let names = &self.replica.names;
             let (Some(machine_type), Some(zone)) =
@@ -231,8 +230,12 @@
     /// the cloud refuses all of them.
     pub(crate) fn rentable_start_s(&self, now: Timestamp) -> Option<f64> {
         let open = |machine_type, zone, spot| {
-            let refused = self.leadership.refused.get(&(machine_type, zone, spot));
-            refused.is_none_or(|&until| now >= until)
+            let pool = CapacityPool {
+                machine_type,
+                zone,
+                spot,
+            };
+            self.leadership.rent.may_ask(pool, now)
         };
         let offers = self.offers().into_iter().filter(|o| {
             let mut zones = o.zones.iter();
@@ -291,28 +294,20 @@
             let going = info.as_ref().is_some_and(|i| i.recalled || i.quarantined);
             if m.leaving
                 || going
-                || self.leadership.leave.contains(&machine_id)
+                || self.leadership.scale_in.is_draining(machine_id)
                 || self.cut_off(machine_id, now)
                 || self.is_dead(machine_id, now)
             {
                 continue;
             }
             let up = info.is_some_and(|i| i.age_ms.is_some());
-            let idle = self
-                .leadership
-                .idle_since
-                .get(&machine_id)
-                .map(|&t| now.since(t));
-            let seen = self
-                .leadership
-                .first_seen
-                .get(&machine_id)
-                .map_or(0, |&t| now.since(t));
-            let held = self
-                .leadership
-                .listed
-                .get(&machine_id)
-                .map_or(seen, |l| now.since(l.rented_at));
+            let observed = &self.leadership.machines;
+            let idle = observed.idle_for(machine_id, now);
+            let listed = self.leadership.inventory.listed(machine_id);
+            let held = match listed {
+                Some(listed) => now.since(listed.rented_at),
+                None => observed.known_for(machine_id, now),
+            };
             out.push(Rented {
                 machine: machine_id,
                 machine_type: m.machine_type,
@@ -329,52 +324,13 @@
 
     /// The cloud's list arrived, or did not.
     pub fn on_list(&mut self, list: Option<Vec<CloudMachine>>, now: Timestamp) {
-        self.leadership.list_busy = false;
+        self.leadership.inventory.end_list();
         let Some(list) = list else { return };
         if self.leads().is_none() {
             return;
         }
-        let mut shown: HashSet<MachineId> = HashSet::default();
-        for machine in list {
-            let known = self.replica.names.machines.get(&machine.name);
-            let here = known.filter(|m| self.replica.machines.contains_key(m));
-            match here {
-                Some(machine_id) => {
-                    shown.insert(machine_id);
-                    let rented_at =
-                        Timestamp(now.0.saturating_sub((machine.held_s * 1000.0) as u64));
-                    let l = self
-                        .leadership
-                        .listed
-                        .entry(machine_id)
-                        .or_insert(ListedMachine {
-                            rented_at,
-                            failed: false,
-                        });
-                    l.failed = machine.status == "failed";
-                }
-                // Rented by an earlier leader, or late: it is used or goes back in time.
-                None => {
-                    if !self.leadership.removed.contains_key(&machine.name) {
-                        let record = NewMachine {
-                            machine_type: machine.machine_type,
-                            zone: machine.zone,
-                            spot: machine.spot,
-                        };
-                        self.leadership.place.entry(machine.name).or_insert(record);
-                    }
-                }
-            }
-        }
-        let there = &self.replica.machines;
-        self.leadership.absent.retain(|m, _| !shown.contains(m));
-        for &machine_id in there
-            .keys()
-            .filter(|machine_id| !shown.contains(machine_id))
-        {
-            *self.leadership.absent.entry(machine_id).or_default() += 1;
-        }
-        self.leadership.listed.retain(|m, _| there.contains_key(m));
+        let inventory = &mut self.leadership.inventory;
+        inventory.note_list(list, &self.replica, now);
     }
 
     /// A rental was answered: the machines, or none if it was refused, or no answer.
@@ -385,17 +341,15 @@
         sure: bool,
         now: Timestamp,
     ) {
-        if !self.leadership.renting.contains_key(&rental.request_id) {
+        let rent = &mut self.leadership.rent;
+        if !rent.is_pending(&rental.request_id) {
             return;
         }
         if !sure {
-            // The same booking again yields the same machines.
-            if let Some(r) = self.leadership.renting.get_mut(&rental.request_id) {
-                r.1 = now.plus(1500);
-            }
+            rent.retry_soon(&rental.request_id, now);
             return;
         }
-        self.leadership.renting.remove(&rental.request_id);
+        rent.end_rent(&rental.request_id);
         let got = answer.unwrap_or_default();
         info!(
             request_id = rental.request_id,
@@ -409,36 +363,39 @@
             if let (Some(machine_type), Some(zone)) = (machine_type, zone) {
                 let wait = (self.settings.options.fleet_refused_s * 1000.0) as u64;
                 let until = now.plus(wait + self.rng.random_range(0..wait / 2 + 1));
-                self.leadership
-                    .refused
-                    .insert((machine_type, zone, rental.spot), until);
+                let pool = CapacityPool {
+                    machine_type,
+                    zone,
+                    spot: rental.spot,
+                };
+                self.leadership.rent.note_refused(pool, until);
             }
         }
-        self.leadership.next_fleet = now;
+        self.leadership.rent.review_at(now);
         for name in got {
             let record = NewMachine {
                 machine_type: rental.machine_type.clone(),
                 zone: rental.zone.clone(),
                 spot: rental.spot,
             };
-            self.leadership.place.insert(name, record);
+            self.leadership.inventory.place_rented(name, record);
         }
     }
 
     /// A return was answered, or not.
     pub fn on_returned(&mut self, machines: &[String], ok: bool, now: Timestamp) {
-        self.leadership.returning = false;
+        self.leadership.rent.end_return();
         if self.leads().is_none() {
             return;
         }
         if ok {
             for machine in machines {
                 if let Some(machine_id) = self.replica.names.machines.get(machine) {
-                    self.leadership.gone.insert(machine_id);
+                    self.leadership.inventory.note_returned(machine_id);
                 }
             }
         } else {
-            self.leadership.next_fleet = now.plus(1000);
+            self.leadership.rent.review_at(now.plus(1000));
         }
     }
 }
--- /dev/null
+++ b/src/scaling/scale_in.rs
@@ -0,0 +1,138 @@
+//! Which machines to return, and which take no new tasks.
+
+use super::{
+    Demand, EXPENSIVE_CPU_FACTOR, MIN_CPUS, Rented, Rules, ordinary_only, runnable_cpus,
+    useful_cpus,
+};
+use crate::names::{Index, MachineId};
+
+/// What a machine without tasks counts for in times of its price, and what less it does when full.
+const IDLE_WEIGHT: f64 = 1.2;
+const BUSY_DISCOUNT: f64 = 0.2;
+/// Room that stays open beyond what could run at once: a factor, and some CPUs on top.
+const SPARE_FACTOR: f64 = 1.1;
+const SPARE_CPUS: f64 = 2.0;
+/// Less than this of a CPU is nothing.
+const NEGLIGIBLE_CPUS: f64 = 1e-6;
+
+/// A machine that is up, with the CPUs that its bound tasks take.
+#[derive(Debug, Clone)]
+pub struct BusyMachine {
+    /// The machine.
+    pub machine: Rented,
+    /// CPUs that its bound tasks take.
+    pub used_cpus: f64,
+}
+
+impl BusyMachine {
+    /// What a CPU costs, weighted by how idle the machine is. Prices within a fifth count as
+    /// equal: a warm and busy machine is worth more than that.
+    fn weighted_price(&self) -> f64 {
+        let used = self.used_cpus / self.machine.size.cpus.max(MIN_CPUS);
+        self.machine.price_per_cpu() * (IDLE_WEIGHT - BUSY_DISCOUNT * used)
+    }
+}
+
+/// Decides which idle machines are returned: the dearest per CPU first, while what stays suffices.
+pub fn machines_to_return(demand: &[Demand], fleet: &[Rented], rules: &Rules) -> Vec<MachineId> {
+    let wanted = useful_cpus(demand, rules.horizon_s);
+    let mut present: f64 = fleet.iter().map(|machine| machine.size.cpus).sum();
+    let ordinary_wanted = useful_cpus(&ordinary_only(demand), rules.horizon_s);
+    let ordinary = fleet.iter().filter(|machine| !machine.spot);
+    let mut ordinary_present: f64 = ordinary.map(|machine| machine.size.cpus).sum();
+    let mut returned = Vec::new();
+    for machine in idle_dearest_first(fleet, rules) {
+        let cpus = machine.size.cpus;
+        let ordinary_cpus = if machine.spot { 0.0 } else { cpus };
+        let ordinary_spare = machine.spot || ordinary_present - ordinary_cpus >= ordinary_wanted;
+        let only_one = is_only_one(machine, demand, fleet, &returned);
+        if !only_one && present - cpus >= wanted && ordinary_spare {
+            present -= cpus;
+            ordinary_present -= ordinary_cpus;
+            returned.push(machine.machine);
+        }
+    }
+    returned
+}
+
+/// Machines that have been idle for long enough and are paid for, the dearest per CPU first.
+fn idle_dearest_first<'a>(fleet: &'a [Rented], rules: &Rules) -> Vec<&'a Rented> {
+    let is_idle = |machine: &&Rented| {
+        let idle = machine.idle_s.is_some_and(|idle_s| idle_s >= rules.idle_s);
+        idle && machine.held_s >= rules.charge_s
+    };
+    let mut idle: Vec<&Rented> = fleet.iter().filter(is_idle).collect();
+    idle.sort_by(|a, b| {
+        b.price_per_cpu()
+            .total_cmp(&a.price_per_cpu())
+            .then(a.machine.raw().cmp(&b.machine.raw()))
+    });
+    idle
+}
+
+/// Whether some job that waits or runs could run on no other machine that stays.
+fn is_only_one(
+    machine: &Rented,
+    demand: &[Demand],
+    fleet: &[Rented],
+    returned: &[MachineId],
+) -> bool {
+    let stays =
+        |other: &&Rented| other.machine != machine.machine && !returned.contains(&other.machine);
+    demand.iter().any(|job| {
+        job.tasks > 0.0
+            && machine.serves(job)
+            && !fleet.iter().filter(stays).any(|other| other.serves(job))
+    })
+}
+
+/// Decides which machines take no new tasks because the cheaper and fuller ones suffice for
+/// all that could run. Queues empty out there, and the machines can be returned.
+///
+/// Expensive machines are cordoned earlier: as soon as the cheap ones can do what is left within
+/// a horizon.
+pub fn machines_to_cordon(
+    demand: &[Demand],
+    fleet: &[BusyMachine],
+    rules: &Rules,
+) -> Vec<MachineId> {
+    let mut order: Vec<&BusyMachine> = fleet.iter().collect();
+    order.sort_by(|a, b| {
+        a.weighted_price()
+            .total_cmp(&b.weighted_price())
+            .then(a.machine.machine.raw().cmp(&b.machine.machine.raw()))
+    });
+    let wanted = runnable_cpus(demand) * SPARE_FACTOR + SPARE_CPUS;
+    let wanted_of_expensive = useful_cpus(demand, rules.horizon_s);
+    let mut ordinary_wanted = runnable_cpus(&ordinary_only(demand));
+    let prices = fleet.iter().map(|busy| busy.machine.price_per_cpu());
+    let cheapest = prices.fold(f64::INFINITY, f64::min);
+    let mut present = 0.0;
+    let mut kept: Vec<&Rented> = Vec::new();
+    let mut cordoned = Vec::new();
+    for BusyMachine { machine, used_cpus } in order {
+        let only_one = demand.iter().any(|job| {
+            let served = || kept.iter().any(|other| other.serves(job));
+            job.tasks > 0.0 && machine.serves(job) && !served()
+        });
+        let expensive = machine.price_per_cpu() > cheapest * EXPENSIVE_CPU_FACTOR;
+        let enough = present
+            >= if expensive {
+                wanted_of_expensive
+            } else {
+                wanted
+            };
+        // Spot machines are no use to tasks that may not run there.
+        let ordinary_needed = !machine.spot && ordinary_wanted > NEGLIGIBLE_CPUS;
+        if !enough || ordinary_needed || only_one {
+            present += machine.size.cpus;
+            if !machine.spot {
+                ordinary_wanted -= (machine.size.cpus - used_cpus).max(0.0);
+            }
+            kept.push(machine);
+        } else {
+            cordoned.push(machine.machine);
+        }
+    }
+    cordoned
+}
--- a/src/scaling/tests.rs
+++ b/src/scaling/tests.rs
@@ -1,6 +1,10 @@
-//! Unit tests of `fleet`.
+//! Unit tests of scaling out and in.
 
-use super::*;
+use super::{
+    BusyMachine, Demand, Offer, Rented, Rules, machines_to_cordon, machines_to_return, plan_rentals,
+};
+use crate::names::{Index, MachineId, MachineTypeId, ZoneId};
+use crate::placement::Room;
 use crate::placement::tests::needs;
 
 const RULES: Rules = Rules {
@@ -46,46 +50,49 @@
     }
 }
 
+fn busy(machine: Rented, used_cpus: f64) -> BusyMachine {
+    BusyMachine { machine, used_cpus }
+}
+
 #[test]
 fn the_cheapest_kind_is_asked_first_and_refused_ones_are_passed_over() {
     let offers = [offer(0, 4.0, 1.0), offer(1, 64.0, 20.0)];
-    let orders = rent(&[demand(16.0, 4000.0)], &[], &offers, &RULES, |_, _, _| {
-        true
-    });
+    let orders = plan_rentals(&[demand(16.0, 4000.0)], &[], &offers, &RULES, |_| true);
     let asked: Vec<_> = orders
         .iter()
-        .map(|o| (o.machine_type.raw(), o.spot, o.number))
+        .map(|order| (order.pool.machine_type.raw(), order.pool.spot, order.number))
         .collect();
     assert_eq!(asked, [(0, true, 2), (0, true, 2)], "over both zones");
-    let orders = rent(&[demand(16.0, 9000.0)], &[], &offers, &RULES, |_, z, s| {
-        !s && z.raw() == 1
+    let orders = plan_rentals(&[demand(16.0, 9000.0)], &[], &offers, &RULES, |pool| {
+        !pool.spot && pool.zone.raw() == 1
     });
-    assert_eq!((orders[0].zone.raw(), orders[0].spot), (1, false));
+    assert_eq!((orders[0].pool.zone.raw(), orders[0].pool.spot), (1, false));
 }
 
 #[test]
 fn little_work_is_not_worth_many_machines() {
     let offers = [offer(0, 4.0, 1.0)];
-    let orders = rent(&[demand(100.0, 600.0)], &[], &offers, &RULES, |_, _, _| {
-        true
-    });
-    assert_eq!(orders.iter().map(|o| o.number).sum::<u32>(), 3);
-    assert!(rent(&[], &[], &offers, &RULES, |_, _, _| true).is_empty());
+    let orders = plan_rentals(&[demand(100.0, 600.0)], &[], &offers, &RULES, |_| true);
+    assert_eq!(orders.iter().map(|order| order.number).sum::<u32>(), 3);
+    assert!(plan_rentals(&[], &[], &offers, &RULES, |_| true).is_empty());
 }
 
 #[test]
 fn a_job_that_no_machine_suits_gets_one_even_if_it_is_small() {
     let offers = [offer(0, 4.0, 1.0), offer(1, 64.0, 20.0)];
-    let mut d = demand(1.0, 10.0);
-    d.needs.machine_types = Some(vec![MachineTypeId::from_raw(1)]);
-    let orders = rent(
-        &[d],
+    let mut job = demand(1.0, 10.0);
+    job.needs.machine_types = Some(vec![MachineTypeId::from_raw(1)]);
+    let orders = plan_rentals(
+        &[job],
         &[rented(0, 4.0, None, 0.0)],
         &offers,
         &RULES,
-        |_, _, _| true,
+        |_| true,
+    );
+    assert_eq!(
+        (orders[0].pool.machine_type.raw(), orders[0].number),
+        (1, 1)
     );
-    assert_eq!((orders[0].machine_type.raw(), orders[0].number), (1, 1));
 }
 
 #[test]
@@ -96,9 +103,9 @@
         rented(2, 4.0, Some(2.0), 100.0),
         rented(3, 4.0, None, 100.0),
     ];
-    let back = give_back(&[], &fleet, &RULES);
+    let back = machines_to_return(&[], &fleet, &RULES);
     assert_eq!(back, [MachineId::from_raw(0)]);
-    assert!(give_back(&[demand(16.0, 4000.0)], &fleet, &RULES).is_empty());
+    assert!(machines_to_return(&[demand(16.0, 4000.0)], &fleet, &RULES).is_empty());
 }
 
 #[test]
@@ -106,15 +113,15 @@
     let mut dear = rented(0, 4.0, None, 100.0);
     dear.price = 3.0;
     let fleet = [
-        (dear, 2.0),
-        (rented(1, 4.0, None, 100.0), 0.0),
-        (rented(2, 4.0, None, 100.0), 3.0),
+        busy(dear, 2.0),
+        busy(rented(1, 4.0, None, 100.0), 0.0),
+        busy(rented(2, 4.0, None, 100.0), 3.0),
     ];
-    let closed = close(&[demand(1.0, 50.0)], &fleet, &RULES);
+    let closed = machines_to_cordon(&[demand(1.0, 50.0)], &fleet, &RULES);
     assert_eq!(closed, [1, 0].map(MachineId::from_raw));
-    assert!(close(&[demand(30.0, 5000.0)], &fleet, &RULES).is_empty());
+    assert!(machines_to_cordon(&[demand(30.0, 5000.0)], &fleet, &RULES).is_empty());
     // Little work is left for its number of tasks: the dear machine is closed, no other.
-    let closed = close(&[demand(30.0, 400.0)], &fleet, &RULES);
+    let closed = machines_to_cordon(&[demand(30.0, 400.0)], &fleet, &RULES);
     assert_eq!(closed, [MachineId::from_raw(0)]);
 }
 
@@ -139,23 +146,27 @@
 fn spot_machines_are_no_room_for_what_may_not_run_there() {
     let work = [demand(8.0, 2000.0), lasting(10.0, 2000.0)];
     // Both sorts are closed only as far as each is not needed.
-    let fleet: Vec<(Rented, f64)> = mixed(10, 10).into_iter().map(|m| (m, 0.0)).collect();
-    let closed = close(&work, &fleet, &RULES);
+    let fleet: Vec<BusyMachine> = mixed(10, 10).into_iter().map(|m| busy(m, 0.0)).collect();
+    let closed = machines_to_cordon(&work, &fleet, &RULES);
     let ordinary_closed = closed.iter().filter(|m| m.raw() >= 10).count();
     assert_eq!(
         ordinary_closed, 7,
         "12 of 40 CPUs stay for the 10 that need them"
     );
-    let returned = give_back(&work, &mixed(10, 10), &RULES);
+    let returned = machines_to_return(&work, &mixed(10, 10), &RULES);
     let ordinary_left = 10 - returned.iter().filter(|m| m.raw() >= 10).count();
     assert!(ordinary_left >= 3, "{ordinary_left} ordinary machines stay");
-    let none = give_back(&[], &mixed(0, 10), &RULES);
+    let none = machines_to_return(&[], &mixed(0, 10), &RULES);
     assert_eq!(none.len(), 10);
     // And ordinary ones are rented although spot machines stand idle.
     let offers = [offer(0, 4.0, 1.0)];
-    let orders = rent(&work, &mixed(20, 0), &offers, &RULES, |_, _, _| true);
-    let asked: u32 = orders.iter().filter(|o| !o.spot).map(|o| o.number).sum();
+    let orders = plan_rentals(&work, &mixed(20, 0), &offers, &RULES, |_| true);
+    let asked: u32 = orders
+        .iter()
+        .filter(|order| !order.pool.spot)
+        .map(|order| order.number)
+        .sum();
     assert!((2..=4).contains(&asked), "{orders:?}");
-    let orders = rent(&work, &mixed(20, 4), &offers, &RULES, |_, _, _| true);
-    assert!(orders.iter().all(|o| o.spot), "{orders:?}");
+    let orders = plan_rentals(&work, &mixed(20, 4), &offers, &RULES, |_| true);
+    assert!(orders.iter().all(|order| order.pool.spot), "{orders:?}");
 }
--- a/src/stealing/tests.rs
+++ b/src/stealing/pack_steal/tests.rs
@@ -1,24 +1,24 @@
-//! Unit tests of `balance`.
+//! Unit tests of PackStealLB.
 
-use super::*;
-use crate::names::Index;
+use super::{Factors, Levels, MachineLoad, Role, choose_target};
+use crate::names::{Index, MachineId};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-const F: Factors = Factors {
+const FACTORS: Factors = Factors {
     tolerance: 0.05,
     pack: 0.4,
     targets: 4,
     hops: 0.25,
 };
 
-fn of(l: &[f64]) -> Option<Levels> {
-    Levels::new(l.iter().sum(), l.len(), &F)
+fn levels_of(loads: &[f64]) -> Option<Levels> {
+    Levels::new(loads.iter().sum(), loads.len(), &FACTORS)
 }
 
 #[test]
 fn roles_follow_the_mean() {
-    let levels = of(&[0.0, 100.0, 200.0]).expect("loads");
+    let levels = levels_of(&[0.0, 100.0, 200.0]).expect("loads");
     assert_eq!(
         (levels.mean, levels.epsilon, levels.pack),
         (100.0, 5.0, 2.0)
@@ -28,14 +28,14 @@
     assert_eq!(levels.role(98.1), Role::Balanced);
     assert_eq!(levels.role(98.0), Role::Thief { steals: 1 });
     assert_eq!(levels.role(93.0), Role::Thief { steals: 4 });
-    let idle = of(&[0.0, 0.0]).expect("loads");
+    let idle = levels_of(&[0.0, 0.0]).expect("loads");
     assert_eq!(idle.role(0.0), Role::Balanced, "nothing to steal anywhere");
-    assert_eq!(of(&[]), None);
+    assert_eq!(levels_of(&[]), None);
 }
 
 #[test]
 fn packs_hold_the_surplus_and_leave_the_mean() {
-    let levels = of(&[0.0, 200.0]).expect("loads");
+    let levels = levels_of(&[0.0, 200.0]).expect("loads");
     let small: Vec<(u32, f64)> = (0..200).map(|i| (i, 1.0)).collect();
     let packs = levels.packs(200.0, &small);
     let moved: f64 = packs.iter().map(|p| p.load).sum();
@@ -48,22 +48,22 @@
 
 #[test]
 fn steals_go_to_the_heaviest_and_after_the_cutoff_anywhere() {
-    let all: Vec<(MachineId, f64)> = [9.0, 8.0, 7.0, 6.0, 5.0, 4.0, 3.0, 0.0]
+    let all: Vec<MachineLoad> = [9.0, 8.0, 7.0, 6.0, 5.0, 4.0, 3.0, 0.0]
         .into_iter()
         .zip([1, 2, 3, 4, 5, 6, 7, 0].map(MachineId::from_raw))
-        .map(|(l, m)| (m, l))
+        .map(|(load, machine_id)| MachineLoad { machine_id, load })
         .collect();
     let me = MachineId::from_raw(0);
     let mut rng = SmallRng::seed_from_u64(3);
     let mut pick = |far, route: &[MachineId]| {
         (0..200)
-            .filter_map(|_| target(&all, far, me, route, &F, &mut rng))
+            .filter_map(|_| choose_target(&all, far, me, route, &FACTORS, &mut rng))
             .map(|m| m.raw())
             .collect::<std::collections::BTreeSet<_>>()
     };
     assert_eq!(pick(false, &[]), [1, 2, 3, 4].into());
     assert_eq!(pick(true, &[]), [1, 2, 3, 4, 5, 6, 7].into());
     assert_eq!(pick(false, &[MachineId::from_raw(1)]), [2, 3, 4, 5].into());
-    let everyone: Vec<_> = all.iter().map(|m| m.0).collect();
+    let everyone: Vec<_> = all.iter().map(|machine| machine.machine_id).collect();
     assert!(pick(true, &everyone).is_empty());
 }
