--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -706,3 +706,6 @@
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub loans: Vec<HeardLoan>,
 }
+
+#[cfg(test)]
+mod tests;
