--- /dev/null
+++ b/src/protocol/json.rs
@@ -0,0 +1,57 @@
+//! JSON values that are passed on as text.
+
+use serde::{Deserialize, Deserializer, Serialize, Serializer};
+use serde_json::value::RawValue;
+use std::sync::Arc;
+
+/// A JSON value as text. It is written once and parsed at most once, however often it is sent or
+/// delivered again.
+#[derive(Debug, Clone)]
+pub struct Json(Arc<RawValue>);
+
+impl Json {
+    /// The text of `value`; `null` for a value that has no JSON form. Records are plain data with string
+    /// keys and always have one.
+    pub fn of(value: &impl Serialize) -> Json {
+        let raw = serde_json::value::to_raw_value(value);
+        Json(raw.unwrap_or_else(|_| RawValue::NULL.to_owned()).into())
+    }
+
+    /// Parses the text as a record.
+    ///
+    /// # Errors
+    ///
+    /// If the text is not of this type: it is damaged, or of a version that is not known here.
+    pub fn read<T: serde::de::DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
+        serde_json::from_str(self.0.get())
+    }
+
+    /// Length of the text, bytes.
+    pub fn size(&self) -> usize {
+        self.0.get().len()
+    }
+}
+
+impl Default for Json {
+    fn default() -> Self {
+        Json(RawValue::NULL.to_owned().into())
+    }
+}
+
+impl PartialEq for Json {
+    fn eq(&self, other: &Self) -> bool {
+        self.0.get() == other.0.get()
+    }
+}
+
+impl Serialize for Json {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        self.0.serialize(serializer)
+    }
+}
+
+impl<'de> Deserialize<'de> for Json {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        Box::<RawValue>::deserialize(deserializer).map(|raw| Json(raw.into()))
+    }
+}
