--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -69,23 +69,6 @@
     Load,
 }
 
-/// How a transaction went.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CommitOutcome {
-    /// Committed at this revision.
-    Done(u64),
-    /// A precondition failed; the state service was at this revision.
-    Conflict(u64),
-    /// It named a lease that has expired.
-    NoLease,
-    /// Not committed, for budget or outage.
-    Refused,
-    /// Not committed: too large, or not of the form that the state service takes.
-    Malformed,
-    /// No answer: committed, or not, or later.
-    Unknown,
-}
-
 /// Answer to a worker's heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatResponse {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -19,10 +19,11 @@
 mod usage;
 pub(crate) mod writes;
 
+pub use crate::store::CommitOutcome;
 pub(crate) use blocks::BlockUpkeep;
 pub(crate) use completions::Completions;
 pub(crate) use effects::put;
-pub use effects::{CommitOutcome, Effect, HeartbeatResponse, WriteKind};
+pub use effects::{Effect, HeartbeatResponse, WriteKind};
 pub(crate) use formats::FormatTracker;
 pub(crate) use heartbeats::NO_TOKEN;
 pub(crate) use held_machines::HeldMachines;
--- a/src/http.rs
+++ b/src/http.rs
@@ -4,10 +4,10 @@
 use crate::controller::{CommitOutcome, Controller, HeartbeatResponse, NO_TOKEN};
 use crate::jobs::{self, FinalStateCache, chained};
 use crate::protocol::{Heartbeat, JobAnswer, JobStatus, PeerMessage, Transaction};
-use crate::read_index::ReadIndex;
 use crate::records::{JobRecord, WaitingRecord};
 use crate::replica::Replica;
-use crate::store::{StateClient, StateError};
+use crate::store::read_index::ReadIndex;
+use crate::store::{StoreClient, StoreError};
 use actix_web::http::StatusCode;
 use actix_web::{HttpRequest, HttpResponse, web};
 use parking_lot::Mutex;
@@ -64,7 +64,7 @@
     /// Shared state.
     pub shared: Arc<Shared>,
     /// State service.
-    pub state: StateClient,
+    pub state: StoreClient,
     /// Least time between two reads that let users' questions wait for the replica.
     pub pause: Duration,
 }
@@ -89,9 +89,9 @@
     HttpResponse::build(status).json(serde_json::json!({ "error": why }))
 }
 
-fn state_trouble(e: &StateError) -> HttpResponse {
+fn state_trouble(e: &StoreError) -> HttpResponse {
     match e {
-        StateError::Busy => later(StatusCode::TOO_MANY_REQUESTS, "too many requests"),
+        StoreError::RateLimited => later(StatusCode::TOO_MANY_REQUESTS, "too many requests"),
         _ => unavailable("the state service is out of reach"),
     }
 }
@@ -163,7 +163,7 @@
 
     /// Looks a job up as of now or later: an answer older than one that any controller gave
     /// before is impossible.
-    async fn look_up(&self, name: &str) -> Result<Option<Found>, StateError> {
+    async fn look_up(&self, name: &str) -> Result<Option<Found>, StoreError> {
         let read_index = &self.shared.read_index;
         read_index
             .catch_up(&self.state, self.pause, READ_WAIT)
@@ -171,7 +171,7 @@
         let known = {
             let controller = self.shared.controller.lock();
             if controller.replica.is_unreadable(name) {
-                return Err(StateError::Odd(format!("the value of {name}")));
+                return Err(StoreError::InvalidResponse(format!("the value of {name}")));
             }
             found_in(&controller.replica, name)
         };
--- a/src/http/submission.rs
+++ b/src/http/submission.rs
@@ -8,7 +8,7 @@
 use crate::jobs::{self, Read};
 use crate::protocol::{JobAnswer, JobStatus, Submission, Transaction};
 use crate::records::{Encoding, JobRecord};
-use crate::store::StateError;
+use crate::store::StoreError;
 use actix_web::HttpResponse;
 use actix_web::http::StatusCode;
 use std::time::Duration;
@@ -234,7 +234,7 @@
         &self,
         names: &[String],
         until: Instant,
-    ) -> Result<Vec<(String, Predecessor)>, StateError> {
+    ) -> Result<Vec<(String, Predecessor)>, StoreError> {
         let read_index = &self.shared.read_index;
         read_index
             .catch_up(&self.state, self.pause, READ_WAIT)
@@ -264,13 +264,13 @@
         &self,
         name: &str,
         until: Instant,
-    ) -> Result<Option<JobStatus>, StateError> {
+    ) -> Result<Option<JobStatus>, StoreError> {
         if let Some(a) = self.remembered(name) {
             return Ok(Some(a.status));
         }
         let left = until.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return Err(StateError::Busy);
+            return Err(StoreError::RateLimited);
         }
         let archived = self.state.archived(name, left.min(READ_WAIT)).await?;
         let archived = archived.filter(|record| record.borrowed().is_none());
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,7 +15,6 @@
 pub mod placement;
 pub mod protocol;
 pub mod ranges;
-pub mod read_index;
 pub mod records;
 pub mod replica;
 pub mod runtime;
--- a/src/runtime.rs
+++ b/src/runtime.rs
@@ -7,11 +7,11 @@
 use crate::protocol::{
     Catalog, CloudMachine, MachineNames, MachinePage, PeerMessage, RentRequest, Transaction,
 };
-use crate::read_index::{self, ReadIndex};
 use crate::replica::ROOT;
 use crate::settings::Settings;
 use crate::spillover::CellCall;
-use crate::store::{LeaseAnswer, StateClient, StateError};
+use crate::store::read_index::{self, ReadIndex};
+use crate::store::{LeaseOutcome, StoreClient, StoreError};
 use actix::prelude::*;
 use actix_service::{IntoServiceFactory, Service, ServiceFactory, map_config};
 use actix_web::dev::AppConfig;
@@ -58,7 +58,7 @@
 /// The actor that carries out what [`Core`] decides.
 struct ControllerActor {
     shared: Arc<Shared>,
-    state: StateClient,
+    state: StoreClient,
     http: Client,
     cloud: String,
     peers: HashMap<String, String>,
@@ -111,7 +111,7 @@
                     {
                         let mut controller = act.shared.controller.lock();
                         match a {
-                            LeaseAnswer::Held(lease_id) => controller.on_lease(lease_id, sent),
+                            LeaseOutcome::Held(lease_id) => controller.on_lease(lease_id, sent),
                             _ => controller.on_lease_failed(now),
                         }
                     }
@@ -124,9 +124,9 @@
                     let now = act.now();
                     let mut controller = act.shared.controller.lock();
                     match a {
-                        LeaseAnswer::Held(_) => controller.on_renewed(lease_id, sent),
-                        LeaseAnswer::Gone => controller.on_lease_gone(lease_id, now),
-                        LeaseAnswer::Failed => controller.on_lease_failed(now),
+                        LeaseOutcome::Held(_) => controller.on_renewed(lease_id, sent),
+                        LeaseOutcome::Expired => controller.on_lease_gone(lease_id, now),
+                        LeaseOutcome::Failed => controller.on_lease_failed(now),
                     }
                 }));
             }
@@ -353,7 +353,7 @@
 /// The actor that follows the shared keys.
 struct Watcher {
     shared: Arc<Shared>,
-    state: StateClient,
+    state: StoreClient,
     actor: Addr<ControllerActor>,
 }
 
@@ -367,7 +367,7 @@
     }
 }
 
-async fn follow(shared: Arc<Shared>, state: StateClient, actor: Addr<ControllerActor>) {
+async fn follow(shared: Arc<Shared>, state: StoreClient, actor: Addr<ControllerActor>) {
     let mut reread = true;
     let gap = {
         let controller = shared.controller.lock();
@@ -379,13 +379,17 @@
         let sent = shared.now();
         let problem = if reread {
             match state.list(ROOT).await {
-                Ok((items, revision, upto)) => {
+                Ok(read) => {
                     let now = shared.now();
-                    shared
-                        .controller
-                        .lock()
-                        .on_load(items, revision, upto, sent, now);
-                    shared.read_index.reached(revision);
+                    let (revision, last_revision) = (read.first_revision, read.last_revision);
+                    shared.controller.lock().on_load(
+                        read.items,
+                        revision,
+                        last_revision,
+                        sent,
+                        now,
+                    );
+                    shared.read_index.applied(revision);
                     reread = false;
                     actor.do_send(Wake);
                     None
@@ -401,7 +405,7 @@
                     let revision = list.revision;
                     shared.controller.lock().on_watch_response(list, sent, now);
                     shared.wake();
-                    shared.read_index.reached(revision);
+                    shared.read_index.applied(revision);
                     if any {
                         actor.do_send(Wake);
                         actix_rt::time::sleep(gap).await;
@@ -413,7 +417,7 @@
         };
         match problem {
             None => {}
-            Some(StateError::Compacted) => reread = true,
+            Some(StoreError::Compacted) => reread = true,
             Some(e) => {
                 debug!(error = %e, "following the state service");
                 actix_rt::time::sleep(Duration::from_millis(300)).await;
@@ -522,11 +526,11 @@
         .disable_redirects()
         .finish();
     let external = &settings.platform.external;
-    let state = StateClient::new(http.clone(), &external.state);
+    let state = StoreClient::new(http.clone(), &external.state);
     let api_state = ApiState {
         shared: shared.clone(),
         state: state.clone(),
-        pause: read_index::pause(&settings),
+        pause: read_index::read_interval(&settings),
     };
     let actor = ControllerActor {
         shared: shared.clone(),
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,258 +1,257 @@
-//! Client of the state service.
+//! The HTTP client of the key-value store: `PROTOCOL`, "Controller nodes -> state service".
 
-use crate::controller::CommitOutcome;
-use crate::protocol::{JobStatus, KeyValue, KeyValuePage, Transaction, WatchResponse};
+use super::{CommitOutcome, LeaseOutcome, PrefixRead, StoreError};
+use crate::protocol::{
+    CommitResponse, GrantedLease, JobStatus, KeyValue, KeyValuePage, LeaseRequest, Transaction,
+    WatchResponse,
+};
 use crate::records::JobRecord;
 use crate::replica::past_key;
 use awc::Client;
 use awc::http::StatusCode;
-use serde::Deserialize;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
 use std::time::Duration;
 
-/// Why a read did not succeed.
-#[derive(Debug, thiserror::Error, Clone, PartialEq, Eq)]
-pub enum StateError {
-    /// 429: the budget of requests is used up.
-    #[error("too many requests")]
-    Busy,
-    /// 503, no answer, or no connection.
-    #[error("out of reach")]
-    Down,
-    /// 410: the watch must begin anew.
-    #[error("history is gone")]
-    Compacted,
-    /// An answer that makes no sense.
-    #[error("answer not understood: {0}")]
-    Odd(String),
-}
-
-/// Answer to asking for or renewing a lease.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LeaseAnswer {
-    /// Granted or renewed.
-    Held(u64),
-    /// Over.
-    Gone,
-    /// No or not now.
-    Failed,
-}
+/// Longest wait for one read of the archive that no user waits for.
+const ARCHIVE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Longest wait for a lease, or for its renewal.
+const LEASE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Longest wait for one page of a prefix.
+const PAGE_TIMEOUT: Duration = Duration::from_secs(3);
+/// What a watch may take in excess of the time that the store is told to wait.
+const WATCH_MARGIN: Duration = Duration::from_millis(1500);
+/// Keys asked for in one page of a prefix.
+const PAGE_KEYS: usize = 500;
+/// Largest body accepted from the store, bytes.
+const MAX_BODY_BYTES: usize = 64 << 20;
+/// What the store answers to a transaction that names a lease which has expired.
+const NO_SUCH_LEASE: &str = "no such lease";
 
 /// The client. Cheap to clone; connections are kept and shared.
 #[derive(Clone)]
-pub struct StateClient {
+pub struct StoreClient {
     http: Client,
-    base: String,
+    base_url: String,
 }
 
-/// Longest wait for one read of the archive that no user waits for.
-const ARCHIVE_WAIT: Duration = Duration::from_millis(1500);
-
-/// Largest body accepted from the state service.
-const BODY: usize = 64 << 20;
+/// An answer that arrived whole.
+struct Answer {
+    status: StatusCode,
+    body: Vec<u8>,
+}
 
-impl StateClient {
-    /// A client of the service at `addr`.
-    pub fn new(http: Client, addr: &str) -> Self {
+impl StoreClient {
+    /// A client of the store at `address`, `host:port`.
+    pub fn new(http: Client, address: &str) -> Self {
         Self {
             http,
-            base: format!("http://{addr}"),
-        }
-    }
-
-    async fn get(&self, path: &str, wait: Duration) -> Result<(StatusCode, Vec<u8>), StateError> {
-        let request = self
-            .http
-            .get(format!("{}{path}", self.base))
-            .timeout(wait)
-            .send();
-        let answer = request.await.map_err(|_| StateError::Down)?;
-        let mut answer = answer.timeout(wait);
-        let body = answer.body().limit(BODY);
-        let body = body.await.map_err(|_| StateError::Down)?;
-        match answer.status() {
-            StatusCode::TOO_MANY_REQUESTS => Err(StateError::Busy),
-            StatusCode::GONE => Err(StateError::Compacted),
-            s if s.is_success() || s == StatusCode::NOT_FOUND => Ok((s, body.to_vec())),
-            s if s.is_server_error() => Err(StateError::Down),
-            s => Err(StateError::Odd(s.to_string())),
+            base_url: format!("http://{address}"),
         }
     }
 
-    /// Reads one key.
-    pub async fn read(&self, key: &str, wait: Duration) -> Result<Option<KeyValue>, StateError> {
-        let (status, body) = self.get(&format!("/keys/{key}"), wait).await?;
-        if status == StatusCode::NOT_FOUND {
+    /// Reads one key; none if it does not exist.
+    ///
+    /// # Errors
+    ///
+    /// If the store refuses the read, does not answer within `timeout`, or answers something else.
+    pub async fn read(&self, key: &str, timeout: Duration) -> Result<Option<KeyValue>, StoreError> {
+        let answer = self.get(&format!("/keys/{key}"), timeout).await?;
+        if answer.status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        parse(&body).map(Some)
+        parse(&answer.body).map(Some)
     }
 
-    /// Reads a job that is over from the archive.
+    /// Reads a job that is over from the archive; none if it is not there.
+    ///
+    /// # Errors
+    ///
+    /// As [`read`](Self::read), and if the value is not a job's.
     pub async fn archived(
         &self,
         job: &str,
-        wait: Duration,
-    ) -> Result<Option<JobRecord>, StateError> {
-        let Some(item) = self.read(&past_key(job), wait).await? else {
+        timeout: Duration,
+    ) -> Result<Option<JobRecord>, StoreError> {
+        let Some(item) = self.read(&past_key(job), timeout).await? else {
             return Ok(None);
         };
         let record = item.value.read();
-        record.map(Some).map_err(|e| StateError::Odd(e.to_string()))
+        record.map(Some).map_err(invalid)
     }
 
-    /// Reads the final states of jobs from the archive, as far as they are there.
+    /// Reads the final states of jobs from the archive, as far as they are there and can be read.
     pub async fn final_states(&self, jobs: &[String]) -> Vec<(String, JobStatus)> {
         let mut found = Vec::new();
         for job in jobs {
-            if let Ok(Some(record)) = self.archived(job, ARCHIVE_WAIT).await {
+            if let Ok(Some(record)) = self.archived(job, ARCHIVE_TIMEOUT).await {
                 found.push((job.clone(), record.status));
             }
         }
         found
     }
 
-    /// Reads the service's revision, on the way of a key that is short.
-    pub async fn revision_of(&self, key: &str, wait: Duration) -> Result<u64, StateError> {
+    /// Reads the store's revision. The request lists `key`, whose value should be short.
+    ///
+    /// # Errors
+    ///
+    /// As [`read`](Self::read).
+    pub async fn revision(&self, key: &str, timeout: Duration) -> Result<u64, StoreError> {
         let path = format!("/keys?starts={key}&limit=1");
-        let (_, body) = self.get(&path, wait).await?;
-        parse::<KeyValuePage>(&body).map(|l| l.revision)
+        let answer = self.get(&path, timeout).await?;
+        parse::<KeyValuePage>(&answer.body).map(|page| page.revision)
     }
 
-    /// Reads every key with a prefix. The revisions are those of the first and of the last page.
-    pub async fn list(&self, prefix: &str) -> Result<(Vec<KeyValue>, u64, u64), StateError> {
+    /// Reads every key with a prefix, page by page.
+    ///
+    /// # Errors
+    ///
+    /// As [`read`](Self::read), for any of the pages.
+    pub async fn list(&self, prefix: &str) -> Result<PrefixRead, StoreError> {
         let mut items: Vec<KeyValue> = Vec::new();
-        let mut revision = None;
+        let mut first_revision = None;
         loop {
-            let after = items.last().map(|i| format!("&after={}", i.key));
+            let after = items.last().map(|item| format!("&after={}", item.key));
             let path = format!(
-                "/keys?starts={prefix}&limit=500{}",
+                "/keys?starts={prefix}&limit={PAGE_KEYS}{}",
                 after.unwrap_or_default()
             );
-            let (_, body) = self.get(&path, Duration::from_secs(3)).await?;
-            let page: KeyValuePage = parse(&body)?;
-            revision.get_or_insert(page.revision);
+            let answer = self.get(&path, PAGE_TIMEOUT).await?;
+            let page: KeyValuePage = parse(&answer.body)?;
+            first_revision.get_or_insert(page.revision);
             let more = page.has_next && !page.items.is_empty();
             items.extend(page.items);
             if !more {
-                return Ok((items, revision.unwrap_or(0), page.revision));
+                return Ok(PrefixRead {
+                    items,
+                    first_revision: first_revision.unwrap_or(0),
+                    last_revision: page.revision,
+                });
             }
         }
     }
 
-    /// Waits for changes after a revision.
+    /// Waits, at most `wait_ms` milliseconds, for changes of keys with a prefix after a revision.
+    ///
+    /// # Errors
+    ///
+    /// As [`read`](Self::read), and [`StoreError::Compacted`] if the revision is too old.
     pub async fn watch(
         &self,
         prefix: &str,
         after: u64,
         wait_ms: u64,
-    ) -> Result<WatchResponse, StateError> {
+    ) -> Result<WatchResponse, StoreError> {
         let path = format!("/watch?starts={prefix}&after={after}&waitMs={wait_ms}");
-        let wait = Duration::from_millis(wait_ms + 1500);
-        let (_, body) = self.get(&path, wait).await?;
-        parse(&body)
-    }
-
-    async fn post(&self, path: &str, body: &impl serde::Serialize, wait: Duration) -> Answer {
-        let Ok(text) = serde_json::to_vec(body) else {
-            return Answer::None;
-        };
-        let request = self
-            .http
-            .post(format!("{}{path}", self.base))
-            .content_type("application/json")
-            .timeout(wait)
-            .send_body(text);
-        let Ok(answer) = request.await else {
-            return Answer::None;
-        };
-        let mut answer = answer.timeout(wait);
-        match answer.body().limit(BODY).await {
-            Ok(body) => Answer::Some(answer.status(), body.to_vec()),
-            Err(_) => Answer::None,
-        }
+        let timeout = Duration::from_millis(wait_ms) + WATCH_MARGIN;
+        let answer = self.get(&path, timeout).await?;
+        parse(&answer.body)
     }
 
-    /// Sends a transaction.
-    pub async fn commit(&self, transaction: &Transaction, wait: Duration) -> CommitOutcome {
-        #[derive(Deserialize, Default)]
-        struct CommitResponse {
-            #[serde(default)]
-            #[serde(rename = "ledger")]
-            revision: u64,
-        }
-        let Answer::Some(status, body) = self.post("/commit", transaction, wait).await else {
+    /// Sends a transaction. It is sent once: what was not answered may have been carried out.
+    pub async fn commit(&self, transaction: &Transaction, timeout: Duration) -> CommitOutcome {
+        let Some(answer) = self.post("/commit", transaction, timeout).await else {
             return CommitOutcome::Unknown;
         };
-        match status {
-            StatusCode::OK => match serde_json::from_slice::<CommitResponse>(&body) {
-                Ok(l) => CommitOutcome::Done(l.revision),
-                Err(_) => CommitOutcome::Unknown,
-            },
-            StatusCode::CONFLICT => {
-                let l: CommitResponse = serde_json::from_slice(&body).unwrap_or_default();
-                CommitOutcome::Conflict(l.revision)
-            }
+        let response = serde_json::from_slice::<CommitResponse>(&answer.body);
+        match answer.status {
+            StatusCode::OK => response.map_or(CommitOutcome::Unknown, |response| {
+                CommitOutcome::Done(response.revision)
+            }),
+            StatusCode::CONFLICT => CommitOutcome::Conflict(response.unwrap_or_default().revision),
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 CommitOutcome::Refused
             }
-            StatusCode::BAD_REQUEST => {
-                let text = String::from_utf8_lossy(&body).into_owned();
-                if text.contains("no such lease") {
-                    return CommitOutcome::NoLease;
-                }
-                let (changes, preconditions) =
-                    (transaction.mutations.len(), transaction.preconditions.len());
-                tracing::error!(
-                    text,
-                    changes,
-                    preconditions,
-                    "the state service calls a transaction malformed"
-                );
-                CommitOutcome::Malformed
-            }
+            StatusCode::BAD_REQUEST => rejected(transaction, &answer.body),
             _ => CommitOutcome::Unknown,
         }
     }
 
-    /// Asks for a lease.
-    pub async fn lease(&self, life_ms: u64) -> LeaseAnswer {
-        #[derive(Deserialize)]
-        struct GrantedLease {
-            #[serde(rename = "permit")]
-            lease_id: u64,
-        }
-        let body = serde_json::json!({ "lifeMs": life_ms });
-        match self
-            .post("/leases", &body, Duration::from_millis(1500))
-            .await
-        {
-            Answer::Some(StatusCode::OK, body) => {
-                match serde_json::from_slice::<GrantedLease>(&body) {
-                    Ok(p) => LeaseAnswer::Held(p.lease_id),
-                    Err(_) => LeaseAnswer::Failed,
+    /// Asks for a lease that expires after `ttl_ms` milliseconds unless it is renewed.
+    pub async fn lease(&self, ttl_ms: u64) -> LeaseOutcome {
+        let request = LeaseRequest { ttl_ms };
+        match self.post("/leases", &request, LEASE_TIMEOUT).await {
+            Some(answer) if answer.status == StatusCode::OK => {
+                match parse::<GrantedLease>(&answer.body) {
+                    Ok(granted) => LeaseOutcome::Held(granted.lease_id),
+                    Err(_) => LeaseOutcome::Failed,
                 }
             }
-            _ => LeaseAnswer::Failed,
+            _ => LeaseOutcome::Failed,
         }
     }
 
     /// Renews a lease.
-    pub async fn renew(&self, lease_id: u64) -> LeaseAnswer {
+    pub async fn renew(&self, lease_id: u64) -> LeaseOutcome {
         let path = format!("/leases/{lease_id}/extend");
-        let body = serde_json::json!({});
-        match self.post(&path, &body, Duration::from_millis(1500)).await {
-            Answer::Some(StatusCode::OK, _) => LeaseAnswer::Held(lease_id),
-            Answer::Some(StatusCode::NOT_FOUND, _) => LeaseAnswer::Gone,
-            _ => LeaseAnswer::Failed,
+        let empty = serde_json::json!({});
+        let answer = self.post(&path, &empty, LEASE_TIMEOUT).await;
+        match answer.map(|answer| answer.status) {
+            Some(StatusCode::OK) => LeaseOutcome::Held(lease_id),
+            Some(StatusCode::NOT_FOUND) => LeaseOutcome::Expired,
+            _ => LeaseOutcome::Failed,
         }
     }
+
+    /// Sends a read. An answer of 404 is no error here: it says that a key does not exist.
+    async fn get(&self, path: &str, timeout: Duration) -> Result<Answer, StoreError> {
+        let request = self
+            .http
+            .get(format!("{}{path}", self.base_url))
+            .timeout(timeout)
+            .send();
+        let response = request.await.map_err(|_| StoreError::Unavailable)?;
+        let mut response = response.timeout(timeout);
+        let body = response.body().limit(MAX_BODY_BYTES);
+        let body = body.await.map_err(|_| StoreError::Unavailable)?.to_vec();
+        match response.status() {
+            StatusCode::TOO_MANY_REQUESTS => Err(StoreError::RateLimited),
+            StatusCode::GONE => Err(StoreError::Compacted),
+            status if status.is_success() || status == StatusCode::NOT_FOUND => {
+                Ok(Answer { status, body })
+            }
+            status if status.is_server_error() => Err(StoreError::Unavailable),
+            status => Err(invalid(status)),
+        }
+    }
+
+    /// Sends a request that changes something; no answer if none arrived whole.
+    async fn post(&self, path: &str, body: &impl Serialize, timeout: Duration) -> Option<Answer> {
+        let text = serde_json::to_vec(body).ok()?;
+        let request = self
+            .http
+            .post(format!("{}{path}", self.base_url))
+            .content_type("application/json")
+            .timeout(timeout)
+            .send_body(text);
+        let mut response = request.await.ok()?.timeout(timeout);
+        let body = response.body().limit(MAX_BODY_BYTES).await.ok()?;
+        Some(Answer {
+            status: response.status(),
+            body: body.to_vec(),
+        })
+    }
+}
+
+/// What became of a transaction that was answered with 400.
+fn rejected(transaction: &Transaction, body: &[u8]) -> CommitOutcome {
+    let text = String::from_utf8_lossy(body).into_owned();
+    if text.contains(NO_SUCH_LEASE) {
+        return CommitOutcome::NoLease;
+    }
+    tracing::error!(
+        text,
+        mutations = transaction.mutations.len(),
+        preconditions = transaction.preconditions.len(),
+        "store rejected a transaction as malformed"
+    );
+    CommitOutcome::Malformed
 }
 
-enum Answer {
-    Some(StatusCode, Vec<u8>),
-    None,
+fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
+    serde_json::from_slice(body).map_err(invalid)
 }
 
-fn parse<T: serde::de::DeserializeOwned>(body: &[u8]) -> Result<T, StateError> {
-    serde_json::from_slice(body).map_err(|e| StateError::Odd(e.to_string()))
+fn invalid(error: impl ToString) -> StoreError {
+    StoreError::InvalidResponse(error.to_string())
 }
