--- /dev/null
+++ b/src/records/block_text.rs
@@ -0,0 +1,241 @@
+//! How a block's value is written.
+//!
+//! It has to hold the queues of many machines within a few KiB, so it is written densely: names
+//! front-coded, numbers in base 36, each machine a short text.
+
+use super::names::{NameWriter, parts, read_name, read_names, write_names};
+use super::{BlockRecord, Encoding, MachineKind, MachineRecord, MalformedText, StoredBinding};
+use crate::ranges::{RangeSet, write_number};
+use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
+
+/// Base of the numbers, but for the kind of a machine, which is decimal.
+const BASE: u32 = 36;
+
+/// A block's value as it is written. Machines are separated by `;`: `8m-000231 0 3:0-3@c 5:7@e !
+/// 5:7@e` is a machine whose name shares 8 characters with the one before; it is of kind 0, and its
+/// queue lists tasks 0 to 3 of job 3 as attempt 12 and task 7 of job 5 as attempt 14, the latter to
+/// be stopped. An `x` after the kind means that the machine is being given back.
+///
+/// Kinds are listed whole, or densely: `0.2 1.2s` are a machine of the type first in the names and the
+/// zone third there, and a spot machine of the second type in the same zone.
+#[derive(Serialize, Deserialize)]
+struct PackedBlock {
+    /// Kinds, unless they are written densely.
+    #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
+    whole_kinds: Option<Vec<MachineKind>>,
+    /// Names of machine types and zones.
+    #[serde(rename = "n", default, skip_serializing_if = "String::is_empty")]
+    kind_names: String,
+    /// Kinds by the places of their type and zone in those names.
+    #[serde(rename = "c", default, skip_serializing_if = "String::is_empty")]
+    dense_kinds: String,
+    /// Names of the jobs.
+    #[serde(rename = "j", default)]
+    jobs: String,
+    #[serde(rename = "a", default)]
+    first_attempt: u64,
+    #[serde(rename = "m", default)]
+    machines: String,
+    /// Done tasks by job.
+    #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
+    done: String,
+}
+
+impl From<&BlockRecord> for PackedBlock {
+    fn from(block: &BlockRecord) -> PackedBlock {
+        let (whole_kinds, (kind_names, dense_kinds)) = match block.encoding {
+            Encoding::Compatible => (Some(block.kinds.clone()), Default::default()),
+            Encoding::Dense => (None, write_kinds(&block.kinds)),
+        };
+        PackedBlock {
+            whole_kinds,
+            kind_names,
+            dense_kinds,
+            jobs: write_names(&block.jobs),
+            first_attempt: block.first_attempt,
+            machines: write_machines(block),
+            done: write_done(block),
+        }
+    }
+}
+
+impl TryFrom<PackedBlock> for BlockRecord {
+    type Error = MalformedText;
+
+    fn try_from(packed: PackedBlock) -> Result<Self, MalformedText> {
+        let kinds = match packed.whole_kinds {
+            Some(kinds) => kinds,
+            None => read_kinds(&packed.kind_names, &packed.dense_kinds)?,
+        };
+        let mut block = BlockRecord {
+            kinds,
+            jobs: read_names(&packed.jobs)?,
+            first_attempt: packed.first_attempt,
+            ..BlockRecord::default()
+        };
+        let mut previous = String::new();
+        for text in parts(&packed.machines, ';') {
+            let read = || {
+                let (name, rest) = text.split_once(' ')?;
+                Some((read_name(&previous, name)?, read_machine(rest)?))
+            };
+            let (name, machine) = read().ok_or_else(|| MalformedText::of(text))?;
+            previous.clone_from(&name);
+            block.machines.insert(name, machine);
+        }
+        for text in parts(&packed.done, ' ') {
+            let done = read_tasks(text).ok_or_else(|| MalformedText::of(text))?;
+            block.done.push(done);
+        }
+        Ok(block)
+    }
+}
+
+impl Serialize for BlockRecord {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        PackedBlock::from(self).serialize(serializer)
+    }
+}
+
+impl<'de> Deserialize<'de> for BlockRecord {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let packed = PackedBlock::deserialize(deserializer)?;
+        packed.try_into().map_err(D::Error::custom)
+    }
+}
+
+fn write_machines(block: &BlockRecord) -> String {
+    let mut out = String::new();
+    let mut names = NameWriter::default();
+    for (name, machine) in &block.machines {
+        if !out.is_empty() {
+            out.push(';');
+        }
+        names.write(name, &mut out);
+        out.push(' ');
+        write_machine(machine, &mut out);
+    }
+    out
+}
+
+fn write_machine(machine: &MachineRecord, out: &mut String) {
+    write_number(machine.kind as u64, 10, out);
+    if machine.leaving {
+        out.push('x');
+    }
+    write_bindings(&machine.queue, out);
+    if !machine.evicted.is_empty() {
+        out.push_str(" !");
+        write_bindings(&machine.evicted, out);
+    }
+}
+
+fn read_machine(text: &str) -> Option<MachineRecord> {
+    let mut parts = text.split(' ');
+    let kind = parts.next()?;
+    let number = kind.strip_suffix('x').unwrap_or(kind);
+    let mut machine = MachineRecord {
+        kind: number.parse().ok()?,
+        leaving: number.len() < kind.len(),
+        queue: Vec::new(),
+        evicted: Vec::new(),
+    };
+    let mut evicted = false;
+    for part in parts {
+        match (part, evicted) {
+            ("!", false) => evicted = true,
+            (part, false) => machine.queue.push(read_binding(part)?),
+            (part, true) => machine.evicted.push(read_binding(part)?),
+        }
+    }
+    Some(machine)
+}
+
+fn write_bindings(bindings: &[StoredBinding], out: &mut String) {
+    for binding in bindings {
+        out.push(' ');
+        write_tasks(binding.job, &binding.tasks, out);
+        out.push('@');
+        write_number(binding.attempt, BASE, out);
+    }
+}
+
+fn read_binding(text: &str) -> Option<StoredBinding> {
+    let (rest, attempt) = text.split_once('@')?;
+    let (job, tasks) = read_tasks(rest)?;
+    let attempt = read_number(attempt)?;
+    Some(StoredBinding {
+        job,
+        tasks,
+        attempt,
+    })
+}
+
+fn write_done(block: &BlockRecord) -> String {
+    let mut out = String::new();
+    for (job, tasks) in &block.done {
+        if !out.is_empty() {
+            out.push(' ');
+        }
+        write_tasks(*job, tasks, &mut out);
+    }
+    out
+}
+
+/// Writes tasks of the job at this place in the block's table.
+fn write_tasks(job: usize, tasks: &RangeSet, out: &mut String) {
+    write_number(job as u64, BASE, out);
+    out.push(':');
+    tasks.write(BASE, out);
+}
+
+/// Reads what [`write_tasks`] wrote.
+fn read_tasks(text: &str) -> Option<(usize, RangeSet)> {
+    let (job, tasks) = text.split_once(':')?;
+    let tasks = RangeSet::read(tasks, BASE).ok()?;
+    Some((read_number(job)? as usize, tasks))
+}
+
+fn read_number(text: &str) -> Option<u64> {
+    u64::from_str_radix(text, BASE).ok()
+}
+
+/// Writes kinds densely: the names of types and zones, and the kinds by their places there.
+fn write_kinds(kinds: &[MachineKind]) -> (String, String) {
+    let mut names: Vec<String> = Vec::new();
+    let mut place = |name: &String| match names.iter().position(|listed| listed == name) {
+        Some(at) => at,
+        None => {
+            names.push(name.clone());
+            names.len() - 1
+        }
+    };
+    let mut text = String::new();
+    for (machine_type, zone, spot) in kinds {
+        if !text.is_empty() {
+            text.push(' ');
+        }
+        write_number(place(machine_type) as u64, BASE, &mut text);
+        text.push('.');
+        write_number(place(zone) as u64, BASE, &mut text);
+        if *spot {
+            text.push('s');
+        }
+    }
+    (write_names(&names), text)
+}
+
+/// Reads what [`write_kinds`] wrote.
+fn read_kinds(names: &str, kinds: &str) -> Result<Vec<MachineKind>, MalformedText> {
+    let names = read_names(names)?;
+    let name = |place: &str| names.get(read_number(place)? as usize).cloned();
+    let read = |text: &str| {
+        let (machine_type, zone) = text.split_once('.')?;
+        let spot_zone = zone.strip_suffix('s');
+        let spot = spot_zone.is_some();
+        Some((name(machine_type)?, name(spot_zone.unwrap_or(zone))?, spot))
+    };
+    parts(kinds, ' ')
+        .map(|text| read(text).ok_or_else(|| MalformedText::of(text)))
+        .collect()
+}
--- a/src/records/tests.rs
+++ b/src/records/tests.rs
@@ -3,11 +3,15 @@
 use super::*;
 
 fn machine(kind: usize, queue: &[(usize, &str, u64)]) -> MachineRecord {
-    let listing = |&(j, tasks, a): &(usize, &str, u64)| (j, tasks.parse().expect("good"), a);
+    let binding = |&(job, tasks, attempt): &(usize, &str, u64)| StoredBinding {
+        job,
+        tasks: tasks.parse().expect("good"),
+        attempt,
+    };
     MachineRecord {
         kind,
         leaving: false,
-        queue: queue.iter().map(listing).collect(),
+        queue: queue.iter().map(binding).collect(),
         evicted: Vec::new(),
     }
 }
--- a/src/records/transfer.rs
+++ b/src/records/transfer.rs
@@ -1,7 +1,7 @@
-//! The part of a job's value that tells of its transfer between cells.
+//! The part of a job's value that records its transfer between cells.
 //!
-//! A lent job stays under its own key, so that every condition of a submission, a cancellation or an
-//! ending still meets it there. Its stored specification permits no machine type: whoever reads the
+//! A lent job stays under its own key, so that every precondition of a submission, a cancellation or
+//! a completion still meets it there. Its stored specification permits no machine type: whoever reads the
 //! value, in whatever version, binds none of its tasks.
 
 use super::{DoneTasks, JobRecord};
@@ -35,7 +35,7 @@
     /// The machine types that the job permits.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub machine_types: Option<Vec<String>>,
-    /// Whether it was called back: it stands no more, but may still run.
+    /// Whether it was recalled: the loan is over for the origin, but the job may still run there.
     #[serde(rename = "r", default, skip_serializing_if = "std::ops::Not::not")]
     pub recalled: bool,
 }
@@ -49,7 +49,7 @@
     /// The fencing token.
     #[serde(rename = "k")]
     pub token: TransferToken,
-    /// How long a confirmation counts, ms.
+    /// How long a confirmation counts, milliseconds.
     #[serde(rename = "l")]
     pub lease_ms: u64,
 }
@@ -67,7 +67,7 @@
         })));
     }
 
-    /// Makes a lent job an ordinary one again, of which these tasks are done.
+    /// Makes a lent job an ordinary one again, of which these tasks are done. No effect on any other job.
     pub fn bring_home(&mut self, done: DoneTasks) {
         let Some(transfer) = self.transfer.take() else {
             return;
--- a/src/replica/blocks.rs
+++ b/src/replica/blocks.rs
@@ -283,33 +283,38 @@
     }
 }
 
-/// Entries as they are stored: runs of tasks by job and attempt.
-fn group(entries: &[Binding], base: u64, jobs: &mut Table<JobId>) -> Vec<StoredBinding> {
-    let mut q: Vec<StoredBinding> = Vec::new();
-    for e in entries {
-        let job = jobs.place(e.task.job);
-        let attempt = e.attempt.saturating_sub(base);
-        let part = match q.iter().position(|p| p.0 == job && p.2 == attempt) {
-            Some(at) => &mut q[at],
-            None => {
-                q.push((job, RangeSet::new(), attempt));
-                let last = q.len() - 1;
-                &mut q[last]
-            }
-        };
-        part.1.insert(e.task.number);
+/// Bindings as they are stored: runs of tasks by job and attempt.
+fn group(bindings: &[Binding], first_attempt: u64, jobs: &mut Table<JobId>) -> Vec<StoredBinding> {
+    let mut stored: Vec<StoredBinding> = Vec::new();
+    for binding in bindings {
+        let job = jobs.place(binding.task.job);
+        let attempt = binding.attempt.saturating_sub(first_attempt);
+        let same = |run: &StoredBinding| run.job == job && run.attempt == attempt;
+        let at = stored.iter().position(same).unwrap_or_else(|| {
+            stored.push(StoredBinding {
+                job,
+                tasks: RangeSet::new(),
+                attempt,
+            });
+            stored.len() - 1
+        });
+        stored[at].tasks.insert(binding.task.number);
     }
-    q
+    stored
 }
 
-fn ungroup(listed: &[StoredBinding], base: u64, jobs: &[JobId]) -> Vec<Binding> {
-    let mut entries = Vec::new();
-    for (job, tasks, attempt) in listed {
-        let Some(&job) = jobs.get(*job) else { continue };
-        entries.extend(tasks.iter().map(|number| Binding {
+/// The bindings that [`group`] made into runs.
+fn ungroup(stored: &[StoredBinding], first_attempt: u64, jobs: &[JobId]) -> Vec<Binding> {
+    let mut bindings = Vec::new();
+    for run in stored {
+        let Some(&job) = jobs.get(run.job) else {
+            continue;
+        };
+        let attempt = first_attempt.saturating_add(run.attempt);
+        bindings.extend(run.tasks.iter().map(|number| Binding {
             task: TaskId { job, number },
-            attempt: base.saturating_add(*attempt),
+            attempt,
         }));
     }
-    entries
+    bindings
 }
--- a/tests/duplicate_execution.rs
+++ b/tests/duplicate_execution.rs
@@ -5,7 +5,7 @@
 
 use quillbend::protocol::{ExitReason, TaskPhase, TaskStatus};
 use quillbend::ranges::RangeSet;
-use quillbend::records::BlockRecord;
+use quillbend::records::{BlockRecord, StoredBinding};
 use support::occupancy::{DoubleStart, double_start};
 use support::{StoreFault, World};
 
@@ -63,13 +63,13 @@
     let (from_key, mut from) = block_of(w, victim);
     let (to_key, mut to) = block_of(w, thief);
     let queue = &mut from.machines.get_mut(victim).expect("listed").queue;
-    let (job, tasks, attempt) = queue.last_mut().expect("queued");
-    let task = tasks.iter().last().expect("a task");
-    let mut moved = RangeSet::new();
-    moved.insert(task);
-    tasks.subtract(&moved);
-    let name = from.jobs[*job].clone();
-    let attempt = *attempt + from.first_attempt;
+    let last = queue.last_mut().expect("queued");
+    let task = last.tasks.iter().last().expect("a task");
+    let mut tasks = RangeSet::new();
+    tasks.insert(task);
+    last.tasks.subtract(&tasks);
+    let name = from.jobs[last.job].clone();
+    let attempt = last.attempt + from.first_attempt;
     let job = to.jobs.iter().position(|j| *j == name);
     let job = job.expect("listed there too");
     // Attempts are stored as what they exceed the block's first one by.
@@ -77,10 +77,18 @@
     let worker_epoch = to.first_attempt - first;
     to.first_attempt = first;
     for machine in to.machines.values_mut() {
-        machine.queue.iter_mut().for_each(|q| q.2 += worker_epoch);
+        machine
+            .queue
+            .iter_mut()
+            .for_each(|q| q.attempt += worker_epoch);
     }
     let queue = &mut to.machines.get_mut(thief).expect("listed").queue;
-    queue.push((job, moved, attempt - first));
+    let attempt = attempt - first;
+    queue.push(StoredBinding {
+        job,
+        tasks,
+        attempt,
+    });
     for (key, record) in [(from_key, from), (to_key, to)] {
         let value = serde_json::to_value(&record).expect("plain data");
         w.state.overwrite(&key, &value);
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -559,7 +559,7 @@
         let blocks = w.state.list("qb/block/").0.into_iter();
         let blocks = blocks.map(|b| b.value.read::<BlockRecord>().expect("a block"));
         let queued = blocks.flat_map(|b| b.machines.into_values().flat_map(|m| m.queue));
-        queued.map(|(_, tasks, _)| tasks.len()).sum()
+        queued.map(|binding| binding.tasks.len()).sum()
     };
     assert!(recorded > 0, "no block had to wait for its turn");
     for job in &jobs {
