--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -1,5 +1,9 @@
 //! Endings and moves: found out, gathered, and written by the holder of a block.
 
+mod pending;
+
+pub(crate) use pending::{Completion, Completions};
+
 use super::writes::WriteIntent;
 use super::*;
 use crate::records::BlockRecord;
@@ -13,34 +17,21 @@
 /// keys and conditions included.
 pub(crate) const TXN_BYTES: usize = 56 * 1024;
 
-/// Completions and moves that are still to be recorded.
-#[derive(Debug, Default)]
-pub(crate) struct Completions {
-    /// Outcomes to be recorded, by the machine on which they were found out.
-    pub(crate) pending: HashMap<MachineId, Vec<(Binding, TaskOutcome)>>,
-    /// Moves to be made with the next write of the victim's block.
-    pub(crate) planned_moves: Vec<Move>,
-    /// Bindings that take part in a move and may not be started meanwhile.
-    pub(crate) reserved: HashSet<Binding>,
-}
-
 impl Controller {
     /// Gives up machines whose tasks are surely gone.
     pub(crate) fn find_presumed_dead(&mut self, now: Timestamp) {
         let worker = self.settings.worker_gone_ms();
         let stranger = self.settings.unfenced_gone_ms();
-        let mut presumed_dead: Vec<MachineId> = Vec::new();
-        let mut ended_tasks = Vec::new();
-        for (&machine_id, runtime) in &mut self.held.machines {
+        let mut newly_dead: Vec<MachineId> = Vec::new();
+        for (machine_id, runtime) in self.held.iter() {
             if runtime.presumed_dead {
-                presumed_dead.push(machine_id);
                 continue;
             }
             // Before the machine obeys our token an earlier holder may still be answering it.
-            let gone = match (runtime.fenced, runtime.last_ok) {
+            let gone = match (runtime.fenced, runtime.answered_at) {
                 (true, Some(ok)) => now.since(ok) > worker,
                 (_, ok) => {
-                    now.since(runtime.since) > stranger
+                    now.since(runtime.held_since) > stranger
                         && ok.is_none_or(|ok| now.since(ok) > worker)
                 }
             };
@@ -50,24 +41,25 @@
             let Some(m) = self.replica.machines.get(&machine_id) else {
                 continue;
             };
-            if runtime.heard.is_none() && m.queue.is_empty() {
+            if runtime.heard_at.is_none() && m.queue.is_empty() {
                 continue;
             }
-            runtime.presumed_dead = true;
-            ended_tasks.push(std::mem::take(&mut runtime.tasks));
-            runtime.launched.clear();
             self.counters.machines_presumed_dead += 1;
-            presumed_dead.push(machine_id);
+            newly_dead.push(machine_id);
             warn!(
                 machine = self.replica.names.machines.name(machine_id),
                 tasks = m.queue.len(),
                 "machine is lost"
             );
         }
-        for tasks in ended_tasks {
-            self.count_running(&tasks, false);
+        for machine_id in newly_dead {
+            self.held.presume_dead(machine_id);
         }
-        for machine_id in presumed_dead {
+        let presumed_dead = self
+            .held
+            .iter()
+            .filter(|(_, runtime)| runtime.presumed_dead);
+        for (machine_id, _) in presumed_dead {
             let Some(m) = self.replica.machines.get(&machine_id) else {
                 continue;
             };
@@ -76,11 +68,12 @@
             for e in m
                 .queue
                 .iter()
-                .filter(|e| !self.completions.reserved.contains(e))
+                .filter(|e| !self.completions.is_reserved(e))
+                .copied()
+                .collect::<Vec<Binding>>()
             {
-                let completions = self.completions.pending.entry(machine_id).or_default();
-                if !completions.iter().any(|x| x.0 == *e) {
-                    completions.push((*e, TaskOutcome::Free));
+                if !self.completions.is_pending(machine_id, &e) {
+                    self.completions.add(machine_id, Completion::free(e));
                 }
             }
         }
@@ -91,8 +84,7 @@
         if self.grants_first(now) {
             return;
         }
-        let machines = self.completions.pending.keys().copied();
-        let machines = machines.chain(self.completions.planned_moves.iter().map(|m| m.victim));
+        let machines = self.completions.machines_to_record();
         let blocks: std::collections::BTreeSet<BlockId> = machines
             .filter_map(|m| Some(self.replica.machines.get(&m)?.block))
             .chain(self.block_upkeep.oversized.iter().copied())
@@ -109,24 +101,13 @@
         self.tick_merge(now, out);
     }
 
-    /// Tasks that were done on the machines held here and that are not recorded yet.
-    pub(crate) fn unrecorded_done(&self) -> BTreeMap<JobId, RangeSet> {
-        let completions = self.completions.pending.values().flatten();
-        let mut done: BTreeMap<JobId, RangeSet> = BTreeMap::new();
-        for (entry, _) in completions.filter(|(_, end)| *end == TaskOutcome::Done) {
-            let tasks = done.entry(entry.task.job).or_default();
-            tasks.insert(entry.task.number);
-        }
-        done
-    }
-
-    /// The same of all holders, as far as they have told.
+    /// Tasks that were done and are not recorded yet, of all holders as far as they have said.
     ///
     /// A job's last endings need not wait for the turns of the blocks that list them: what is done
     /// stays done, whoever holds the machine next, so a job may be recorded as done on the word of
     /// the holders, and its blocks follow in their turns.
     pub(crate) fn reported_done(&self) -> BTreeMap<JobId, RangeSet> {
-        let mut done = self.unrecorded_done();
+        let mut done = self.completions.unrecorded_done();
         for (&job, tasks) in self.peers.states.values().flat_map(|p| &p.done) {
             done.entry(job).or_default().union(tasks);
         }
@@ -141,18 +122,13 @@
         };
         let mut edit = self.replica.edit(id);
         for (&machine_id, m) in &mut edit.machines {
-            for (entry, end) in self
-                .completions
-                .pending
-                .get(&machine_id)
-                .into_iter()
-                .flatten()
-            {
-                let Some(at) = m.queue.iter().position(|e| e == entry) else {
+            for completion in self.completions.pending_on(machine_id) {
+                let Some(at) = m.queue.iter().position(|e| *e == completion.binding) else {
                     continue;
                 };
                 m.queue.remove(at);
-                intent.outcomes.push((machine_id, *entry, *end));
+                let outcome = (machine_id, completion.binding, completion.outcome);
+                intent.outcomes.push(outcome);
             }
         }
         for (_, entry, end) in &intent.outcomes {
@@ -188,9 +164,7 @@
         if records.len() > 1 && (total > TXN_BYTES || records.iter().any(fills)) {
             // The thief's block, or the transaction, has no room for more: the endings go without
             // the moves.
-            for e in intent.moves.iter().flat_map(|m| &m.entries) {
-                self.completions.reserved.remove(e);
-            }
+            self.completions.release(&intent.moves);
             return self.plan_ends(id);
         }
         let mut flushed = Vec::new();
@@ -239,7 +213,7 @@
     ) {
         let most = self.settings.platform.settings.state.txn_ops / 2;
         let mut later = Vec::new();
-        for task_move in std::mem::take(&mut self.completions.planned_moves) {
+        for task_move in self.completions.take_planned() {
             let victim = self.replica.machines.get(&task_move.victim);
             if victim.is_some_and(|m| m.block != id) {
                 later.push(task_move);
@@ -252,9 +226,7 @@
                 task_move.entries.iter().all(ok).then_some(())
             };
             let (Some(to), Some(())) = (to.filter(|to| !to.leaving), whole()) else {
-                for e in &task_move.entries {
-                    self.completions.reserved.remove(e);
-                }
+                self.completions.release([&task_move]);
                 continue;
             };
             let to = to.block;
@@ -276,7 +248,7 @@
             }
             intent.moves.push(task_move);
         }
-        self.completions.planned_moves = later;
+        self.completions.keep_planned(later);
     }
 
     /// Chooses jobs whose own keys take over the done tasks of a block that has grown large.
@@ -367,11 +339,7 @@
 
     /// Whether a machine that obeys our token surely has not been told to start a task.
     pub(crate) fn unstarted(&self, machine_id: MachineId, e: &Binding) -> bool {
-        self.held.machines.get(&machine_id).is_some_and(|runtime| {
-            runtime.fenced
-                && !runtime.presumed_dead
-                && !runtime.tasks.contains_key(&e.task)
-                && !runtime.launched.contains(&e.task)
-        })
+        let runtime = self.held.get(machine_id);
+        runtime.is_some_and(|runtime| runtime.is_fenced_and_alive() && !runtime.may_have(e.task))
     }
 }
--- a/src/controller/heartbeat/mod.rs
+++ b/src/controller/heartbeat/mod.rs
@@ -29,15 +29,11 @@
 /// Whether a report without our token comes from a worker that has begun anew: it is not the
 /// first one, and the numbers rise as time goes on.
 fn worker_restarted(runtime: &mut MachineRuntime, r: &Heartbeat, now: Timestamp) -> bool {
-    let number = (r.worker_epoch, r.sequence);
-    match runtime.low {
-        Some((worker_epoch, sequence, at))
-            if number > (worker_epoch, sequence) && now.since(at) < 30_000 =>
-        {
-            now.since(at) >= 400
-        }
+    let number = HeartbeatNumber::of(r);
+    match runtime.last_without_token {
+        Some((latest, at)) if number > latest && now.since(at) < 30_000 => now.since(at) >= 400,
         _ => {
-            runtime.low = Some((r.worker_epoch, r.sequence, now));
+            runtime.last_without_token = Some((number, now));
             false
         }
     }
@@ -50,43 +46,7 @@
     others.any(|l| l.status != TaskPhase::Ended)
 }
 
-/// Machines remembered that report here and are held elsewhere or by nobody. It guards the memory only:
-/// after an end of all controllers every machine of a fleet may come to one of them.
-const MAX_UNOWNED_MACHINES: usize = 20_000;
-
 impl Controller {
-    /// Notes a report of a machine that is not held here.
-    pub(crate) fn note_unowned_machine(&mut self, r: &Heartbeat, token: u64, now: Timestamp) {
-        let new_entry = UnownedMachineState {
-            first: now,
-            last: now,
-            newest: (0, 0),
-            token,
-            machine_type: r.machine_type.clone(),
-            zone: r.zone.clone(),
-            spot: r.spot,
-        };
-        if self.held.unowned.len() >= MAX_UNOWNED_MACHINES
-            && !self.held.unowned.contains_key(&r.machine)
-        {
-            return;
-        }
-        let s = self
-            .held
-            .unowned
-            .entry(r.machine.clone())
-            .or_insert(new_entry);
-        if (r.worker_epoch, r.sequence) <= s.newest && now.since(s.last) < 60_000 {
-            return;
-        }
-        s.newest = (r.worker_epoch, r.sequence);
-        if now.since(s.last) > 7000 || s.token != token {
-            s.first = now;
-            s.token = token;
-        }
-        s.last = now;
-    }
-
     /// A worker reports.
     pub fn on_heartbeat(&mut self, r: Heartbeat, now: Timestamp) -> HeartbeatResponse {
         self.take_heartbeat(r, false, now)
@@ -106,7 +66,7 @@
         let known = self.replica.names.machines.get(&r.machine);
         let Some((machine_id, (_, grant))) = known.and_then(|m| Some((m, self.replica.holder(m)?)))
         else {
-            self.note_unowned_machine(&r, 0, now);
+            self.held.unowned.note(&r, 0, now);
             let leader = self
                 .replica
                 .leader
@@ -121,7 +81,7 @@
         };
         if !self.is_mine(&grant) {
             self.counters.redirects += 1;
-            self.note_unowned_machine(&r, grant.mod_revision, now);
+            self.held.unowned.note(&r, grant.mod_revision, now);
             // A holder that is silent to us is not named: the worker would wait for it in vain.
             let name = (grant.host != self.me && self.hears(grant.host, now))
                 .then(|| self.replica.names.hosts.name(grant.host).to_owned());
@@ -148,7 +108,7 @@
         if self.must_wait_for_confirmation(&r, now) {
             return HeartbeatResponse::Unavailable;
         }
-        let mut runtime = self.held.machines.remove(&machine_id).unwrap_or_default();
+        let mut runtime = self.held.take(machine_id).unwrap_or_default();
         let reply = match self.classify_heartbeat(machine_id, &mut runtime, &r, confirmed, now) {
             HeartbeatVerdict::Nothing => HeartbeatResponse::Unavailable,
             HeartbeatVerdict::Unconfirmed => HeartbeatResponse::Unconfirmed,
@@ -164,7 +124,7 @@
                     FencingToken(grant.mod_revision),
                     now,
                 );
-                runtime.last_ok = Some(now);
+                runtime.answered_at = Some(now);
                 self.counters.heartbeats += 1;
                 HeartbeatResponse::HeartbeatAck(HeartbeatAck {
                     token: grant.mod_revision,
@@ -172,7 +132,7 @@
                 })
             }
         };
-        self.held.machines.insert(machine_id, runtime);
+        self.held.insert(machine_id, runtime);
         reply
     }
 
@@ -186,8 +146,8 @@
         confirmed: bool,
         now: Timestamp,
     ) -> HeartbeatVerdict {
-        let number = (r.worker_epoch, r.sequence);
-        if r.token == runtime.token {
+        let number = HeartbeatNumber::of(r);
+        if r.token == runtime.fencing_token {
             // Made under this grant: the numbers tell which is the newest. A copy renews nothing
             // and proves nothing, and nobody waits for its answer.
             return match (number > runtime.newest, runtime.presumed_dead) {
@@ -218,7 +178,7 @@
         // Until the machine obeys, our answers may or may not reach it. When it still does not
         // after all this time, they end, so that the lease of what it might run completions too.
         if self.replica.lists_any(machine_id)
-            && now.since(runtime.since) > self.settings.unfenced_gone_ms()
+            && now.since(runtime.held_since) > self.settings.unfenced_gone_ms()
         {
             return HeartbeatVerdict::Nothing;
         }
@@ -242,15 +202,15 @@
         }
         info!(machine = r.machine, "a machine that was given up is back");
         *runtime = MachineRuntime {
-            token,
-            since: now,
+            fencing_token: token,
+            held_since: now,
             newest: if r.token == token {
-                (r.worker_epoch, r.sequence)
+                HeartbeatNumber::of(r)
             } else {
                 runtime.newest
             },
-            heard: Some(now),
-            last_ok: Some(now),
+            heard_at: Some(now),
+            answered_at: Some(now),
             ..MachineRuntime::default()
         };
         HeartbeatResponse::HeartbeatAck(HeartbeatAck {
@@ -272,7 +232,7 @@
             return orders;
         };
         self.note_hearing(runtime, r, now);
-        if runtime.heard.is_none() {
+        if runtime.heard_at.is_none() {
             info!(
                 machine = r.machine,
                 token = token.0,
@@ -280,44 +240,39 @@
                 "machine reports to us"
             );
         }
-        if r.worker_epoch > runtime.newest.0 && runtime.newest.0 > 0 {
+        if r.worker_epoch > runtime.newest.epoch && runtime.newest.epoch > 0 {
             warn!(
                 machine = r.machine,
                 worker_epoch = r.worker_epoch,
                 "machine began a new session"
             );
         }
-        let number = (r.worker_epoch, r.sequence);
+        let number = HeartbeatNumber::of(r);
         if r.token == token.0 {
             runtime.newest = number;
             self.peers.urgent_update |= !runtime.fenced;
             runtime.fenced = true;
-            runtime.heard = Some(now);
-        } else if number > runtime.unproven {
+            runtime.heard_at = Some(now);
+        } else if number > runtime.newest_without_token {
             // A copy does not make a machine seem alive.
-            runtime.unproven = number;
-            runtime.heard = Some(now);
+            runtime.newest_without_token = number;
+            runtime.heard_at = Some(now);
         }
-        runtime.recall_at = r
+        runtime.reclaim_at = r
             .reclaim_s
             .filter(|s| s.is_finite())
             .map(|s| now.plus((s.max(0.0) * 1000.0) as u64));
         runtime.launched.clear();
-        runtime.waits = false;
+        runtime.answer_waits = false;
         let before = std::mem::take(&mut runtime.tasks);
-        let ends_before = self
-            .completions
-            .pending
-            .get(&machine_id)
-            .map_or(&[][..], Vec::as_slice);
-        let ended_before = |e: &Binding| ends_before.iter().any(|x| x.0 == *e);
+        let ended_before = |e: &Binding| self.completions.is_pending(machine_id, e);
         let queue: HashMap<TaskId, u64> =
             machine.queue.iter().map(|e| (e.task, e.attempt)).collect();
         // Everything the report shows is taken in, whether or not the machine's type is known: after
         // a restart while the cloud is away, what seemed absent could be stolen and run twice.
         let leaving = machine.leaving
             || runtime.quarantined
-            || runtime.recall_at.is_some()
+            || runtime.reclaim_at.is_some()
             || runtime.unreachable_since.is_some();
         let mut clears: Vec<Command> = Vec::new();
         let mut used = Room::default();
@@ -347,7 +302,7 @@
                     });
                 }
                 if let Some(task) = task {
-                    runtime.tasks.insert(task, task_runtime(reported, None));
+                    runtime.tasks.insert(task, TaskRuntime::new(reported, None));
                 }
                 continue;
             };
@@ -359,7 +314,9 @@
             let since = was
                 .and_then(|b| b.running_since)
                 .or((reported.status == TaskPhase::Running).then_some(now));
-            runtime.tasks.insert(task, task_runtime(reported, since));
+            runtime
+                .tasks
+                .insert(task, TaskRuntime::new(reported, since));
             if was.is_none_or(|b| b.status != reported.status) {
                 debug!(reported = reported.task, machine = r.machine, status = ?reported.status, cause = ?reported.cause, "reported");
             }
@@ -391,7 +348,7 @@
             let loan_over = self.permission(job, name, now) == Permission::Stop;
             let stop = if loan_over || self.is_over(task.job, job) {
                 Some(0.0)
-            } else if let Some(recall) = runtime.recall_at {
+            } else if let Some(recall) = runtime.reclaim_at {
                 let left = recall.since(now) as f64 / 1000.0;
                 let saves = job.spec.checkpoint_s > 0.0;
                 let ran = since.map_or(0, |s| now.since(s)) as f64 / 1000.0;
@@ -430,23 +387,18 @@
         // A cleared task is a change, and every change is one more report: it waits for a command
         // that changes the machine's tasks anyway, but not for long.
         if clears.is_empty() {
-            runtime.clear_since = None;
+            runtime.clears_wait_since = None;
         } else if !orders.is_empty()
             || clears.len() >= CLEARED
-            || now.since(*runtime.clear_since.get_or_insert(now)) > CLEAR_MS
+            || now.since(*runtime.clears_wait_since.get_or_insert(now)) > CLEAR_MS
         {
-            runtime.clear_since = None;
+            runtime.clears_wait_since = None;
             orders.append(&mut clears);
         }
-        self.count_running(&before, false);
-        self.count_running(&runtime.tasks, true);
+        self.held.uncount_running(&before);
+        self.held.count_running(&runtime.tasks);
         for (class, ratio) in ratios {
-            let r = self
-                .held
-                .run_time_ratios
-                .entry(class)
-                .or_insert(ratio.clamp(0.2, 5.0));
-            *r += (ratio.clamp(0.2, 5.0) - *r) * 0.05;
+            self.held.observe_run_time(class, ratio);
         }
         for (entry, end) in new_ends {
             self.note_end(machine_id, entry, end, runtime, now);
@@ -477,7 +429,7 @@
         let mut full = leaving;
         for e in heads {
             let on_it = runtime.tasks.contains_key(&e.task) || runtime.launched.contains(&e.task);
-            let ended = self.ended(machine_id, e);
+            let ended = self.completions.is_pending(machine_id, e);
             let pending = self
                 .replica
                 .jobs
@@ -489,7 +441,7 @@
                 }
                 continue;
             };
-            if on_it || self.completions.reserved.contains(e) || ended {
+            if on_it || self.completions.is_reserved(e) || ended {
                 continue;
             }
             let name = self.replica.names.jobs.name(e.task.job);
@@ -533,28 +485,28 @@
     /// worker's lease counts from when it sent the report.
     pub fn may_wait(&mut self, machine: &str, number: (u64, u64), now: Timestamp) -> Option<u64> {
         let machine_id = self.replica.names.machines.get(machine)?;
-        let runtime = self.held.machines.get(&machine_id)?;
+        let runtime = self.held.get(machine_id)?;
         let machine = self.replica.machines.get(&machine_id)?;
         let idle = runtime.tasks.values().all(|l| l.status == TaskPhase::Ended);
         let usable = runtime.obeys()
             && !machine.leaving
             && !runtime.quarantined
-            && runtime.recall_at.is_none();
+            && runtime.reclaim_at.is_none();
         if !idle
             || !usable
             || !runtime.launched.is_empty()
-            || runtime.newest != number
+            || runtime.newest != number.into()
             || self.slow(now)
         {
             return None;
         }
-        self.held.machines.get_mut(&machine_id)?.waits = true;
+        self.held.get_mut(machine_id)?.answer_waits = true;
         Some(self.settings.answer_wait_ms())
     }
 
     /// Machines whose answers wait and that have been given tasks since.
     pub fn woken_machines(&mut self) -> Vec<String> {
-        let woken_machines = std::mem::take(&mut self.held.woken);
+        let woken_machines = self.held.take_woken();
         let names = woken_machines
             .iter()
             .map(|&machine_id| self.replica.names.machines.name(machine_id));
@@ -577,16 +529,17 @@
         if !self.holds(&grant) || !self.has_authority(now) {
             return HeartbeatResponse::Elsewhere(None);
         }
-        let Some(mut runtime) = self.held.machines.remove(&job_id) else {
+        let Some(mut runtime) = self.held.take(job_id) else {
             return HeartbeatResponse::Unavailable;
         };
         // Under another token, or after another report, nobody waits for this answer any more.
-        let stands =
-            runtime.token == grant.mod_revision && runtime.newest == number && runtime.obeys();
+        let stands = runtime.fencing_token == grant.mod_revision
+            && runtime.newest == number.into()
+            && runtime.obeys();
         let machine = self.replica.machines.get(&job_id);
         let leaving = machine.is_none_or(|m| m.leaving) || runtime.quarantined;
         if stands {
-            runtime.waits = false;
+            runtime.answer_waits = false;
         }
         let reply = if stands && !leaving {
             let mut used = Room::default();
@@ -608,7 +561,7 @@
         } else {
             HeartbeatResponse::Unavailable
         };
-        self.held.machines.insert(job_id, runtime);
+        self.held.insert(job_id, runtime);
         reply
     }
 
@@ -617,14 +570,13 @@
     fn slow(&self, now: Timestamp) -> bool {
         let missing = self
             .held
-            .machines
-            .values()
-            .filter(|runtime| runtime.missed_acks > 0)
+            .iter()
+            .filter(|(_, runtime)| runtime.missed_acks > 0)
             .count();
         self.pauses
             .stalled_at
             .is_some_and(|at| now.since(at) < 15_000)
-            || missing > (self.held.machines.len() / 10).max(2)
+            || missing > (self.held.len() / 10).max(2)
     }
 
     /// Finds out whether answers reach a machine whose reports arrive.
@@ -633,31 +585,37 @@
     /// waiting for the answer's time to run out; one that had none goes round the controllers,
     /// shows no launch, and loses its lease although we answer.
     fn note_hearing(&self, runtime: &mut MachineRuntime, r: &Heartbeat, now: Timestamp) {
-        let Some(heard) = runtime.heard else { return };
-        let next = r.worker_epoch == runtime.newest.0 && r.sequence == runtime.newest.1 + 1;
+        let Some(heard) = runtime.heard_at else {
+            return;
+        };
+        let next =
+            r.worker_epoch == runtime.newest.epoch && r.sequence == runtime.newest.sequence + 1;
         let in_time = now.since(heard) < self.settings.report_due_ms().max(ANSWER_WAIT_MS);
         let shown = runtime.launched.iter().all(|t| {
             let task_name = self.replica.names.task_name(*t);
             r.tasks.iter().any(|l| l.task == task_name)
         });
-        let obeyed = r.token == runtime.token;
+        let obeyed = r.token == runtime.fencing_token;
         if next && in_time && shown && obeyed {
             runtime.missed_acks = 0;
-            runtime.heard_again += 1;
-            if runtime.heard_again >= 3 && runtime.unreachable_since.take().is_some() {
+            runtime.received_acks += 1;
+            if runtime.received_acks >= 3 && runtime.unreachable_since.take().is_some() {
                 info!(machine = r.machine, "answers reach the machine again");
             }
             return;
         }
-        runtime.heard_again = 0;
+        runtime.received_acks = 0;
         let renewed = runtime
-            .last_ok
+            .answered_at
             .is_some_and(|ok| now.since(ok) < self.settings.worker_gone_ms());
-        if r.worker_epoch > runtime.newest.0 && renewed {
+        if r.worker_epoch > runtime.newest.epoch && renewed {
             runtime.missed_acks += 2;
         } else if !shown
             || !in_time
-            || (!obeyed && runtime.last_ok.is_some_and(|ok| ok > runtime.since))
+            || (!obeyed
+                && runtime
+                    .answered_at
+                    .is_some_and(|ok| ok > runtime.held_since))
         {
             runtime.missed_acks += 1;
         }
@@ -678,46 +636,29 @@
         runtime: &mut MachineRuntime,
         now: Timestamp,
     ) {
-        self.completions
-            .pending
-            .entry(machine_id)
-            .or_default()
-            .push((entry, end));
+        let completion = Completion {
+            binding: entry,
+            outcome: end,
+        };
+        self.completions.add(machine_id, completion);
         let job = entry.task.job;
         match end {
             TaskOutcome::Done => {
-                runtime.failed.clear();
-                self.held.failure_streaks.remove(&job);
+                runtime.failed_jobs.clear();
+                self.held.note_success(job);
                 // Others wait for it: the leader hears of its last endings soon.
                 self.peers.urgent_update |= self.replica.dependencies.is_needed(job);
             }
             TaskOutcome::Failed => {
-                let f = self
-                    .held
-                    .failure_streaks
-                    .entry(job)
-                    .or_insert(FailureStreak {
-                        count: 0,
-                        last: now,
-                    });
-                f.count += 1;
-                f.last = now;
-                runtime.failed.push(job);
-                // A machine is to blame when different jobs fail on it, or one that succeeds
-                // elsewhere; a job that has never succeeded may be broken itself.
-                let mut jobs = runtime.failed.clone();
-                jobs.sort();
-                jobs.dedup();
+                self.held.note_failure(job, now);
                 let proven = self
                     .replica
                     .jobs
                     .get(&job)
                     .is_some_and(|j| !j.done.is_empty());
-                if runtime.failed.len() >= 2 && (jobs.len() >= 2 || proven) && !runtime.quarantined
-                {
-                    runtime.quarantined = true;
+                if runtime.note_failure(job, proven) {
                     warn!(
-                        failures = runtime.failed.len(),
+                        failures = runtime.failed_jobs.len(),
                         "a machine fails what it starts"
                     );
                 }
--- a/src/controller/machine_status.rs
+++ b/src/controller/machine_status.rs
@@ -17,11 +17,11 @@
     ) -> Option<MachineInfo> {
         let (_, grant) = self.replica.holder(machine_id)?;
         if grant.host == self.me {
-            let runtime = self.held.machines.get(&machine_id)?;
+            let runtime = self.held.get(machine_id)?;
             return Some(MachineInfo {
-                age_ms: runtime.heard.map(|heard| now.since(heard)),
+                age_ms: runtime.heard_at.map(|heard| now.since(heard)),
                 obeys: runtime.obeys(),
-                recalled: runtime.recall_at.is_some(),
+                recalled: runtime.reclaim_at.is_some(),
                 quarantined: self.unfit(runtime, now),
                 restarted: runtime.restarted,
             });
@@ -47,9 +47,9 @@
     ) -> MachineSummary {
         MachineSummary {
             machine: self.replica.names.machines.name(machine_id).to_owned(),
-            age_ms: runtime.heard.map(|heard| now.since(heard)),
+            age_ms: runtime.heard_at.map(|heard| now.since(heard)),
             obeys: runtime.obeys(),
-            recalled: runtime.recall_at.is_some(),
+            recalled: runtime.reclaim_at.is_some(),
             quarantined: self.unfit(runtime, now),
             restarted: runtime.restarted,
             load: self.queue_load(machine_id, now),
@@ -68,7 +68,7 @@
 
     /// Running tasks of a job as far as this controller has heard, for display.
     pub fn running(&self, job: JobId) -> u32 {
-        let mine = self.held.running_tasks.get(&job).copied().unwrap_or(0);
+        let mine = self.held.running(job);
         let theirs = self
             .peers
             .states
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -269,17 +269,8 @@
         if !released.is_empty() {
             // The index may come back as another job: nothing may remember it.
             let stays = |j: &JobId| !released.contains(j);
-            for runtime in self.held.machines.values_mut() {
-                runtime.tasks.retain(|t, _| stays(&t.job));
-                runtime.launched.retain(|t| stays(&t.job));
-                runtime.failed.retain(stays);
-            }
-            for completions in self.completions.pending.values_mut() {
-                completions.retain(|(e, _)| stays(&e.task.job));
-            }
-            self.completions.reserved.retain(|e| stays(&e.task.job));
-            self.held.running_tasks.retain(|j, _| stays(j));
-            self.held.failure_streaks.retain(|j, _| stays(j));
+            self.held.forget_jobs(stays);
+            self.completions.forget_jobs(stays);
             self.peers.reported_cancellations.retain(stays);
             self.leadership.forget_jobs(&released);
             for p in self.peers.states.values_mut() {
@@ -323,12 +314,8 @@
             let machines = self.replica.blocks.get(&id).map(|b| b.machines.clone());
             for machine_id in machines.unwrap_or_default() {
                 self.follow_machine(machine_id, token, now);
-                if let Some(runtime) = self.held.machines.get_mut(&machine_id)
-                    && runtime.waits
-                    && self.replica.lists_any(machine_id)
-                {
-                    runtime.waits = false;
-                    self.held.woken.push(machine_id);
+                if self.replica.lists_any(machine_id) {
+                    self.held.wake(machine_id);
                 }
             }
         }
@@ -342,32 +329,19 @@
             self.drop_machine(machine_id);
             return;
         };
-        if self
-            .held
-            .machines
-            .get(&machine_id)
-            .is_none_or(|runtime| runtime.token != token)
-        {
+        let runtime = self.held.get(machine_id);
+        if runtime.is_none_or(|runtime| runtime.fencing_token != token) {
             // Conclusions drawn under one token are worth nothing under another: in between
             // somebody else may have held the block and started what we took for unstarted. The
             // grants' stamps guard what is under way already, not what still waits to be sent.
             let completed = self.completed_in_queue(machine_id);
             self.drop_machine(machine_id);
-            if !completed.is_empty() {
-                self.completions.pending.insert(machine_id, completed);
-            }
-            let runtime = MachineRuntime {
-                token,
-                since: now,
-                ..MachineRuntime::default()
-            };
-            self.held.machines.insert(machine_id, runtime);
-        } else if let Some(completions) = self.completions.pending.get_mut(&machine_id) {
+            self.completions.set_pending(machine_id, completed);
+            self.held
+                .insert(machine_id, MachineRuntime::new(token, now));
+        } else {
             let queue = self.replica.machines.get(&machine_id).map(|m| &m.queue);
-            completions.retain(|(e, _)| queue.is_some_and(|q| q.contains(e)));
-            if completions.is_empty() {
-                self.completions.pending.remove(&machine_id);
-            }
+            self.completions.keep_listed(machine_id, queue);
         }
     }
 
@@ -376,48 +350,18 @@
     /// What is done stays done under any token. Guards against a task that is started once more after
     /// its job is done: the leader records the end on this holder's word, and a holder that forgot its
     /// own word and whose replica does not show that end yet would find the task unstarted.
-    fn completed_in_queue(&self, machine_id: MachineId) -> Vec<(Binding, TaskOutcome)> {
+    fn completed_in_queue(&self, machine_id: MachineId) -> Vec<Completion> {
         let queue = self.replica.machines.get(&machine_id).map(|m| &m.queue);
-        let completions = self
-            .completions
-            .pending
-            .get(&machine_id)
-            .into_iter()
-            .flatten();
-        let completed = completions.filter(|(_, end)| *end == TaskOutcome::Done);
-        let listed = completed.filter(|(entry, _)| queue.is_some_and(|q| q.contains(entry)));
+        let completions = self.completions.pending_on(machine_id).iter();
+        let completed = completions.filter(|completion| completion.outcome == TaskOutcome::Done);
+        let listed =
+            completed.filter(|completion| queue.is_some_and(|q| q.contains(&completion.binding)));
         listed.copied().collect()
     }
 
     /// Forgets what this controller knew of a machine as its holder.
     fn drop_machine(&mut self, machine_id: MachineId) {
-        if let Some(runtime) = self.held.machines.remove(&machine_id) {
-            self.count_running(&runtime.tasks, false);
-        }
-        self.completions.pending.remove(&machine_id);
-        for task_move in self
-            .completions
-            .planned_moves
-            .extract_if(.., |task_move| task_move.victim == machine_id)
-        {
-            for e in &task_move.entries {
-                self.completions.reserved.remove(e);
-            }
-        }
-    }
-
-    /// Keeps count of the tasks that run on the machines held.
-    pub(crate) fn count_running(&mut self, tasks: &HashMap<TaskId, TaskRuntime>, more: bool) {
-        for (task, _) in tasks.iter().filter(|l| l.1.status == TaskPhase::Running) {
-            let n = self.held.running_tasks.entry(task.job).or_default();
-            if more {
-                *n += 1;
-            } else {
-                *n = n.saturating_sub(1);
-            }
-            if *n == 0 {
-                self.held.running_tasks.remove(&task.job);
-            }
-        }
+        self.held.drop_machine(machine_id);
+        self.completions.drop_machine(machine_id);
     }
 }
--- a/src/controller/metrics.rs
+++ b/src/controller/metrics.rs
@@ -48,7 +48,7 @@
     pub(super) fn log_metrics(&self) {
         let c = &self.counters;
         info!(
-            machines = self.held.machines.len(),
+            machines = self.held.len(),
             heartbeats = c.heartbeats,
             redirects = c.redirects,
             launches = c.launches,
@@ -74,13 +74,13 @@
     pub fn status_page(&self, now: Timestamp) -> serde_json::Value {
         let names = &self.replica.names;
         let machines: BTreeMap<&str, serde_json::Value> = self
-            .held.machines
+            .held
             .iter()
-            .map(|(&m, runtime)| {
+            .map(|(m, runtime)| {
                 let queue = self.replica.machines.get(&m).map_or(0, |m| m.queue.len());
                 let v = serde_json::json!({
-                    "token": runtime.token, "fenced": runtime.fenced, "lost": runtime.presumed_dead, "sick": runtime.quarantined,
-                    "silentMs": runtime.heard.map(|h| now.since(h)), "tasks": runtime.tasks.len(),
+                    "token": runtime.fencing_token, "fenced": runtime.fenced, "lost": runtime.presumed_dead, "sick": runtime.quarantined,
+                    "silentMs": runtime.heard_at.map(|h| now.since(h)), "tasks": runtime.task_count(),
                     "queue": queue, "load": self.queue_load(m, now),
                 });
                 (names.machines.name(m), v)
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -21,14 +21,13 @@
 
 pub use crate::store::CommitOutcome;
 pub(crate) use blocks::BlockUpkeep;
-pub(crate) use completions::Completions;
+pub(crate) use completions::{Completion, Completions};
 pub(crate) use effects::put;
 pub use effects::{Effect, HeartbeatResponse, WriteKind};
 pub(crate) use formats::FormatTracker;
 pub(crate) use heartbeat::NO_TOKEN;
 pub(crate) use held_machines::HeldMachines;
-use held_machines::UnownedMachineState;
-pub(crate) use held_machines::{FailureStreak, MachineRuntime, PeerState, TaskRuntime};
+pub(crate) use held_machines::{HeartbeatNumber, MachineRuntime, PeerState, TaskRuntime};
 pub(crate) use membership::Membership;
 pub use metrics::Counters;
 pub use outcomes::{Move, TaskOutcome};
@@ -43,9 +42,8 @@
 use crate::names::{ClassId, HostId, JobId, MachineId, MachineTypeId, TeamId, ZoneId};
 use crate::placement::Room;
 use crate::protocol::{
-    Command, ExitReason, Heartbeat, HeartbeatAck, JobStatus, Json, MachineSummary, MachineType,
-    Mutation, PeerMessage, Precondition, TaskPhase, TaskStatus, Transaction, UnownedMachine,
-    WatchResponse,
+    Command, ExitReason, Heartbeat, HeartbeatAck, JobStatus, Json, MachineType, Mutation,
+    PeerMessage, Precondition, TaskPhase, TaskStatus, Transaction, WatchResponse,
 };
 use crate::ranges::RangeSet;
 use crate::records::{CURRENT_FORMAT, ControllerRecord, HolderRecord, SPILLOVER_FORMAT};
@@ -254,16 +252,5 @@
     }
 }
 
-fn task_runtime(
-    task: &crate::protocol::TaskStatus,
-    running_since: Option<Timestamp>,
-) -> TaskRuntime {
-    TaskRuntime {
-        attempt: task.attempt,
-        status: task.status,
-        running_since,
-    }
-}
-
 #[cfg(test)]
 pub(crate) mod tests;
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -319,23 +319,22 @@
 
     /// What this controller tells its peers; a long message tells of its machines.
     pub fn peer_message(&mut self, long: bool, now: Timestamp) -> PeerMessage {
-        self.held.unowned.retain(|_, s| now.since(s.last) < 7000);
+        self.held.unowned.forget_silent(now);
         let names = &self.replica.names;
         let since = |t: Timestamp| now.since(t);
         let fleet = long.then(|| FleetSummary {
             machines: self
                 .held
-                .machines
                 .iter()
-                .map(|(&m, runtime)| self.machine_summary(m, runtime, now))
+                .map(|(m, runtime)| self.machine_summary(m, runtime, now))
                 .collect(),
             running: self
                 .held
-                .running_tasks
-                .iter()
-                .map(|(&j, &n)| (names.jobs.name(j).to_owned(), n))
+                .running_by_job()
+                .map(|(j, n)| (names.jobs.name(j).to_owned(), n))
                 .collect(),
             done: self
+                .completions
                 .unrecorded_done()
                 .into_iter()
                 .map(|(job, tasks)| (names.jobs.name(job).to_owned(), tasks))
@@ -356,19 +355,17 @@
                 .filter_map(|(&h, p)| Some((names.hosts.name(h).to_owned(), since(p.heard?))))
                 .collect(),
             fleet,
-            unowned_machines: self.unowned_machines_to_report(now),
+            unowned_machines: self.held.unowned.to_report(now),
             steal_messages: Vec::new(),
             ratios: self
                 .held
-                .run_time_ratios
-                .iter()
-                .map(|(&c, &r)| (names.classes.name(c).to_owned(), r))
+                .run_time_ratios()
+                .map(|(c, r)| (names.classes.name(c).to_owned(), r))
                 .collect(),
             failure_streaks: self
                 .held
-                .failure_streaks
-                .iter()
-                .map(|(&j, f)| (names.jobs.name(j).to_owned(), f.count, since(f.last)))
+                .failure_streaks()
+                .map(|(j, f)| (names.jobs.name(j).to_owned(), f.count, since(f.last)))
                 .collect(),
             cancelled: Vec::new(),
             grants: Vec::new(),
@@ -377,21 +374,6 @@
         }
     }
 
-    pub(crate) fn unowned_machines_to_report(&self, now: Timestamp) -> Vec<UnownedMachine> {
-        self.held
-            .unowned
-            .iter()
-            .filter(|(_, s)| now.since(s.last) < 6000)
-            .map(|(machine, s)| UnownedMachine {
-                machine: machine.clone(),
-                machine_type: s.machine_type.clone(),
-                zone: s.zone.clone(),
-                spot: s.spot,
-                for_ms: s.last.since(s.first),
-            })
-            .collect()
-    }
-
     /// What a peer says, in a request or in the answer to one.
     pub fn on_peer_message(&mut self, message: PeerMessage, now: Timestamp) {
         let Some(host) = self.replica.names.hosts.get(&message.host) else {
@@ -473,7 +455,7 @@
         for (class, ratio) in message.ratios {
             let class = self.replica.names.classes.intern(&class);
             // Peers' experience counts until there is some of our own.
-            self.held.run_time_ratios.entry(class).or_insert(ratio);
+            self.held.adopt_run_time_ratio(class, ratio);
         }
         self.on_heard_loans(message.loans, now);
         for agent in message.steal_messages {
--- a/src/controller/queue_load.rs
+++ b/src/controller/queue_load.rs
@@ -38,12 +38,7 @@
 
     /// Expected seconds of a task, the owners' estimates corrected by what was observed.
     pub(crate) fn run_s(&self, job: &Job) -> f64 {
-        let ratio = self
-            .held
-            .run_time_ratios
-            .get(&job.class)
-            .copied()
-            .unwrap_or(1.0);
+        let ratio = self.held.run_time_ratio(job.class);
         (job.spec.estimate_s * ratio).max(LEAST_RUN_S)
     }
 
@@ -55,7 +50,7 @@
         let Some(size) = self.size(machine) else {
             return 0.0;
         };
-        let runtime = self.held.machines.get(&machine_id);
+        let runtime = self.held.get(machine_id);
         let work: f64 = machine
             .queue
             .iter()
@@ -91,9 +86,8 @@
         }
         let mut loads: Vec<(f64, MachineId)> = self
             .held
-            .machines
-            .keys()
-            .map(|&machine| {
+            .ids()
+            .map(|machine| {
                 (
                     (self.queue_load(machine, now) * 10.0).round() / 10.0,
                     machine,
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -24,10 +24,10 @@
     };
     for (sequence, at) in [(1, Timestamp(10_000)), (2, Timestamp(12_000))] {
         for n in 0..4500 {
-            controller.note_unowned_machine(&heartbeat(n, sequence), 0, at);
+            controller.held.unowned.note(&heartbeat(n, sequence), 0, at);
         }
     }
-    let unowned_machines = controller.unowned_machines_to_report(Timestamp(12_000));
+    let unowned_machines = controller.held.unowned.to_report(Timestamp(12_000));
     assert_eq!(unowned_machines.len(), 4500);
     assert!(unowned_machines.iter().all(|s| s.for_ms == 2000));
 }
--- a/src/controller/writes/mod.rs
+++ b/src/controller/writes/mod.rs
@@ -82,20 +82,10 @@
             ResolvedWhen::ByWatchSince(sent) => confirmed.is_some_and(|c| c >= sent),
         };
         for seen in self.writes.unacknowledged.extract_if(.., shown) {
-            for e in seen.intent.moves.iter().flat_map(|m| &m.entries) {
-                self.completions.reserved.remove(e);
-            }
+            self.completions.release(&seen.intent.moves);
         }
     }
 
-    /// Whether an ending of this entry waits to be recorded.
-    pub(crate) fn ended(&self, machine_id: MachineId, e: &Binding) -> bool {
-        self.completions
-            .pending
-            .get(&machine_id)
-            .is_some_and(|completions| completions.iter().any(|x| x.0 == *e))
-    }
-
     /// Whether a transaction of this kind may be planned now: none is under way, its turn has
     /// come, and the replica shows why the last one failed.
     pub(crate) fn idle(&self, write_kind: WriteKind, now: Timestamp) -> bool {
@@ -276,9 +266,7 @@
                         intent: flight.intent,
                     });
                 } else {
-                    for e in flight.intent.moves.iter().flat_map(|m| &m.entries) {
-                        self.completions.reserved.remove(e);
-                    }
+                    self.completions.release(&flight.intent.moves);
                 }
                 // What the service calls malformed is never sent again as it is, and what takes
                 // its place may be no better.
@@ -313,12 +301,7 @@
 
     fn on_completions_committed(&mut self, intent: &WriteIntent, revision: u64) {
         for (machine_id, entry, end) in &intent.outcomes {
-            if let Some(completions) = self.completions.pending.get_mut(machine_id) {
-                completions.retain(|e| e.0 != *entry);
-                if completions.is_empty() {
-                    self.completions.pending.remove(machine_id);
-                }
-            }
+            self.completions.note_recorded(*machine_id, entry);
             match end {
                 TaskOutcome::Done => self.counters.done += 1,
                 TaskOutcome::Failed => self.counters.failed += 1,
@@ -335,9 +318,7 @@
         for task_move in &intent.moves {
             self.counters.packs += 1;
             self.counters.stolen_tasks += task_move.entries.len() as u64;
-            for e in &task_move.entries {
-                self.completions.reserved.remove(e);
-            }
+            self.completions.release([task_move]);
             debug!(
                 victim = self.replica.names.machines.name(task_move.victim),
                 thief = self.replica.names.machines.name(task_move.thief),
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -106,7 +106,7 @@
                 last = last.max(at);
             }
         }
-        if let Some(f) = self.held.failure_streaks.get(&job) {
+        if let Some(f) = self.held.failure_streak(job) {
             count += f.count;
             last = last.max(f.last);
         }
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -116,7 +116,9 @@
     fn note_strangers(&mut self, now: Timestamp) {
         let peers = self.peers.states.values().flat_map(|p| &p.unowned_machines);
         let unknown: Vec<crate::protocol::UnownedMachine> = self
-            .unowned_machines_to_report(now)
+            .held
+            .unowned
+            .to_report(now)
             .into_iter()
             .chain(peers.cloned())
             .filter(|s| {
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -176,7 +176,7 @@
         if !self.listened(now) {
             return out;
         }
-        let mine = self.unowned_machines_to_report(now);
+        let mine = self.held.unowned.to_report(now);
         let theirs = self
             .peers
             .states
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -129,10 +129,8 @@
 
     /// Number of tasks on a machine as its last report to this controller shows.
     pub fn tasks_seen(&self, machine_id: MachineId) -> usize {
-        self.held
-            .machines
-            .get(&machine_id)
-            .map_or(0, |runtime| runtime.tasks.len())
+        let runtime = self.held.get(machine_id);
+        runtime.map_or(0, |runtime| runtime.task_count())
     }
 }
 
--- a/src/stealing/messages.rs
+++ b/src/stealing/messages.rs
@@ -91,7 +91,7 @@
         let Some(machine_id) = self.replica.names.machines.get(recipient) else {
             return;
         };
-        if !self.held.machines.contains_key(&machine_id) || !self.has_authority(now) {
+        if !self.held.contains(machine_id) || !self.has_authority(now) {
             return;
         }
         let replies = self.handle_steal_message(machine_id, message, now);
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -26,15 +26,12 @@
     pub(super) fn movable_tasks(&self, machine_id: MachineId) -> Vec<(Binding, f64)> {
         let (Some(machine), Some(runtime)) = (
             self.replica.machines.get(&machine_id),
-            self.held.machines.get(&machine_id),
+            self.held.get(machine_id),
         ) else {
             return Vec::new();
         };
         // Only a machine that obeys our fencing token is sure not to start what leaves its queue.
-        let Some(size) = self
-            .size(machine)
-            .filter(|_| runtime.fenced && !runtime.presumed_dead)
-        else {
+        let Some(size) = self.size(machine).filter(|_| runtime.is_fenced_and_alive()) else {
             return Vec::new();
         };
         let last_first = machine.queue.iter().rev();
@@ -54,8 +51,8 @@
         let job = self.replica.jobs.get(&binding.task.job);
         let machine = self.replica.machines.get(&machine_id);
         self.unstarted(machine_id, binding)
-            && !self.completions.reserved.contains(binding)
-            && !self.ended(machine_id, binding)
+            && !self.completions.is_reserved(binding)
+            && !self.completions.is_pending(machine_id, binding)
             && job.is_some_and(|job| !self.is_over(binding.task.job, job))
             && machine.is_some_and(|machine| machine.queue.contains(binding))
     }
@@ -82,8 +79,7 @@
         }
         let Some(pack) = given else { return false };
         // From here on the tasks are not started, until the move is recorded or has failed.
-        self.completions.reserved.extend(&pack.tasks);
-        self.completions.planned_moves.push(Move {
+        self.completions.plan_move(Move {
             victim,
             thief,
             entries: pack.tasks,
@@ -112,12 +108,8 @@
             return false;
         };
         let mut used = self.used_on(thief);
-        let moves = self.completions.planned_moves.iter();
-        let coming = moves.filter(|planned| planned.thief == thief);
-        for binding in coming
-            .flat_map(|planned| &planned.entries)
-            .chain(&pack.tasks)
-        {
+        let coming = self.completions.moving_to(thief);
+        for binding in coming.chain(&pack.tasks) {
             if let Some(job) = self.replica.jobs.get(&binding.task.job) {
                 used.add(&job.room(), 1.0);
             }
--- a/src/stealing/rounds.rs
+++ b/src/stealing/rounds.rs
@@ -156,7 +156,7 @@
         let period_ms = (self.settings.options.balance_period_s * 1000.0) as u64;
         self.work_stealing.next_round = now.plus(period_ms);
         self.publish_loads(now, out);
-        let own: Vec<MachineId> = self.held.machines.keys().copied().collect();
+        let own: Vec<MachineId> = self.held.ids().collect();
         let loads = self.fleet_loads(&own, now);
         let Some(levels) = Levels::new(loads.sum, loads.count, &self.stealing_factors()) else {
             return;
@@ -166,8 +166,7 @@
         // Own machines that have nothing to give are known to be no victims.
         let packs = &round.packs;
         round.victims.retain(|victim| {
-            packs.contains_key(&victim.machine_id)
-                || !self.held.machines.contains_key(&victim.machine_id)
+            packs.contains_key(&victim.machine_id) || !self.held.contains(victim.machine_id)
         });
         let thieves = round.thieves();
         let most = round.victims.len() * STEALS_PER_VICTIM;
