--- a/crates/spillover/tests/decisions.rs
+++ b/crates/spillover/tests/decisions.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_confirmation_counts_from_the_question_less_the_age_of_the_answer() {
+fn a_confirmation_counts_from_the_request_less_the_age_of_the_answer() {
     let mut c = Confirmations::default();
     c.note(&loan(7), LEASE_MS, 1000);
     assert_eq!(permission(&c, 7, 1500), Permission::Wait);
--- a/src/controller/writes/pacing/tests.rs
+++ b/src/controller/writes/pacing/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn turns_become_shorter_while_little_of_the_budget_is_used_and_longer_again() {
+fn write_turns_shorten_while_the_budget_is_idle_and_lengthen_again() {
     let mut write_pace = WritePace::default();
     let fast = after(&mut write_pace, 0, 60, 5, false);
     assert_eq!(fast, MOST_SPEED);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_budget_that_is_well_used_leaves_the_speed_as_it_is() {
+fn a_well_used_budget_leaves_the_write_pace_unchanged() {
     let mut write_pace = WritePace::default();
     let steady = after(&mut write_pace, 0, 120, 16, false);
     assert_eq!(steady, after(&mut write_pace, 120, 60, 16, false));
--- a/src/dependencies/tests.rs
+++ b/src/dependencies/tests.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_dependent_that_is_gone_presses_no_longer() {
+fn a_dependent_that_is_gone_no_longer_raises_the_priority() {
     let mut graph = DependencyGraph::default();
     add(&mut graph, 1, &[0]);
     graph.insert(job(2), own(Priority::Critical, Some(50), 1), vec![job(1)]);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_chain_of_thousands_grows_by_its_end_without_looking_at_all_of_it() {
+fn a_chain_of_thousands_of_jobs_grows_without_visiting_all_of_it() {
     // Each new job asks no more than the one before it, so nothing has to be passed on.
     let mut graph = DependencyGraph::default();
     for n in 1..50_000 {
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -9,7 +9,7 @@
         "loaners":true,"rideS":20.0,"waypointS":0,"stowS":0,"dueS":100.0,"later":[1]}"#;
 
 #[test]
-fn malformed_submissions_are_told_apart_by_what_is_wrong() {
+fn malformed_submissions_are_rejected_with_the_field_that_is_wrong() {
     assert!(matches!(read(GOOD.as_bytes()), Read::Good(_)));
     let named = [
         ("\"legs\":4", "\"legs\":0"),
--- a/src/leadership/boot_times/tests.rs
+++ b/src/leadership/boot_times/tests.rs
@@ -9,13 +9,13 @@
 }
 
 #[test]
-fn few_starts_say_nothing_and_the_boot_time_decides() {
+fn with_few_observed_boots_the_catalogs_boot_time_decides() {
     assert_eq!(seen(&[]).overdue_s(20.0), 90.0);
     assert_eq!(seen(&[1.0, 2.0, 2.0]).overdue_s(20.0), 90.0);
 }
 
 #[test]
-fn starts_that_were_seen_decide_how_long_one_may_take() {
+fn observed_boots_decide_how_long_a_boot_may_take() {
     // As the catalog says, or quicker: twice the boot time.
     assert_eq!(seen(&[1.0, 2.0, 18.0, 20.0]).overdue_s(20.0), 40.0);
     // Nearly all take longer than it says.
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn long_tasks_stay_off_dear_machines_when_little_waits() {
+fn long_tasks_avoid_expensive_machines_when_little_waits() {
     // A large dear machine was held to the end of the day for the longest of its tasks.
     let mut slots = [slot(0, 0, 2.0), slot(1, 0, 8.0)];
     slots[1].dear = true;
--- a/src/scaling/tests.rs
+++ b/src/scaling/tests.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn dear_and_empty_machines_are_closed_when_the_rest_suffices() {
+fn expensive_empty_machines_are_cordoned_when_the_rest_suffices() {
     let mut dear = rented(0, 4.0, None, 100.0);
     dear.price = 3.0;
     let fleet = [
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn what_this_version_stores_and_sends_is_read_by_the_version_before_chained_jobs() {
+fn what_this_version_stores_and_sends_is_read_by_the_version_before_dependent_jobs() {
     let mut w = World::settled(1, 3, 6);
     w.run_ms = 3000;
     let first = w.submit(1, w.spec(9));
--- a/tests/duplicate_execution.rs
+++ b/tests/duplicate_execution.rs
@@ -100,7 +100,7 @@
 /// forget them with the token, and started the tasks of a job that its leader had recorded as done on
 /// its word (search, seed 12151).
 #[test]
-fn a_completion_is_not_forgotten_when_the_block_is_granted_anew() {
+fn a_completion_is_not_forgotten_when_the_block_is_granted_again() {
     let (mut w, job) = World::busy(1, 3, 60_000);
     let at = w.workers.iter().position(|m| !m.tasks.is_empty());
     let at = at.expect("something runs");
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn an_ending_in_a_report_of_an_earlier_session_frees_nothing_that_has_started_again() {
+fn an_exit_reported_by_an_earlier_epoch_frees_no_task_that_has_restarted() {
     // A new holder took in what a late copy said had failed, before the machine had shown its token.
     // The task had been started again in the machine's next session.
     for seed in 0..6 {
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_worker_that_begins_anew_gets_nothing_from_a_controller_that_holds_it_no_more() {
+fn a_restarted_worker_gets_nothing_from_a_former_holder() {
     // Its token is 0 again, so it would obey anybody. A controller that had never heard it under an
     // older grant, and does not know of the newer one, started what had long moved elsewhere.
     for seed in 0..6 {
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_binding_without_an_answer_is_not_forgotten_when_its_repeat_is_called_malformed() {
+fn an_unacknowledged_binding_is_not_forgotten_when_its_retry_is_called_malformed() {
     // The service's limits may fall between the two.
     for seed in 0..12 {
         let mut w = World::settled(seed, 3, 6);
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn a_holder_that_was_replaced_unseen_frees_nothing_of_what_it_takes_for_lost() {
+fn a_superseded_holder_frees_no_task_of_machines_it_presumes_dead() {
     // It reaches no worker and its watch hangs, but its writes arrive: its machines have another holder
     // and run on.
     for seed in 0..4 {
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_chain_runs_in_order_and_each_job_begins_at_once_when_the_one_before_it_is_done() {
+fn dependent_jobs_run_in_order_and_each_begins_once_its_predecessor_is_done() {
     let mut w = World::settled(1, 3, 6);
     w.run_ms = 4000;
     let chain = chain_of(&mut w, 1, 4);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_cancellation_withdraws_all_that_needs_the_job_and_nothing_else() {
+fn a_cancellation_cancels_all_dependent_jobs_and_nothing_else() {
     // A diamond with a tail, a wide fan, and neighbours that go on.
     for (seed, cancelled_at) in [(6, 0), (7, 1)] {
         let mut w = World::settled(seed, 3, 6);
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_job_that_names_a_cancelled_one_is_accepted_and_withdrawn() {
+fn a_job_that_depends_on_a_cancelled_one_is_accepted_and_cancelled() {
     let mut w = World::settled(8, 3, 4);
     let first = w.submit(1, w.spec(2));
     let second = w.chain(2, w.spec(2), &[&first]);
@@ -414,7 +414,7 @@
 }
 
 #[test]
-fn chains_outlive_crashes_outages_and_changes_of_leader() {
+fn dependent_jobs_survive_crashes_outages_and_failovers() {
     for seed in 24..28 {
         let mut w = World::settled(seed, [3, 5][seed as usize % 2], 8);
         w.run_ms = 4000;
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn four_thousand_machines_are_held_used_and_kept_through_the_end_of_the_leader() {
+fn four_thousand_machines_survive_a_failover_of_the_leader() {
     let mut w = fleet(1);
     // The cloud is away once the machine types are known, so that idle machines stay.
     w.run(1000);
--- a/tests/missed_messages.rs
+++ b/tests/missed_messages.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_flood_in_one_team_leaves_the_other_its_guarantee() {
+fn a_burst_of_one_team_leaves_the_others_quota_intact() {
     let mut w = settled(2, 3, 6);
     w.cloud_up = false;
     for n in 1..=20 {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_new_machine_that_hears_nothing_is_given_nothing_and_goes_back() {
+fn a_new_machine_that_receives_no_acknowledgements_is_given_no_task_and_returned() {
     let mut w = settled(3, 3, 2);
     w.run_ms = 20_000;
     let mut long = w.spec(60);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn tasks_of_a_machine_that_no_longer_hears_run_again_after_its_lease_and_once() {
+fn tasks_of_an_unreachable_machine_run_again_once_after_its_lease() {
     for live_controllers in [3, 5] {
         let (mut w, job) = busy(4, live_controllers, 30_000);
         let at = with_tasks(&w)[0];
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_machine_that_hears_again_is_used_again() {
+fn a_machine_that_is_reachable_again_is_used_again() {
     let mut w = settled(5, 3, 1);
     w.cloud_up = false;
     w.workers[0].unreachable_since = true;
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn late_copies_of_reports_change_nothing() {
+fn late_copies_of_heartbeats_change_nothing() {
     for (seed, ages) in [
         (6, vec![700, 2500]),
         (7, vec![5000, 11_000]),
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_late_copy_revives_no_machine_that_is_gone() {
+fn a_late_heartbeat_copy_revives_no_machine_that_is_gone() {
     let (mut w, job) = busy(10, 3, 20_000);
     w.copies = vec![3000, 9000, 16_000, 30_000];
     w.run(4000);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn copies_of_reports_from_a_machine_that_is_gone_do_not_keep_its_tasks_for_ever() {
+fn copies_of_heartbeats_from_a_machine_that_is_gone_do_not_keep_its_tasks_for_ever() {
     // A new holder that has never seen its token answers such reports for a while, for they may be
     // life; then it stops, so that whatever ran there is surely over.
     let (mut w, job) = busy(31, 3, 20_000);
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_stranded_controller_stops_in_time_and_hands_over_what_runs() {
+fn a_partitioned_controller_stops_in_time_and_hands_over_running_tasks() {
     for (live_controllers, leads) in [(3, false), (3, true), (5, false), (5, true)] {
         let (mut w, job) = busy(11, live_controllers, 60_000);
         let leader = w.leader().expect("leads");
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn work_cancelled_behind_a_stranded_controllers_back_is_gone_in_time() {
+fn work_cancelled_while_its_controller_is_partitioned_stops_in_time() {
     let (mut w, job) = busy(12, 3, 120_000);
     let i = (w.leader().expect("leads") + 1) % 3;
     w.strand(i);
@@ -296,7 +296,7 @@
 }
 
 #[test]
-fn a_worker_that_begins_anew_has_its_block_granted_once() {
+fn a_restarted_worker_has_its_block_granted_once() {
     // The leader granted it again and again until it next looked when each grant had been made.
     for seed in 0..4 {
         let (mut w, _) = busy(40 + seed, 3, 30_000);
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn chance_troubles_keep_the_rules_with_five_controllers() {
+fn random_faults_keep_the_rules_with_five_controllers() {
     use rand::{Rng, SeedableRng};
     for seed in 0..8 {
         let mut luck = rand::rngs::SmallRng::seed_from_u64(500 + seed);
@@ -439,7 +439,7 @@
 }
 
 #[test]
-fn a_controller_that_is_late_itself_calls_no_machine_deaf() {
+fn a_controller_that_lags_marks_no_machine_unreachable() {
     // While its answers were slow, a controller had 165 machines returned that missed them.
     let unreachable_since = |misses: &dyn Fn(usize) -> bool| {
         let mut w = settled(21, 3, 15);
@@ -506,7 +506,7 @@
 }
 
 #[test]
-fn a_task_bound_just_after_a_report_starts_in_the_answer_that_waits() {
+fn a_task_bound_just_after_a_heartbeat_starts_in_the_delayed_acknowledgement() {
     // Machines that came up by the hundred stood idle for half an interval of reports.
     let mut w = settled(23, 3, 1);
     w.cloud_up = false;
@@ -595,7 +595,7 @@
 }
 
 #[test]
-fn an_idle_machine_that_reports_every_five_seconds_is_not_called_deaf() {
+fn an_idle_machine_with_heartbeats_every_five_seconds_is_not_marked_unreachable() {
     // Reports that come later than an answer's time runs out are no sign of deafness where the
     // interval of reports is longer than that: idle machines were drained and returned for it.
     let mut w = settled(22, 3, 6);
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -298,7 +298,7 @@
 /// Jobs run on, and work is taken and cancelled, while controllers go over to the new version one
 /// after the other; one of them dies before its turn and comes back old, one dies again when it is
 /// new.
-fn upgrade_story(commit: &str, knows_chains: bool) {
+fn replace_one_process_after_another(commit: &str, knows_chains: bool) {
     let old = build(commit);
     actix_web::rt::System::new().block_on(async move {
         let mut fleet = Fleet::in_production(old).await;
@@ -354,12 +354,12 @@
 
 #[test]
 #[ignore = "builds an earlier version; run by .ci/run"]
-fn the_version_in_production_is_replaced_while_chains_run() {
-    upgrade_story(&in_production(), true);
+fn the_version_in_production_is_replaced_while_dependent_jobs_run() {
+    replace_one_process_after_another(&in_production(), true);
 }
 
 #[test]
 #[ignore = "builds an earlier version; run by .ci/run"]
-fn the_version_before_chained_jobs_is_replaced_while_jobs_run() {
-    upgrade_story(BEFORE_CHAINS, false);
+fn the_version_before_dependent_jobs_is_replaced_while_jobs_run() {
+    replace_one_process_after_another(BEFORE_CHAINS, false);
 }
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -379,7 +379,7 @@
 }
 
 #[test]
-fn jobs_are_cancelled_through_the_new_leader_while_the_old_one_is_stranded_with_its_workers() {
+fn jobs_are_cancelled_through_the_new_leader_while_the_old_one_is_partitioned_with_its_workers() {
     for (seed, live_controllers) in [(40, 3), (41, 5)] {
         let (mut w, job) = World::busy(seed, live_controllers, 200_000);
         let old = w.leader().expect("leads");
@@ -424,7 +424,7 @@
 }
 
 #[test]
-fn a_leader_that_stood_still_returns_no_machine_because_its_timers_went_on() {
+fn a_leader_that_was_paused_returns_no_machine_because_its_timers_went_on() {
     // All seemed silent to it for as long as it had stood still itself.
     for ms in [14_000, 21_000, 22_500] {
         let mut w = World::settled(46, 3, 8);
@@ -456,7 +456,7 @@
 // Reports and machines.
 
 #[test]
-fn reports_arrive_again_from_earlier_sessions_and_attempts_and_at_a_new_leader() {
+fn heartbeats_arrive_again_from_earlier_epochs_and_attempts_and_at_a_new_leader() {
     for seed in 50..54 {
         let (mut w, job) = World::busy(seed, 3, 25_000);
         w.copies = vec![2500, 13_000, 29_000];
@@ -647,7 +647,7 @@
 }
 
 #[test]
-fn chance_meetings_keep_the_rules() {
+fn random_overlapping_faults_keep_the_rules() {
     for seed in 0..16 {
         let live_controllers = [3, 5][seed as usize % 2];
         let mut luck = SmallRng::seed_from_u64(900 + seed);
@@ -705,7 +705,7 @@
 }
 
 #[test]
-fn after_an_end_of_all_the_grants_come_before_what_was_gathered() {
+fn after_a_restart_of_all_controllers_grants_are_written_before_gathered_writes() {
     // Many blocks and few changes a second: what ends and waits to be bound would use them up.
     let mut w = World::sized(71, 3, 30);
     w.settings.options.block_machines = 1.0;
--- a/tests/recovery_at_night.rs
+++ b/tests/recovery_at_night.rs
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn controllers_that_stand_still_across_each_deadline_act_on_nothing_that_is_over() {
+fn controllers_paused_across_each_deadline_act_on_nothing_that_is_over() {
     // The clock runs on: silence, leases, authority and answers are all late when it wakes.
     for (seed, live_controllers) in [(5, 3), (6, 5)] {
         for ms in [1500, 3000, 6000, 13_000, 24_000, 40_000] {
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn machines_that_come_up_late_or_never_are_replaced_and_not_paid_for_ever() {
+fn machines_that_boot_late_or_never_are_replaced_and_not_paid_for_ever() {
     for never in [false, true] {
         let mut w = World::settled(7, 3, 0);
         w.slow_boot = Some(if never { u64::MAX / 4 } else { 120_000 });
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn starts_that_were_seen_make_a_machine_that_never_comes_up_overdue_sooner() {
+fn observed_boot_times_make_a_machine_that_never_boots_overdue_sooner() {
     // The catalog's boot time alone would let it stand, charged, for 3.5 times that and 20 s more.
     let mut w = World::settled(8, 3, 0);
     w.run_ms = 60_000;
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_job_is_bound_started_finished_and_told_done() {
+fn a_job_is_bound_started_finished_and_reported_done() {
     let mut w = settled(1, 3);
     let job = w.submit(1, w.spec(20));
     w.until(60_000, "the job is done", |w| w.is_done(&job));
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn lost_answers_and_late_copies_of_writes_do_no_harm() {
+fn lost_acknowledgements_and_duplicated_writes_do_no_harm() {
     for fault in [StoreFault::LosesAnswers, StoreFault::Late(3000)] {
         let mut w = settled(8, 6);
         let leader = w.leader().expect("leads");
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_report_is_taken_in_whole_although_the_machine_type_is_unknown() {
+fn a_heartbeat_is_processed_in_full_although_the_machine_type_is_unknown() {
     // Found by a hunt: a controller restarted while the cloud was away took reports under its
     // token but left out the tasks in them, and gave running tasks to thieves.
     let (mut w, job) = busy(15, 6, 40_000, 16);
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn late_reports_and_those_of_strangers_are_not_answered_with_orders() {
+fn late_and_foreign_heartbeats_are_not_answered_with_commands() {
     let mut w = settled(16, 3);
     let machine = w.workers[0].machine.name.clone();
     let holder = w.holder(&machine).expect("held");
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn a_conclusion_that_waits_dies_with_the_token_it_rests_on() {
+fn a_pending_conclusion_is_dropped_with_its_fencing_token() {
     let mut w = settled(21, 1);
     w.settings.options.queue_ahead_s = 600.0;
     (0..3).for_each(|i| w.crash(i));
@@ -368,7 +368,7 @@
 }
 
 #[test]
-fn conclusions_drawn_under_one_token_are_dropped_with_it() {
+fn conclusions_drawn_under_a_fencing_token_are_dropped_with_it() {
     // A block goes away and comes back while its holder's writes wait. What it took for
     // unstarted may have been started by the other in between.
     for seed in 0..6 {
@@ -391,7 +391,7 @@
 }
 
 #[test]
-fn a_machine_that_went_while_nobody_looked_is_missed_by_the_list() {
+fn a_machine_that_disappeared_unobserved_is_missing_from_the_cloud_list() {
     let (mut w, job) = busy(22, 6, 40_000, 16);
     (0..3).for_each(|i| w.crash(i));
     let busy = w.workers.iter().position(|m| !m.tasks.is_empty());
@@ -415,7 +415,7 @@
 }
 
 #[test]
-fn workers_that_found_no_holder_for_a_while_do_not_discredit_the_next_one() {
+fn workers_without_a_holder_for_a_while_do_not_discredit_the_next_holder() {
     // While two controllers were down, their workers came to the third for longer than it takes
     // to call a holder cut off; the blocks then went to and fro.
     let mut w = settled(23, 9);
@@ -450,7 +450,7 @@
 }
 
 #[test]
-fn a_machine_that_fails_everything_is_drained_and_replaced() {
+fn a_machine_that_fails_every_task_is_quarantined_and_replaced() {
     let mut w = settled(18, 6);
     let first = w.submit(1, w.spec(16));
     w.until(60_000, "done", |w| w.is_done(&first));
@@ -464,7 +464,7 @@
 }
 
 #[test]
-fn a_job_that_fails_everywhere_does_not_condemn_the_fleet() {
+fn a_job_that_fails_everywhere_does_not_quarantine_the_fleet() {
     let mut w = settled(19, 4);
     w.workers.iter_mut().for_each(|m| m.quarantined = true);
     w.submit(1, w.spec(2));
@@ -474,7 +474,7 @@
 }
 
 #[test]
-fn idle_machines_go_back_and_names_of_bookings_are_never_reused() {
+fn idle_machines_are_returned_and_request_ids_are_never_reused() {
     let mut w = settled(20, 3);
     let job = w.submit(1, w.spec(60));
     w.until(150_000, "done", |w| w.is_done(&job));
@@ -494,7 +494,7 @@
 }
 
 #[test]
-fn chance_troubles_keep_the_rules() {
+fn random_faults_keep_the_rules() {
     use rand::{Rng, SeedableRng};
     for seed in 0..8 {
         let mut luck = rand::rngs::SmallRng::seed_from_u64(seed);
@@ -543,7 +543,7 @@
 }
 
 #[test]
-fn a_jobs_last_endings_do_not_wait_for_the_turns_of_the_blocks_that_list_them() {
+fn a_jobs_last_completions_do_not_wait_for_the_write_turns_of_their_blocks() {
     let mut w = World::settled(61, 3, 9);
     // So few changes a second make turns of many seconds.
     w.settings.platform.settings.state.write_rps = 1.0;
--- a/tests/search.rs
+++ b/tests/search.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn days_by_chance_keep_the_rules() {
+fn random_fault_days_keep_the_rules() {
     for seed in 0..4 {
         if let Err(broken) = play(plan(seed)) {
             panic!("{}", broken.join("\n"));
--- a/tests/spillover.rs
+++ b/tests/spillover.rs
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn a_borrowers_controller_that_stands_still_past_the_lease_starts_nothing_after() {
+fn a_borrowers_controller_paused_past_the_lease_starts_nothing_after() {
     for seed in 43..47 {
         let (mut c, jobs) = lending_long(seed, 40_000);
         c.run(3000);
@@ -578,7 +578,7 @@
 /// end as of a cancellation: its tasks were bound and freed for ever. On day 4344 a task ran in two
 /// cells, for it was bound at home while the write that lent its job had no answer.
 #[test]
-fn days_of_chance_between_cells_keep_the_rules() {
+fn random_fault_days_between_cells_keep_the_rules() {
     for seed in [0, 1, 2, 3, 2064, 4344] {
         if let Err(broken) = day_of_chance(seed) {
             panic!("seed {seed}:\n{}", broken.join("\n"));
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn chained_jobs_are_refused_while_an_old_version_is_alive_and_taken_from_then_on() {
+fn dependent_jobs_are_refused_while_an_old_version_is_alive_and_accepted_from_then_on() {
     let mut w = in_production(1, 3, 6);
     w.run_ms = 60_000;
     let first = w.submit(1, w.spec(2));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_new_service_takes_chained_jobs_at_once_and_one_that_stays_away_holds_nothing_up() {
+fn a_new_service_accepts_dependent_jobs_at_once_and_an_absent_controller_blocks_nothing() {
     let mut w = World::settled(2, 3, 4);
     w.crash(2);
     let first = w.submit(1, w.spec(1));
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn machines_of_a_merged_block_go_to_the_higher_token_and_what_runs_on_them_runs_on() {
+fn machines_of_a_merged_block_go_to_the_higher_fencing_token_and_keep_their_tasks() {
     let mut w = in_production(15, 3, 130);
     w.cloud_up = false;
     w.run_ms = 200_000;
@@ -433,7 +433,7 @@
 }
 
 #[test]
-fn chance_troubles_during_an_upgrade_with_chains_keep_the_rules() {
+fn random_faults_during_an_upgrade_with_dependent_jobs_keep_the_rules() {
     for seed in 20..28 {
         let live_controllers = [3, 5][seed as usize % 2];
         let mut w = in_production(seed, live_controllers, 10);
