--- a/benches/costs.rs
+++ b/benches/costs.rs
@@ -78,13 +78,13 @@
             let Some(holder) = w.holder(&r.machine) else {
                 continue;
             };
-            if let Some(node) = w.live_controllers[holder].as_mut() {
+            if let Some(node) = w.controllers[holder].as_mut() {
                 heartbeat.measure(|| node.controller.on_heartbeat(r, now));
             }
         }
         let list = w.state.events("qb/", before);
         let day = w.now;
-        let Some(node) = w.live_controllers[leader].as_mut() else {
+        let Some(node) = w.controllers[leader].as_mut() else {
             continue;
         };
         // The same changes once more, as another controller would take them in.
--- /dev/null
+++ b/tests/behaviour_digest.rs
@@ -0,0 +1,280 @@
+//! Digests of everything that leaves the controllers on seeded days, run by hand before and after a step
+//! of a refactoring that is to change no behaviour:
+//!
+//! `cargo test --locked --test behaviour_digest -- --ignored --nocapture`
+//!
+//! `DIGEST_THREADS` says how many days are played at once, and `DIGEST_TRACE` names a directory into which
+//! every message is written, to compare the traces of a day whose digest differs.
+
+mod support;
+
+use quillbend::protocol::Priority;
+use quillbend::records::{CHAINS_FORMAT, DENSE_FORMAT};
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+use std::sync::Mutex;
+use support::cells::{Cells, Way};
+use support::days::{self, DayPlan};
+use support::digest::{self, Summary};
+use support::{StoreFault, World, search};
+
+/// Days that are played at once, if nothing else is said.
+const THREADS: u64 = 3;
+
+/// One kind of day.
+struct Kind {
+    name: &'static str,
+    seeds: std::ops::Range<u64>,
+    /// Plays the day of a seed; the rules that were broken.
+    play: fn(u64) -> Vec<String>,
+}
+
+const KINDS: [Kind; 4] = [
+    Kind {
+        name: "random-faults",
+        seeds: 100..112,
+        play: random_faults,
+    },
+    Kind {
+        name: "small-values",
+        seeds: 200..204,
+        play: small_values,
+    },
+    Kind {
+        name: "mixed-formats",
+        seeds: 300..306,
+        play: mixed_formats,
+    },
+    Kind {
+        name: "spillover",
+        seeds: 400..404,
+        play: spillover,
+    },
+];
+
+/// What a day came to.
+struct DayReport {
+    day: usize,
+    line: String,
+    broken: Vec<String>,
+}
+
+#[test]
+#[ignore = "run by hand before and after a step that is to change no behaviour"]
+fn behaviour_digests() {
+    let all = KINDS.iter();
+    let days = all.flat_map(|kind| kind.seeds.clone().map(move |seed| (kind, seed)));
+    let days = Mutex::new(days.enumerate());
+    let results = Mutex::new(Vec::new());
+    let threads = search::number("DIGEST_THREADS").unwrap_or(THREADS);
+    std::thread::scope(|scope| {
+        for _ in 0..threads {
+            scope.spawn(|| {
+                loop {
+                    let next = days.lock().expect("no panic").next();
+                    let Some((day, (kind, seed))) = next else {
+                        return;
+                    };
+                    let result = play(day, kind, seed);
+                    results.lock().expect("no panic").push(result);
+                }
+            });
+        }
+    });
+    let mut results = results.into_inner().expect("no panic");
+    results.sort_by_key(|result| result.day);
+    results
+        .iter()
+        .for_each(|result| println!("{}", result.line));
+    let broken: Vec<&String> = results.iter().flat_map(|result| &result.broken).collect();
+    assert!(broken.is_empty(), "{broken:#?}");
+}
+
+fn play(day: usize, kind: &Kind, seed: u64) -> DayReport {
+    let name = format!("{}-{seed}", kind.name);
+    let (summary, broken) = digest::record(&name, || (kind.play)(seed));
+    let Summary {
+        messages,
+        bytes,
+        digest,
+    } = summary;
+    DayReport {
+        day,
+        line: format!(
+            "{} {seed} {messages} messages {bytes} bytes {digest}",
+            kind.name
+        ),
+        broken,
+    }
+}
+
+/// Faults of every kind come by chance and overlap.
+fn random_faults(seed: u64) -> Vec<String> {
+    let plan = DayPlan {
+        seed,
+        machines: 12 + (seed % 4) as usize * 8,
+        troubles: 25,
+        restarts: !seed.is_multiple_of(3),
+    };
+    days::play(plan).err().unwrap_or_default()
+}
+
+/// The state service takes small values and small transactions only.
+fn small_values(seed: u64) -> Vec<String> {
+    let mut world = World::in_production(seed, 3, 8);
+    for controller in 0..world.controllers.len() {
+        restart_as_new(&mut world, controller, 0);
+    }
+    lower_limits(&mut world);
+    world.run(10_000);
+    submissions_and_faults(&mut world, seed, Vec::new())
+}
+
+/// Controllers of an earlier format of stored values are replaced one after another.
+fn mixed_formats(seed: u64) -> Vec<String> {
+    let controllers = [3, 5][seed as usize % 2];
+    let mut world = World::in_production(seed, controllers, 10);
+    world.old_format = [0, CHAINS_FORMAT, DENSE_FORMAT][seed as usize % 3];
+    for controller in 0..controllers {
+        world.crash(controller);
+        world.start(controller);
+    }
+    world.run(10_000);
+    submissions_and_faults(&mut world, seed, (0..controllers).collect())
+}
+
+/// The state service has the limits that the settings announced.
+fn lower_limits(world: &mut World) {
+    let limits = &world.settings.platform.settings.state;
+    world.state.limits = Some(((limits.value_kb * 1024.0) as usize, limits.txn_ops));
+}
+
+fn restart_as_new(world: &mut World, controller: usize, away_ms: u64) {
+    world.crash(controller);
+    world.run(away_ms);
+    world.old[controller] = false;
+    world.start(controller);
+}
+
+/// Jobs, chained ones among them, cancellations and faults; meanwhile these controllers are replaced by
+/// ones of this version, and then the state service lowers its limits.
+fn submissions_and_faults(world: &mut World, seed: u64, mut to_replace: Vec<usize>) -> Vec<String> {
+    let mut luck = SmallRng::seed_from_u64(seed);
+    let mut jobs: Vec<String> = Vec::new();
+    for round in 1..=36 {
+        if round % 6 == 0
+            && let Some(controller) = to_replace.pop()
+        {
+            let away_ms = luck.random_range(200..4000);
+            restart_as_new(world, controller, away_ms);
+            if to_replace.is_empty() {
+                world.run(3000);
+                lower_limits(world);
+            }
+        }
+        submit(world, &mut luck, round, &mut jobs);
+        cancel(world, &mut luck, &jobs);
+        let controller = luck.random_range(0..world.controllers.len());
+        match luck.random_range(0..10) {
+            kind @ 0..=4 => world.trouble(controller, kind, &mut luck),
+            5 => world.links[controller].state = StoreFault::FaultyStore,
+            6 => world.freeze(controller, luck.random_range(500..5000)),
+            7 | 8 => world.heal(),
+            _ => {}
+        }
+        world.run_asking(luck.random_range(500..4000), &jobs);
+    }
+    world.heal();
+    world.run_asking(60_000, &jobs);
+    std::mem::take(&mut world.broken)
+}
+
+/// Submits a job, sometimes one that waits for others.
+fn submit(world: &mut World, luck: &mut SmallRng, number: u32, jobs: &mut Vec<String>) {
+    let mut spec = world.spec(luck.random_range(1..24));
+    spec.team = ["blue", "red", "guest"][luck.random_range(0..3)].into();
+    if luck.random_bool(0.3) {
+        spec.priority = Priority::Urgent;
+    }
+    world.run_ms = luck.random_range(2000..20_000);
+    let named: Vec<String> = (0..luck.random_range(0..3))
+        .filter_map(|_| jobs.get(luck.random_range(0..jobs.len().max(1))).cloned())
+        .collect();
+    let controller = luck.random_range(0..world.controllers.len());
+    let accepted = match named.is_empty() {
+        true => Some(world.submit(number, spec)),
+        false => world.submit_after(controller, number, spec, &named),
+    };
+    jobs.extend(accepted);
+}
+
+/// Sometimes a user cancels a job.
+fn cancel(world: &mut World, luck: &mut SmallRng, jobs: &[String]) {
+    if jobs.is_empty() || !luck.random_bool(0.15) {
+        return;
+    }
+    let job = &jobs[luck.random_range(0..jobs.len())];
+    if world.is_open(job) {
+        let controller = luck.random_range(0..world.controllers.len());
+        world.cancel_through(controller, job);
+    }
+}
+
+/// Three cells lend each other jobs while faults come by chance in and between them.
+fn spillover(seed: u64) -> Vec<String> {
+    let mut luck = SmallRng::seed_from_u64(seed);
+    let mut cells = Cells::new(seed, &[2, 5, 4]);
+    if luck.random_bool(0.5) {
+        cells.copies = vec![
+            luck.random_range(200..5000),
+            luck.random_range(5000..60_000),
+        ];
+    }
+    let mut jobs: Vec<(usize, String)> = Vec::new();
+    for _ in 0..12 {
+        let cell = luck.random_range(0..4usize).saturating_sub(1);
+        let (count, tasks) = (luck.random_range(1..6), luck.random_range(1..7));
+        for world in &mut cells.cells {
+            world.run_ms = luck.random_range(2000..25_000);
+        }
+        let submitted = cells.submit_many(cell, count, tasks);
+        jobs.extend(submitted.into_iter().map(|job| (cell, job)));
+        let (cell, job) = &jobs[luck.random_range(0..jobs.len())];
+        let world = &mut cells.cells[*cell];
+        if luck.random_bool(0.3) && world.is_open(job) && !world.state.out {
+            world.cancel(job);
+        }
+        fault_between_cells(&mut cells, &mut luck);
+        cells.run(luck.random_range(200..12_000));
+        if luck.random_bool(0.4) {
+            cells.heal();
+        }
+    }
+    cells.heal();
+    cells.run(60_000);
+    let broken = cells.cells.iter().flat_map(|world| &world.broken);
+    // A start that was on its way when the job's end was recorded breaks no rule.
+    let broken = broken.filter(|rule| !rule.ends_with("is launched after its job is done"));
+    broken.chain(&cells.broken).cloned().collect()
+}
+
+fn fault_between_cells(cells: &mut Cells, luck: &mut SmallRng) {
+    let count = cells.cells.len();
+    let (cell, other) = (luck.random_range(0..count), luck.random_range(0..count));
+    let controller = luck.random_range(0..3usize);
+    let ms = luck.random_range(500..20_000);
+    match luck.random_range(0..10) {
+        0 => cells.cells[cell].crash(controller),
+        1 => cells.cells[cell].outage(true),
+        2 => cells.cells[cell].freeze(controller, ms),
+        3 => cells.cells[cell].links[controller].state = StoreFault::FaultyStore,
+        4 => cells.cells[cell].strand(controller),
+        5 => cells.cut_off(cell),
+        6 => cells.ways[cell][other] = Way::LosesAnswers,
+        7 => cells.ways[cell][other] = Way::Late(ms),
+        8 => {
+            cells.shut.insert((cell, controller));
+        }
+        _ => {}
+    }
+}
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -365,7 +365,7 @@
         }
         for i in 0..3 {
             let clock: Timestamp = w.clock(i);
-            let node = w.live_controllers[i].as_mut().expect("alive");
+            let node = w.controllers[i].as_mut().expect("alive");
             let message = node.controller.peer_message(true, clock);
             let body = rmp_serde::to_vec_named(&message).expect("written");
             rmp_serde::from_slice::<format_0::PeerMessage>(&body).expect("read by that version");
--- a/tests/duplicate_execution.rs
+++ b/tests/duplicate_execution.rs
@@ -117,7 +117,7 @@
     worker.tasks.clear();
     (worker.worker_epoch, worker.sequence) = (worker.worker_epoch + 1, 0);
     let clock = w.clock(holder);
-    let node = w.live_controllers[holder].as_mut().expect("alive");
+    let node = w.controllers[holder].as_mut().expect("alive");
     node.controller.on_heartbeat(copy, clock);
     // Before that is recorded, the block is granted to the same holder once more.
     let key = block_of(&w, &machine).0.replace("block", "grant");
@@ -226,7 +226,7 @@
         });
         for i in 0..3 {
             let clock = w.clock(i);
-            let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
+            let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
             controller.on_heartbeat(late.clone(), clock);
         }
         let starts = |w: &World| w.starts.iter().filter(|s| s.1 == task).count();
@@ -332,10 +332,7 @@
     let attempt = listed.attempt - 1;
     heartbeat.tasks.push(TaskStatus { attempt, ..listed });
     let clock = w.clock(holder);
-    let controller = &mut w.live_controllers[holder]
-        .as_mut()
-        .expect("alive")
-        .controller;
+    let controller = &mut w.controllers[holder].as_mut().expect("alive").controller;
     controller.on_heartbeat(heartbeat, clock);
     // Its worker is out of sight for a moment: nothing else tells of the task.
     w.workers[at].cut = true;
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -25,7 +25,7 @@
 
 /// What every controller that is up to date answers.
 fn all_answer(w: &mut World, job: &str) -> Vec<JobStatus> {
-    (0..w.live_controllers.len())
+    (0..w.controllers.len())
         .filter_map(|i| w.ask(i, job))
         .collect()
 }
--- a/tests/missed_messages.rs
+++ b/tests/missed_messages.rs
@@ -9,15 +9,15 @@
 use support::{StoreFault, World};
 
 /// A world that has settled: somebody leads and every machine is held and obeys.
-fn settled(seed: u64, live_controllers: usize, machines: usize) -> World {
-    let mut w = World::settled(seed, live_controllers, machines);
+fn settled(seed: u64, controllers: usize, machines: usize) -> World {
+    let mut w = World::settled(seed, controllers, machines);
     w.run(3000);
     w
 }
 
 /// A settled world in which all tasks of one job run, each for `run_ms`.
-fn busy(seed: u64, live_controllers: usize, run_ms: u64) -> (World, String) {
-    let mut w = settled(seed, live_controllers, 6);
+fn busy(seed: u64, controllers: usize, run_ms: u64) -> (World, String) {
+    let mut w = settled(seed, controllers, 6);
     let job = w.fill(run_ms, 16);
     (w, job)
 }
@@ -93,8 +93,8 @@
 
 #[test]
 fn tasks_of_an_unreachable_machine_run_again_once_after_its_lease() {
-    for live_controllers in [3, 5] {
-        let (mut w, job) = busy(4, live_controllers, 30_000);
+    for controllers in [3, 5] {
+        let (mut w, job) = busy(4, controllers, 30_000);
         let at = with_tasks(&w)[0];
         w.workers[at].unreachable_since = true;
         let since = w.now;
@@ -198,7 +198,7 @@
         w.run(2000);
         for i in 0..3 {
             let clock = w.clock(i);
-            let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
+            let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
             controller.on_heartbeat(copy.clone(), clock);
         }
     }
@@ -207,13 +207,13 @@
 
 #[test]
 fn a_partitioned_controller_stops_in_time_and_hands_over_running_tasks() {
-    for (live_controllers, leads) in [(3, false), (3, true), (5, false), (5, true)] {
-        let (mut w, job) = busy(11, live_controllers, 60_000);
+    for (controllers, leads) in [(3, false), (3, true), (5, false), (5, true)] {
+        let (mut w, job) = busy(11, controllers, 60_000);
         let leader = w.leader().expect("leads");
         let i = if leads {
             leader
         } else {
-            (leader + 1) % live_controllers
+            (leader + 1) % controllers
         };
         let cut = w.now;
         w.strand(i);
@@ -252,17 +252,17 @@
 
 #[test]
 fn controllers_back_within_a_moment_amid_an_election_lose_nothing() {
-    for (seed, live_controllers) in [(13, 3), (14, 5), (15, 5)] {
-        let (mut w, job) = busy(seed, live_controllers, 40_000);
+    for (seed, controllers) in [(13, 3), (14, 5), (15, 5)] {
+        let (mut w, job) = busy(seed, controllers, 40_000);
         // Writes of the earlier lives arrive when the later ones have begun.
-        (0..live_controllers).for_each(|i| w.links[i].state = StoreFault::Late(900));
+        (0..controllers).for_each(|i| w.links[i].state = StoreFault::Late(900));
         w.run(500);
         let leader = w.leader().expect("leads");
         w.crash(leader);
         w.run(2700);
         // The others are about to elect; now everybody is replaced within 300 ms.
         w.start(leader);
-        for i in 0..live_controllers {
+        for i in 0..controllers {
             w.crash(i);
             w.run(100);
             w.start(i);
@@ -312,10 +312,10 @@
 
 #[test]
 fn refused_connections_between_controllers_change_no_leader_and_no_holder() {
-    for live_controllers in [3, 5] {
-        let (mut w, job) = busy(17, live_controllers, 30_000);
+    for controllers in [3, 5] {
+        let (mut w, job) = busy(17, controllers, 30_000);
         let (leader, grants) = (w.leader(), w.state.writes_to("qb/grant/"));
-        (0..live_controllers).for_each(|i| w.links[i].peers = false);
+        (0..controllers).for_each(|i| w.links[i].peers = false);
         w.run(20_000);
         assert_eq!(w.leader(), leader);
         assert_eq!(w.state.writes_to("qb/grant/"), grants);
@@ -456,11 +456,11 @@
                 let step = if misses(n) { 2 } else { 1 };
                 heartbeat.sequence += round * step;
                 let at = if misses(n) { now } else { w.now + round * 1000 };
-                let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
+                let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
                 controller.on_heartbeat(heartbeat, Timestamp(at));
             }
         }
-        let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
+        let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
         let fleet = controller
             .peer_message(true, Timestamp(now))
             .fleet
@@ -517,7 +517,7 @@
     w.workers[0].sequence += 1;
     let heartbeat = w.workers[0].heartbeat();
     let number = (heartbeat.worker_epoch, heartbeat.sequence);
-    let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
+    let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
     controller.on_heartbeat(heartbeat.clone(), clock);
     assert!(controller.may_wait(&machine, number, clock).is_some());
     let job = w.submit(1, w.spec(2));
@@ -530,7 +530,7 @@
             .any(|m| m.queue.len() == 2)
     });
     let clock = w.clock(i);
-    let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
+    let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
     assert_eq!(controller.woken_machines(), std::slice::from_ref(&machine));
     let orders = |reply| match reply {
         quillbend::controller::HeartbeatResponse::HeartbeatAck(o) => o.orders.len(),
@@ -552,7 +552,7 @@
     w.strand(i);
     w.run(40_000);
     let clock = w.clock(i);
-    let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
+    let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
     assert_eq!(
         orders(controller.answer_late(&machine, (number.0, number.1 + 1), clock)),
         0
@@ -609,16 +609,10 @@
         at += 6200;
         w.workers[0].sequence += 1;
         let heartbeat = w.workers[0].heartbeat();
-        let controller = &mut w.live_controllers[holder]
-            .as_mut()
-            .expect("alive")
-            .controller;
+        let controller = &mut w.controllers[holder].as_mut().expect("alive").controller;
         controller.on_heartbeat(heartbeat, Timestamp(at));
     }
-    let controller = &mut w.live_controllers[holder]
-        .as_mut()
-        .expect("alive")
-        .controller;
+    let controller = &mut w.controllers[holder].as_mut().expect("alive").controller;
     let fleet = controller
         .peer_message(true, Timestamp(at))
         .fleet
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -32,7 +32,7 @@
 
 #[test]
 fn what_is_cancelled_just_before_an_outage_is_gone_in_time_at_the_controller_that_missed_it() {
-    for (seed, live_controllers, leads, deaf_to_peers) in [
+    for (seed, controllers, leads, deaf_to_peers) in [
         (1, 3, true, false),
         (2, 3, true, true),
         (3, 5, true, true),
@@ -40,19 +40,19 @@
         (5, 3, false, false),
     ] {
         for pause in [0, 900, 2000] {
-            let (mut w, job) = World::busy(seed, live_controllers, 300_000);
+            let (mut w, job) = World::busy(seed, controllers, 300_000);
             w.drift[0] = -0.0005;
             w.drift[1] = 0.0005;
             let leader = w.leader().expect("leads");
             let old = if leads {
                 leader
             } else {
-                (leader + 1) % live_controllers
+                (leader + 1) % controllers
             };
             refuse(&mut w, old);
             w.links[old].peers = !deaf_to_peers;
             w.run(pause);
-            let other = (old + 1) % live_controllers;
+            let other = (old + 1) % controllers;
             assert!(matches!(
                 w.cancel_through(other, &job),
                 CommitOutcome::Done(_)
@@ -111,7 +111,7 @@
     assert!(until <= Timestamp(sent.0 + w.settings.block_lease_ms()));
     w.run(20_000);
     let (now, revision) = (w.clock(i), w.state.revision());
-    let controller = &mut w.live_controllers[i].as_mut().expect("alive").controller;
+    let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
     let empty = quillbend::protocol::WatchResponse {
         revision,
         events: Vec::new(),
@@ -154,15 +154,15 @@
 
 #[test]
 fn controllers_hand_over_and_back_all_end_and_one_returns_within_a_second() {
-    for (seed, live_controllers) in [(10, 3), (11, 5)] {
-        let (mut w, job) = World::busy(seed, live_controllers, 40_000);
-        for i in 0..live_controllers {
+    for (seed, controllers) in [(10, 3), (11, 5)] {
+        let (mut w, job) = World::busy(seed, controllers, 40_000);
+        for i in 0..controllers {
             w.crash(i);
             w.run(700);
             w.start(i);
             w.run(2500);
         }
-        (0..live_controllers).for_each(|i| w.crash(i));
+        (0..controllers).for_each(|i| w.crash(i));
         w.run(600);
         w.start(1);
         w.run(4000);
@@ -380,8 +380,8 @@
 
 #[test]
 fn jobs_are_cancelled_through_the_new_leader_while_the_old_one_is_partitioned_with_its_workers() {
-    for (seed, live_controllers) in [(40, 3), (41, 5)] {
-        let (mut w, job) = World::busy(seed, live_controllers, 200_000);
+    for (seed, controllers) in [(40, 3), (41, 5)] {
+        let (mut w, job) = World::busy(seed, controllers, 200_000);
         let old = w.leader().expect("leads");
         w.strand(old);
         w.until(20_000, "another leads", |w| w.leader_but(old).is_some());
@@ -398,15 +398,14 @@
 #[test]
 fn a_controller_that_alone_is_refused_is_replaced_within_seconds_and_nobody_notices() {
     // Nothing was bound, and what was bound to its machines not started, before its lease ran out.
-    for (seed, live_controllers, leads) in
-        [(42, 3, true), (43, 3, false), (44, 5, true), (45, 5, false)]
+    for (seed, controllers, leads) in [(42, 3, true), (43, 3, false), (44, 5, true), (45, 5, false)]
     {
-        let (mut w, job) = World::busy(seed, live_controllers, 60_000);
+        let (mut w, job) = World::busy(seed, controllers, 60_000);
         let leader = w.leader().expect("leads");
         let old = if leads {
             leader
         } else {
-            (leader + 1) % live_controllers
+            (leader + 1) % controllers
         };
         refuse(&mut w, old);
         w.until(7000, "others hold every machine and lead", |w| {
@@ -473,7 +472,7 @@
         for heartbeat in held {
             for i in 0..3 {
                 let now = w.clock(i);
-                if let Some(n) = w.live_controllers[i].as_mut() {
+                if let Some(n) = w.controllers[i].as_mut() {
                     n.controller.on_heartbeat(heartbeat.clone(), now);
                 }
             }
@@ -649,9 +648,9 @@
 #[test]
 fn random_overlapping_faults_keep_the_rules() {
     for seed in 0..16 {
-        let live_controllers = [3, 5][seed as usize % 2];
+        let controllers = [3, 5][seed as usize % 2];
         let mut luck = SmallRng::seed_from_u64(900 + seed);
-        let mut w = World::settled(900 + seed, live_controllers, 8);
+        let mut w = World::settled(900 + seed, controllers, 8);
         w.drift[0] = -0.0005;
         w.drift[1] = 0.0005;
         if seed % 3 == 0 {
@@ -669,14 +668,14 @@
                 all.push(job.clone());
                 open.push(job);
             }
-            let i = luck.random_range(0..live_controllers);
+            let i = luck.random_range(0..controllers);
             let at = luck.random_range(0..w.workers.len().max(1));
             match luck.random_range(0..13) {
                 kind @ 0..=4 => w.trouble(i, kind, &mut luck),
                 5 => w.strand(i),
                 6 => refuse(&mut w, i),
                 7 => w.outage(true),
-                8 if luck.random_bool(0.3) => (0..live_controllers).for_each(|i| w.crash(i)),
+                8 if luck.random_bool(0.3) => (0..controllers).for_each(|i| w.crash(i)),
                 8 => w.links[i].state = StoreFault::Late(luck.random_range(2000..12_000)),
                 kind if at < w.workers.len() => match kind {
                     9 => w.workers[at].cut = true,
--- a/tests/recovery_at_night.rs
+++ b/tests/recovery_at_night.rs
@@ -133,15 +133,15 @@
 #[test]
 fn controllers_paused_across_each_deadline_act_on_nothing_that_is_over() {
     // The clock runs on: silence, leases, authority and answers are all late when it wakes.
-    for (seed, live_controllers) in [(5, 3), (6, 5)] {
+    for (seed, controllers) in [(5, 3), (6, 5)] {
         for ms in [1500, 3000, 6000, 13_000, 24_000, 40_000] {
             for who in 0..3 {
-                let (mut w, job) = World::busy(seed, live_controllers, 30_000);
+                let (mut w, job) = World::busy(seed, controllers, 30_000);
                 let leader = w.leader().expect("leads");
                 let frozen = match who {
                     0 => vec![leader],
-                    1 => vec![(leader + 1) % live_controllers],
-                    _ => vec![leader, (leader + 1) % live_controllers],
+                    1 => vec![(leader + 1) % controllers],
+                    _ => vec![leader, (leader + 1) % controllers],
                 };
                 frozen.iter().for_each(|&i| w.freeze(i, ms));
                 let grants = w.state.writes_to("qb/grant/");
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -294,7 +294,7 @@
     let mut late = w.workers[0].heartbeat();
     late.sequence -= 1;
     let now = Timestamp(w.now);
-    let node = w.live_controllers[holder].as_mut().expect("alive");
+    let node = w.controllers[holder].as_mut().expect("alive");
     assert_eq!(
         node.controller.on_heartbeat(late, now),
         HeartbeatResponse::Unavailable
@@ -308,9 +308,7 @@
     );
     let name = node.controller.my_name().to_owned();
     let heartbeat = w.workers[0].heartbeat();
-    let other = w.live_controllers[(holder + 1) % 3]
-        .as_mut()
-        .expect("alive");
+    let other = w.controllers[(holder + 1) % 3].as_mut().expect("alive");
     assert_eq!(
         other.controller.on_heartbeat(heartbeat, now),
         HeartbeatResponse::Elsewhere(Some(name))
--- a/tests/spillover.rs
+++ b/tests/spillover.rs
@@ -461,7 +461,7 @@
 #[test]
 fn requests_of_unknown_cells_and_versions_are_refused_and_counted() {
     let mut c = Cells::new(54, &[2, 2]);
-    let node = c.cells[NORTH].live_controllers[0].as_mut().expect("alive");
+    let node = c.cells[NORTH].controllers[0].as_mut().expect("alive");
     let request = |version: u32, from: &str| quillbend::spillover::CellRequest {
         version,
         from: from.into(),
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -48,18 +48,14 @@
 }
 
 /// The settings of a cell that knows these others.
-pub fn spillover_settings(
-    cell: usize,
-    others: &[usize],
-    live_controllers: usize,
-) -> SpilloverSettings {
+pub fn spillover_settings(cell: usize, others: &[usize], controllers: usize) -> SpilloverSettings {
     let mut text = format!("<spillover cell=\"{}\">", NAMES[cell]);
     text += "<loan lease-s=\"10\" ask-s=\"1\" silent-s=\"8\"/>";
     text += "<policy start-above-s=\"10\" stop-below-s=\"3\" sustain-s=\"1\" margin-s=\"2\" \
              period-s=\"1\" idle-s=\"4\"/>";
     for &other in others {
         text += &format!("<cell name=\"{}\" worker-lease-s=\"12\">", NAMES[other]);
-        for node in 0..live_controllers {
+        for node in 0..controllers {
             text += &format!("<controller>{}</controller>", address(other, node));
         }
         text += "</cell>";
@@ -104,13 +100,13 @@
             let mut world = World::new(seed * 10 + cell as u64, machines);
             world.cell = cell;
             let others: Vec<usize> = all.iter().copied().filter(|&o| o != cell).collect();
-            let live_controllers = world.live_controllers.len();
-            world.settings.spillover = Some(spillover_settings(cell, &others, live_controllers));
+            let controllers = world.controllers.len();
+            world.settings.spillover = Some(spillover_settings(cell, &others, controllers));
             // What is over leaves the watched keys at once.
             world.settings.options.jobs_kept = 0.0;
             // What is there stays there.
             world.settings.options.fleet_idle_s = 3600.0;
-            (0..live_controllers).for_each(|i| world.start(i));
+            (0..controllers).for_each(|i| world.start(i));
             world.no_capacity = true;
             world
         });
@@ -207,7 +203,7 @@
     pub fn restart_with(&mut self, cell: usize, change: impl FnOnce(&mut SpilloverSettings)) {
         let world = &mut self.cells[cell];
         change(world.settings.spillover.as_mut().expect("turned on"));
-        for i in 0..world.live_controllers.len() {
+        for i in 0..world.controllers.len() {
             world.crash(i);
             world.start(i);
         }
@@ -276,7 +272,7 @@
         let world = &mut self.cells[cell];
         let unreachable_since = world.frozen(node)
             || (request.from != cell && self.shut.contains(&(cell, node)))
-            || world.live_controllers[node].is_none();
+            || world.controllers[node].is_none();
         let answer =
             (!unreachable_since).then(|| world.take_cell_request(node, &request.call.request));
         if request.awaited {
@@ -291,7 +287,7 @@
             true => true,
             false => self.ways[request.to.0][request.from] != Way::Cut,
         };
-        if let Some(node) = &mut world.live_controllers[request.node] {
+        if let Some(node) = &mut world.controllers[request.node] {
             let controller = &mut node.controller;
             controller.on_cell_answer(&request.call, answer.filter(|_| back), request.sent, now);
         }
@@ -343,7 +339,7 @@
     /// A controller takes a request of another cell, as its door does.
     pub fn take_cell_request(&mut self, node: usize, request: &CellRequest) -> CellAnswer {
         let now = self.clock(node);
-        let mut taken = self.live_controllers[node].take().expect("alive");
+        let mut taken = self.controllers[node].take().expect("alive");
         let controller = &mut taken.controller;
         let answer = match (controller.refuse_cell_request(request, None), &request.body) {
             (Some(refusal), _) => refusal,
@@ -365,7 +361,8 @@
                 controller.answer_cell(request, now)
             }
         };
-        self.live_controllers[node] = Some(taken);
+        self.controllers[node] = Some(taken);
+        digest::cell_answer(self.origin(node), &answer);
         answer
     }
 
@@ -408,6 +405,7 @@
 
     /// Sends a transaction of a controller's door.
     fn write(&mut self, node: usize, transaction: &Transaction) -> CommitOutcome {
+        digest::transaction(self.origin(node), transaction);
         self.check_size(node, transaction);
         match self.link(node).state {
             StoreFault::Good | StoreFault::Slow(_) => self.state.commit(transaction),
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -26,7 +26,7 @@
             true => self.old_settings.clone(),
             false => self.settings.clone(),
         };
-        let names: Vec<String> = (0..self.live_controllers.len())
+        let names: Vec<String> = (0..self.controllers.len())
             .map(|n| format!("n{n}"))
             .collect();
         s.platform.host_name = names[i].clone();
@@ -49,32 +49,32 @@
             next_watch: 0,
             loaded: false,
         };
-        self.live_controllers[i] = Some(node);
+        self.controllers[i] = Some(node);
     }
 
     pub fn crash(&mut self, i: usize) {
-        self.live_controllers[i] = None;
+        self.controllers[i] = None;
     }
 
     pub fn controller(&self, i: usize) -> &Controller {
-        &self.live_controllers[i].as_ref().expect("alive").controller
+        &self.controllers[i].as_ref().expect("alive").controller
     }
 
     pub fn leader(&self) -> Option<usize> {
-        self.leader_among(0..self.live_controllers.len())
+        self.leader_among(0..self.controllers.len())
     }
 
     /// The controller that leads, one that does not know better aside.
     pub fn leader_but(&self, old: usize) -> Option<usize> {
-        self.leader_among((0..self.live_controllers.len()).filter(|&i| i != old))
+        self.leader_among((0..self.controllers.len()).filter(|&i| i != old))
     }
 
     pub(super) fn leader_among(
         &self,
-        mut live_controllers: impl Iterator<Item = usize>,
+        mut controllers: impl Iterator<Item = usize>,
     ) -> Option<usize> {
-        live_controllers.find(|&i| {
-            self.live_controllers[i]
+        controllers.find(|&i| {
+            self.controllers[i]
                 .as_ref()
                 .is_some_and(|n| n.controller.leads().is_some())
         })
@@ -82,22 +82,22 @@
 
     /// Whether a controller other than `old` holds a machine.
     pub fn holder_of_all_but(&self, old: usize, machine: &str) -> bool {
-        let others = (0..self.live_controllers.len()).filter(|&i| i != old);
+        let others = (0..self.controllers.len()).filter(|&i| i != old);
         self.holder_among(others, machine).is_some()
     }
 
     /// The controller that holds a machine.
     pub fn holder(&self, machine: &str) -> Option<usize> {
-        self.holder_among(0..self.live_controllers.len(), machine)
+        self.holder_among(0..self.controllers.len(), machine)
     }
 
     pub(super) fn holder_among(
         &self,
-        mut live_controllers: impl Iterator<Item = usize>,
+        mut controllers: impl Iterator<Item = usize>,
         machine: &str,
     ) -> Option<usize> {
-        live_controllers.find(|&i| {
-            let Some(n) = &self.live_controllers[i] else {
+        controllers.find(|&i| {
+            let Some(n) = &self.controllers[i] else {
                 return false;
             };
             let v = &n.controller.replica;
@@ -117,13 +117,13 @@
 
     /// A controller stands still for a while; what is asked of it then has no answer.
     pub fn freeze(&mut self, i: usize, ms: u64) {
-        if let Some(n) = &mut self.live_controllers[i] {
+        if let Some(n) = &mut self.controllers[i] {
             n.frozen_until = self.now + ms;
         }
     }
 
     pub(super) fn frozen(&self, i: usize) -> bool {
-        let node = self.live_controllers[i].as_ref();
+        let node = self.controllers[i].as_ref();
         node.is_some_and(|n| self.now < n.frozen_until)
     }
 
@@ -152,7 +152,7 @@
     }
 
     pub(super) fn play_node(&mut self, i: usize) {
-        let Some(mut node) = self.live_controllers[i].take() else {
+        let Some(mut node) = self.controllers[i].take() else {
             return;
         };
         let _span = self.span(i).entered();
@@ -184,25 +184,26 @@
         }
         let mut todo = node.controller.tick(now, self.now);
         let mut rounds = 0;
-        while let Some(action) = todo.pop() {
-            let done = self.carry_out(i, &mut node.controller, action);
+        while let Some(effect) = todo.pop() {
+            let done = self.carry_out(i, &mut node.controller, effect);
             rounds += 1;
             if done && rounds < 20 {
                 todo.extend(node.controller.tick(now, self.now));
             }
         }
-        self.live_controllers[i] = Some(node);
+        self.controllers[i] = Some(node);
     }
 
     pub(super) fn carry_out(
         &mut self,
         i: usize,
         controller: &mut Controller,
-        action: Effect,
+        effect: Effect,
     ) -> bool {
+        digest::request(self.origin(i), controller, &effect);
         let (now, fault) = (self.clock(i), self.link(i).state);
         let reachable = fault != StoreFault::Refuses;
-        match action {
+        match effect {
             Effect::NewLease { life_ms } if reachable => {
                 controller.on_lease(self.state.lease(life_ms, self.now), now);
             }
@@ -220,7 +221,7 @@
             } => return self.commit(i, controller, write_kind, transaction, fault),
             Effect::Peer { host, message } => {
                 let name = controller.replica.names.hosts.name(host).to_owned();
-                let Some(j) = position(&name).filter(|j| *j < self.live_controllers.len()) else {
+                let Some(j) = position(&name).filter(|j| *j < self.controllers.len()) else {
                     return false;
                 };
                 let apart = self.side[i] != self.side[j];
@@ -231,10 +232,11 @@
                     self.late_messages
                         .push((self.now + age, j, (*message).clone()));
                 }
-                let theirs = self.clock(j);
-                if let Some(peer) = self.live_controllers[j].as_mut() {
-                    controller
-                        .on_peer_message(peer.controller.respond_to_peer(*message, theirs), now);
+                let (theirs, origin) = (self.clock(j), self.origin(j));
+                if let Some(peer) = self.controllers[j].as_mut() {
+                    let answer = peer.controller.respond_to_peer(*message, theirs);
+                    digest::peer_answer(origin, &answer);
+                    controller.on_peer_message(answer, now);
                 }
             }
             Effect::Catalog if self.cloud_up => controller.on_catalog(catalog()),
--- a/tests/support/days.rs
+++ b/tests/support/days.rs
@@ -274,10 +274,10 @@
         if kind == Trouble::MachinesRestart && !self.plan.restarts {
             return;
         }
-        let live_controllers = self.world.live_controllers.len();
+        let controllers = self.world.controllers.len();
         let i = match (self.world.leader(), self.luck.random_bool(0.3)) {
             (Some(leader), true) => leader,
-            _ => self.luck.random_range(0..live_controllers),
+            _ => self.luck.random_range(0..controllers),
         };
         let ms = self.luck.random_range(500..30_000);
         let machines = self.some_machines();
@@ -318,7 +318,7 @@
         let world = &mut self.world;
         match kind {
             Trouble::Crash => world.crash(i),
-            Trouble::CrashAll => (0..world.live_controllers.len()).for_each(|n| world.crash(n)),
+            Trouble::CrashAll => (0..world.controllers.len()).for_each(|n| world.crash(n)),
             Trouble::RestartAtOnce => {
                 world.crash(i);
                 world.run(300);
--- a/tests/support/machines.rs
+++ b/tests/support/machines.rs
@@ -41,7 +41,7 @@
             sequence: 0,
             token: 0,
             tasks: Vec::new(),
-            at: self.rented as usize % self.live_controllers.len(),
+            at: self.rented as usize % self.controllers.len(),
             next_heartbeat: self.now + boot_ms,
             silent_until: 0,
             answered: self.now + boot_ms,
@@ -128,7 +128,7 @@
         if let Some((sent, until, node)) = w.held {
             // One report at a time: it is still waiting for this answer.
             let (machine, number) = (w.machine.name.clone(), (w.worker_epoch, w.sequence));
-            let clock = self.clock(node);
+            let (clock, origin) = (self.clock(node), self.origin(node));
             let reached = self.links[node].workers && !self.workers[at].cut;
             if self.frozen(node) {
                 if now > sent + 4000 {
@@ -136,9 +136,7 @@
                 }
                 return;
             }
-            let Some(controller) = self.live_controllers[node]
-                .as_mut()
-                .map(|n| &mut n.controller)
+            let Some(controller) = self.controllers[node].as_mut().map(|n| &mut n.controller)
             else {
                 self.give_up(at, sent);
                 return;
@@ -150,6 +148,7 @@
             }
             let _span = tracing::debug_span!("controller", node, now).entered();
             let reply = controller.answer_late(&machine, number, clock);
+            digest::heartbeat_answer(origin, &machine, &reply);
             match reached {
                 true => self.take_answer(at, reply, sent),
                 false => self.give_up(at, sent),
@@ -174,7 +173,7 @@
         );
         let reaches = w.only.is_none_or(|o| o == node);
         for &age in &self.copies {
-            let to = self.rng.random_range(0..self.live_controllers.len());
+            let to = self.rng.random_range(0..self.controllers.len());
             self.late_heartbeats
                 .push((now + age, to, heartbeat.clone()));
         }
@@ -188,14 +187,14 @@
             return;
         }
         let _span = self.span(node).entered();
-        let clock = self.clock(node);
+        let (clock, origin) = (self.clock(node), self.origin(node));
         let (machine, number) = (
             heartbeat.machine.clone(),
             (heartbeat.worker_epoch, heartbeat.sequence),
         );
         let state_refuses = self.link(node).state == StoreFault::Refuses;
         let reply = match (
-            &mut self.live_controllers[node],
+            &mut self.controllers[node],
             self.links[node].workers && reaches,
         ) {
             (Some(n), true) => {
@@ -217,6 +216,7 @@
                     self.workers[at].held = Some((now, now + ms, node));
                     return;
                 }
+                digest::heartbeat_answer(origin, &machine, &reply);
                 reply
             }
             _ => HeartbeatResponse::Unavailable,
@@ -230,10 +230,10 @@
 
     /// A worker that has no answer to what it sent gives up and goes on to the next controller.
     pub(super) fn give_up(&mut self, at: usize, sent: u64) {
-        let live_controllers = self.live_controllers.len();
+        let controllers = self.controllers.len();
         let w = &mut self.workers[at];
         w.held = None;
-        w.at = (w.at + 1) % live_controllers;
+        w.at = (w.at + 1) % controllers;
         w.next_heartbeat = sent + 5000;
         w.silent_until = w.next_heartbeat;
     }
@@ -259,7 +259,7 @@
             HeartbeatResponse::Elsewhere(None)
             | HeartbeatResponse::Unavailable
             | HeartbeatResponse::Unconfirmed => {
-                w.at = (w.at + 1) % self.live_controllers.len();
+                w.at = (w.at + 1) % self.controllers.len();
                 w.next_heartbeat = now + 1000;
             }
         }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -18,6 +18,7 @@
 mod cloud;
 mod controllers;
 pub mod days;
+pub mod digest;
 mod machines;
 pub mod occupancy;
 mod rules;
@@ -74,7 +75,7 @@
 pub struct World {
     pub now: u64,
     pub state: State,
-    pub live_controllers: Vec<Option<Node>>,
+    pub controllers: Vec<Option<Node>>,
     pub links: Vec<Link>,
     pub workers: Vec<Worker>,
     pub cloud_up: bool,
@@ -157,35 +158,30 @@
     }
 
     /// A world of so many controllers and machines.
-    pub fn sized(seed: u64, live_controllers: usize, machines: usize) -> World {
-        World::of_platform(seed, live_controllers, machines, PLATFORM, false)
+    pub fn sized(seed: u64, controllers: usize, machines: usize) -> World {
+        World::of_platform(seed, controllers, machines, PLATFORM, false)
     }
 
     /// A world in production: its controllers run the version before, and the settings name the
     /// limits that the state service will have after the upgrade.
-    pub fn in_production(seed: u64, live_controllers: usize, machines: usize) -> World {
+    pub fn in_production(seed: u64, controllers: usize, machines: usize) -> World {
         let platform = PLATFORM.replace("txn_ops = 12\n", &format!("txn_ops = 12\n{NEXT_LIMITS}"));
-        World::of_platform(seed, live_controllers, machines, &platform, true)
+        World::of_platform(seed, controllers, machines, &platform, true)
     }
 
     /// A world with other limits than the usual ones.
-    pub fn with_platform(
-        seed: u64,
-        live_controllers: usize,
-        machines: usize,
-        platform: &str,
-    ) -> World {
-        World::of_platform(seed, live_controllers, machines, platform, false)
+    pub fn with_platform(seed: u64, controllers: usize, machines: usize, platform: &str) -> World {
+        World::of_platform(seed, controllers, machines, platform, false)
     }
 
     fn of_platform(
         seed: u64,
-        live_controllers: usize,
+        controllers: usize,
         machines: usize,
         platform: &str,
         old: bool,
     ) -> World {
-        let count = format!("count = {live_controllers}");
+        let count = format!("count = {controllers}");
         let parse = |text: &str| {
             let platform = Platform::parse(&text.replace("count = 3", &count)).expect("good");
             Settings::new(platform, Options::default())
@@ -194,8 +190,8 @@
         let mut w = World {
             now: BEGIN,
             state: State::default(),
-            live_controllers: (0..live_controllers).map(|_| None).collect(),
-            links: vec![GOOD; live_controllers],
+            controllers: (0..controllers).map(|_| None).collect(),
+            links: vec![GOOD; controllers],
             workers: Vec::new(),
             cloud_up: true,
             no_capacity: false,
@@ -220,16 +216,16 @@
             slow_boot: None,
             cancelled: BTreeMap::new(),
             told: BTreeMap::new(),
-            drift: vec![0.0; live_controllers],
+            drift: vec![0.0; controllers],
             settings,
             old_settings,
-            old: vec![old; live_controllers],
+            old: vec![old; controllers],
             old_format: 0,
             awaits: BTreeMap::new(),
             copies: Vec::new(),
             peer_copies: Vec::new(),
             late_messages: Vec::new(),
-            side: vec![0; live_controllers],
+            side: vec![0; controllers],
             late_heartbeats: Vec::new(),
             given: BTreeSet::new(),
             request_counter: HashMap::new(),
@@ -239,13 +235,13 @@
         for i in 0..machines {
             w.machine("small", ["north", "south"][i % 2], false, 0);
         }
-        (0..live_controllers).for_each(|i| w.start(i));
+        (0..controllers).for_each(|i| w.start(i));
         w
     }
 
     /// A world that has settled: somebody leads and every machine is held.
-    pub fn settled(seed: u64, live_controllers: usize, machines: usize) -> World {
-        let mut w = World::sized(seed, live_controllers, machines);
+    pub fn settled(seed: u64, controllers: usize, machines: usize) -> World {
+        let mut w = World::sized(seed, controllers, machines);
         w.until(5000, "a leader", |w| w.leader().is_some());
         w.until(8000, "every machine is held", |w| {
             w.workers
@@ -257,8 +253,8 @@
 
     /// A world that has settled and in which all tasks of a job run, each for `run_ms`; what is
     /// submitted later runs for 8 s a task.
-    pub fn busy(seed: u64, live_controllers: usize, run_ms: u64) -> (World, String) {
-        let mut w = World::settled(seed, live_controllers, 8);
+    pub fn busy(seed: u64, controllers: usize, run_ms: u64) -> (World, String) {
+        let mut w = World::settled(seed, controllers, 8);
         w.run(3000);
         let job = w.fill(run_ms, 12);
         w.run_ms = 8000;
@@ -267,13 +263,13 @@
 
     /// Ends every trouble and starts what is down.
     pub fn heal(&mut self) {
-        self.links = vec![GOOD; self.live_controllers.len()];
+        self.links = vec![GOOD; self.controllers.len()];
         self.workers
             .iter_mut()
             .for_each(|m| (m.cut, m.unreachable_since, m.hung) = (false, false, false));
         self.outage(false);
-        for i in 0..self.live_controllers.len() {
-            if self.live_controllers[i].is_none() {
+        for i in 0..self.controllers.len() {
+            if self.controllers[i].is_none() {
                 self.start(i);
             }
         }
@@ -308,7 +304,7 @@
         self.state.pass(self.now);
         self.note_list();
         self.release_kept_copies();
-        for i in 0..self.live_controllers.len() {
+        for i in 0..self.controllers.len() {
             if !self.frozen(i) {
                 self.play_node(i);
             }
@@ -316,7 +312,7 @@
         for w in 0..self.workers.len() {
             self.play_worker(w);
         }
-        let frozen: Vec<bool> = (0..self.live_controllers.len())
+        let frozen: Vec<bool> = (0..self.controllers.len())
             .map(|i| self.frozen(i))
             .collect();
         let due = |at: u64, node: usize| at <= self.now && !frozen[node];
@@ -327,8 +323,8 @@
         let due = self.late_heartbeats.extract_if(.., |r| due(r.0, r.1));
         for (_, node, heartbeat) in due.collect::<Vec<_>>() {
             let _span = self.span(node).entered();
-            let clock = self.clock(node);
-            if let Some(n) = self.live_controllers[node].as_mut() {
+            let (clock, origin) = (self.clock(node), self.origin(node));
+            if let Some(n) = self.controllers[node].as_mut() {
                 tracing::debug!(
                     machine = heartbeat.machine,
                     token = heartbeat.token,
@@ -337,15 +333,19 @@
                     "a copy arrives"
                 );
                 // Whatever is answered to a copy, nobody waits for it.
-                n.controller.on_heartbeat(heartbeat, clock);
+                let machine = heartbeat.machine.clone();
+                let reply = n.controller.on_heartbeat(heartbeat, clock);
+                digest::heartbeat_answer(origin, &machine, &reply);
             }
         }
         for (_, node, message) in due_messages {
-            let clock = self.clock(node);
-            if let Some(n) = self.live_controllers[node].as_mut() {
-                n.controller.respond_to_peer(message, clock);
+            let (clock, origin) = (self.clock(node), self.origin(node));
+            if let Some(n) = self.controllers[node].as_mut() {
+                let answer = n.controller.respond_to_peer(message, clock);
+                digest::peer_answer(origin, &answer);
             }
         }
+        self.record_user_answers();
         self.check();
     }
 
@@ -361,7 +361,7 @@
         self.last_leader = leader;
         for heartbeat in std::mem::take(&mut self.kept_copies) {
             let after = self.rng.random_range(100..6000);
-            for node in 0..self.live_controllers.len() {
+            for node in 0..self.controllers.len() {
                 self.late_heartbeats
                     .push((self.now + after, node, heartbeat.clone()));
             }
--- a/tests/support/state.rs
+++ b/tests/support/state.rs
@@ -2,7 +2,7 @@
 
 use quillbend::controller::CommitOutcome;
 use quillbend::protocol::{Json, KeyValue, Mutation, Transaction, WatchEvent, WatchResponse};
-use std::collections::{BTreeMap, HashMap};
+use std::collections::BTreeMap;
 
 struct Key {
     value: Json,
@@ -16,7 +16,7 @@
     keys: BTreeMap<String, Key>,
     pub(super) revision: u64,
     pub(super) history: Vec<WatchEvent>,
-    pub(super) leases: HashMap<u64, (u64, u64)>,
+    pub(super) leases: BTreeMap<u64, (u64, u64)>,
     pub(super) next_lease: u64,
     pub(super) late: Vec<(u64, Transaction)>,
     /// It answers nobody, and leases stand still.
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -19,7 +19,7 @@
         let end = self.now + ms;
         while self.now < end {
             self.run(500);
-            for i in 0..self.live_controllers.len() {
+            for i in 0..self.controllers.len() {
                 for job in jobs {
                     self.ask(i, job);
                 }
@@ -63,6 +63,7 @@
         let name = format!("wk-{n:06}");
         self.specs.insert(name.clone(), spec.clone());
         let transaction = jobs::accept(&name, &jobs::new_record(spec, self.now));
+        digest::transaction(self.origin(0), &transaction);
         assert!(
             matches!(self.state.commit(&transaction), CommitOutcome::Done(_)),
             "accepted"
@@ -81,7 +82,7 @@
     ) -> Option<String> {
         let name = format!("wk-{n:06}");
         let clock = self.clock(i);
-        let controller = &self.live_controllers[i].as_ref()?.controller;
+        let controller = &self.controllers[i].as_ref()?.controller;
         if controller.replica.revision < self.state.revision()
             || self.link(i).state == StoreFault::Refuses
         {
@@ -108,10 +109,11 @@
             return None;
         }
         let transaction = accepted.transaction().clone();
+        digest::transaction(self.origin(i), &transaction);
         let CommitOutcome::Done(revision) = self.state.commit(&transaction) else {
             return None;
         };
-        if let Some(node) = &mut self.live_controllers[i] {
+        if let Some(node) = &mut self.controllers[i] {
             node.controller.replica.apply_own(&transaction, revision);
         }
         self.note_submission(&name, kept, awaits);
@@ -129,7 +131,7 @@
         let awaits: Vec<String> = awaits.iter().map(|a| (*a).clone()).collect();
         let end = self.now + 20_000;
         while self.now < end {
-            for i in 0..self.live_controllers.len() {
+            for i in 0..self.controllers.len() {
                 if let Some(name) = self.submit_after(i, n, spec.clone(), &awaits) {
                     return name;
                 }
@@ -170,6 +172,7 @@
                 jobs::cancel(name, &record, mod_revision, self.settings.value_bytes())
             }
         };
+        digest::transaction(self.origin(0), &transaction);
         let outcome = self.state.commit(&transaction);
         if let CommitOutcome::Done(_) = outcome {
             self.cancelled.insert(name.into(), self.now);
@@ -181,7 +184,7 @@
     /// A user cancels through a controller that is to know at once, as the one that is asked does.
     pub fn cancel_through(&mut self, i: usize, name: &str) -> CommitOutcome {
         let (transaction, outcome) = self.call_off(name);
-        if let (CommitOutcome::Done(revision), Some(n)) = (outcome, &mut self.live_controllers[i]) {
+        if let (CommitOutcome::Done(revision), Some(n)) = (outcome, &mut self.controllers[i]) {
             n.controller.replica.apply_own(&transaction, revision);
         }
         outcome
@@ -190,7 +193,7 @@
     /// A user asks a controller, which answers from its replica once that has reached the state
     /// service's revision, as the door does; none if it has not yet.
     pub fn ask(&mut self, i: usize, name: &str) -> Option<JobStatus> {
-        let replica = &self.live_controllers[i].as_ref()?.controller.replica;
+        let replica = &self.controllers[i].as_ref()?.controller.replica;
         if replica.revision < self.state.revision() {
             return None;
         }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -27,8 +27,8 @@
 }
 
 /// A world in production that has settled.
-fn in_production(seed: u64, live_controllers: usize, machines: usize) -> World {
-    let mut w = World::in_production(seed, live_controllers, machines);
+fn in_production(seed: u64, controllers: usize, machines: usize) -> World {
+    let mut w = World::in_production(seed, controllers, machines);
     w.until(5000, "a leader", |w| w.leader().is_some());
     w.until(8000, "every machine is held", |w| {
         w.workers
@@ -126,13 +126,13 @@
 #[test]
 fn work_goes_on_through_a_rolling_upgrade_and_what_runs_is_not_lost() {
     for seed in 5..8 {
-        let live_controllers = [3, 5][seed as usize % 2];
-        let mut w = in_production(seed, live_controllers, 8);
+        let controllers = [3, 5][seed as usize % 2];
+        let mut w = in_production(seed, controllers, 8);
         w.run(2000);
         let long = w.fill(60_000, 10);
         w.run_ms = 6000;
         let mut jobs = vec![long];
-        for i in 0..live_controllers {
+        for i in 0..controllers {
             let mut red = w.spec(5);
             red.team = "red".into();
             jobs.push(w.submit(10 + i as u32, red));
@@ -143,7 +143,7 @@
         w.all_end_well(&jobs);
         assert_eq!(
             w.starts.len(),
-            10 + 5 * live_controllers,
+            10 + 5 * controllers,
             "work was lost or begun twice"
         );
         assert_eq!(w.state.too_large, 0);
@@ -402,7 +402,7 @@
         w.run_ms = 5000;
         let mut jobs = Vec::new();
         for n in 0..40 {
-            if w.live_controllers.iter().all(Option::is_none) {
+            if w.controllers.iter().all(Option::is_none) {
                 w.heal();
             }
             let mut spec = w.spec(luck.random_range(1..30));
@@ -435,19 +435,19 @@
 #[test]
 fn random_faults_during_an_upgrade_with_dependent_jobs_keep_the_rules() {
     for seed in 20..28 {
-        let live_controllers = [3, 5][seed as usize % 2];
-        let mut w = in_production(seed, live_controllers, 10);
+        let controllers = [3, 5][seed as usize % 2];
+        let mut w = in_production(seed, controllers, 10);
         if seed % 4 < 2 {
             // The older version is the one that knows chained jobs already.
             w.old_format = CHAINS_FORMAT;
-            (0..live_controllers).for_each(|i| w.start(i));
+            (0..controllers).for_each(|i| w.start(i));
             w.run(3000);
         }
         let mut luck = SmallRng::seed_from_u64(seed);
         w.run_ms = 6000;
         let mut jobs: Vec<String> = Vec::new();
         let mut over: Vec<String> = Vec::new();
-        let mut to_upgrade: Vec<usize> = (0..live_controllers).collect();
+        let mut to_upgrade: Vec<usize> = (0..controllers).collect();
         for n in 0..40u32 {
             if n % 6 == 5
                 && let Some(i) = to_upgrade.pop()
@@ -465,7 +465,7 @@
             let named: Vec<String> = (0..luck.random_range(0..3))
                 .filter_map(|_| jobs.get(luck.random_range(0..jobs.len().max(1))).cloned())
                 .collect();
-            let at = luck.random_range(0..live_controllers);
+            let at = luck.random_range(0..controllers);
             let taken = match named.is_empty() {
                 true => Some(w.submit(n + 1, spec)),
                 false => w.submit_after(at, n + 1, spec, &named),
@@ -480,7 +480,7 @@
                 w.cancel(&job);
                 over.push(job);
             }
-            let at = luck.random_range(0..live_controllers);
+            let at = luck.random_range(0..controllers);
             match luck.random_range(0..10) {
                 // One that dies before its turn comes back old.
                 0 => w.crash(at),
