--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -81,21 +81,21 @@
 
     /// Records endings and moves of the blocks held, one write a block.
     pub(crate) fn tick_holder(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if self.grants_first(now) {
+        if self.block_upkeep.grants_first(now) {
             return;
         }
         let machines = self.completions.machines_to_record();
         let blocks: std::collections::BTreeSet<BlockId> = machines
             .filter_map(|m| Some(self.replica.machines.get(&m)?.block))
-            .chain(self.block_upkeep.oversized.iter().copied())
+            .chain(self.block_upkeep.oversized())
             .collect();
         for id in blocks {
             let write_kind = WriteKind::Ends(id);
-            if !self.idle(write_kind, now) || self.block_busy(id) {
+            if !self.may_plan(write_kind, now) || self.writes.writes_block(id) {
                 continue;
             }
             if let Some((transaction, intent)) = self.plan_ends(id) {
-                self.submit(write_kind, transaction, intent, out);
+                self.writes.submit(write_kind, transaction, intent, out);
             }
         }
         self.tick_merge(now, out);
@@ -142,7 +142,7 @@
     /// Plans the write of a block's endings and moves.
     fn plan_ends(&mut self, id: BlockId) -> Option<(Transaction, WriteIntent)> {
         let (edit, mut intent) = self.draft_without_ended(id);
-        if self.block_upkeep.oversized.contains(&id)
+        if self.block_upkeep.is_oversized(id)
             && let Some(split) = self.plan_split(id, &edit, &intent)
         {
             return Some(split);
@@ -230,7 +230,7 @@
                 continue;
             };
             let to = to.block;
-            if !edits.contains_key(&to) && (edits.len() >= most || self.block_busy(to)) {
+            if !edits.contains_key(&to) && (edits.len() >= most || self.writes.writes_block(to)) {
                 later.push(task_move);
                 continue;
             }
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -76,7 +76,7 @@
             self.membership.joined = false;
             self.membership.renewed_at = None;
             self.membership.next_renewal = now;
-            self.writes.in_flight.remove(&WriteKind::Join);
+            self.writes.forget(WriteKind::Join);
         }
     }
 
@@ -146,7 +146,7 @@
     /// How old the replica may be: every change that was made so long ago is in. None before it is
     /// whole.
     pub(crate) fn replica_age_ms(&self, now: Timestamp) -> Option<u64> {
-        let whole = self.replica.synced && self.replica.revision >= self.writes.plan_after_revision;
+        let whole = self.replica.synced && self.writes.is_whole(self.replica.revision);
         let confirmed = self.membership.replica_confirmed_at.filter(|_| whole)?;
         Some(now.since(confirmed))
     }
@@ -164,7 +164,7 @@
 
     /// Whether the state service refused something for its budget a moment ago.
     pub(crate) fn refused_lately(&self, now: Timestamp) -> bool {
-        self.writes.refused_at.is_some_and(|t| now.since(t) < 3000)
+        self.writes.refused_within(3000, now)
     }
 
     /// Whether users should be sent here.
@@ -209,7 +209,7 @@
         };
         if self.membership.joined
             || self.membership.renewed_at.is_none()
-            || !self.idle(WriteKind::Join, now)
+            || !self.may_plan(WriteKind::Join, now)
         {
             return;
         }
@@ -223,7 +223,7 @@
             preconditions: vec![self.precondition(&key)],
             mutations: vec![put(&key, &record, Some(lease_id))],
         };
-        self.submit(
+        self.writes.submit(
             WriteKind::Join,
             transaction,
             writes::WriteIntent::default(),
@@ -244,7 +244,7 @@
         self.replica.load(items, revision);
         // What moved from one page to another in between may be in neither: nothing is planned
         // before the watch has made the replica whole.
-        self.writes.plan_after_revision = self.writes.plan_after_revision.max(upto);
+        self.writes.plan_only_after(upto);
         self.membership.replica_confirmed_at = self.membership.replica_confirmed_at.max(Some(sent));
         self.after_replica_change(now);
         info!(
@@ -257,7 +257,7 @@
 
     /// A watch opened at `sent` answered.
     pub fn on_watch_response(&mut self, list: WatchResponse, sent: Timestamp, now: Timestamp) {
-        self.writes.pace.note(list.events.len());
+        self.writes.note_changes(list.events.len());
         self.replica.apply_watch_events(list.events, list.revision);
         self.membership.replica_confirmed_at = self.membership.replica_confirmed_at.max(Some(sent));
         self.after_replica_change(now);
@@ -279,7 +279,7 @@
                 p.done.retain(|j, _| stays(j));
             }
         }
-        self.resolve_unacknowledged();
+        self.resolve_in_doubt_writes();
         // Kept in the state service too, for controllers that start while the cloud is away.
         if self.machine_types.is_empty()
             && let Some(machine_types) = self.replica.catalog.clone()
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -43,13 +43,13 @@
 use crate::placement::Room;
 use crate::protocol::{
     Command, ExitReason, Heartbeat, HeartbeatAck, JobStatus, Json, MachineType, Mutation,
-    PeerMessage, Precondition, TaskPhase, TaskStatus, Transaction, WatchResponse,
+    PeerMessage, TaskPhase, TaskStatus, Transaction, WatchResponse,
 };
 use crate::ranges::RangeSet;
 use crate::records::{CURRENT_FORMAT, ControllerRecord, HolderRecord, SPILLOVER_FORMAT};
 use crate::replica::{
-    Binding, BlockId, FencingToken, Holder, Incarnation, Machine, Replica, TaskId, block_key,
-    grant_key, job_key, node_key,
+    Binding, BlockId, FencingToken, Holder, Incarnation, Replica, TaskId, block_key, grant_key,
+    job_key, node_key,
 };
 use crate::settings::Settings;
 use crate::spillover::Spillover;
@@ -209,9 +209,9 @@
             out.push(Effect::Catalog);
         }
         self.adjust_write_pace(now);
-        self.note_unheld(now);
+        self.note_ungranted_blocks(now);
         self.tick_lease(now, &mut out);
-        self.send_again(now, &mut out);
+        self.writes.resend_due(now, &mut out);
         if self.replica.synced {
             self.tick_join(now, &mut out);
             if self.has_authority(now) && self.caught_up_after_pause(now) {
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -111,7 +111,7 @@
         started: Timestamp,
         out: &mut Vec<Effect>,
     ) {
-        if self.leads().is_some() || !self.idle(WriteKind::Lead, now) {
+        if self.leads().is_some() || !self.may_plan(WriteKind::Lead, now) {
             return;
         }
         let take = match self.replica.leader {
@@ -158,7 +158,7 @@
             mutations: vec![put(key, &record, self.membership.lease_id)],
         };
         info!(before = ?self.replica.leader.map(|l| self.replica.names.hosts.name(l.host).to_owned()), "asking for the leadership");
-        self.submit(
+        self.writes.submit(
             WriteKind::Lead,
             transaction,
             writes::WriteIntent::default(),
@@ -344,10 +344,7 @@
             host: self.my_name().to_owned(),
             incarnation: self.membership.incarnation.0,
             state_ok: self.state_ok(now),
-            short: self
-                .writes
-                .user_refused_at
-                .is_some_and(|t| now.since(t) < 1000),
+            short: self.writes.user_refused_within(1000, now),
             heard: self
                 .peers
                 .states
--- a/src/controller/usage.rs
+++ b/src/controller/usage.rs
@@ -30,7 +30,7 @@
                 }
             }
         }
-        for (_, e) in self.binding() {
+        for (_, e) in self.writes.pending_bindings() {
             if let Some(job) = self.replica.jobs.get(&e.task.job)
                 && let Some(r) = room.get_mut(&job.team)
             {
@@ -48,10 +48,13 @@
         let mut zones: HashMap<JobId, HashMap<ZoneId, u32>> = HashMap::default();
         let listed = self.replica.machines.values();
         let listed = listed.flat_map(|m| m.queue.iter().map(|e| (m.zone, e)));
-        let coming = self.binding().filter_map(|(machine_id, e)| {
-            let machine = self.replica.machines.get(machine_id)?;
-            Some((machine.zone, e))
-        });
+        let coming = self
+            .writes
+            .pending_bindings()
+            .filter_map(|(machine_id, e)| {
+                let machine = self.replica.machines.get(machine_id)?;
+                Some((machine.zone, e))
+            });
         for (zone, e) in listed.chain(coming) {
             let of_job = zones.entry(e.task.job).or_default();
             *of_job.entry(zone).or_default() += 1;
--- /dev/null
+++ b/src/controller/writes/commits.rs
@@ -0,0 +1,197 @@
+//! What follows the store's answer to a transaction, one step for each outcome.
+
+use super::WriteIntent;
+use super::in_doubt::ResolvedWhen;
+use crate::clock::Timestamp;
+use crate::controller::{CommitOutcome, Controller, TaskOutcome, WriteKind};
+use crate::replica::BlockId;
+use rand::Rng;
+use tracing::{debug, info};
+
+/// Pause before a transaction without an answer is sent again, ms.
+const RESEND_PAUSE_MS: u64 = 300;
+/// Pause after a write that the store refused, ms.
+const REFUSED_PAUSE_MS: u64 = 200;
+/// Pause after a write that the store called malformed, ms. Such a write is never sent again as it is, and
+/// what takes its place may be no better.
+const MALFORMED_PAUSE_MS: u64 = 3000;
+/// Each pause is longer by a random time below this, ms.
+const MAX_JITTER_MS: u64 = 200;
+
+impl Controller {
+    /// A transaction was answered, or was not (PROTOCOL, commit).
+    pub fn on_commit(&mut self, write_kind: WriteKind, outcome: CommitOutcome, now: Timestamp) {
+        if !self.writes.is_in_flight(write_kind) {
+            return;
+        }
+        let jitter_ms = self.rng.random_range(0..MAX_JITTER_MS);
+        match outcome {
+            CommitOutcome::Done(revision) => self.on_committed(write_kind, revision, now),
+            CommitOutcome::Conflict(revision) => {
+                self.on_commit_conflict(write_kind, revision, jitter_ms, now);
+            }
+            CommitOutcome::Unknown => {
+                self.counters.unanswered += 1;
+                let resend_at = now.plus(RESEND_PAUSE_MS + jitter_ms);
+                self.writes.note_unanswered(write_kind, resend_at);
+                debug!(?write_kind, "commit unacknowledged, will resend");
+            }
+            CommitOutcome::Refused if self.writes.is_in_doubt(write_kind) => {
+                self.counters.refused += 1;
+                let resend_at = now.plus(RESEND_PAUSE_MS + jitter_ms);
+                self.writes.resend_at(write_kind, resend_at);
+            }
+            CommitOutcome::NoLease | CommitOutcome::Refused => {
+                self.writes.refused_at = Some(now);
+                self.on_commit_rejected(write_kind, REFUSED_PAUSE_MS + jitter_ms, now);
+            }
+            CommitOutcome::Malformed => {
+                self.on_commit_rejected(write_kind, MALFORMED_PAUSE_MS + jitter_ms, now);
+            }
+        }
+    }
+
+    /// A write was carried out at a revision.
+    fn on_committed(&mut self, write_kind: WriteKind, revision: u64, now: Timestamp) {
+        let Some(write) = self.writes.in_flight.remove(&write_kind) else {
+            return;
+        };
+        self.replica.apply_own(&write.transaction, revision);
+        self.pace(write_kind, write.transaction.mutations.len(), now);
+        match write_kind {
+            WriteKind::Join => {
+                self.membership.joined = true;
+                info!(
+                    incarnation = self.membership.incarnation.0,
+                    "controller joined"
+                );
+            }
+            WriteKind::Lead => info!(term = revision, "became leader"),
+            WriteKind::Ends(_) => self.on_completions_committed(&write.intent, revision),
+            WriteKind::Edit(id) => self.on_block_edit_committed(id, &write.intent),
+            WriteKind::Leader | WriteKind::Load => {}
+        }
+        self.after_replica_change(now);
+    }
+
+    /// A precondition of a write failed; the store was at a revision.
+    fn on_commit_conflict(
+        &mut self,
+        write_kind: WriteKind,
+        revision: u64,
+        jitter_ms: u64,
+        now: Timestamp,
+    ) {
+        let Some(write) = self.writes.in_flight.remove(&write_kind) else {
+            return;
+        };
+        self.counters.conflicts += 1;
+        debug!(
+            ?write_kind,
+            revision, "commit conflict: a precondition failed"
+        );
+        self.writes.awaited_revisions.insert(write_kind, revision);
+        // An unanswered copy may have made the moves, bound the tasks or placed the machines: until the
+        // replica shows whether it did, the tasks stay put, and nothing is bound or placed in another
+        // block. Other blocks need not wait for this one's failed precondition.
+        let resolved_when = ResolvedWhen::AtRevision(revision);
+        self.writes.in_doubt.add(resolved_when, write.intent);
+        // Somebody else was faster; the next try need not wait for its turn.
+        let due = now.plus(jitter_ms / 4);
+        self.writes.plan_not_before(write_kind, due);
+        self.after_replica_change(now);
+    }
+
+    /// The store did not carry out a write, and it is not sent again as it is.
+    fn on_commit_rejected(&mut self, write_kind: WriteKind, pause_ms: u64, now: Timestamp) {
+        let Some(write) = self.writes.in_flight.remove(&write_kind) else {
+            return;
+        };
+        self.counters.refused += 1;
+        if write.in_doubt {
+            // The limits may have fallen since a copy that had no answer was carried out.
+            let resolved_when = ResolvedWhen::ByWatchSince(now);
+            self.writes.in_doubt.add(resolved_when, write.intent);
+        } else {
+            self.completions.release(&write.intent.moves);
+        }
+        self.writes.plan_not_before(write_kind, now.plus(pause_ms));
+    }
+
+    /// Forgets the writes in doubt of which the replica shows whether they were carried out.
+    pub(crate) fn resolve_in_doubt_writes(&mut self) {
+        let (revision, confirmed_at) =
+            (self.replica.revision, self.membership.replica_confirmed_at);
+        for intent in self.writes.in_doubt.take_resolved(revision, confirmed_at) {
+            self.completions.release(&intent.moves);
+        }
+    }
+
+    fn on_block_edit_committed(&mut self, id: BlockId, intent: &WriteIntent) {
+        self.counters.bound += intent.binds.len() as u64;
+        for &machine_id in &intent.placed {
+            let Some(machine) = self.replica.machines.get(&machine_id) else {
+                continue;
+            };
+            let names = &self.replica.names;
+            info!(
+                machine = names.machines.name(machine_id),
+                block = id.0,
+                machine_type = names.machine_types.name(machine.machine_type),
+                zone = names.zones.name(machine.zone),
+                spot = machine.spot,
+                "machine added to block"
+            );
+        }
+    }
+
+    fn on_completions_committed(&mut self, intent: &WriteIntent, revision: u64) {
+        for (machine_id, binding, outcome) in &intent.outcomes {
+            self.completions.note_recorded(*machine_id, binding);
+            match outcome {
+                TaskOutcome::Done => self.counters.done += 1,
+                TaskOutcome::Failed => self.counters.failed += 1,
+                TaskOutcome::Free => self.counters.freed += 1,
+            }
+            debug!(
+                task = self.replica.names.task_name(binding.task),
+                attempt = binding.attempt,
+                ?outcome,
+                revision,
+                "task outcome recorded"
+            );
+        }
+        self.completions.release(&intent.moves);
+        for task_move in &intent.moves {
+            self.counters.packs += 1;
+            self.counters.stolen_tasks += task_move.entries.len() as u64;
+            debug!(
+                victim = self.replica.names.machines.name(task_move.victim),
+                thief = self.replica.names.machines.name(task_move.thief),
+                tasks = task_move.entries.len(),
+                "stolen tasks moved"
+            );
+        }
+    }
+}
+
+impl super::WritePipeline {
+    /// A write had no answer: it is in doubt, and sent again at a moment.
+    ///
+    /// Each transaction has a condition on a key that it changes, so sending the same again settles it: it
+    /// is carried out now, or its conditions fail because it was, or because something else made it
+    /// impossible for ever.
+    fn note_unanswered(&mut self, write_kind: WriteKind, resend_at: Timestamp) {
+        if let Some(write) = self.in_flight.get_mut(&write_kind) {
+            write.in_doubt = true;
+            write.resend_at = Some(resend_at);
+        }
+    }
+
+    /// A write in doubt was refused: it is sent again at a moment.
+    fn resend_at(&mut self, write_kind: WriteKind, resend_at: Timestamp) {
+        if let Some(write) = self.in_flight.get_mut(&write_kind) {
+            write.resend_at = Some(resend_at);
+        }
+    }
+}
--- a/src/controller/writes/mod.rs
+++ b/src/controller/writes/mod.rs
@@ -1,19 +1,32 @@
-//! Transactions under way: sent, settled, paced.
-
+//! The write pipeline: transactions that are planned, in flight or in doubt.
+//!
+//! Owns which kinds of write are in flight, what they do besides changing keys (their intents), and when the
+//! next one of each kind may be planned. Must never have two writes of one kind in flight, and must never forget
+//! a write of which an unanswered copy may have been carried out before the replica shows whether it was.
+//!
+//! * [`commits`] follows up each answer of the store.
+//! * [`in_doubt`] keeps failed writes that may have been carried out all the same.
+//! * [`pacing`] spreads batched writes over time, within the store's budget.
+
+mod commits;
+mod in_doubt;
 pub(crate) mod pacing;
 
-use super::*;
+use crate::clock::Timestamp;
+use crate::collections::{HashMap, HashSet};
+use crate::controller::{Controller, Effect, Move, TaskOutcome, WriteKind};
+use crate::names::{JobId, MachineId};
+use crate::protocol::{Precondition, Transaction};
+use crate::replica::{Binding, BlockId};
+use in_doubt::InDoubtWrites;
 use pacing::{WritePace, WriteTurn};
 
-/// Pause after a write that the service called malformed, ms.
-const MALFORMED_MS: u64 = 3000;
-
-/// What a transaction does besides its changes of keys, for the time until it is settled.
+/// What a transaction does besides its changes of keys, kept until its outcome is certain.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct WriteIntent {
     /// Blocks that it writes.
     pub blocks: Vec<BlockId>,
-    /// Endings that it records.
+    /// Task outcomes that it records.
     pub outcomes: Vec<(MachineId, Binding, TaskOutcome)>,
     /// Moves that it makes.
     pub moves: Vec<Move>,
@@ -25,309 +38,190 @@
     pub lent: Vec<JobId>,
 }
 
-/// A transaction that is not settled.
+/// A transaction whose outcome is not known.
 #[derive(Debug, Clone)]
-pub(crate) struct InFlightWrite {
+struct InFlightWrite {
     transaction: Transaction,
-    /// An earlier copy may have been, or may yet be, carried out.
-    unsure: bool,
+    /// An unanswered copy may have been, or may yet be, carried out.
+    in_doubt: bool,
     /// When to send it again; none while an answer is awaited.
-    again: Option<Timestamp>,
-    pub(crate) intent: WriteIntent,
-}
-
-/// When the replica surely shows whether a transaction was carried out.
-#[derive(Debug, Clone, Copy)]
-pub(crate) enum ResolvedWhen {
-    /// Once it has reached a revision.
-    AtRevision(u64),
-    /// Once a watch has answered that was opened then or later.
-    ByWatchSince(Timestamp),
-}
-
-/// What a transaction may have done by a copy that had no answer, although it cannot be carried out
-/// any more.
-#[derive(Debug, Clone)]
-pub(crate) struct UnacknowledgedWrite {
-    settled: ResolvedWhen,
+    resend_at: Option<Timestamp>,
     intent: WriteIntent,
 }
 
 /// Transactions that are in flight or in doubt, and when the next ones may be planned.
 #[derive(Debug, Default)]
 pub(crate) struct WritePipeline {
-    /// What failed writes may have done all the same, by a copy that had no answer, until the
-    /// replica shows whether they did.
-    pub(crate) unacknowledged: Vec<UnacknowledgedWrite>,
-    pub(crate) in_flight: HashMap<WriteKind, InFlightWrite>,
-    pub(crate) turns: HashMap<WriteKind, WriteTurn>,
-    /// How fast the turns of gathered writes follow one another.
-    pub(crate) pace: WritePace,
+    in_flight: HashMap<WriteKind, InFlightWrite>,
+    in_doubt: InDoubtWrites,
+    turns: HashMap<WriteKind, WriteTurn>,
+    /// How fast the turns of batched writes follow one another.
+    pace: WritePace,
     /// Revision that the replica must reach before the next write of a kind is planned.
-    pub(crate) awaited_revisions: HashMap<WriteKind, u64>,
+    awaited_revisions: HashMap<WriteKind, u64>,
     /// Nothing new is planned before the replica is at this revision.
-    pub(crate) plan_after_revision: u64,
-    /// When the state service last refused a write for its budget.
-    pub(crate) refused_at: Option<Timestamp>,
+    plan_after_revision: u64,
+    /// When the store last refused a write for its budget.
+    refused_at: Option<Timestamp>,
     /// When a user was last refused for it.
-    pub(crate) user_refused_at: Option<Timestamp>,
+    user_refused_at: Option<Timestamp>,
 }
 
-impl Controller {
-    /// Forgets what the replica has caught up with.
-    pub(crate) fn resolve_unacknowledged(&mut self) {
-        let (reached, confirmed) = (self.replica.revision, self.membership.replica_confirmed_at);
-        let shown = |u: &mut UnacknowledgedWrite| match u.settled {
-            ResolvedWhen::AtRevision(revision) => revision <= reached,
-            ResolvedWhen::ByWatchSince(sent) => confirmed.is_some_and(|c| c >= sent),
+impl WritePipeline {
+    /// Sends a transaction and keeps it until its outcome is known.
+    pub(crate) fn submit(
+        &mut self,
+        write_kind: WriteKind,
+        transaction: Transaction,
+        intent: WriteIntent,
+        out: &mut Vec<Effect>,
+    ) {
+        out.push(Effect::Commit {
+            write_kind,
+            transaction: transaction.clone(),
+        });
+        let write = InFlightWrite {
+            transaction,
+            in_doubt: false,
+            resend_at: None,
+            intent,
         };
-        for seen in self.writes.unacknowledged.extract_if(.., shown) {
-            self.completions.release(&seen.intent.moves);
+        self.in_flight.insert(write_kind, write);
+    }
+
+    /// Sends again what had no answer and is due.
+    pub(crate) fn resend_due(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        for (&write_kind, write) in &mut self.in_flight {
+            if write.resend_at.is_some_and(|at| now >= at) {
+                write.resend_at = None;
+                let transaction = write.transaction.clone();
+                out.push(Effect::Commit {
+                    write_kind,
+                    transaction,
+                });
+            }
         }
     }
 
-    /// Whether a transaction of this kind may be planned now: none is under way, its turn has
-    /// come, and the replica shows why the last one failed.
-    pub(crate) fn idle(&self, write_kind: WriteKind, now: Timestamp) -> bool {
-        self.is_free(write_kind)
-            && self
-                .writes
-                .turns
-                .get(&write_kind)
-                .is_none_or(|turn| now >= turn.due)
+    /// Forgets a write that can no longer be carried out: its lease has expired.
+    pub(crate) fn forget(&mut self, write_kind: WriteKind) {
+        self.in_flight.remove(&write_kind);
+    }
+
+    /// Whether a write of this kind is in flight.
+    fn is_in_flight(&self, write_kind: WriteKind) -> bool {
+        self.in_flight.contains_key(&write_kind)
+    }
+
+    /// Whether a write of this kind is in flight and an unanswered copy of it may have been carried out.
+    fn is_in_doubt(&self, write_kind: WriteKind) -> bool {
+        let write = self.in_flight.get(&write_kind);
+        write.is_some_and(|write| write.in_doubt)
+    }
+
+    /// Whether a write of this kind may be planned from a replica at `revision`: none is in flight, its regular
+    /// turn has come, and the replica shows why the last one failed.
+    pub(crate) fn may_plan(&self, write_kind: WriteKind, revision: u64, now: Timestamp) -> bool {
+        let turn = self.turns.get(&write_kind);
+        self.is_free(write_kind, revision) && turn.is_none_or(|turn| now >= turn.due)
+    }
+
+    /// The same for what others wait for, which need not wait for the regular turn.
+    pub(crate) fn may_plan_early(
+        &self,
+        write_kind: WriteKind,
+        revision: u64,
+        now: Timestamp,
+    ) -> bool {
+        let turn = self.turns.get(&write_kind);
+        self.is_free(write_kind, revision) && turn.is_none_or(|turn| now >= turn.early)
     }
 
-    /// The same for what others wait for, which has not to wait for the regular turn.
-    pub(crate) fn idle_early(&self, write_kind: WriteKind, now: Timestamp) -> bool {
-        self.is_free(write_kind)
-            && self
-                .writes
-                .turns
-                .get(&write_kind)
-                .is_none_or(|turn| now >= turn.early)
+    /// Whether no write of this kind is in flight and a replica at `revision` shows why the last one failed.
+    fn is_free(&self, write_kind: WriteKind, revision: u64) -> bool {
+        let awaited = self.awaited_revisions.get(&write_kind);
+        let awaited = awaited.copied().unwrap_or(0);
+        !self.is_in_flight(write_kind) && revision >= self.plan_after_revision.max(awaited)
     }
 
-    /// Whether no transaction of this kind is under way and the replica shows why the last one
-    /// failed.
-    fn is_free(&self, write_kind: WriteKind) -> bool {
-        let waits = self
-            .writes
-            .awaited_revisions
-            .get(&write_kind)
-            .copied()
-            .unwrap_or(0);
-        !self.writes.in_flight.contains_key(&write_kind)
-            && self.replica.revision >= self.writes.plan_after_revision.max(waits)
+    /// Plans nothing before the replica has reached this revision.
+    pub(crate) fn plan_only_after(&mut self, revision: u64) {
+        self.plan_after_revision = self.plan_after_revision.max(revision);
     }
 
-    /// Whether this controller has a write of a block under way: a second one would only make
-    /// one of the two fail.
-    pub(crate) fn block_busy(&self, id: BlockId) -> bool {
-        self.writes
-            .in_flight
-            .values()
-            .any(|f| f.intent.blocks.contains(&id))
+    /// Whether a replica at `revision` is whole: it has reached what [`Self::plan_only_after`] asks for.
+    pub(crate) fn is_whole(&self, revision: u64) -> bool {
+        revision >= self.plan_after_revision
     }
 
-    /// What writes do that are under way, or that may have been carried out without the replica
-    /// showing it yet.
-    fn intents(&self) -> impl Iterator<Item = &WriteIntent> {
-        let flights = self.writes.in_flight.values().map(|f| &f.intent);
-        flights.chain(self.writes.unacknowledged.iter().map(|u| &u.intent))
+    /// Whether a write of this block is in flight: a second one would only make one of the two fail.
+    pub(crate) fn writes_block(&self, id: BlockId) -> bool {
+        let mut in_flight = self.in_flight.values();
+        in_flight.any(|write| write.intent.blocks.contains(&id))
     }
 
-    /// Tasks whose binding is under way.
-    pub(crate) fn binding(&self) -> impl Iterator<Item = &(MachineId, Binding)> {
-        self.intents().flat_map(|p| &p.binds)
+    /// Blocks that some write in flight touches, each as often as it is touched.
+    pub(crate) fn blocks_in_flight(&self) -> impl Iterator<Item = BlockId> + '_ {
+        let in_flight = self.in_flight.values();
+        in_flight.flat_map(|write| &write.intent.blocks).copied()
+    }
+
+    /// What writes do that are in flight, or that may have been carried out without the replica showing it yet.
+    fn pending_intents(&self) -> impl Iterator<Item = &WriteIntent> {
+        let in_flight = self.in_flight.values().map(|write| &write.intent);
+        in_flight.chain(self.in_doubt.intents())
+    }
+
+    /// Tasks that are being bound, with their machines.
+    pub(crate) fn pending_bindings(&self) -> impl Iterator<Item = &(MachineId, Binding)> {
+        self.pending_intents().flat_map(|intent| &intent.binds)
     }
 
     /// Jobs that are being lent to other cells.
     ///
     /// Guards against binding tasks of a job by a replica that does not show yet that it was lent: a
     /// binding has no condition on the job's key.
-    pub(crate) fn lending(&self) -> HashSet<JobId> {
-        self.intents().flat_map(|p| &p.lent).copied().collect()
+    pub(crate) fn jobs_being_lent(&self) -> HashSet<JobId> {
+        let intents = self.pending_intents();
+        intents.flat_map(|intent| &intent.lent).copied().collect()
     }
 
     /// Machines that are being put into blocks.
-    pub(crate) fn placing(&self) -> HashSet<MachineId> {
-        self.intents().flat_map(|p| &p.placed).copied().collect()
+    pub(crate) fn machines_being_placed(&self) -> HashSet<MachineId> {
+        let intents = self.pending_intents();
+        intents.flat_map(|intent| &intent.placed).copied().collect()
     }
 
-    /// Blocks that some write under way touches.
-    pub(crate) fn blocks_in_flight(&self) -> impl Iterator<Item = BlockId> + '_ {
-        let flights = self.writes.in_flight.values();
-        flights.flat_map(|f| &f.intent.blocks).copied()
-    }
-
-    pub(crate) fn submit(
-        &mut self,
-        write_kind: WriteKind,
-        transaction: Transaction,
-        intent: WriteIntent,
-        out: &mut Vec<Effect>,
-    ) {
-        out.push(Effect::Commit {
-            write_kind,
-            transaction: transaction.clone(),
-        });
-        let flight = InFlightWrite {
-            transaction,
-            unsure: false,
-            again: None,
-            intent,
-        };
-        self.writes.in_flight.insert(write_kind, flight);
+    /// Plans no write of this kind before a moment.
+    fn plan_not_before(&mut self, write_kind: WriteKind, due: Timestamp) {
+        self.turns.insert(write_kind, WriteTurn::at(due));
     }
 
-    /// Sends again what had no answer.
-    pub(crate) fn send_again(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        for (&write_kind, f) in &mut self.writes.in_flight {
-            if f.again.is_some_and(|t| now >= t) {
-                f.again = None;
-                let transaction = f.transaction.clone();
-                out.push(Effect::Commit {
-                    write_kind,
-                    transaction,
-                });
-            }
-        }
+    /// Whether the store refused a write for its budget within the last so many ms.
+    pub(crate) fn refused_within(&self, ms: u64, now: Timestamp) -> bool {
+        self.refused_at.is_some_and(|at| now.since(at) < ms)
     }
 
-    /// A transaction was answered, or was not.
-    pub fn on_commit(&mut self, write_kind: WriteKind, outcome: CommitOutcome, now: Timestamp) {
-        let Some(flight) = self.writes.in_flight.get_mut(&write_kind) else {
-            return;
-        };
-        let jitter = self.rng.random_range(0..200);
-        match outcome {
-            CommitOutcome::Unknown => {
-                // Every transaction is guarded by a key that it changes, so sending the same
-                // again settles it: it is carried out now, or its guards fail because it was,
-                // or because something else made it impossible for ever.
-                self.counters.unanswered += 1;
-                flight.unsure = true;
-                flight.again = Some(now.plus(300 + jitter));
-                debug!(?write_kind, "no answer to a transaction, sending it again");
-                return;
-            }
-            CommitOutcome::Refused if flight.unsure => {
-                self.counters.refused += 1;
-                flight.again = Some(now.plus(300 + jitter));
-                return;
-            }
-            _ => {}
-        }
-        let Some(flight) = self.writes.in_flight.remove(&write_kind) else {
-            return;
-        };
-        match outcome {
-            CommitOutcome::Done(revision) => {
-                self.replica.apply_own(&flight.transaction, revision);
-                self.pace(write_kind, flight.transaction.mutations.len(), now);
-                match write_kind {
-                    WriteKind::Join => {
-                        self.membership.joined = true;
-                        info!(incarnation = self.membership.incarnation.0, "joined");
-                    }
-                    WriteKind::Lead => info!(term = revision, "took the leadership"),
-                    WriteKind::Ends(_) => self.on_completions_committed(&flight.intent, revision),
-                    WriteKind::Edit(id) => self.on_block_edit_committed(id, &flight.intent),
-                    WriteKind::Leader | WriteKind::Load => {}
-                }
-                self.after_replica_change(now);
-            }
-            CommitOutcome::Conflict(revision) => {
-                self.counters.conflicts += 1;
-                debug!(?write_kind, revision, "a condition failed");
-                self.writes.awaited_revisions.insert(write_kind, revision);
-                // An unanswered copy may have made the moves, bound the tasks or placed the
-                // machines: until the replica shows whether it did, the tasks stay put, and nothing
-                // is bound or placed in another block. Other blocks need not wait for this one's
-                // failed guard.
-                self.writes.unacknowledged.push(UnacknowledgedWrite {
-                    settled: ResolvedWhen::AtRevision(revision),
-                    intent: flight.intent,
-                });
-                // Somebody else was faster; the next try need not wait for its turn.
-                let again = WriteTurn::at(now.plus(jitter / 4));
-                self.writes.turns.insert(write_kind, again);
-                self.after_replica_change(now);
-            }
-            CommitOutcome::NoLease | CommitOutcome::Refused | CommitOutcome::Malformed => {
-                self.counters.refused += 1;
-                if outcome != CommitOutcome::Malformed {
-                    self.writes.refused_at = Some(now);
-                }
-                if flight.unsure {
-                    // The limits may have fallen since a copy that had no answer was carried out.
-                    self.writes.unacknowledged.push(UnacknowledgedWrite {
-                        settled: ResolvedWhen::ByWatchSince(now),
-                        intent: flight.intent,
-                    });
-                } else {
-                    self.completions.release(&flight.intent.moves);
-                }
-                // What the service calls malformed is never sent again as it is, and what takes
-                // its place may be no better.
-                let pause = match outcome {
-                    CommitOutcome::Malformed => MALFORMED_MS,
-                    _ => 200,
-                };
-                let again = WriteTurn::at(now.plus(pause + jitter));
-                self.writes.turns.insert(write_kind, again);
-            }
-            CommitOutcome::Unknown => {}
-        }
+    /// Whether a user was refused for the store's budget within the last so many ms.
+    pub(crate) fn user_refused_within(&self, ms: u64, now: Timestamp) -> bool {
+        self.user_refused_at.is_some_and(|at| now.since(at) < ms)
     }
+}
 
-    fn on_block_edit_committed(&mut self, id: BlockId, intent: &WriteIntent) {
-        self.counters.bound += intent.binds.len() as u64;
-        for &machine_id in &intent.placed {
-            let Some(m) = self.replica.machines.get(&machine_id) else {
-                continue;
-            };
-            let names = &self.replica.names;
-            info!(
-                machine = names.machines.name(machine_id),
-                block = id.0,
-                machine_type = names.machine_types.name(m.machine_type),
-                zone = names.zones.name(m.zone),
-                spot = m.spot,
-                "machine joins"
-            );
-        }
+impl Controller {
+    /// Whether a write of this kind may be planned now; see [`WritePipeline::may_plan`].
+    pub(crate) fn may_plan(&self, write_kind: WriteKind, now: Timestamp) -> bool {
+        let revision = self.replica.revision;
+        self.writes.may_plan(write_kind, revision, now)
     }
 
-    fn on_completions_committed(&mut self, intent: &WriteIntent, revision: u64) {
-        for (machine_id, entry, end) in &intent.outcomes {
-            self.completions.note_recorded(*machine_id, entry);
-            match end {
-                TaskOutcome::Done => self.counters.done += 1,
-                TaskOutcome::Failed => self.counters.failed += 1,
-                TaskOutcome::Free => self.counters.freed += 1,
-            }
-            debug!(
-                task = self.replica.names.task_name(entry.task),
-                attempt = entry.attempt,
-                ?end,
-                revision,
-                "left its queue"
-            );
-        }
-        for task_move in &intent.moves {
-            self.counters.packs += 1;
-            self.counters.stolen_tasks += task_move.entries.len() as u64;
-            self.completions.release([task_move]);
-            debug!(
-                victim = self.replica.names.machines.name(task_move.victim),
-                thief = self.replica.names.machines.name(task_move.thief),
-                tasks = task_move.entries.len(),
-                "pack moved"
-            );
-        }
+    /// Whether a write of this kind for which others wait may be planned now.
+    pub(crate) fn may_plan_early(&self, write_kind: WriteKind, now: Timestamp) -> bool {
+        let revision = self.replica.revision;
+        self.writes.may_plan_early(write_kind, revision, now)
     }
 
+    /// The condition that a key is as the replica shows it.
     pub(crate) fn precondition(&self, key: &str) -> Precondition {
         Precondition {
             key: key.to_owned(),
--- a/src/controller/writes/pacing.rs
+++ b/src/controller/writes/pacing.rs
@@ -1,33 +1,43 @@
-//! Pace of gathered writes: each block has its turn, so that all controllers together stay within
-//! the state service's budget of changes.
-
-use crate::controller::*;
-
-/// Part of the state service's changes that the leader's edits of blocks may take.
-pub(crate) const EDITS: f64 = 0.45;
-/// Part that all holders' endings together may take. What is left is for submissions,
+//! Pace of batched writes: each block has its turn, so that all controllers together stay within
+//! the store's budget of changes.
+//!
+//! Owns how fast turns follow one another. Must never hold back what users or other controllers wait for: only
+//! completions and edits of blocks are paced.
+
+use super::WritePipeline;
+use crate::clock::Timestamp;
+use crate::controller::{Controller, WriteKind};
+
+/// Share of the store's budget of changes that the leader's edits of blocks may take.
+const EDIT_SHARE: f64 = 0.45;
+/// Share that all holders' completions together may take. What is left is for submissions,
 /// cancellations, grants, finished jobs and totals.
-pub(crate) const ENDINGS: f64 = 0.42;
+const COMPLETION_SHARE: f64 = 0.42;
 
-/// For so long gathered writes go slowly after a user had to be refused, ms.
-const SHORT_MS: u64 = 1500;
+/// For so long batched writes go slowly after a user had to be refused, ms.
+const REFUSED_SLOWDOWN_MS: u64 = 1500;
 /// How much slower they go then.
-const SHORT_FACTOR: f64 = 0.7;
+const REFUSED_SLOWDOWN_FACTOR: f64 = 0.7;
 
-/// Gathered writes give way to grants while so many blocks have no valid one.
-const UNHELD_BLOCKS: usize = 4;
-/// They do so for this long at most, ms: there may be nobody to grant anything.
-const UNHELD_MS: u64 = 6000;
-
-/// Interval at which the use of the budget is looked at, ms.
-const LOOK_MS: u64 = 1000;
+/// Interval at which the use of the budget is measured, ms.
+const MEASURE_INTERVAL_MS: u64 = 1000;
 /// Weight of the latest interval in the estimate of the use.
-const LATEST: f64 = 0.3;
-/// Below this part of the budget turns become shorter, and above the other longer.
-const LITTLE_USED: f64 = 0.75;
-const MUCH_USED: f64 = 0.88;
-/// Shortest turns, as a part of those that would come if every block were written in each.
-const MOST_SPEED: f64 = 3.0;
+const LATEST_WEIGHT: f64 = 0.3;
+/// Below this part of the budget turns become shorter.
+const LOW_USE: f64 = 0.75;
+/// Above this part of the budget turns become longer.
+const HIGH_USE: f64 = 0.88;
+/// How many times shorter turns may be than if every block were written in each.
+const MAX_SPEED: f64 = 3.0;
+/// Speed is multiplied by this in an interval in which a write was refused.
+const STEP_REFUSED: f64 = 0.8;
+/// The same in an interval in which much of the budget was used.
+const STEP_HIGH_USE: f64 = 0.95;
+/// The same in an interval in which little of the budget was used.
+const STEP_LOW_USE: f64 = 1.08;
+
+/// Turns of so many kinds of write are kept before those in the past are forgotten.
+const MAX_REMEMBERED_TURNS: usize = 1000;
 
 /// When a kind of write may be planned again.
 #[derive(Debug, Clone, Copy)]
@@ -51,19 +61,21 @@
 /// the budget lay idle while endings and bindings waited for their turn.
 #[derive(Debug, Clone)]
 pub(crate) struct WritePace {
-    began: Timestamp,
-    seen: u64,
-    /// Changes a second of all controllers, as the watch shows them.
-    used: f64,
+    /// When the interval that is being measured began.
+    interval_start: Timestamp,
+    /// Changes that the watch showed since then.
+    changes_seen: u64,
+    /// Estimate of the changes a second of all controllers.
+    changes_per_s: f64,
     factor: f64,
 }
 
 impl Default for WritePace {
     fn default() -> Self {
         Self {
-            began: Timestamp(0),
-            seen: 0,
-            used: 0.0,
+            interval_start: Timestamp(0),
+            changes_seen: 0,
+            changes_per_s: 0.0,
             factor: 1.0,
         }
     }
@@ -71,121 +83,95 @@
 
 impl WritePace {
     /// The watch showed so many changes.
-    pub(crate) fn note(&mut self, changes: usize) {
-        self.seen += changes as u64;
+    fn note_changes(&mut self, changes: usize) {
+        self.changes_seen += changes as u64;
     }
 
-    /// Looks at the use of a budget of so many changes a second.
-    pub(crate) fn adjust(&mut self, budget: f64, refused: bool, now: Timestamp) {
-        let ms = now.since(self.began);
-        if ms < LOOK_MS {
+    /// Measures the use of a budget of so many changes a second, once an interval.
+    fn adjust(&mut self, budget_per_s: f64, refused: bool, now: Timestamp) {
+        let elapsed_ms = now.since(self.interval_start);
+        if elapsed_ms < MEASURE_INTERVAL_MS {
             return;
         }
-        let latest = self.seen as f64 * 1000.0 / ms as f64;
-        self.used += (latest - self.used) * LATEST;
-        (self.began, self.seen) = (now, 0);
-        let part = self.used / budget;
-        let step = match (refused, part) {
-            (true, _) => 0.8,
-            (false, part) if part > MUCH_USED => 0.95,
-            (false, part) if part < LITTLE_USED => 1.08,
+        let latest = self.changes_seen as f64 * 1000.0 / elapsed_ms as f64;
+        self.changes_per_s += (latest - self.changes_per_s) * LATEST_WEIGHT;
+        (self.interval_start, self.changes_seen) = (now, 0);
+        let use_of_budget = self.changes_per_s / budget_per_s;
+        let step = match (refused, use_of_budget) {
+            (true, _) => STEP_REFUSED,
+            (false, used) if used > HIGH_USE => STEP_HIGH_USE,
+            (false, used) if used < LOW_USE => STEP_LOW_USE,
             _ => 1.0,
         };
-        self.factor = (self.factor * step).clamp(1.0, MOST_SPEED);
+        self.factor = (self.factor * step).clamp(1.0, MAX_SPEED);
     }
 
-    /// How many times faster than the slowest turns follow one another.
-    pub(crate) fn factor(&self) -> f64 {
+    /// How many times faster turns follow one another than the slowest.
+    fn factor(&self) -> f64 {
         self.factor
     }
 }
 
-impl Controller {
-    /// Looks whether many blocks wait for a grant.
-    ///
-    /// Guards against endings and bindings that use up the budget after several controllers ended
-    /// at once: the grants of fifty blocks then took six seconds, and with the time of the restart
-    /// the leases of workers ran out.
-    pub(crate) fn note_unheld(&mut self, now: Timestamp) {
-        if std::mem::replace(
-            &mut self.block_upkeep.unheld_checked_version,
-            self.replica.version,
-        ) == self.replica.version
-        {
-            return;
-        }
-        let valid = |id: &BlockId| {
-            let grant = self.replica.grants.get(id);
-            grant.is_some_and(|g| {
-                let node = self.replica.live_controllers.get(&g.host);
-                node.is_some_and(|n| n.incarnation == g.incarnation)
-            })
-        };
-        let unheld = self.replica.blocks.keys().filter(|id| !valid(id)).count();
-        if unheld < UNHELD_BLOCKS {
-            self.block_upkeep.unheld_since = None;
-        } else {
-            self.block_upkeep.unheld_since.get_or_insert(now);
-        }
+impl WritePipeline {
+    /// The watch showed so many changes of all controllers.
+    pub(crate) fn note_changes(&mut self, changes: usize) {
+        self.pace.note_changes(changes);
     }
 
-    /// Whether gathered writes give way to grants.
-    pub(crate) fn grants_first(&self, now: Timestamp) -> bool {
-        self.block_upkeep
-            .unheld_since
-            .is_some_and(|since| now.since(since) < UNHELD_MS)
+    /// Plans the next write of a kind at a turn. `revision` is the replica's.
+    fn schedule(&mut self, write_kind: WriteKind, turn: WriteTurn, revision: u64, now: Timestamp) {
+        self.turns.insert(write_kind, turn);
+        if self.turns.len() > MAX_REMEMBERED_TURNS {
+            self.turns.retain(|_, turn| now < turn.due);
+            self.awaited_revisions
+                .retain(|_, awaited| revision < *awaited);
+        }
     }
+}
 
-    /// Looks at how much of the budget of changes is used.
+impl Controller {
+    /// Adjusts the pace to how much of the budget of changes is used.
     pub(crate) fn adjust_write_pace(&mut self, now: Timestamp) {
-        let budget = self.settings.platform.settings.state.write_rps;
-        let refused = self.users_refused(now)
-            || self
-                .writes
-                .refused_at
-                .is_some_and(|t| now.since(t) < SHORT_MS);
-        self.writes.pace.adjust(budget, refused, now);
+        let budget_per_s = self.settings.platform.settings.state.write_rps;
+        let refused =
+            self.users_refused(now) || self.writes.refused_within(REFUSED_SLOWDOWN_MS, now);
+        self.writes.pace.adjust(budget_per_s, refused, now);
     }
 
-    /// Spreads writes over time: each block has its turn, and what comes in between is gathered for
+    /// Spreads writes over time: each block has its turn, and what comes in between is batched for
     /// it.
-    pub(crate) fn pace(&mut self, write_kind: WriteKind, writes: usize, now: Timestamp) {
+    pub(super) fn pace(&mut self, write_kind: WriteKind, changes: usize, now: Timestamp) {
         let share = match write_kind {
-            WriteKind::Ends(_) => ENDINGS,
-            WriteKind::Edit(_) => EDITS,
+            WriteKind::Ends(_) => COMPLETION_SHARE,
+            WriteKind::Edit(_) => EDIT_SHARE,
             _ => return,
         };
-        let least = self.settings.options.flush_ms as u64;
-        // What users ask for comes before what is gathered for them.
-        let part = if self.users_refused(now) {
-            SHORT_FACTOR
+        let least_ms = self.settings.options.flush_ms as u64;
+        // What users ask for comes before what is batched for them.
+        let speed = if self.users_refused(now) {
+            REFUSED_SLOWDOWN_FACTOR
         } else {
             self.writes.pace.factor()
         };
-        let ms = self.turn_ms(share) * writes as f64 / part;
+        let turn_ms = self.turn_ms(share) * changes as f64 / speed;
         let turn = WriteTurn {
-            due: now.plus((ms as u64).max(least)),
-            early: now.plus(least),
+            due: now.plus((turn_ms as u64).max(least_ms)),
+            early: now.plus(least_ms),
         };
-        self.writes.turns.insert(write_kind, turn);
-        if self.writes.turns.len() > 1000 {
-            self.writes.turns.retain(|_, t| now < t.due);
-            self.writes
-                .awaited_revisions
-                .retain(|_, l| self.replica.revision < *l);
-        }
+        let revision = self.replica.revision;
+        self.writes.schedule(write_kind, turn, revision, now);
     }
 
     /// Length of the slowest turn of all blocks with such a share of the budget, ms.
     fn turn_ms(&self, share: f64) -> f64 {
-        let rate = self.settings.platform.settings.state.write_rps * share;
-        self.used_blocks() as f64 / rate * 1000.0
+        let changes_per_s = self.settings.platform.settings.state.write_rps * share;
+        self.used_blocks() as f64 / changes_per_s * 1000.0
     }
 
-    /// Seconds from one turn of a block's endings to the next, and from one of its edits to the
+    /// Seconds from one turn of a block's completions to the next, and from one of its edits to the
     /// next, together.
     pub(crate) fn turns_s(&self) -> f64 {
-        let slowest_ms = self.turn_ms(EDITS) + self.turn_ms(ENDINGS);
+        let slowest_ms = self.turn_ms(EDIT_SHARE) + self.turn_ms(COMPLETION_SHARE);
         slowest_ms / self.writes.pace.factor() / 1000.0
     }
 
@@ -196,14 +182,12 @@
 
     /// Whether some controller had to refuse a user a moment ago, as far as is known here.
     pub(crate) fn users_refused(&self, now: Timestamp) -> bool {
-        let mine = self
-            .writes
-            .user_refused_at
-            .is_some_and(|t| now.since(t) < SHORT_MS);
-        let theirs = self.peers.states.values();
-        mine || theirs
-            .filter_map(|p| p.short_at)
-            .any(|t| now.since(t) < SHORT_MS)
+        let refused_here = self.writes.user_refused_within(REFUSED_SLOWDOWN_MS, now);
+        let peers = self.peers.states.values();
+        refused_here
+            || peers
+                .filter_map(|peer| peer.short_at)
+                .any(|at| now.since(at) < REFUSED_SLOWDOWN_MS)
     }
 }
 
--- a/src/controller/writes/pacing/tests.rs
+++ b/src/controller/writes/pacing/tests.rs
@@ -1,6 +1,7 @@
-//! Unit tests of `pacing`.
+//! Unit tests of the pace of batched writes.
 
-use super::*;
+use super::{MAX_SPEED, WritePace};
+use crate::clock::Timestamp;
 
 /// The factor after so many seconds with so many changes each.
 fn after(
@@ -11,7 +12,7 @@
     refused: bool,
 ) -> f64 {
     for second in 1..=seconds {
-        write_pace.note(changes);
+        write_pace.note_changes(changes);
         write_pace.adjust(20.0, refused, Timestamp((from + second) * 1000));
     }
     write_pace.factor()
@@ -21,7 +22,7 @@
 fn write_turns_shorten_while_the_budget_is_idle_and_lengthen_again() {
     let mut write_pace = WritePace::default();
     let fast = after(&mut write_pace, 0, 60, 5, false);
-    assert_eq!(fast, MOST_SPEED);
+    assert_eq!(fast, MAX_SPEED);
     let slower = after(&mut write_pace, 60, 10, 20, false);
     assert!(slower < fast);
     let refused = after(&mut write_pace, 70, 4, 20, true);
@@ -34,5 +35,5 @@
     let mut write_pace = WritePace::default();
     let steady = after(&mut write_pace, 0, 120, 16, false);
     assert_eq!(steady, after(&mut write_pace, 120, 60, 16, false));
-    assert!(steady < MOST_SPEED);
+    assert!(steady < MAX_SPEED);
 }
--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -61,7 +61,11 @@
             return None;
         }
         let most = (self.settings.platform.settings.state.txn_ops / 2).min(4);
-        let binding: HashSet<JobId> = self.binding().map(|b| b.1.task.job).collect();
+        let binding: HashSet<JobId> = self
+            .writes
+            .pending_bindings()
+            .map(|b| b.1.task.job)
+            .collect();
         // The watch has passed it: no older change can bring the job back after its drop.
         let over = self.replica.jobs.iter().filter(|(job_id, j)| {
             j.status != JobStatus::Pending
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -198,13 +198,13 @@
         let pause = 200 + (self.replica.machines.len() + self.replica.jobs.len()) as u64 / 10;
         self.leadership.turns.delay_binding(pause, now);
         let mut underway: HashMap<JobId, Vec<u32>> = HashMap::default();
-        for (_, e) in self.binding() {
+        for (_, e) in self.writes.pending_bindings() {
             underway.entry(e.task.job).or_default().push(e.task.number);
         }
         let mut teams = self.team_room();
         let guarantee: HashMap<_, _> = self.guaranteed_left();
         let mut order: Vec<(u8, bool, f64, JobId)> = Vec::new();
-        let lending = self.lending();
+        let lending = self.writes.jobs_being_lent();
         let mut overdue: HashSet<JobId> = HashSet::default();
         let mut first: Option<(Timestamp, f64, JobId)> = None;
         for (&job_id, job) in &self.replica.jobs {
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -16,12 +16,12 @@
 impl Controller {
     /// Whether the leader may write a block now.
     fn writable(&self, id: BlockId, now: Timestamp) -> bool {
-        self.idle(WriteKind::Edit(id), now) && !self.block_busy(id)
+        self.may_plan(WriteKind::Edit(id), now) && !self.writes.writes_block(id)
     }
 
     /// Whether the leader may write a block ahead of its turn, for what others wait for.
     fn writable_early(&self, id: BlockId, now: Timestamp) -> bool {
-        self.idle_early(WriteKind::Edit(id), now) && !self.block_busy(id)
+        self.may_plan_early(WriteKind::Edit(id), now) && !self.writes.writes_block(id)
     }
 
     /// Blocks whose key may be written ahead of their turn.
@@ -32,7 +32,7 @@
 
     /// Puts machines into blocks, marks those that leave, drops those that are gone, binds tasks.
     pub(crate) fn plan_edits(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if self.grants_first(now) {
+        if self.block_upkeep.grants_first(now) {
             return;
         }
         let mut edits: BTreeMap<BlockId, (BlockEdit, WriteIntent)> = BTreeMap::new();
@@ -68,7 +68,8 @@
             preconditions: vec![self.precondition(&block_key(id)), self.precondition(LEAD)],
             mutations: vec![change],
         };
-        self.submit(WriteKind::Edit(id), transaction, intent, out);
+        self.writes
+            .submit(WriteKind::Edit(id), transaction, intent, out);
         true
     }
 
@@ -161,7 +162,7 @@
         if self.leadership.inventory.to_place().is_empty() {
             return;
         }
-        let underway: HashSet<MachineId> = self.placing();
+        let underway: HashSet<MachineId> = self.writes.machines_being_placed();
         let s = &self.settings.platform.settings;
         let enough = ((s.state.write_rps / 2.0) as usize).max(s.count);
         let (least, per_block) = (s.count.max(1), self.settings.block_machines());
@@ -178,7 +179,7 @@
             sizes.insert(id, (bytes, b.machines.len()));
         }
         // Blocks that are only being made count too, or they would be made twice.
-        for f in self.blocks_in_flight() {
+        for f in self.writes.blocks_in_flight() {
             sizes.entry(f).or_insert((usize::MAX / 2, per_block));
         }
         // Hundreds of machines may wait here, for as long as the budget of changes is used up.
--- a/src/leadership/machines.rs
+++ b/src/leadership/machines.rs
@@ -106,7 +106,7 @@
         };
         let cheapest = self.cheapest();
         let mut coming: HashMap<MachineId, Vec<Binding>> = HashMap::default();
-        for (m, e) in self.binding() {
+        for (m, e) in self.writes.pending_bindings() {
             coming.entry(*m).or_default().push(*e);
         }
         let mut slots = Vec::new();
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -107,7 +107,7 @@
             self.observe_machines(now);
         }
         self.tick_cloud(now, term, out);
-        if self.idle(WriteKind::Leader, now) {
+        if self.may_plan(WriteKind::Leader, now) {
             let alone = |transaction| (transaction, WriteIntent::default());
             let planned = self
                 .plan_grants(now)
@@ -121,7 +121,8 @@
                 .or_else(|| self.plan_catalog().map(alone));
             if let Some((mut transaction, intent)) = planned {
                 transaction.preconditions.push(self.precondition(LEAD));
-                self.submit(WriteKind::Leader, transaction, intent, out);
+                self.writes
+                    .submit(WriteKind::Leader, transaction, intent, out);
             }
         }
         self.plan_edits(now, out);
--- a/src/spillover/load.rs
+++ b/src/spillover/load.rs
@@ -31,7 +31,11 @@
     }
 
     fn waiting_in_order(&self, now: Timestamp) -> Vec<WaitingJob> {
-        let underway: HashSet<JobId> = self.binding().map(|b| b.1.task.job).collect();
+        let underway: HashSet<JobId> = self
+            .writes
+            .pending_bindings()
+            .map(|b| b.1.task.job)
+            .collect();
         let mut order = Vec::new();
         for (&job_id, job) in &self.replica.jobs {
             let name = self.replica.names.jobs.name(job_id);
