--- a/src/controller/heartbeat/mod.rs
+++ b/src/controller/heartbeat/mod.rs
@@ -177,7 +177,7 @@
         }
         // Until the machine obeys, our answers may or may not reach it. When it still does not
         // after all this time, they end, so that the lease of what it might run completions too.
-        if self.replica.lists_any(machine_id)
+        if self.replica.has_queued_tasks(machine_id)
             && now.since(runtime.held_since) > self.settings.unfenced_gone_ms()
         {
             return HeartbeatVerdict::Nothing;
@@ -195,7 +195,7 @@
         token: u64,
         now: Timestamp,
     ) -> HeartbeatResponse {
-        if self.replica.lists_any(machine_id)
+        if self.replica.has_queued_tasks(machine_id)
             || r.tasks.iter().any(|l| l.status != TaskPhase::Ended)
         {
             return HeartbeatResponse::Unavailable;
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -45,7 +45,7 @@
         // A life completions with its lease, so that nothing granted to the earlier life counts on.
         if self.membership.lease_id.is_some() {
             self.membership.incarnation = Incarnation(self.rng.random::<u64>() >> 12);
-            self.replica.touch_all();
+            self.replica.mark_all_changed();
         }
         self.membership.lease_id = Some(lease_id);
         self.membership.joined = false;
@@ -265,7 +265,7 @@
 
     /// Follows up every change of the replica, looking only at what changed.
     pub(crate) fn after_replica_change(&mut self, now: Timestamp) {
-        let released: HashSet<JobId> = self.replica.release_left().into_iter().collect();
+        let released: HashSet<JobId> = self.replica.release_departed().into_iter().collect();
         if !released.is_empty() {
             // The index may come back as another job: nothing may remember it.
             let stays = |j: &JobId| !released.contains(j);
@@ -314,7 +314,7 @@
             let machines = self.replica.blocks.get(&id).map(|b| b.machines.clone());
             for machine_id in machines.unwrap_or_default() {
                 self.follow_machine(machine_id, token, now);
-                if self.replica.lists_any(machine_id) {
+                if self.replica.has_queued_tasks(machine_id) {
                     self.held.wake(machine_id);
                 }
             }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -246,7 +246,7 @@
             let machine_id = self.replica.names.machine_types.intern(&f.label);
             if self.machine_types.insert(machine_id, f).is_none() {
                 // How much the machines of a block may come to list is known only now.
-                self.replica.touch_all();
+                self.replica.mark_all_changed();
             }
         }
     }
--- /dev/null
+++ b/src/replica/block_values.rs
@@ -0,0 +1,187 @@
+//! Block values: what the key of a block is to have, and how its tables are read.
+//!
+//! In a value, jobs and kinds of machines are places in tables, and attempts are what they exceed the
+//! lowest one by.
+
+use super::{Binding, BlockEdit, Names, Replica, TaskId};
+use crate::collections::HashMap;
+use crate::names::{JobId, MachineTypeId, ZoneId};
+use crate::protocol::JobStatus;
+use crate::ranges::RangeSet;
+use crate::records::{BlockRecord, MachineRecord, StoredBinding};
+
+/// A kind of machine: type, zone, whether it is a spot machine.
+type Kind = (MachineTypeId, ZoneId, bool);
+
+/// The tables of a block's value, with names mapped to indices.
+pub(super) struct StoredTables {
+    jobs: Vec<JobId>,
+    kinds: Vec<Kind>,
+    first_attempt: u64,
+}
+
+impl StoredTables {
+    pub(super) fn of(record: &BlockRecord, names: &mut Names) -> Self {
+        let jobs = record.jobs.iter();
+        let jobs = jobs.map(|name| names.jobs.intern(name)).collect();
+        let kinds = record.kinds.iter();
+        let kinds = kinds
+            .map(|(machine_type, zone, spot)| {
+                let machine_type = names.machine_types.intern(machine_type);
+                (machine_type, names.zones.intern(zone), *spot)
+            })
+            .collect();
+        Self {
+            jobs,
+            kinds,
+            first_attempt: record.first_attempt,
+        }
+    }
+
+    pub(super) fn job(&self, place: usize) -> Option<JobId> {
+        self.jobs.get(place).copied()
+    }
+
+    pub(super) fn kind(&self, place: usize) -> Option<Kind> {
+        self.kinds.get(place).copied()
+    }
+
+    /// The bindings that [`group`] made into runs; those of jobs that are not in the table are left out.
+    pub(super) fn bindings(&self, stored: &[StoredBinding]) -> Vec<Binding> {
+        let mut bindings = Vec::new();
+        for run in stored {
+            let Some(job) = self.job(run.job) else {
+                continue;
+            };
+            let attempt = self.first_attempt.saturating_add(run.attempt);
+            bindings.extend(run.tasks.iter().map(|number| Binding {
+                task: TaskId { job, number },
+                attempt,
+            }));
+        }
+        bindings
+    }
+}
+
+impl Replica {
+    /// The value that a block's key is to have. What the jobs' own keys show already, or need no
+    /// more, is left out.
+    pub fn seal(&self, edit: &BlockEdit) -> BlockRecord {
+        let queued = || edit.machines.values().flat_map(|machine| &machine.queue);
+        let attempts = queued().map(|binding| binding.attempt);
+        let first_attempt = attempts.min().unwrap_or(0);
+        let done = self.unrecorded_done(edit);
+        let listed = queued().map(|binding| binding.task.job);
+        let mut jobs = self.table_of_jobs(listed.chain(done.iter().map(|(job, _)| *job)));
+        let mut kinds = KeyTable::default();
+        let mut record = BlockRecord {
+            first_attempt,
+            encoding: self.encoding(),
+            ..BlockRecord::default()
+        };
+        for (&machine_id, machine) in &edit.machines {
+            let mut evicted = machine.evict.clone();
+            evicted.retain(|binding| machine.queue.contains(binding));
+            let stored = MachineRecord {
+                kind: kinds.place((machine.machine_type, machine.zone, machine.spot)),
+                leaving: machine.leaving,
+                queue: group(&machine.queue, first_attempt, &mut jobs),
+                evicted: group(&evicted, first_attempt, &mut jobs),
+            };
+            let name = self.names.machines.name(machine_id).to_owned();
+            record.machines.insert(name, stored);
+        }
+        let done = done.into_iter();
+        record.done = done.map(|(job, tasks)| (jobs.place(job), tasks)).collect();
+        let names = &self.names;
+        record.jobs = jobs.keys(|&job| names.jobs.name(job).to_owned());
+        record.kinds = kinds.keys(|&(machine_type, zone, spot)| {
+            let machine_type = names.machine_types.name(machine_type).to_owned();
+            (machine_type, names.zones.name(zone).to_owned(), spot)
+        });
+        record
+    }
+
+    /// The done tasks that a block has to list.
+    ///
+    /// A job is pending until its key says otherwise, and gone once it is archived: by then nobody asks
+    /// for its tasks any more. Both last for ever.
+    fn unrecorded_done(&self, edit: &BlockEdit) -> Vec<(JobId, RangeSet)> {
+        let unrecorded = |(job_id, tasks): &(JobId, RangeSet)| {
+            let job = self.jobs.get(job_id)?;
+            let mut tasks = tasks.clone();
+            tasks.subtract(&job.stored);
+            let needed = job.status == JobStatus::Pending && !tasks.is_empty();
+            needed.then_some((*job_id, tasks))
+        };
+        edit.done.iter().filter_map(unrecorded).collect()
+    }
+
+    /// A table of these jobs in the order of their names, which then have most in common with the one
+    /// before.
+    fn table_of_jobs(&self, listed: impl Iterator<Item = JobId>) -> KeyTable<JobId> {
+        let mut listed: Vec<JobId> = listed.collect();
+        listed.sort_unstable();
+        listed.dedup();
+        listed.sort_by_key(|&job| self.names.jobs.name(job));
+        let mut jobs = KeyTable::default();
+        for job in listed {
+            jobs.place(job);
+        }
+        jobs
+    }
+}
+
+/// The keys of a table of a block's value, in the order in which they were first asked for.
+struct KeyTable<K> {
+    places: HashMap<K, usize>,
+    keys: Vec<K>,
+}
+
+impl<K> Default for KeyTable<K> {
+    fn default() -> Self {
+        Self {
+            places: HashMap::default(),
+            keys: Vec::new(),
+        }
+    }
+}
+
+impl<K: Copy + Eq + std::hash::Hash> KeyTable<K> {
+    /// The place of a key, which is added if it has none.
+    fn place(&mut self, key: K) -> usize {
+        *self.places.entry(key).or_insert_with(|| {
+            self.keys.push(key);
+            self.keys.len() - 1
+        })
+    }
+
+    /// The keys by place, each named.
+    fn keys<T>(&self, name: impl Fn(&K) -> T) -> Vec<T> {
+        self.keys.iter().map(name).collect()
+    }
+}
+
+/// Bindings as they are stored: runs of tasks by job and attempt.
+fn group(
+    bindings: &[Binding],
+    first_attempt: u64,
+    jobs: &mut KeyTable<JobId>,
+) -> Vec<StoredBinding> {
+    let mut stored: Vec<StoredBinding> = Vec::new();
+    for binding in bindings {
+        let job = jobs.place(binding.task.job);
+        let attempt = binding.attempt.saturating_sub(first_attempt);
+        let same = |run: &StoredBinding| run.job == job && run.attempt == attempt;
+        let at = stored.iter().position(same).unwrap_or_else(|| {
+            stored.push(StoredBinding {
+                job,
+                tasks: RangeSet::new(),
+                attempt,
+            });
+            stored.len() - 1
+        });
+        stored[at].tasks.insert(binding.task.number);
+    }
+    stored
+}
--- a/src/replica/job.rs
+++ b/src/replica/job.rs
@@ -136,4 +136,10 @@
             _ => None,
         }
     }
+
+    /// Time of day from which all but the deadline is counted: the submission, or the moment at
+    /// which the last job that this one needed was done.
+    pub fn since_ms(&self) -> u64 {
+        self.ready_ms.unwrap_or(self.submitted_ms)
+    }
 }
--- /dev/null
+++ b/src/replica/jobs.rs
@@ -0,0 +1,143 @@
+//! Jobs of the replica that need not wait for others.
+
+use super::{Job, Replica};
+use crate::names::JobId;
+use crate::protocol::{JobStatus, Json};
+use crate::ranges::RangeSet;
+use crate::records::{DoneTasks, JobRecord};
+use std::sync::Arc;
+
+impl Replica {
+    /// Applies a job's value.
+    pub(super) fn put_job(&mut self, name: &str, record: JobRecord, mod_revision: u64) {
+        let job_id = self.names.jobs.intern(name);
+        if record.status == JobStatus::Cancelled {
+            self.changes.cancelled.push(job_id);
+            self.cancel_descendants(job_id);
+        }
+        let transferred = record.transfer.is_some();
+        self.job_index.set_transferred(job_id, transferred);
+        let known = self.jobs.get_mut(&job_id);
+        // The specification changes with a transfer only.
+        if let Some(job) = known.filter(|job| job.transfer == record.transfer) {
+            job.mod_revision = mod_revision;
+            job.status = record.status;
+            job.done.union(&record.done.tasks);
+            job.stored = record.done.tasks;
+        } else {
+            let job = self.new_job(job_id, record, mod_revision);
+            self.job_index.note_present(job_id);
+            self.jobs.insert(job_id, job);
+        }
+        self.note_progress(job_id);
+    }
+
+    /// A job as its value and the blocks describe it.
+    fn new_job(&mut self, job_id: JobId, record: JobRecord, mod_revision: u64) -> Job {
+        let mut done = record.done.tasks.clone();
+        if let Some(before) = self.jobs.get(&job_id) {
+            done.union(&before.done);
+        }
+        if let Some(tasks) = self.job_index.done_in_blocks(job_id) {
+            done.union(tasks);
+        }
+        let names = &mut self.names;
+        let spec = record.spec;
+        let mut job = Job {
+            mod_revision,
+            team: names.teams.intern(&spec.team),
+            class: names.classes.intern(&spec.class),
+            image: names.images.intern(&spec.image),
+            machine_types: spec.machine_types.as_ref().map(|types| {
+                let types = types.iter();
+                types.map(|name| names.machine_types.intern(name)).collect()
+            }),
+            zone: spec.zone.as_ref().map(|zone| names.zones.intern(zone)),
+            status: record.status,
+            done,
+            stored: record.done.tasks,
+            submitted_ms: record.submitted_ms,
+            ready_ms: record.ready_ms,
+            transfer: record.transfer,
+            spec: Arc::new(spec),
+            bytes: 0,
+        };
+        job.bytes = Json::of(&job.record(DoneTasks::default(), JobStatus::Cancelled)).size();
+        job
+    }
+
+    /// Applies the deletion of a job's key.
+    pub(super) fn remove_job(&mut self, job: JobId) {
+        if self.jobs.remove(&job).is_some() {
+            self.job_index.job_departed(job);
+        }
+    }
+
+    /// Blocks say that these tasks of a job are done.
+    pub(super) fn note_done_in_block(&mut self, job_id: JobId, tasks: &RangeSet) {
+        self.job_index.add_done_in_block(job_id, tasks);
+        if let Some(job) = self.jobs.get_mut(&job_id) {
+            job.done.union(tasks);
+            self.note_progress(job_id);
+        }
+    }
+
+    /// Notes whether all that is left to do with a job is to record that it is done.
+    fn note_progress(&mut self, job_id: JobId) {
+        let job = self.jobs.get(&job_id);
+        let pending = job.filter(|job| job.status == JobStatus::Pending);
+        let complete = pending.is_some_and(|job| job.done.len() >= job.spec.task_count);
+        self.job_index.set_complete(job_id, complete);
+    }
+
+    /// Pending jobs all of whose tasks are done, as far as the shared keys show.
+    pub fn complete(&self) -> impl Iterator<Item = JobId> + '_ {
+        self.job_index.complete()
+    }
+
+    /// Jobs that are lent to another cell or borrowed from one.
+    pub fn transferred(&self) -> impl Iterator<Item = (JobId, &Job)> {
+        let jobs = self.job_index.transferred();
+        jobs.filter_map(|job_id| Some((job_id, self.jobs.get(&job_id)?)))
+    }
+
+    /// Bound tasks of a job, in ascending order.
+    pub fn bound(&self, job: JobId) -> impl Iterator<Item = u32> + '_ {
+        self.job_index.bound(job)
+    }
+
+    /// Number of bound tasks of a job.
+    pub fn bound_len(&self, job: JobId) -> u32 {
+        self.job_index.bound_len(job)
+    }
+
+    /// Number of jobs that are not over and wait for no other.
+    pub fn pending(&self) -> usize {
+        let jobs = self.jobs.values();
+        jobs.filter(|job| job.status == JobStatus::Pending).count()
+    }
+
+    /// Number of jobs that are not over.
+    pub fn unfinished(&self) -> usize {
+        self.pending() + self.waiting.jobs.len()
+    }
+
+    /// Whether some queue lists a task of the job, some block says that one is done, or some job waits
+    /// for it. Until then it is not archived, so whoever looks at the waiting job sees this one too.
+    pub fn is_mentioned(&self, job: JobId) -> bool {
+        self.job_index.is_in_blocks(job) || self.dependencies.is_needed(job)
+    }
+
+    /// Releases the indices of jobs whose keys are gone and that nothing mentions; returns them. They may
+    /// be given to other jobs from now on.
+    pub fn release_departed(&mut self) -> Vec<JobId> {
+        let dependencies = &self.dependencies;
+        let released = self
+            .job_index
+            .take_released(|job| dependencies.is_needed(job));
+        for &job in &released {
+            self.names.jobs.release(job);
+        }
+        released
+    }
+}
--- a/src/replica/keys.rs
+++ b/src/replica/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of the state service that controllers share.
+//! The keys of the store that controllers share.
 
 use super::BlockId;
 
@@ -10,27 +10,77 @@
 pub const CATALOG: &str = "qb/catalog";
 /// The format of stored values that all controllers were seen to read.
 pub const FORMAT: &str = "qb/format";
-pub(super) const NODES: &str = "qb/node/";
-pub(super) const GRANTS: &str = "qb/grant/";
-pub(super) const BLOCKS: &str = "qb/block/";
-pub(super) const JOBS: &str = "qb/job/";
+
+const CONTROLLERS: &str = "qb/node/";
+const GRANTS: &str = "qb/grant/";
+const BLOCKS: &str = "qb/block/";
+const JOBS: &str = "qb/job/";
 /// Prefix of jobs that wait for others; the version before format 2 does not read them.
-pub(super) const WAITING: &str = "qb/wait/";
-pub(super) const LOADS: &str = "qb/load/";
-/// Prefix of jobs that are over and left the watched part.
-pub(super) const PAST: &str = "past/";
+const WAITING: &str = "qb/wait/";
+const LOADS: &str = "qb/load/";
+/// Prefix of jobs that are over and left the watched keys.
+const PAST: &str = "past/";
+
+/// What a key of the watched prefix holds.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum WatchedKey<'a> {
+    /// The leader.
+    Leader,
+    /// The machine types.
+    Catalog,
+    /// The recorded format of stored values.
+    Format,
+    /// A live controller, by name.
+    Controller(&'a str),
+    /// The holder of a block.
+    Grant(BlockId),
+    /// A block.
+    Block(BlockId),
+    /// A job that need not wait for others, by name.
+    Job(&'a str),
+    /// A job that waits for others, by name.
+    WaitingJob(&'a str),
+    /// Queue totals of a controller, by its name.
+    Load(&'a str),
+    /// Of a version that is not known here. It is passed over.
+    Unknown,
+}
+
+impl<'a> WatchedKey<'a> {
+    pub(super) fn parse(key: &'a str) -> Self {
+        let fixed = match key {
+            LEAD => Some(Self::Leader),
+            CATALOG => Some(Self::Catalog),
+            FORMAT => Some(Self::Format),
+            _ => None,
+        };
+        let named = |prefix, kind: fn(&'a str) -> Self| key.strip_prefix(prefix).map(kind);
+        let numbered = |prefix, kind: fn(BlockId) -> Self| {
+            let number = key.strip_prefix(prefix)?.parse().ok()?;
+            Some(kind(BlockId(number)))
+        };
+        fixed
+            .or_else(|| named(CONTROLLERS, Self::Controller))
+            .or_else(|| numbered(GRANTS, Self::Grant))
+            .or_else(|| numbered(BLOCKS, Self::Block))
+            .or_else(|| named(JOBS, Self::Job))
+            .or_else(|| named(WAITING, Self::WaitingJob))
+            .or_else(|| named(LOADS, Self::Load))
+            .unwrap_or(Self::Unknown)
+    }
+}
 
 /// Key of a controller.
 pub fn node_key(host: &str) -> String {
-    format!("{NODES}{host}")
+    format!("{CONTROLLERS}{host}")
 }
-/// Key of a grant.
-pub fn grant_key(b: BlockId) -> String {
-    format!("{GRANTS}{:04}", b.0)
+/// Key of the grant of a block: who holds it.
+pub fn grant_key(block: BlockId) -> String {
+    format!("{GRANTS}{:04}", block.0)
 }
 /// Key of a block.
-pub fn block_key(b: BlockId) -> String {
-    format!("{BLOCKS}{:04}", b.0)
+pub fn block_key(block: BlockId) -> String {
+    format!("{BLOCKS}{:04}", block.0)
 }
 /// Key of a job that is not over, or over for a short time.
 pub fn job_key(name: &str) -> String {
@@ -40,7 +90,7 @@
 pub fn waiting_key(name: &str) -> String {
     format!("{WAITING}{name}")
 }
-/// Key of a job that is over.
+/// Key of a job that is over and archived. It is not watched.
 pub fn past_key(name: &str) -> String {
     format!("{PAST}{name}")
 }
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -1,9 +1,11 @@
-//! Unit tests of `view`.
+//! Unit tests of the replica.
 
 use super::*;
 use crate::jobs::tests::{GOOD, job_of};
 use crate::jobs::{Read, read};
-use crate::records::BlockRecord;
+use crate::protocol::{JobStatus, Json, KeyValue, Mutation, Transaction};
+use crate::ranges::RangeSet;
+use crate::records::{BlockRecord, DoneTasks, Encoding};
 
 /// The value of a job of which every third task is open, up to so many open ones.
 fn longest(job: &Job, open: usize) -> usize {
--- a/src/replica/waiting.rs
+++ b/src/replica/waiting.rs
@@ -3,7 +3,7 @@
 //! They stand under a prefix of their own. What schedules looks at ordinary jobs only, so a job that
 //! waits takes no room, no turn and no part of a limit, whatever version leads.
 
-use super::{Job, Replica};
+use super::Replica;
 use crate::collections::HashMap;
 use crate::dependencies::OwnDemand;
 use crate::names::JobId;
@@ -55,7 +55,7 @@
     /// Takes the value of a job that waits.
     pub(super) fn put_waiting(&mut self, name: &str, record: WaitingRecord, mod_revision: u64) {
         let job = self.names.jobs.intern(name);
-        self.left.retain(|&j| j != job);
+        self.job_index.note_present(job);
         let own = own_demand(&record.spec, record.submitted_ms);
         let names = record.predecessors.names().iter();
         let predecessors: Vec<JobId> = names.map(|n| self.names.jobs.intern(n)).collect();
@@ -89,8 +89,8 @@
             if !self.dependencies.is_needed(p) {
                 self.waiting.archived.remove(&p);
             }
-            if !self.holds(p) && !self.left.contains(&p) {
-                self.left.push(p);
+            if !self.holds(p) {
+                self.job_index.note_departed(p);
             }
         }
     }
@@ -184,11 +184,3 @@
         waiting.filter(|w| w.record.incomplete)
     }
 }
-
-impl Job {
-    /// Time of day from which all but the deadline is counted: the submission, or the moment at
-    /// which the last job that this one needed was done.
-    pub fn since_ms(&self) -> u64 {
-        self.ready_ms.unwrap_or(self.submitted_ms)
-    }
-}
