--- a/src/controller/heartbeat/mod.rs
+++ b/src/controller/heartbeat/mod.rs
@@ -590,7 +590,7 @@
         };
         let next =
             r.worker_epoch == runtime.newest.epoch && r.sequence == runtime.newest.sequence + 1;
-        let in_time = now.since(heard) < self.settings.report_due_ms().max(ANSWER_WAIT_MS);
+        let in_time = now.since(heard) < self.settings.heartbeat_due_ms().max(ANSWER_WAIT_MS);
         let shown = runtime.launched.iter().all(|t| {
             let task_name = self.replica.names.task_name(*t);
             r.tasks.iter().any(|l| l.task == task_name)
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -124,7 +124,7 @@
         let me = replica.names.hosts.intern(&settings.platform.host_name);
         let others = settings
             .platform
-            .known
+            .peers
             .iter()
             .map(|k| replica.names.hosts.intern(&k.host_name))
             .filter(|&h| h != me)
@@ -134,7 +134,7 @@
         }
         let mut rng = SmallRng::seed_from_u64(seed);
         let incarnation = Incarnation(rng.random::<u64>() >> 12);
-        let known = &settings.platform.known;
+        let known = &settings.platform.peers;
         let peers: Vec<String> = known.iter().map(|k| k.endpoint.clone()).collect();
         let spillover = Spillover::new(settings.spillover.as_ref(), &peers);
         let format = match spillover.is_on() {
--- a/src/leadership/machines.rs
+++ b/src/leadership/machines.rs
@@ -84,7 +84,7 @@
 
     /// Whether tasks may be bound to a machine now.
     pub(crate) fn available(&self, machine_id: MachineId, now: Timestamp) -> bool {
-        let recent_ms = (self.settings.platform.settings.workers.report_s * 2000.0) as u64 + 500;
+        let recent_ms = (self.settings.platform.settings.workers.heartbeat_s * 2000.0) as u64 + 500;
         self.replica
             .machines
             .get(&machine_id)
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,12 +1,18 @@
 //! The program: reads its settings and runs the service.
+//!
+//! Owns the command line, the log's level and the exit codes: 2 for settings that cannot be used, 1 for a
+//! service that cannot start. The XML file and the TOML file are both read before anything is bound.
 
 use anyhow::Context as _;
 use clap::Parser;
 use quillbend::settings::{Options, Platform, Settings};
 use quillbend_spillover::settings::SpilloverSettings;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
+/// Exit code for settings that cannot be used.
+const BAD_SETTINGS: u8 = 2;
+
 /// A cluster scheduler whose machines steal packs of work from one another.
 #[derive(Debug, Parser)]
 #[command(version, about)]
@@ -28,10 +34,11 @@
     config: Option<PathBuf>,
 }
 
-fn load(args: &Args) -> anyhow::Result<Settings> {
-    let read = |path: &PathBuf| {
-        std::fs::read_to_string(path).with_context(|| format!("{}", path.display()))
-    };
+fn read(path: &Path) -> anyhow::Result<String> {
+    std::fs::read_to_string(path).with_context(|| path.display().to_string())
+}
+
+fn load_settings(args: &Args) -> anyhow::Result<Settings> {
     let options = match &args.options {
         Some(path) => Options::parse(&read(path)?)?,
         None => Options::default(),
@@ -45,7 +52,17 @@
     Ok(settings)
 }
 
-fn log() {
+fn list_options() {
+    for element in Options::TABLE {
+        println!(
+            "{}\tdefault {}\tfrom {} to {}",
+            element.path, element.default, element.min, element.max
+        );
+    }
+}
+
+/// Logs to standard error; `LOG_LEVEL` is `debug`, `info` (the default) or `error`.
+fn start_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => tracing::Level::DEBUG,
         Ok("error") => tracing::Level::ERROR,
@@ -62,28 +79,26 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     if args.list_options {
-        for (path, default, min, max) in Options::TABLE {
-            println!("{path}\tdefault {default}\tfrom {min} to {max}");
-        }
+        list_options();
         return ExitCode::SUCCESS;
     }
-    let settings = match load(&args) {
+    let settings = match load_settings(&args) {
         Ok(settings) => settings,
-        Err(e) => {
-            eprintln!("quillbend: {e:#}");
-            return ExitCode::from(2);
+        Err(settings_error) => {
+            eprintln!("quillbend: {settings_error:#}");
+            return ExitCode::from(BAD_SETTINGS);
         }
     };
     if args.check {
         println!("settings are good");
         return ExitCode::SUCCESS;
     }
-    log();
+    start_logging();
     let system = actix::System::new();
     match system.block_on(quillbend::runtime::run(settings)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("quillbend: {e}");
+        Err(start_error) => {
+            eprintln!("quillbend: {start_error}");
             ExitCode::FAILURE
         }
     }
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -502,7 +502,7 @@
 /// Runs the service until it is killed.
 pub async fn run(settings: Settings) -> Result<(), StartError> {
     let public = listen(&settings.platform.public_addr).await?;
-    let back = listen(&settings.platform.back).await?;
+    let back = listen(&settings.platform.peer_addr).await?;
     let clock = SystemClock::default();
     // Random choices need to differ between lives, not to be secret.
     let seed = rand::rngs::SmallRng::from_os_rng().random::<u64>() ^ clock.day_ms().rotate_left(20);
@@ -539,7 +539,7 @@
         cloud: format!("http://{}", external.cloud),
         peers: settings
             .platform
-            .known
+            .peers
             .iter()
             .map(|k| (k.host_name.clone(), k.endpoint.clone()))
             .collect(),
--- /dev/null
+++ b/src/settings/state_limits.rs
@@ -0,0 +1,101 @@
+//! Limits of the state service, present and announced (DEPLOY, `settings.state`).
+//!
+//! Owns the rule that a controller keeps to the smaller of the two from its start.
+
+use super::SettingsError;
+use serde::Deserialize;
+
+/// Fewest changes in a transaction with which a controller can work: a pack moves between two
+/// blocks in one, and a block is split into several.
+const MIN_TXN_OPS: usize = 4;
+
+/// Limits of the state service.
+#[derive(Debug, Clone, Deserialize)]
+pub struct StateLimits {
+    /// Requests a second, of all controllers together.
+    pub rps: f64,
+    /// Changes a second, of all controllers together.
+    pub write_rps: f64,
+    /// Size of a value, KiB.
+    pub value_kb: f64,
+    /// Changes in a transaction.
+    pub txn_ops: usize,
+    /// Limits that the service will have from some moment on, without notice.
+    #[serde(default)]
+    pub next: NextStateLimits,
+}
+
+/// Limits that the state service will have later; what is absent stays as it is.
+#[derive(Debug, Clone, Default, Deserialize)]
+pub struct NextStateLimits {
+    /// Requests a second.
+    #[serde(default)]
+    pub rps: Option<f64>,
+    /// Changes a second.
+    #[serde(default)]
+    pub write_rps: Option<f64>,
+    /// Size of a value, KiB.
+    #[serde(default)]
+    pub value_kb: Option<f64>,
+    /// Changes in a transaction.
+    #[serde(default)]
+    pub txn_ops: Option<usize>,
+}
+
+impl StateLimits {
+    /// Takes the smaller of the present and the later limits for each of them.
+    ///
+    /// Guards against a limit that falls between two writes: from its start a controller writes
+    /// nothing that either of the two would refuse.
+    pub(super) fn keep_to_next(&mut self) {
+        let next = &self.next;
+        let smaller = |now: f64, next: Option<f64>| next.map_or(now, |next| now.min(next));
+        self.rps = smaller(self.rps, next.rps);
+        self.write_rps = smaller(self.write_rps, next.write_rps);
+        self.value_kb = smaller(self.value_kb, next.value_kb);
+        self.txn_ops = next
+            .txn_ops
+            .map_or(self.txn_ops, |next| self.txn_ops.min(next));
+    }
+
+    /// Checks the present number of changes in a transaction.
+    pub(super) fn check_txn_ops(&self) -> Result<(), SettingsError> {
+        check_txn_ops("state.txn_ops", self.txn_ops)
+    }
+
+    /// Checks the limits that the service will have later.
+    pub(super) fn check_next(&self) -> Result<(), SettingsError> {
+        for (name, limit) in [
+            ("state.next.rps", self.next.rps),
+            ("state.next.write_rps", self.next.write_rps),
+            ("state.next.value_kb", self.next.value_kb),
+        ] {
+            if let Some(limit) = limit {
+                check_positive(name, limit)?;
+            }
+        }
+        match self.next.txn_ops {
+            Some(txn_ops) => check_txn_ops("state.next.txn_ops", txn_ops),
+            None => Ok(()),
+        }
+    }
+}
+
+/// Checks that a setting is a finite number above 0.
+pub(super) fn check_positive(name: &str, value: f64) -> Result<(), SettingsError> {
+    if value.is_finite() && value > 0.0 {
+        return Ok(());
+    }
+    Err(SettingsError::Platform(format!(
+        "{name} must be more than 0"
+    )))
+}
+
+fn check_txn_ops(name: &str, txn_ops: usize) -> Result<(), SettingsError> {
+    if txn_ops >= MIN_TXN_OPS {
+        return Ok(());
+    }
+    Err(SettingsError::Platform(format!(
+        "{name} must be at least {MIN_TXN_OPS}"
+    )))
+}
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,6 +1,7 @@
 //! Unit tests of `settings`.
 
-use super::*;
+use super::durations::DRIFT;
+use super::{Options, Platform, Settings, SettingsError, StateLimits, Workers};
 
 /// A small deployment used by stories.
 pub(crate) const PLATFORM: &str = include_str!("../../tests/support/platform.toml");
@@ -41,7 +42,7 @@
         (p.count, p.state.value_kb) = (count, value_kb);
         p.resources.max_sockets = Some(sockets);
         p.workers = Workers {
-            report_s,
+            heartbeat_s: report_s,
             lease_s,
             cancel_s,
         };
@@ -57,7 +58,7 @@
         // An answer that waits reaches a worker before it gives up, and several reports fit
         // into its lease.
         assert!(s.answer_wait_ms() <= 3000);
-        assert!(s.report_due_ms() * 2 < lease);
+        assert!(s.heartbeat_due_ms() * 2 < lease);
         // One that is left alone has room for all workers and as many users.
         assert!(s.connections() > machines + 300, "{machines} machines");
         assert!(s.open_tasks() * 14 < s.value_bytes());
--- a/tests/missed_messages.rs
+++ b/tests/missed_messages.rs
@@ -599,7 +599,7 @@
     // Reports that come later than an answer's time runs out are no sign of deafness where the
     // interval of reports is longer than that: idle machines were drained and returned for it.
     let mut w = settled(22, 3, 6);
-    w.settings.platform.settings.workers.report_s = 5.0;
+    w.settings.platform.settings.workers.heartbeat_s = 5.0;
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
     w.run(10_000);
@@ -636,7 +636,7 @@
         .replace("count = 3", "count = 5\nnew_field = [1, 2]")
         .replace("[external]", &format!("{}{}[external]", known(3), known(4)));
     let platform = Platform::parse(&text).expect("good");
-    assert_eq!((platform.settings.count, platform.known.len()), (5, 4));
+    assert_eq!((platform.settings.count, platform.peers.len()), (5, 4));
     let faulty = text.replace("txn_ops = 12", "txn_ops = 2");
     let says = Platform::parse(&faulty).expect_err("too few").to_string();
     assert!(says.contains("state.txn_ops"), "{says}");
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -30,10 +30,10 @@
             .map(|n| format!("n{n}"))
             .collect();
         s.platform.host_name = names[i].clone();
-        s.platform.known = names
+        s.platform.peers = names
             .iter()
             .filter(|n| **n != names[i])
-            .map(|n| quillbend::settings::Known {
+            .map(|n| quillbend::settings::PeerAddress {
                 host_name: (*n).clone(),
                 zone: String::new(),
                 endpoint: cells::address(self.cell, position(n).expect("a place")),
--- a/tests/support/machines.rs
+++ b/tests/support/machines.rs
@@ -71,7 +71,7 @@
         // Its clock is as slow as it may be.
         let workers = &self.settings.platform.settings.workers;
         let lease_s = workers.lease_s * 1.0005;
-        let report_ms = (workers.report_s * 1000.0) as u64;
+        let report_ms = (workers.heartbeat_s * 1000.0) as u64;
         let (now, lease) = (self.now, (lease_s * 1000.0) as u64);
         let w = &mut self.workers[at];
         if now < w.up_at {
