--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -37,6 +37,23 @@
 }
 
 impl Shared {
+    /// The shared state of a process that has just begun.
+    ///
+    /// # Panics
+    ///
+    /// Never: the bounds of the histogram are constants that it accepts.
+    pub fn new(controller: Controller, clock: Box<dyn Clock + Send + Sync>) -> Self {
+        let latency = hdrhistogram::Histogram::new_with_bounds(1, 60_000_000, 2);
+        Self {
+            controller: Mutex::new(controller),
+            finals: Mutex::default(),
+            read_index: ReadIndex::default(),
+            clock,
+            waiting: Mutex::default(),
+            latency: Mutex::new(latency.expect("constant bounds are valid")),
+        }
+    }
+
     /// Now on the steady clock.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
--- /dev/null
+++ b/src/runtime/cloud_client.rs
@@ -0,0 +1,146 @@
+//! Client of the cloud: its catalog, its machines, renting and returning (PROTOCOL, cloud).
+//!
+//! Owns the cloud's address and the bounds on its answers. It must never call a request refused whose
+//! outcome is in doubt: a machine may have been rented although no answer came.
+
+use crate::protocol::{Catalog, CloudMachine, MachineNames, MachinePage, RentRequest};
+use awc::Client;
+use awc::http::StatusCode;
+use std::time::Duration;
+use tracing::error;
+
+/// Longest wait for an answer of the cloud, and again for its body.
+const CLOUD_TIMEOUT: Duration = Duration::from_secs(3);
+/// Largest catalog or page of machines, bytes.
+const MAX_READ_BODY_BYTES: usize = 16 << 20;
+/// Largest answer to renting or returning, bytes.
+const MAX_WRITE_BODY_BYTES: usize = 1 << 20;
+/// Machines on a page of the list.
+const PAGE_MACHINES: usize = 500;
+/// Text of the 503 by which the cloud says that nothing was rented. Any other 503 leaves it open.
+const NO_CAPACITY: &str = "no capacity";
+
+/// What became of a request for machines.
+#[derive(Debug)]
+pub(super) enum RentOutcome {
+    /// These machines were rented.
+    Rented(Vec<String>),
+    /// Certainly nothing was rented.
+    Refused,
+    /// In doubt: machines may have been rented.
+    Unknown,
+}
+
+impl RentOutcome {
+    /// The names of the rented machines, and whether the outcome is certain, as
+    /// [`Controller::on_rented`](crate::controller::Controller::on_rented) takes them.
+    pub(super) fn into_names_and_certainty(self) -> (Option<Vec<String>>, bool) {
+        match self {
+            Self::Rented(names) => (Some(names), true),
+            Self::Refused => (None, true),
+            Self::Unknown => (None, false),
+        }
+    }
+}
+
+/// The client. Cheap to clone; connections are kept and shared.
+#[derive(Clone)]
+pub(super) struct CloudClient {
+    client: Client,
+    base_url: String,
+}
+
+impl CloudClient {
+    /// A client of the cloud at `addr`, host and port.
+    pub(super) fn new(client: Client, addr: &str) -> Self {
+        Self {
+            client,
+            base_url: format!("http://{addr}"),
+        }
+    }
+
+    /// Reads the catalog of machine types; none on any failure.
+    pub(super) async fn catalog(self) -> Option<Catalog> {
+        self.get(&format!("{}/catalog", self.base_url)).await
+    }
+
+    /// Reads the list of machines to its end; none if any page fails.
+    pub(super) async fn list_machines(self) -> Option<Vec<CloudMachine>> {
+        let mut machines: Vec<CloudMachine> = Vec::new();
+        loop {
+            let after = machines
+                .last()
+                .map(|machine| format!("after={}&", machine.name));
+            let url = format!(
+                "{}/machines?{}limit={PAGE_MACHINES}",
+                self.base_url,
+                after.unwrap_or_default()
+            );
+            let page: MachinePage = self.get(&url).await?;
+            let more_follow = page.has_next && !page.machines.is_empty();
+            machines.extend(page.machines);
+            if !more_follow {
+                return Some(machines);
+            }
+        }
+    }
+
+    /// Rents machines. The request is idempotent by its id.
+    pub(super) async fn rent(self, request: RentRequest) -> RentOutcome {
+        let url = format!("{}/machines", self.base_url);
+        match self.post(url, &request).await {
+            Some((StatusCode::OK, body)) => match serde_json::from_slice::<MachineNames>(&body) {
+                Ok(rented) => RentOutcome::Rented(rented.machines),
+                Err(_) => RentOutcome::Unknown,
+            },
+            Some((StatusCode::SERVICE_UNAVAILABLE, body))
+                if String::from_utf8_lossy(&body).contains(NO_CAPACITY) =>
+            {
+                RentOutcome::Refused
+            }
+            Some((StatusCode::BAD_REQUEST, body)) => {
+                let answer = String::from_utf8_lossy(&body).into_owned();
+                error!(
+                    answer,
+                    request_id = request.request_id,
+                    "cloud rejected rent request as malformed"
+                );
+                RentOutcome::Refused
+            }
+            _ => RentOutcome::Unknown,
+        }
+    }
+
+    /// Returns machines; whether the cloud confirmed it.
+    pub(super) async fn return_machines(self, machines: Vec<String>) -> bool {
+        let url = format!("{}/machines/return", self.base_url);
+        let answer = self.post(url, &MachineNames { machines }).await;
+        answer.is_some_and(|(status, _)| status == StatusCode::OK)
+    }
+
+    async fn get<T: serde::de::DeserializeOwned>(&self, url: &str) -> Option<T> {
+        let request = self.client.get(url).timeout(CLOUD_TIMEOUT).send();
+        let mut answer = request.await.ok()?.timeout(CLOUD_TIMEOUT);
+        if answer.status() != StatusCode::OK {
+            return None;
+        }
+        let body = answer.body().limit(MAX_READ_BODY_BYTES).await.ok()?;
+        serde_json::from_slice(&body).ok()
+    }
+
+    async fn post(
+        &self,
+        url: String,
+        body: &impl serde::Serialize,
+    ) -> Option<(StatusCode, Vec<u8>)> {
+        let request = self
+            .client
+            .post(url)
+            .content_type("application/json")
+            .timeout(CLOUD_TIMEOUT)
+            .send_body(serde_json::to_vec(body).ok()?);
+        let mut answer = request.await.ok()?;
+        let body = answer.body().limit(MAX_WRITE_BODY_BYTES).await.ok()?;
+        Some((answer.status(), body.to_vec()))
+    }
+}
--- /dev/null
+++ b/src/runtime/server.rs
@@ -0,0 +1,131 @@
+//! Listeners, and the HTTP/1.1 service on them, all on the thread of the actors.
+//!
+//! Owns the sockets that take connections and the bound on how many are open. It must never let incoming
+//! connections use up the sockets that the controller needs for its own calls.
+
+use super::StartError;
+use actix_service::{IntoServiceFactory, Service, ServiceFactory, map_config};
+use actix_web::dev::{AppConfig, ServiceResponse};
+use std::cell::Cell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpSocket};
+use tracing::debug;
+
+/// Connections that the system keeps for us until they are accepted.
+const LISTEN_BACKLOG: u32 = 1024;
+/// How long an idle connection stays open.
+const KEEP_ALIVE: Duration = Duration::from_secs(20);
+/// Longest time until the head of a request is there.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest time for closing a connection in order.
+const DISCONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause after accepting failed, for instance for want of file descriptors.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+
+/// Bound on the open connections of one listener.
+#[derive(Debug, Clone)]
+pub(super) struct ConnectionLimit {
+    open: Rc<Cell<usize>>,
+    most: usize,
+}
+
+impl ConnectionLimit {
+    /// At most `most` connections at a time.
+    pub(super) fn new(most: usize) -> Self {
+        Self {
+            open: Rc::default(),
+            most,
+        }
+    }
+
+    /// Counts one more connection, unless there are as many as there may be.
+    fn admit(&self) -> Option<OpenConnection> {
+        let open = self.open.get();
+        (open < self.most).then(|| {
+            self.open.set(open + 1);
+            OpenConnection(self.open.clone())
+        })
+    }
+}
+
+/// One open connection; it counts until it is dropped.
+#[derive(Debug)]
+struct OpenConnection(Rc<Cell<usize>>);
+
+impl Drop for OpenConnection {
+    fn drop(&mut self) {
+        self.0.set(self.0.get() - 1);
+    }
+}
+
+/// Binds an address. A restarted controller takes its address over at once.
+pub(super) async fn listen(addr: &str) -> Result<TcpListener, StartError> {
+    let fail = |source| StartError::Listen {
+        addr: addr.to_owned(),
+        source,
+    };
+    let socket_addr: SocketAddr = addr
+        .parse()
+        .map_err(|e| fail(std::io::Error::new(std::io::ErrorKind::InvalidInput, e)))?;
+    let socket = match socket_addr {
+        SocketAddr::V4(_) => TcpSocket::new_v4(),
+        SocketAddr::V6(_) => TcpSocket::new_v6(),
+    }
+    .map_err(fail)?;
+    let _ = socket.set_reuseaddr(true);
+    socket.bind(socket_addr).map_err(fail)?;
+    socket.listen(LISTEN_BACKLOG).map_err(fail)
+}
+
+/// Serves one listener on this thread, for as long as the process runs.
+pub(super) async fn serve<F, S, B>(
+    listener: TcpListener,
+    app: F,
+    limit: ConnectionLimit,
+) -> Result<(), StartError>
+where
+    F: IntoServiceFactory<S, actix_http::Request> + 'static,
+    S: ServiceFactory<
+            actix_http::Request,
+            Config = AppConfig,
+            Response = ServiceResponse<B>,
+            Error = actix_web::Error,
+            InitError = (),
+        > + 'static,
+    S::Service: 'static,
+    S::Future: 'static,
+    B: actix_web::body::MessageBody + 'static,
+{
+    let http = actix_http::HttpService::build()
+        .keep_alive(KEEP_ALIVE)
+        .client_request_timeout(REQUEST_TIMEOUT)
+        .client_disconnect_timeout(DISCONNECT_TIMEOUT)
+        .h1(map_config(app.into_factory(), |_| AppConfig::default()))
+        .tcp();
+    let service = http.new_service(()).await.map_err(|_| StartError::Http)?;
+    let service = Rc::new(service);
+    loop {
+        let stream = match listener.accept().await {
+            Ok((stream, _)) => stream,
+            Err(io_error) => {
+                debug!(error = %io_error, "accepting a connection failed");
+                actix_rt::time::sleep(ACCEPT_RETRY_PAUSE).await;
+                continue;
+            }
+        };
+        let Some(connection) = limit.admit() else {
+            // Closed at once: the load balancer goes on to another controller.
+            continue;
+        };
+        let _ = stream.set_nodelay(true);
+        let service = service.clone();
+        actix_rt::spawn(async move {
+            if let Err(dispatch_error) = service.call(stream).await {
+                debug!(error = %dispatch_error, "connection ended with an error");
+            }
+            drop(connection);
+        });
+    }
+}
