--- a/benches/costs.rs
+++ b/benches/costs.rs
@@ -1,4 +1,4 @@
-//! What reports, peers' messages, polls, submissions, changes of the replica and looks at what is
+//! What heartbeats, peers' messages, polls, submissions, changes of the replica and looks at what is
 //! due cost at several sizes of the fleet, on fakes and without I/O.
 //! `cargo bench` prints microseconds; the work is the same in every run.
 
@@ -28,13 +28,13 @@
     }
 
     fn show(&self) {
-        let us = |n: f64| n / 1000.0;
+        let micros = |nanos: f64| nanos / 1000.0;
         println!(
             "  {:<34} n {:>6}  mean {:>8.1} us  p99 {:>8.1} us",
             self.0,
             self.1.len(),
-            us(self.1.mean()),
-            us(self.1.value_at_quantile(0.99) as f64)
+            micros(self.1.mean()),
+            micros(self.1.value_at_quantile(0.99) as f64)
         );
     }
 }
@@ -61,7 +61,7 @@
 
 fn costs(machines: usize) {
     let mut w = world(machines);
-    let mut heartbeat = Cost::new("a worker's report");
+    let mut heartbeat = Cost::new("a worker's heartbeat");
     let mut due = Cost::new("a look at what is due, leader");
     let mut long = Cost::new("a peer's long message");
     let mut short = Cost::new("a peer's short message");
--- /dev/null
+++ b/src/http/cancellation.rs
@@ -0,0 +1,80 @@
+//! Cancelling a job.
+//!
+//! A cancellation is one compare-and-swap of the job's value as it was read, so it races in the same key
+//! with a completion, and with a waiting job that becomes an ordinary one. It must never be confirmed
+//! before it is written.
+
+use super::lookup::OpenJob;
+use super::responses::{
+    no_such_job, outcome_unknown, read_failed, state_out_of_reach, too_many_requests, unavailable,
+};
+use super::{ApiState, WRITE_TIMEOUT};
+use crate::jobs;
+use crate::protocol::JobStatus;
+use crate::store::CommitOutcome;
+use actix_web::HttpResponse;
+
+/// Tries of a cancellation whose precondition failed, because the job's value changed meanwhile.
+const CANCEL_TRIES: usize = 6;
+
+/// The answer for a job that is over, in this state.
+fn is_over(name: &str, status: JobStatus) -> HttpResponse {
+    HttpResponse::Ok().json(serde_json::json!({ "ref": name, "status": status }))
+}
+
+impl ApiState {
+    /// Cancels a job, unless it is over already; either way the answer says in which state it ended.
+    pub(super) async fn cancel(&self, name: &str) -> HttpResponse {
+        if let Some(answer) = self.remembered(name) {
+            return is_over(name, answer.status);
+        }
+        if !jobs::is_job_name(name) {
+            return no_such_job();
+        }
+        if !self.state_up() {
+            return state_out_of_reach();
+        }
+        let value_bytes = self.shared.controller.lock().settings.value_bytes();
+        for _ in 0..CANCEL_TRIES {
+            let found = match self.look_up(name).await {
+                Ok(Some(found)) => found,
+                Ok(None) => return no_such_job(),
+                Err(store_error) => return read_failed(&store_error),
+            };
+            let Some(open) = found.open else {
+                let answer = self.answer(name, found.status, found.done);
+                return is_over(name, answer.status);
+            };
+            match self.commit_cancellation(name, &open, value_bytes).await {
+                CommitOutcome::Done(_) => {
+                    let answer = self.answer(name, JobStatus::Cancelled, found.done);
+                    return is_over(name, answer.status);
+                }
+                // A completion was recorded meanwhile: look again.
+                CommitOutcome::Conflict(_) => {}
+                CommitOutcome::Refused => return too_many_requests(),
+                CommitOutcome::Unknown | CommitOutcome::NoLease | CommitOutcome::Malformed => {
+                    return outcome_unknown();
+                }
+            }
+        }
+        unavailable("the job keeps changing")
+    }
+
+    /// Writes a cancellation, and shows it in the own replica at once.
+    async fn commit_cancellation(
+        &self,
+        name: &str,
+        open: &OpenJob,
+        value_bytes: usize,
+    ) -> CommitOutcome {
+        let transaction = open.cancel(name, value_bytes);
+        let outcome = self.state.commit(&transaction, WRITE_TIMEOUT).await;
+        if let CommitOutcome::Done(revision) = outcome {
+            tracing::info!(job = name, revision, "job cancelled");
+            let mut controller = self.shared.controller.lock();
+            controller.replica.apply_own(&transaction, revision);
+        }
+        outcome
+    }
+}
--- a/src/http/cells.rs
+++ b/src/http/cells.rs
@@ -1,10 +1,15 @@
-//! Requests of controllers of other cells.
+//! Requests of controllers of other cells: offers of loans and reports about them (spillover).
+//!
+//! Owns the order of things for a request that writes: it is decided by the controller, written, and only then
+//! answered. A decision must never be told before it is recorded.
 
-use super::{ApiState, BODY_BEHIND, Body, READ_WAIT, WRITE_WAIT, refuse, unavailable};
-use crate::controller::CommitOutcome;
+use super::peers::message_pack;
+use super::responses::refuse;
+use super::{ApiState, BodyResult, MAX_PEER_BODY_BYTES, READ_TIMEOUT, WRITE_TIMEOUT};
 use crate::protocol::JobSpec;
 use crate::replica::past_key;
 use crate::spillover::{Archived, CellRequest, OfferPlan};
+use crate::store::CommitOutcome;
 use actix_web::http::StatusCode;
 use actix_web::{HttpRequest, HttpResponse, web};
 use quillbend_spillover::message::{
@@ -14,15 +19,15 @@
 /// Tries of an offer: one more after the archive was read.
 const OFFER_TRIES: usize = 2;
 
-/// Takes a request of another cell, or a relayed one of this cell.
+/// `POST /cell`: takes a request of another cell, or one that a controller of this cell relays.
 pub(super) async fn cell(
     request: HttpRequest,
     api_state: web::Data<ApiState>,
-    body: Body,
+    body: BodyResult,
 ) -> HttpResponse {
     let parsed = body
         .ok()
-        .filter(|body| body.len() <= BODY_BEHIND)
+        .filter(|body| body.len() <= MAX_PEER_BODY_BYTES)
         .and_then(|body| rmp_serde::from_slice::<CellRequest>(&body).ok());
     let Some(message) = parsed else {
         return refuse(StatusCode::BAD_REQUEST, "not a message of another cell");
@@ -37,13 +42,11 @@
         Some(refusal) => refusal,
         None => api_state.answer_cell(&message).await,
     };
-    match rmp_serde::to_vec_named(&answer) {
-        Ok(body) => HttpResponse::Ok().body(body),
-        Err(_) => unavailable("no answer"),
-    }
+    message_pack(&answer)
 }
 
 impl ApiState {
+    /// Answers a request that is not refused.
     async fn answer_cell(&self, request: &CellRequest) -> CellAnswer {
         match &request.body {
             RequestBody::Offer(offers) if self.leads() => {
@@ -63,6 +66,7 @@
         self.shared.controller.lock().answer_cell(request, now)
     }
 
+    /// Whether this controller is the leader and may act as such now.
     fn leads(&self) -> bool {
         let now = self.shared.now();
         let controller = self.shared.controller.lock();
@@ -70,15 +74,16 @@
     }
 
     /// Records the ends of loans that a borrower reports. What fails is reported again.
-    async fn end_loans(&self, from: &str, heartbeats: &[LoanReport]) {
+    async fn end_loans(&self, from: &str, reports: &[LoanReport]) {
         let now = self.shared.now();
         let transactions = self
             .shared
             .controller
             .lock()
-            .plan_loan_ends(from, heartbeats, now);
+            .plan_loan_ends(from, reports, now);
         for transaction in transactions {
-            if let CommitOutcome::Done(revision) = self.state.commit(&transaction, WRITE_WAIT).await
+            if let CommitOutcome::Done(revision) =
+                self.state.commit(&transaction, WRITE_TIMEOUT).await
             {
                 self.shared
                     .controller
@@ -104,7 +109,7 @@
                     decision,
                 } => (transaction, decision),
             };
-            match self.state.commit(&transaction, WRITE_WAIT).await {
+            match self.state.commit(&transaction, WRITE_TIMEOUT).await {
                 CommitOutcome::Done(revision) => {
                     let mut controller = self.shared.controller.lock();
                     controller.replica.apply_own(&transaction, revision);
@@ -118,8 +123,9 @@
         Decision::Later(Reason::State)
     }
 
+    /// Reads a job that is over from the archive; none if it is not there or cannot be read.
     async fn archived_job(&self, job: &str) -> Option<Archived> {
-        let item = self.state.read(&past_key(job), READ_WAIT).await.ok()??;
+        let item = self.state.read(&past_key(job), READ_TIMEOUT).await.ok()??;
         Some(Archived {
             record: item.value.read().ok()?,
             mod_revision: item.mod_revision,
--- /dev/null
+++ b/src/http/workers.rs
@@ -0,0 +1,112 @@
+//! Heartbeats of workers (PROTOCOL, reports).
+//!
+//! Owns the wait of a worker without tasks. Whatever is answered is what the controller says at the
+//! moment of answering; a worker that waited must never get an answer from before its wait.
+
+use super::responses::{bad_body, refuse, unavailable};
+use super::{ApiState, BodyResult, READ_TIMEOUT};
+use crate::controller::{HeartbeatResponse, NO_TOKEN};
+use crate::protocol::Heartbeat;
+use actix_web::http::StatusCode;
+use actix_web::{HttpResponse, web};
+use std::time::Duration;
+use tokio::sync::oneshot;
+
+/// Which heartbeat a worker waits with: its epoch, and the number of the heartbeat in it.
+type HeartbeatNumber = (u64, u64);
+
+/// `POST /v1/report`: takes a heartbeat, and answers with commands.
+pub(super) async fn heartbeat(api_state: web::Data<ApiState>, body: BodyResult) -> HttpResponse {
+    let Ok(body) = body else {
+        return bad_body();
+    };
+    let heartbeat: Heartbeat = match serde_json::from_slice(&body) {
+        Ok(heartbeat) => heartbeat,
+        Err(parse_error) => return refuse(StatusCode::BAD_REQUEST, &parse_error.to_string()),
+    };
+    let machine = heartbeat.machine.clone();
+    let number = (heartbeat.worker_epoch, heartbeat.sequence);
+    let mut response = api_state.take_heartbeat(heartbeat).await;
+    if let Some(wait) = api_state.wait_for_tasks(&response, &machine, number) {
+        response = api_state.answer_after(wait, &machine, number).await;
+    }
+    into_http(response)
+}
+
+/// Puts the controller's answer into words.
+fn into_http(response: HeartbeatResponse) -> HttpResponse {
+    match response {
+        HeartbeatResponse::HeartbeatAck(ack) => HttpResponse::Ok().json(ack),
+        HeartbeatResponse::Elsewhere(holder) => {
+            HttpResponse::MisdirectedRequest().json(match holder {
+                Some(holder) => serde_json::json!({ "dispatcher": holder }),
+                None => serde_json::json!({}),
+            })
+        }
+        HeartbeatResponse::Unconfirmed | HeartbeatResponse::Unavailable => {
+            unavailable("not in charge of this machine")
+        }
+    }
+}
+
+impl ApiState {
+    /// Takes a heartbeat, if need be after the replica has caught up with the state service.
+    async fn take_heartbeat(&self, heartbeat: Heartbeat) -> HeartbeatResponse {
+        let now = self.shared.now();
+        // Only what shows no fencing token yet may have to be taken once more.
+        let kept = (heartbeat.token == NO_TOKEN).then(|| heartbeat.clone());
+        let response = self.shared.controller.lock().on_heartbeat(heartbeat, now);
+        let (HeartbeatResponse::Unconfirmed, Some(heartbeat)) = (&response, kept) else {
+            return response;
+        };
+        let read_index = &self.shared.read_index;
+        let caught_up = read_index
+            .catch_up(&self.state, self.pause, READ_TIMEOUT)
+            .await;
+        if caught_up.is_err() {
+            return HeartbeatResponse::Unavailable;
+        }
+        let now = self.shared.now();
+        self.shared
+            .controller
+            .lock()
+            .on_confirmed_heartbeat(heartbeat, now)
+    }
+
+    /// How long the answer should wait for a task; none if it should go at once.
+    fn wait_for_tasks(
+        &self,
+        response: &HeartbeatResponse,
+        machine: &str,
+        number: HeartbeatNumber,
+    ) -> Option<Duration> {
+        let HeartbeatResponse::HeartbeatAck(ack) = response else {
+            return None;
+        };
+        if !ack.orders.is_empty() {
+            return None;
+        }
+        let now = self.shared.now();
+        let mut controller = self.shared.controller.lock();
+        let wait_ms = controller.may_wait(machine, number, now)?;
+        Some(Duration::from_millis(wait_ms))
+    }
+
+    /// The answer once a task has come or the wait is over: whichever it was, it is what holds then.
+    async fn answer_after(
+        &self,
+        wait: Duration,
+        machine: &str,
+        number: HeartbeatNumber,
+    ) -> HeartbeatResponse {
+        let (waker, woken) = oneshot::channel();
+        self.shared.waiting.lock().insert(machine.to_owned(), waker);
+        let _ = actix_web::rt::time::timeout(wait, woken).await;
+        self.shared.waiting.lock().remove(machine);
+        let now = self.shared.now();
+        self.shared
+            .controller
+            .lock()
+            .answer_late(machine, number, now)
+    }
+}
--- a/src/jobs/chained.rs
+++ b/src/jobs/chained.rs
@@ -1,15 +1,18 @@
-//! Submissions that name other jobs which have to be done first. Pure.
+//! Submissions that name other jobs which have to be done first (job dependencies).
+//!
+//! Pure: plans the transaction that accepts such a job, holding on to its predecessors by preconditions. A
+//! job must never be accepted while what is known of a predecessor may be out of date.
 
-use super::{accept, is_job_name};
-use crate::controller::{Controller, put};
+use super::{ABSENT, SubmissionError, accept, is_job_name};
+use crate::controller::put;
 use crate::protocol::{JobStatus, Json, Mutation, Precondition, Transaction};
 use crate::records::{JobRecord, NameList, WaitingRecord};
 use crate::replica::{Replica, job_key, past_key, waiting_key};
 use crate::settings::Settings;
 use std::collections::HashSet;
 
-/// Conditions that the service takes for each change that it takes in a transaction (PROTOCOL).
-pub(super) const GUARDS_PER_CHANGE: usize = 4;
+/// Preconditions that the state service takes for each mutation that it takes in a transaction (PROTOCOL).
+pub(super) const PRECONDITIONS_PER_MUTATION: usize = 4;
 
 /// What is known of a job that a submission names.
 #[derive(Debug, Clone, PartialEq)]
@@ -18,7 +21,7 @@
     Done,
     /// Cancelled.
     Cancelled,
-    /// Accepted and not over; the condition holds as long as that is so and its key unchanged.
+    /// Accepted and not over; the precondition holds as long as that is so and its key unchanged.
     Open(Precondition),
     /// Under no watched key: archived, or never accepted.
     Unwatched,
@@ -78,18 +81,17 @@
 
 /// Reads the jobs that a submission names: none if the field is absent, null or empty. A job named
 /// twice counts once.
-pub(super) fn read_awaits(submission: &serde_json::Value) -> Result<Vec<String>, String> {
+pub(super) fn read_awaits(submission: &serde_json::Value) -> Result<Vec<String>, SubmissionError> {
     let list = match submission.get("awaits") {
         None | Some(serde_json::Value::Null) => return Ok(Vec::new()),
         Some(serde_json::Value::Array(list)) => list,
-        Some(_) => return Err("awaits: must be a list of job ids".into()),
+        Some(_) => return Err(SubmissionError::BadPredecessors),
     };
     let mut seen = HashSet::new();
     let mut names = Vec::new();
     for item in list {
-        let Some(name) = item.as_str().filter(|n| is_job_name(n)) else {
-            return Err("awaits: must be a list of job ids".into());
-        };
+        let name = item.as_str().filter(|name| is_job_name(name));
+        let name = name.ok_or(SubmissionError::BadPredecessors)?;
         if seen.insert(name) {
             names.push(name.to_owned());
         }
@@ -97,26 +99,26 @@
     Ok(names)
 }
 
-/// Most unfinished jobs that a submission may name: each of them costs a condition, besides those
-/// that the job is new.
+/// Most unfinished jobs that a submission may name in one transaction: each of them costs a
+/// precondition, besides those that the job is new.
 pub fn most_open(settings: &Settings) -> usize {
-    let preconditions = settings.platform.settings.state.txn_ops * GUARDS_PER_CHANGE;
+    let preconditions = settings.platform.settings.state.txn_ops * PRECONDITIONS_PER_MUTATION;
     preconditions.saturating_sub(absent("").len())
 }
 
-/// Conditions that a job stands under none of its keys.
+/// Preconditions that a job stands under none of its keys.
 pub(super) fn absent(name: &str) -> Vec<Precondition> {
     let keys = [job_key(name), past_key(name), waiting_key(name)];
-    let preconditions = keys.into_iter().map(|k| Precondition {
-        key: k,
-        mod_revision: 0,
+    let preconditions = keys.into_iter().map(|key| Precondition {
+        key,
+        mod_revision: ABSENT,
     });
     preconditions.collect()
 }
 
 /// Plans the transaction that accepts a job which names others.
 ///
-/// Each named job that is not over is held on to by a condition on its key: once the transaction
+/// Each named job that is not over is held on to by a precondition on its key: once the transaction
 /// is carried out, every replica that shows the job shows those that it waits for as well, and none
 /// of them is archived while it does.
 pub fn plan_acceptance(
@@ -142,12 +144,11 @@
     }
     let (found, most) = (predecessors.len(), most_open(settings));
     let waiting = new_waiting_record(record, NameList::from_iter(predecessors));
-    let change = put(&waiting_key(name), &waiting, None);
-    let fits = |c: &Mutation| matches!(c, Mutation::Put { value, .. } if value.size() <= settings.value_bytes());
-    if found > most || !fits(&change) {
+    let mutation = put(&waiting_key(name), &waiting, None);
+    if found > most || mutation.value_bytes() > settings.value_bytes() {
         return Err(ChainError::TooMany { found, most });
     }
-    let mutations = vec![change];
+    let mutations = vec![mutation];
     Ok(Acceptance::Waiting(Transaction {
         preconditions,
         mutations,
@@ -167,14 +168,18 @@
 
 /// Whether a job that a submission names was cancelled. All that it names must have been accepted.
 pub(super) fn names_cancelled(named: &[(String, Predecessor)]) -> Result<bool, ChainError> {
-    let unknown = named.iter().find(|n| n.1 == Predecessor::Unwatched);
+    let unknown = named
+        .iter()
+        .find(|(_, predecessor)| *predecessor == Predecessor::Unwatched);
     if let Some((unknown, _)) = unknown {
         return Err(ChainError::NeverAccepted(unknown.clone()));
     }
-    Ok(named.iter().any(|n| n.1 == Predecessor::Cancelled))
+    let cancelled =
+        |(_, predecessor): &(String, Predecessor)| *predecessor == Predecessor::Cancelled;
+    Ok(named.iter().any(cancelled))
 }
 
-/// The transaction that accepts a job which is cancelled already, under these conditions.
+/// The transaction that accepts a job which is cancelled already, under these preconditions.
 pub(super) fn accept_cancelled(
     name: &str,
     mut record: JobRecord,
@@ -188,8 +193,8 @@
     }
 }
 
-/// The transaction that cancels a job which waits, as it was read at `stamp`. It races in the same
-/// key with its becoming an ordinary job.
+/// The transaction that cancels a job which waits, as it was read at `mod_revision`. It races in
+/// the same key with its becoming an ordinary job.
 pub fn cancel_waiting(name: &str, record: &WaitingRecord, mod_revision: u64) -> Transaction {
     let record = WaitingRecord {
         status: JobStatus::Cancelled,
@@ -236,15 +241,5 @@
     }
 }
 
-impl Controller {
-    /// Whether the value of a job that waits, or of the ordinary job that it becomes, fits into the
-    /// state service.
-    pub fn fits_state_when_ready(&self, record: &JobRecord) -> bool {
-        let mut ready = record.clone();
-        ready.ready_ms = Some(u64::MAX);
-        self.fits_state(&ready)
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/jobs/gradual.rs
+++ b/src/jobs/gradual.rs
@@ -1,13 +1,15 @@
-//! Submissions that name more unfinished jobs than one transaction has conditions for. Pure.
+//! Submissions that name more unfinished jobs than one transaction has preconditions for.
 //!
 //! The value of the waiting job is written several times. Each write adds predecessors and holds on to
-//! them by conditions on their keys, and none of them is archived from then on, so every replica that
+//! them by preconditions on their keys, and none of them is archived from then on, so every replica that
 //! shows the value shows all predecessors in it. Until the last write the job is *incomplete*: its user
 //! has not been told that it is accepted, nobody knows it, and it never becomes ready. One that its user
 //! has given up is dropped by the leader.
+//!
+//! Pure. It must never plan a write that completes the job while a predecessor is not held on to.
 
 use super::chained::{
-    ChainError, GUARDS_PER_CHANGE, Predecessor, absent, accept_cancelled, names_cancelled,
+    ChainError, PRECONDITIONS_PER_MUTATION, Predecessor, absent, accept_cancelled, names_cancelled,
     new_waiting_record,
 };
 use crate::controller::put;
@@ -36,7 +38,8 @@
     Cancelled(Transaction),
 }
 
-/// Plans the next write that accepts a job which names others, all of them accepted.
+/// Plans the next write that accepts a job which names others, all of them accepted. `stored` is what
+/// earlier writes left of it.
 pub fn plan_step(
     name: &str,
     record: &JobRecord,
@@ -47,56 +50,56 @@
     if names_cancelled(named)? {
         return Ok(Step::Cancelled(cancelled(name, record, stored)));
     }
-    let held = stored.map_or(&[][..], |s| s.record.predecessors.names());
-    let mut missing = named.iter().filter_map(|(name, state)| match state {
-        Predecessor::Open(precondition) if !held.contains(name) => {
-            Some((name.clone(), precondition.clone()))
-        }
-        _ => None,
-    });
+    let held = stored.map_or(&[][..], |stored| stored.record.predecessors.names());
+    let mut missing = named
+        .iter()
+        .filter_map(|(name, predecessor)| match predecessor {
+            Predecessor::Open(precondition) if !held.contains(name) => {
+                Some((name.clone(), precondition.clone()))
+            }
+            _ => None,
+        });
     let mut preconditions = own_preconditions(name, stored);
-    let most = settings.platform.settings.state.txn_ops * GUARDS_PER_CHANGE;
+    let max_preconditions = settings.platform.settings.state.txn_ops * PRECONDITIONS_PER_MUTATION;
     let mut predecessors = held.to_vec();
     for (predecessor, precondition) in missing
         .by_ref()
-        .take(most.saturating_sub(preconditions.len()))
+        .take(max_preconditions.saturating_sub(preconditions.len()))
     {
         predecessors.push(predecessor);
         preconditions.push(precondition);
     }
-    let found = predecessors.len();
-    let rest = missing.count();
+    let added_or_held = predecessors.len();
+    let still_missing = missing.count();
     let first = new_waiting_record(record.clone(), NameList::default());
     let record = WaitingRecord {
         predecessors: NameList::from_iter(predecessors),
-        incomplete: rest > 0,
-        ..stored.map_or(first, |s| s.record.clone())
+        incomplete: still_missing > 0,
+        ..stored.map_or(first, |stored| stored.record.clone())
     };
-    let change = put(&waiting_key(name), &record, None);
-    if change.value_bytes() > settings.value_bytes() {
-        let found = found + rest;
+    let mutation = put(&waiting_key(name), &record, None);
+    if mutation.value_bytes() > settings.value_bytes() {
+        let found = added_or_held + still_missing;
         return Err(ChainError::TooLong { found });
     }
-    let mutations = vec![change];
     let transaction = Transaction {
         preconditions,
-        mutations,
+        mutations: vec![mutation],
     };
-    Ok(match rest {
+    Ok(match still_missing {
         0 => Step::Complete(transaction),
         _ => Step::Incomplete(transaction),
     })
 }
 
-/// Conditions that the job is as it was read: absent, or incomplete at a revision.
+/// Preconditions that the job is as it was read: absent, or incomplete at a revision.
 fn own_preconditions(name: &str, stored: Option<Stored>) -> Vec<Precondition> {
     let Some(stored) = stored else {
         return absent(name);
     };
-    let (k, mod_revision) = (waiting_key(name), stored.mod_revision);
     vec![Precondition {
-        key: k,
-        mod_revision,
+        key: waiting_key(name),
+        mod_revision: stored.mod_revision,
     }]
 }
 
@@ -104,8 +107,8 @@
 fn cancelled(name: &str, record: &JobRecord, stored: Option<Stored>) -> Transaction {
     let mut transaction = accept_cancelled(name, record.clone(), own_preconditions(name, stored));
     if stored.is_some() {
-        let drop = waiting_key(name);
-        transaction.mutations.push(Mutation::Delete { key: drop });
+        let key = waiting_key(name);
+        transaction.mutations.push(Mutation::Delete { key });
     }
     transaction
 }
--- /dev/null
+++ b/src/jobs/submission.rs
@@ -0,0 +1,159 @@
+//! Reading and judging a submission: malformed (400), or well-formed but never able to run (422).
+//!
+//! Owns the bounds on what a submission may name. It must never refuse for what may change by itself, such
+//! as machines that are not there yet: such a job waits.
+
+use super::chained;
+use super::errors::{SubmissionError, UnrunnableJob};
+use crate::controller::Controller;
+use crate::placement::Room;
+use crate::protocol::{JobSpec, Submission};
+use crate::records::JobRecord;
+use crate::settings::DONE_RANGE_BYTES;
+
+/// Longest name of a job, and of anything else that a user names, bytes.
+pub(super) const MAX_NAME_BYTES: usize = 120;
+/// Most tasks of a job.
+pub(super) const MAX_TASKS: u32 = 100_000;
+/// Most machine types that a submission lists.
+const MAX_MACHINE_TYPES: usize = 64;
+/// Largest amount or time in a submission.
+const MAX_AMOUNT: f64 = 1e9;
+/// Rounding that a sum of amounts may have against a team's limit.
+const LIMIT_TOLERANCE: f64 = 1e-6;
+/// Ranges of done tasks for which a new job's value must have room.
+const SPARE_DONE_RANGES: usize = 64;
+/// What the name of a job begins with; digits follow.
+const JOB_NAME_PREFIX: &str = "wk-";
+/// Most digits of a job's name.
+const MAX_JOB_NAME_DIGITS: usize = 18;
+
+/// A submission as far as it can be read.
+#[derive(Debug)]
+pub enum Read {
+    /// Well-formed.
+    Good(Box<Submission>),
+    /// Malformed. The name is there if that part of it can be trusted: a job of this name may
+    /// be known, and then a repeat of it must not be refused.
+    Bad(Option<String>, SubmissionError),
+}
+
+/// Whether a name has the form of a job's.
+pub fn is_job_name(name: &str) -> bool {
+    let digits = name.strip_prefix(JOB_NAME_PREFIX).unwrap_or("");
+    (1..=MAX_JOB_NAME_DIGITS).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
+}
+
+/// Reads the body of a submission.
+pub fn read(body: &[u8]) -> Read {
+    let value: serde_json::Value = match serde_json::from_slice(body) {
+        Ok(value) => value,
+        Err(json_error) => return Read::Bad(None, SubmissionError::NotJson(json_error)),
+    };
+    if !value.is_object() {
+        return Read::Bad(None, SubmissionError::NotAnObject);
+    }
+    let name = value.get("ref").and_then(|name| name.as_str());
+    let Some(name) = name.filter(|name| is_job_name(name)).map(str::to_owned) else {
+        return Read::Bad(None, SubmissionError::BadName);
+    };
+    match read_named(value) {
+        Ok(submission) => Read::Good(Box::new(submission)),
+        Err(submission_error) => Read::Bad(Some(name), submission_error),
+    }
+}
+
+/// Reads a submission whose name is good.
+fn read_named(value: serde_json::Value) -> Result<Submission, SubmissionError> {
+    let awaits = chained::read_awaits(&value)?;
+    let submission: Submission =
+        serde_json::from_value(value).map_err(SubmissionError::BadField)?;
+    check(&submission.spec)?;
+    Ok(Submission {
+        awaits,
+        ..submission
+    })
+}
+
+/// Checks the ranges of what a submission says.
+fn check(spec: &JobSpec) -> Result<(), SubmissionError> {
+    if spec.task_count == 0 || spec.task_count > MAX_TASKS {
+        return Err(SubmissionError::BadTaskCount);
+    }
+    let amounts = [
+        ("vcpus", spec.cpus),
+        ("gpus", spec.gpus),
+        ("ramGb", spec.memory_gb),
+        ("sizeGb", spec.image_gb),
+        ("rideS", spec.estimate_s),
+        ("waypointS", spec.checkpoint_s),
+        ("stowS", spec.save_s),
+        ("dueS", spec.due_s.unwrap_or(0.0)),
+    ];
+    for (field, amount) in amounts {
+        if !(amount.is_finite() && (0.0..=MAX_AMOUNT).contains(&amount)) {
+            return Err(SubmissionError::BadAmount(field));
+        }
+    }
+    let names = [&spec.class, &spec.team, &spec.image]
+        .into_iter()
+        .chain(spec.machine_types.iter().flatten())
+        .chain(&spec.zone);
+    for name in names {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
+            return Err(SubmissionError::BadNameLength);
+        }
+    }
+    let listed = spec.machine_types.as_ref().map_or(0, Vec::len);
+    if listed > MAX_MACHINE_TYPES {
+        return Err(SubmissionError::TooManyMachineTypes);
+    }
+    Ok(())
+}
+
+impl Controller {
+    /// Why a job can never run here, if so. The catalog must be known.
+    pub fn never_runs(&self, spec: &JobSpec) -> Option<UnrunnableJob> {
+        let teams = &self.settings.platform.settings.teams;
+        let Some(team) = teams.iter().find(|team| team.name == spec.team) else {
+            return Some(UnrunnableJob::UnknownTeam(spec.team.clone()));
+        };
+        if spec.cpus > team.cpus_max + LIMIT_TOLERANCE
+            || spec.gpus > team.gpus_max + LIMIT_TOLERANCE
+        {
+            return Some(UnrunnableJob::OverTeamLimit {
+                cpus: team.cpus_max,
+                gpus: team.gpus_max,
+            });
+        }
+        let needed = Room {
+            cpus: spec.cpus,
+            gpus: spec.gpus,
+            ram: spec.memory_gb,
+        };
+        let fits = self.machine_types.values().any(|machine_type| {
+            let allowed = spec.machine_types.as_ref();
+            allowed.is_none_or(|labels| labels.contains(&machine_type.label))
+                && spec
+                    .zone
+                    .as_ref()
+                    .is_none_or(|zone| machine_type.zones.contains(zone))
+                && needed.fits(&machine_type.into())
+        });
+        (!fits).then_some(UnrunnableJob::NoMachineType)
+    }
+
+    /// Whether a job's value fits into the state service, with room for the ranges of its done tasks.
+    pub fn fits_state(&self, record: &JobRecord) -> bool {
+        let spare = DONE_RANGE_BYTES * self.settings.open_tasks().min(SPARE_DONE_RANGES);
+        serde_json::to_string(record)
+            .is_ok_and(|value| value.len() + spare <= self.settings.value_bytes())
+    }
+    /// Whether the value of a job that waits, or of the ordinary job that it becomes, fits into the
+    /// state service.
+    pub fn fits_state_when_ready(&self, record: &JobRecord) -> bool {
+        let mut ready = record.clone();
+        ready.ready_ms = Some(u64::MAX);
+        self.fits_state(&ready)
+    }
+}
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -1,6 +1,8 @@
 //! Unit tests of `jobs`.
 
-use super::*;
+use super::{FinalStateCache, Read, accept, new_record, read};
+use crate::controller::Controller;
+use crate::protocol::{JobAnswer, JobSpec, JobStatus};
 use crate::settings::tests::small;
 
 pub(crate) const GOOD: &str = r#"{"ref":"wk-000412","route":"train","crew":"blue",
