--- /dev/null
+++ b/src/controller/heartbeat/reachability.rs
@@ -0,0 +1,117 @@
+//! Whether answers reach the machines whose heartbeats arrive.
+//!
+//! A worker that had our answer comes back to us with its very next heartbeat and without waiting for the answer's
+//! time to run out; one that had none goes round the controllers, shows no launch, and loses its lease although we
+//! answer.
+
+use crate::clock::Timestamp;
+use crate::controller::Controller;
+use crate::controller::held_machines::MachineRuntime;
+use crate::protocol::Heartbeat;
+use tracing::{info, warn};
+
+/// A worker that has waited this long for an answer gives up (PROTOCOL, reports).
+const ANSWER_WAIT_MS: u64 = 4000;
+/// Answers in a row that must be missed, or received, before a machine counts as unreachable, or reachable again.
+const ACKS_IN_A_ROW: u32 = 3;
+/// So long after a stall of this controller its answers may have been late, ms.
+const LATE_AFTER_STALL_MS: u64 = 15_000;
+/// Answers seem to miss their machines through this controller's fault if more than one in so many does...
+const LATE_FRACTION: usize = 10;
+/// ... and more than so many.
+const LATE_MACHINES: usize = 2;
+
+/// What a heartbeat says of the answer to the one before.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum AckEvidence {
+    /// It arrived.
+    Received,
+    /// It did not; how much that counts.
+    Missed(u32),
+    /// It cannot be told.
+    Unclear,
+}
+
+impl Controller {
+    /// Finds out from a heartbeat whether the machine had the answer to the one before.
+    pub(super) fn note_reachability(
+        &self,
+        runtime: &mut MachineRuntime,
+        heartbeat: &Heartbeat,
+        now: Timestamp,
+    ) {
+        let Some(heard_at) = runtime.heard_at else {
+            return;
+        };
+        match self.ack_evidence(runtime, heartbeat, heard_at, now) {
+            AckEvidence::Received => {
+                runtime.missed_acks = 0;
+                runtime.received_acks += 1;
+                if runtime.received_acks >= ACKS_IN_A_ROW
+                    && runtime.unreachable_since.take().is_some()
+                {
+                    info!(machine = heartbeat.machine, "machine reachable again");
+                }
+                return;
+            }
+            AckEvidence::Missed(weight) => runtime.missed_acks += weight,
+            AckEvidence::Unclear => {}
+        }
+        runtime.received_acks = 0;
+        if runtime.missed_acks >= ACKS_IN_A_ROW
+            && runtime.unreachable_since.is_none()
+            && !self.answers_are_late(now)
+        {
+            warn!(
+                machine = heartbeat.machine,
+                "machine unreachable: heartbeats arrive, answers do not reach it"
+            );
+            runtime.unreachable_since = Some(now);
+        }
+    }
+
+    fn ack_evidence(
+        &self,
+        runtime: &MachineRuntime,
+        heartbeat: &Heartbeat,
+        heard_at: Timestamp,
+        now: Timestamp,
+    ) -> AckEvidence {
+        let is_next = heartbeat.worker_epoch == runtime.newest.epoch
+            && heartbeat.sequence == runtime.newest.sequence + 1;
+        let in_time = now.since(heard_at) < self.settings.heartbeat_due_ms().max(ANSWER_WAIT_MS);
+        let shows_launches = runtime.launched.iter().all(|task| {
+            let name = self.replica.names.task_name(*task);
+            heartbeat.tasks.iter().any(|reported| reported.task == name)
+        });
+        let shows_token = heartbeat.token == runtime.fencing_token;
+        if is_next && in_time && shows_launches && shows_token {
+            return AckEvidence::Received;
+        }
+        let answered_within = |ms| runtime.answered_at.is_some_and(|at| now.since(at) < ms);
+        let lost_its_lease = heartbeat.worker_epoch > runtime.newest.epoch;
+        let answered_under_token = runtime
+            .answered_at
+            .is_some_and(|at| at > runtime.held_since);
+        if lost_its_lease && answered_within(self.settings.worker_gone_ms()) {
+            AckEvidence::Missed(2)
+        } else if !shows_launches || !in_time || (!shows_token && answered_under_token) {
+            AckEvidence::Missed(1)
+        } else {
+            AckEvidence::Unclear
+        }
+    }
+
+    /// Whether answers may well be late because this controller is: it was kept from its own
+    /// work, or a good part of its machines seem to miss answers at the same time.
+    pub(super) fn answers_are_late(&self, now: Timestamp) -> bool {
+        let missing = self.held.iter();
+        let missing = missing
+            .filter(|(_, runtime)| runtime.missed_acks > 0)
+            .count();
+        self.pauses
+            .stalled_at
+            .is_some_and(|at| now.since(at) < LATE_AFTER_STALL_MS)
+            || missing > (self.held.len() / LATE_FRACTION).max(LATE_MACHINES)
+    }
+}
--- /dev/null
+++ b/src/controller/heartbeat/reconcile.rs
@@ -0,0 +1,187 @@
+//! The tasks that a heartbeat shows, squared with the queue of their machine.
+//!
+//! Everything the heartbeat shows is taken in, whether or not the machine's type is known: after a restart
+//! while the cloud is away, what seemed absent could be stolen and run twice.
+
+use crate::clock::Timestamp;
+use crate::collections::HashMap;
+use crate::controller::held_machines::{MachineRuntime, TaskRuntime};
+use crate::controller::{Completion, Controller, TaskOutcome};
+use crate::names::{ClassId, MachineId};
+use crate::placement::Room;
+use crate::protocol::{ExitReason, Heartbeat, TaskPhase, TaskStatus};
+use crate::replica::{Binding, Job, Machine, TaskId};
+use tracing::debug;
+
+/// A task of a heartbeat, matched with the queue of its machine.
+#[derive(Debug)]
+pub(super) struct ReportedTask<'a> {
+    /// As the heartbeat shows it.
+    pub(super) status: &'a TaskStatus,
+    /// Its place in the queue. None if the queue does not list this attempt: its completion is recorded
+    /// already, or another attempt took its place. Either way nothing here depends on it any more.
+    pub(super) binding: Option<Binding>,
+    /// When it was first seen running, if the queue lists it.
+    pub(super) running_since: Option<Timestamp>,
+}
+
+impl ReportedTask<'_> {
+    /// Whether it has ended.
+    pub(super) fn has_ended(&self) -> bool {
+        self.status.status == TaskPhase::Ended
+    }
+
+    /// Whether the worker may forget it: it has ended, and that is recorded.
+    pub(super) fn is_to_be_cleared(&self) -> bool {
+        self.has_ended() && self.binding.is_none()
+    }
+}
+
+/// What a heartbeat shows, squared with the queue.
+#[derive(Debug, Default)]
+pub(super) struct Reconciliation<'a> {
+    /// Its tasks, in its order.
+    pub(super) tasks: Vec<ReportedTask<'a>>,
+    /// The tasks that the heartbeat before showed.
+    pub(super) previous_tasks: HashMap<TaskId, TaskRuntime>,
+    /// What the tasks take that have not ended.
+    pub(super) used: Room,
+    /// Bindings that were found to have ended.
+    pub(super) completions: Vec<Completion>,
+    /// Observed run times over their estimates.
+    pub(super) run_time_ratios: Vec<(ClassId, f64)>,
+}
+
+impl Controller {
+    /// Takes the tasks of a heartbeat into the machine's runtime, and finds out which bindings have ended.
+    pub(super) fn reconcile<'a>(
+        &self,
+        machine_id: MachineId,
+        machine: &Machine,
+        runtime: &mut MachineRuntime,
+        heartbeat: &'a Heartbeat,
+        now: Timestamp,
+    ) -> Reconciliation<'a> {
+        let mut reconciliation = Reconciliation {
+            previous_tasks: std::mem::take(&mut runtime.tasks),
+            ..Reconciliation::default()
+        };
+        let queue: HashMap<TaskId, u64> = machine
+            .queue
+            .iter()
+            .map(|binding| (binding.task, binding.attempt))
+            .collect();
+        for status in &heartbeat.tasks {
+            let task = self.replica.names.task(&status.task);
+            let job = task.and_then(|task| self.replica.jobs.get(&task.job));
+            if let (Some(job), false) = (job, status.status == TaskPhase::Ended) {
+                reconciliation.used.add(&job.room(), 1.0);
+            }
+            let previous = task.and_then(|task| reconciliation.previous_tasks.get(&task));
+            let previous = previous.filter(|previous| previous.attempt == status.attempt);
+            let reported = match_task(status, task, &queue, previous, now);
+            if let Some(task) = task {
+                let seen = TaskRuntime::new(status, reported.running_since);
+                runtime.tasks.insert(task, seen);
+            }
+            if let Some(binding) = reported.binding {
+                log_status_change(heartbeat, status, previous);
+                let completion = believed_completion(binding, status, heartbeat, runtime);
+                let unknown = !self.completions.is_pending(machine_id, &binding);
+                if let Some(completion) = completion.filter(|_| unknown) {
+                    let ratio =
+                        job.and_then(|job| run_time_ratio(job, &completion, previous?, now));
+                    reconciliation.run_time_ratios.extend(ratio);
+                    reconciliation.completions.push(completion);
+                }
+            }
+            reconciliation.tasks.push(reported);
+        }
+        reconciliation
+    }
+}
+
+/// Finds a task of a heartbeat in the queue, and when it was first seen running.
+fn match_task<'a>(
+    status: &'a TaskStatus,
+    task: Option<TaskId>,
+    queue: &HashMap<TaskId, u64>,
+    previous: Option<&TaskRuntime>,
+    now: Timestamp,
+) -> ReportedTask<'a> {
+    let listed = task.filter(|task| queue.get(task) == Some(&status.attempt));
+    let binding = listed.map(|task| Binding {
+        task,
+        attempt: status.attempt,
+    });
+    let first_seen = (status.status == TaskPhase::Running).then_some(now);
+    let running_since = previous
+        .and_then(|previous| previous.running_since)
+        .or(first_seen);
+    ReportedTask {
+        status,
+        binding,
+        running_since: running_since.filter(|_| binding.is_some()),
+    }
+}
+
+/// How a listed task has ended, if it has and the heartbeat is to be believed.
+///
+/// Anything but success is believed only if it was reported under our token and no other attempt is there.
+/// Guards against a copy from an earlier epoch, which may show an attempt that has been started again since.
+fn believed_completion(
+    binding: Binding,
+    status: &TaskStatus,
+    heartbeat: &Heartbeat,
+    runtime: &MachineRuntime,
+) -> Option<Completion> {
+    if status.status != TaskPhase::Ended {
+        return None;
+    }
+    let outcome = match status.cause {
+        Some(ExitReason::Done) => TaskOutcome::Done,
+        Some(ExitReason::Error) => TaskOutcome::Failed,
+        _ => TaskOutcome::Free,
+    };
+    let proven = runtime.fenced && !shows_another_live_attempt(heartbeat, status);
+    let believed = outcome == TaskOutcome::Done || proven;
+    believed.then_some(Completion { binding, outcome })
+}
+
+/// Whether a heartbeat shows another attempt of a task that has not ended.
+fn shows_another_live_attempt(heartbeat: &Heartbeat, status: &TaskStatus) -> bool {
+    heartbeat.tasks.iter().any(|other| {
+        other.task == status.task
+            && other.attempt != status.attempt
+            && other.status != TaskPhase::Ended
+    })
+}
+
+/// Run time of a task that is done over its owner's estimate, if it was seen running.
+fn run_time_ratio(
+    job: &Job,
+    completion: &Completion,
+    previous: &TaskRuntime,
+    now: Timestamp,
+) -> Option<(ClassId, f64)> {
+    let was_running = previous.status == TaskPhase::Running;
+    let has_estimate = job.spec.estimate_s > 0.0;
+    if completion.outcome != TaskOutcome::Done || !was_running || !has_estimate {
+        return None;
+    }
+    let ran_s = now.since(previous.running_since?) as f64 / 1000.0;
+    Some((job.class, ran_s / job.spec.estimate_s))
+}
+
+fn log_status_change(heartbeat: &Heartbeat, status: &TaskStatus, previous: Option<&TaskRuntime>) {
+    if previous.is_none_or(|previous| previous.status != status.status) {
+        debug!(
+            task = status.task,
+            attempt = status.attempt,
+            machine = heartbeat.machine,
+            status = ?status.status,
+            cause = ?status.cause,
+            "task status changed"
+        );
+    }
+}
--- a/src/controller/held_machines/runtime.rs
+++ b/src/controller/held_machines/runtime.rs
@@ -125,6 +125,12 @@
         self.fenced && !self.presumed_dead
     }
 
+    /// Whether the machine itself is no place for new tasks: it is being reclaimed, fails what it starts, or
+    /// receives no answers.
+    pub(in crate::controller) fn is_draining(&self) -> bool {
+        self.quarantined || self.reclaim_at.is_some() || self.unreachable_since.is_some()
+    }
+
     /// Whether a task is, or may be, on the machine: its last heartbeat shows it, or the answer launched it.
     pub(crate) fn may_have(&self, task: TaskId) -> bool {
         self.tasks.contains_key(&task) || self.launched.contains(&task)
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -27,7 +27,7 @@
 pub(crate) use formats::FormatTracker;
 pub(crate) use heartbeat::NO_TOKEN;
 pub(crate) use held_machines::HeldMachines;
-pub(crate) use held_machines::{HeartbeatNumber, MachineRuntime, PeerState, TaskRuntime};
+pub(crate) use held_machines::{MachineRuntime, PeerState, TaskRuntime};
 pub(crate) use membership::Membership;
 pub use metrics::Counters;
 pub use outcomes::{Move, TaskOutcome};
@@ -39,17 +39,15 @@
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
 use crate::leadership::LeaderState;
-use crate::names::{ClassId, HostId, JobId, MachineId, MachineTypeId, TeamId, ZoneId};
+use crate::names::{HostId, JobId, MachineId, MachineTypeId, TeamId, ZoneId};
 use crate::placement::Room;
 use crate::protocol::{
-    Command, ExitReason, Heartbeat, HeartbeatAck, JobStatus, Json, MachineType, Mutation,
-    PeerMessage, TaskPhase, TaskStatus, Transaction, WatchResponse,
+    JobStatus, Json, MachineType, Mutation, PeerMessage, Transaction, WatchResponse,
 };
 use crate::ranges::RangeSet;
 use crate::records::{CURRENT_FORMAT, ControllerRecord, HolderRecord, SPILLOVER_FORMAT};
 use crate::replica::{
-    Binding, BlockId, FencingToken, Holder, Incarnation, Replica, TaskId, block_key, grant_key,
-    job_key, node_key,
+    Binding, BlockId, Holder, Incarnation, Replica, block_key, grant_key, job_key, node_key,
 };
 use crate::settings::Settings;
 use crate::spillover::Spillover;
@@ -57,7 +55,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
-use tracing::{debug, error, info, warn};
+use tracing::{error, info, warn};
 
 /// The state of one controller.
 pub struct Controller {
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,6 +1,7 @@
 //! Unit tests of `core`.
 
 use super::*;
+use crate::protocol::Heartbeat;
 
 /// The types that stories rent.
 pub(crate) fn catalog() -> crate::protocol::Catalog {
