--- a/src/controller/queue_load.rs
+++ b/src/controller/queue_load.rs
@@ -162,6 +162,6 @@
         zone: job.zone,
         spot: spec.spot,
         one_zone: spec.one_zone,
-        zone_most: spec.spread.then(|| spec.task_count.div_ceil(2)),
+        max_per_zone: spec.spread.then(|| spec.task_count.div_ceil(2)),
     }
 }
--- a/src/controller/usage.rs
+++ b/src/controller/usage.rs
@@ -17,8 +17,15 @@
         for t in &self.settings.platform.settings.teams {
             if let Some(job_id) = self.replica.names.teams.get(&t.name) {
                 let (cpus, gpus) = most(t);
-                let ram = 0.0;
-                room.insert(job_id, Room { cpus, gpus, ram });
+                let memory_gb = 0.0;
+                room.insert(
+                    job_id,
+                    Room {
+                        cpus,
+                        gpus,
+                        memory_gb,
+                    },
+                );
             }
         }
         for m in self.replica.machines.values() {
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -1,8 +1,11 @@
-//! Which jobs need which others, and how pressing that makes them. Pure.
+//! Which jobs need which others, and how pressing that makes them.
+//!
+//! Owns the graph of dependencies, and nothing else of a job. It is pure: what is done or cancelled is
+//! the replica's to say.
 //!
 //! The graph holds the jobs that wait and the jobs that they wait for. Users submit a chain from its
-//! beginning to its end, so what a new job asks of its predecessors is passed on upwards only as far
-//! as it changes something.
+//! beginning to its end, so what a new job asks of its predecessors is propagated upwards only as
+//! far as it changes something.
 
 use crate::collections::{HashMap, HashSet};
 use crate::names::JobId;
@@ -33,8 +36,8 @@
     /// The more pressing of both in each respect.
     fn combine(self, other: Importance) -> Importance {
         let start_by_ms = match (self.start_by_ms, other.start_by_ms) {
-            (Some(a), Some(b)) => Some(a.min(b)),
-            (a, b) => a.or(b),
+            (Some(this), Some(that)) => Some(this.min(that)),
+            (this, that) => this.or(that),
         };
         Importance {
             priority: self.priority.min(other.priority),
@@ -66,12 +69,12 @@
         if self.waiting.contains_key(&job) {
             return;
         }
-        for &p in &predecessors {
-            self.dependents.entry(p).or_default().push(job);
+        for &predecessor in &predecessors {
+            self.dependents.entry(predecessor).or_default().push(job);
         }
         let changed = predecessors.clone();
         self.waiting.insert(job, Waiting { own, predecessors });
-        self.pass_on(changed);
+        self.propagate(changed);
     }
 
     /// Takes out a job that waits no longer; returns the jobs that it waited for.
@@ -79,21 +82,22 @@
         let Some(removed) = self.waiting.remove(&job) else {
             return Vec::new();
         };
-        for p in &removed.predecessors {
-            if let Some(dependents) = self.dependents.get_mut(p) {
-                dependents.retain(|&d| d != job);
+        for predecessor in &removed.predecessors {
+            if let Some(dependents) = self.dependents.get_mut(predecessor) {
+                dependents.retain(|&dependent| dependent != job);
                 if dependents.is_empty() {
-                    self.dependents.remove(p);
+                    self.dependents.remove(predecessor);
                 }
             }
         }
-        self.pass_on(removed.predecessors.clone());
+        self.propagate(removed.predecessors.clone());
         removed.predecessors
     }
 
     /// The jobs that a waiting job needs.
     pub fn predecessors(&self, job: JobId) -> &[JobId] {
-        self.waiting.get(&job).map_or(&[], |w| &w.predecessors)
+        let waiting = self.waiting.get(&job);
+        waiting.map_or(&[], |waiting| &waiting.predecessors)
     }
 
     /// Whether some job waits for this one.
@@ -112,10 +116,10 @@
         let mut order = Vec::new();
         let mut queue = vec![job];
         while let Some(next) = queue.pop() {
-            for &d in self.dependents.get(&next).into_iter().flatten() {
-                if found.insert(d) {
-                    order.push(d);
-                    queue.push(d);
+            for &dependent in self.dependents.get(&next).into_iter().flatten() {
+                if found.insert(dependent) {
+                    order.push(dependent);
+                    queue.push(dependent);
                 }
             }
         }
@@ -139,12 +143,12 @@
         })
     }
 
-    /// Works out anew what others make of these jobs, and of those before them as far as that
-    /// changes anything.
-    fn pass_on(&mut self, mut changed: Vec<JobId>) {
+    /// Recomputes what others make of these jobs, and of those before them as far as that changes
+    /// anything.
+    fn propagate(&mut self, mut changed: Vec<JobId>) {
         while let Some(job) = changed.pop() {
             let dependents = self.dependents.get(&job).into_iter().flatten();
-            let all = dependents.filter_map(|&d| self.importance(d));
+            let all = dependents.filter_map(|&dependent| self.importance(dependent));
             let inherited = all.reduce(Importance::combine);
             if inherited == self.inherited(job) {
                 continue;
--- a/src/jobs/submission.rs
+++ b/src/jobs/submission.rs
@@ -129,7 +129,7 @@
         let needed = Room {
             cpus: spec.cpus,
             gpus: spec.gpus,
-            ram: spec.memory_gb,
+            memory_gb: spec.memory_gb,
         };
         let fits = self.machine_types.values().any(|machine_type| {
             let allowed = spec.machine_types.as_ref();
--- a/src/leadership/binding/tests.rs
+++ b/src/leadership/job_order/tests.rs
@@ -1,8 +1,10 @@
 //! Unit tests of the order of jobs.
 
-use super::*;
+use crate::controller::Controller;
 use crate::jobs::tests::{GOOD, job_of};
 use crate::jobs::{Read, read};
+use crate::names::{Index, JobId};
+use crate::replica::Job;
 use crate::settings::tests::small;
 
 const SUBMITTED_MS: u64 = 1_700_000_000_000;
@@ -26,7 +28,11 @@
 
 fn slack_at(seconds: u64, due_s: Option<f64>) -> f64 {
     let (controller, job) = at(seconds, due_s);
-    controller.slack_s(JobId::from_raw(0), &job).0
+    let run_s = controller.run_s(&job);
+    let slack = controller
+        .job_order()
+        .slack(JobId::from_raw(0), &job, run_s);
+    slack.left_s
 }
 
 #[test]
--- a/src/leadership/machines.rs
+++ b/src/leadership/machines.rs
@@ -99,9 +99,9 @@
     /// Machines that may take tasks now, if their blocks can be written; on request also those
     /// that are closed, and those whose blocks can be written ahead of their turn.
     pub(crate) fn slots(&self, closed_too: bool, early_too: bool, now: Timestamp) -> Vec<Slot> {
-        let open = self.open_blocks(now);
+        let open = self.writable_blocks(now);
         let early = match early_too {
-            true => self.early_blocks(now),
+            true => self.blocks_writable_ahead_of_turn(now),
             false => HashSet::default(),
         };
         let cheapest = self.cheapest();
@@ -132,12 +132,12 @@
                 spot: m.spot,
                 size,
                 used: self.used(m.queue.iter().chain(coming)),
-                load: self.known_load(machine_id, now),
+                load_s: self.known_load(machine_id, now),
                 fetch_gb_per_s: machine_type.fetch_gb_per_s,
-                warm: images.iter().copied().collect(),
-                dear: is_dear(machine_type, m.spot, cheapest),
-                closed,
-                early: !regular,
+                cached_images: images.iter().copied().collect(),
+                expensive: is_dear(machine_type, m.spot, cheapest),
+                cordoned: closed,
+                ahead_of_turn: !regular,
             });
         }
         slots
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -4,11 +4,14 @@
 mod binding;
 mod binding_turns;
 mod block_edits;
+mod block_sizes;
 mod boot_times;
 mod cloud_inventory;
 mod grants;
 mod grants_seen;
 mod job_dependencies;
+mod job_order;
+mod machine_placement;
 mod machines;
 mod observations;
 mod preemption;
@@ -18,19 +21,13 @@
 
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
-use crate::controller::completions::TXN_BYTES;
 use crate::controller::writes::WriteIntent;
 use crate::controller::{Controller, Effect, WriteKind, needs_of, put};
-use crate::names::{HostId, Index, JobId, MachineId, MachineTypeId, TeamId, ZoneId};
-use crate::placement::{self, Candidate, Limits, Room, Slot};
-use crate::protocol::{
-    CloudMachine, JobStatus, MachineType, Mutation, Priority, RentRequest, Transaction,
-};
-use crate::ranges::RangeSet;
+use crate::names::{HostId, Index, JobId, MachineId};
+use crate::placement::{Room, Slot};
+use crate::protocol::{CloudMachine, JobStatus, MachineType, RentRequest, Transaction};
 use crate::records::HolderRecord;
-use crate::replica::{
-    Binding, BlockId, CATALOG, Job, LEAD, TaskId, Term, block_key, grant_key, job_key, past_key,
-};
+use crate::replica::{Binding, BlockId, CATALOG, Job, LEAD, Term, grant_key};
 use crate::scaling::{self, BusyMachine, CapacityPool, Demand, Offer, Rented, Rules};
 use binding_turns::BindingTurns;
 use cloud_inventory::{CloudInventory, NewMachine};
@@ -40,7 +37,7 @@
 use rent_requests::RentRequests;
 use scale_in::ScaleIn;
 use std::collections::BTreeMap;
-use tracing::{debug, info};
+use tracing::info;
 
 /// Shortest time that the cloud charges a machine for (PROTOCOL, catalog).
 const LEAST_CHARGE_S: f64 = 60.0;
@@ -134,10 +131,3 @@
         runtime.map_or(0, |runtime| runtime.task_count())
     }
 }
-
-/// Tasks to be bound, and tasks to be stopped for them.
-#[derive(Debug, Clone, Default)]
-pub(crate) struct BindPlan {
-    bindings: Vec<placement::PlannedBinding>,
-    evict: HashMap<MachineId, Vec<Binding>>,
-}
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,7 +1,8 @@
-//! Unit tests of `queue`.
+//! Unit tests of `placement`.
 
-use super::*;
-use crate::names::Index;
+use super::{Candidate, Limits, Needs, PlannedBinding, Room, Slot, plan};
+use crate::collections::{HashMap, HashSet};
+use crate::names::{ImageId, Index, JobId, MachineId, MachineTypeId, TeamId, ZoneId};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -14,15 +15,15 @@
         size: Room {
             cpus,
             gpus: 0.0,
-            ram: cpus * 4.0,
+            memory_gb: cpus * 4.0,
         },
         used: Room::default(),
-        load: 0.0,
+        load_s: 0.0,
         fetch_gb_per_s: 0.5,
-        warm: HashSet::default(),
-        dear: false,
-        closed: false,
-        early: false,
+        cached_images: HashSet::default(),
+        expensive: false,
+        cordoned: false,
+        ahead_of_turn: false,
     }
 }
 
@@ -31,13 +32,13 @@
         room: Room {
             cpus: 1.0,
             gpus: 0.0,
-            ram: 1.0,
+            memory_gb: 1.0,
         },
         machine_types: None,
         zone: None,
         spot: true,
         one_zone: false,
-        zone_most: None,
+        max_per_zone: None,
     }
 }
 
@@ -50,10 +51,10 @@
         needs,
         run_s: 10.0,
         tasks: (0..n).collect(),
-        zones: HashMap::default(),
+        bound_by_zone: HashMap::default(),
         overdue: false,
-        early: false,
-        spare: false,
+        ahead_of_turn: false,
+        beyond_share: false,
     }
 }
 
@@ -61,8 +62,8 @@
     ahead_s: 3.0,
     sample: 16,
     most: 100,
-    lasting_s: f64::INFINITY,
-    scarce_s: 0.0,
+    longest_on_expensive_s: f64::INFINITY,
+    ordinary_penalty_s: 0.0,
 };
 
 /// Plans for one team that may use so many CPUs more.
@@ -102,7 +103,7 @@
 fn a_machine_is_kept_for_the_job_that_waits_for_room() {
     let mut full = slot(0, 0, 4.0);
     full.used.cpus = 3.0;
-    full.load = 20.0;
+    full.load_s = 20.0;
     assert!(plan_all(&mut [full], &mut big_before_small(), 99.0).is_empty());
 }
 
@@ -119,7 +120,7 @@
 #[test]
 fn tasks_go_where_their_image_is_and_then_to_the_lightest() {
     let mut slots = [slot(0, 0, 2.0), slot(1, 0, 2.0)];
-    slots[1].warm.insert(ImageId::from_raw(0));
+    slots[1].cached_images.insert(ImageId::from_raw(0));
     assert_eq!(run(&mut slots, job(3, needs()), 99.0), [1, 1, 0]);
 }
 
@@ -127,13 +128,13 @@
 fn long_tasks_avoid_expensive_machines_when_little_waits() {
     // A large dear machine was held to the end of the day for the longest of its tasks.
     let mut slots = [slot(0, 0, 2.0), slot(1, 0, 8.0)];
-    slots[1].dear = true;
+    slots[1].expensive = true;
     let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Room::from_cpus(99.0))]);
     let mut short = job(4, needs());
     (short.job, short.run_s) = (JobId::from_raw(1), 5.0);
     let mut jobs = [job(4, needs()), short];
     let limits = Limits {
-        lasting_s: 9.0,
+        longest_on_expensive_s: 9.0,
         ..LIMITS
     };
     let mut rng = SmallRng::seed_from_u64(1);
@@ -147,12 +148,12 @@
 fn what_has_waited_for_long_goes_to_any_machine_that_fits() {
     // A machine closed to save money, or too dear for long tasks, kept its room for nobody.
     let limits = Limits {
-        lasting_s: 9.0,
+        longest_on_expensive_s: 9.0,
         ..LIMITS
     };
     let bound = |overdue, dear, closed| {
         let mut slots = [slot(0, 0, 8.0)];
-        (slots[0].dear, slots[0].closed) = (dear, closed);
+        (slots[0].expensive, slots[0].cordoned) = (dear, closed);
         let mut waiting = job(3, needs());
         waiting.overdue = overdue;
         let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Room::from_cpus(99.0))]);
@@ -181,7 +182,7 @@
     assert!(at.iter().all(|&m| m == at[0]), "{at:?}");
 
     let spread = Needs {
-        zone_most: Some(2),
+        max_per_zone: Some(2),
         ..needs()
     };
     let mut slots = [slot(0, 0, 8.0), slot(1, 1, 1.0)];
@@ -200,10 +201,10 @@
 #[test]
 fn a_machine_whose_turn_has_not_come_takes_only_what_others_wait_for() {
     let mut slots = [slot(0, 0, 4.0), slot(1, 0, 4.0)];
-    slots[0].early = true;
+    slots[0].ahead_of_turn = true;
     let ordinary = job(8, needs());
     let mut chained = job(2, needs());
-    (chained.job, chained.early) = (JobId::from_raw(1), true);
+    (chained.job, chained.ahead_of_turn) = (JobId::from_raw(1), true);
     let limits = Limits {
         ahead_s: 0.0,
         ..LIMITS
@@ -229,10 +230,10 @@
 fn tasks_that_may_run_on_spot_machines_leave_ordinary_ones_to_those_that_may_not() {
     let mut slots = [slot(0, 0, 4.0), slot(1, 0, 4.0)];
     slots[1].spot = true;
-    slots[0].load = 0.0;
-    slots[1].load = 9.0;
+    slots[0].load_s = 0.0;
+    slots[1].load_s = 9.0;
     let limits = Limits {
-        scarce_s: 2.0,
+        ordinary_penalty_s: 2.0,
         ..LIMITS
     };
     let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Room::from_cpus(100.0))]);
--- a/src/replica/job.rs
+++ b/src/replica/job.rs
@@ -105,7 +105,7 @@
         crate::placement::Room {
             cpus: self.spec.cpus,
             gpus: self.spec.gpus,
-            ram: self.spec.memory_gb,
+            memory_gb: self.spec.memory_gb,
         }
     }
 
--- a/src/scaling/tests.rs
+++ b/src/scaling/tests.rs
@@ -20,7 +20,7 @@
         size: Room {
             cpus,
             gpus: 0.0,
-            ram: cpus * 4.0,
+            memory_gb: cpus * 4.0,
         },
         zones: vec![ZoneId::from_raw(0), ZoneId::from_raw(1)],
         price,
--- a/src/spillover/load.rs
+++ b/src/spillover/load.rs
@@ -47,11 +47,11 @@
             if left == 0 {
                 continue;
             }
-            let (tier, slack) = self.rank(job_id, job);
+            let rank = self.rank(job_id, job);
             let lendable = self.is_lendable(job_id, job) && !underway.contains(&job_id);
             order.push((
-                tier,
-                slack,
+                rank.tier,
+                rank.order_s,
                 job_id,
                 self.waiting_job(name, job, left, lendable),
             ));
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -130,8 +130,7 @@
             return false;
         };
         let needs = needs_of(job);
-        let bound_to_zones = needs.one_zone || needs.zone_most.is_some();
         needs.suits(to.machine_type, to.zone, to.spot, &size)
-            && (!bound_to_zones || from.zone == to.zone)
+            && (!needs.depends_on_other_tasks() || from.zone == to.zone)
     }
 }
