--- a/tests/behaviour_digest.rs
+++ b/tests/behaviour_digest.rs
@@ -13,7 +13,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::sync::Mutex;
-use support::cells::{Cells, Way};
+use support::cells::{CellLink, Cells};
 use support::days::{self, DayPlan};
 use support::digest::{self, Summary};
 use support::{StoreFault, World, search};
@@ -56,7 +56,7 @@
 struct DayReport {
     day: usize,
     line: String,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
 #[test]
@@ -86,13 +86,16 @@
     results
         .iter()
         .for_each(|result| println!("{}", result.line));
-    let broken: Vec<&String> = results.iter().flat_map(|result| &result.broken).collect();
-    assert!(broken.is_empty(), "{broken:#?}");
+    let violations: Vec<&String> = results
+        .iter()
+        .flat_map(|result| &result.violations)
+        .collect();
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
 fn play(day: usize, kind: &Kind, seed: u64) -> DayReport {
     let name = format!("{}-{seed}", kind.name);
-    let (summary, broken) = digest::record(&name, || (kind.play)(seed));
+    let (summary, violations) = digest::record(&name, || (kind.play)(seed));
     let Summary {
         messages,
         bytes,
@@ -104,16 +107,16 @@
             "{} {seed} {messages} messages {bytes} bytes {digest}",
             kind.name
         ),
-        broken,
+        violations,
     }
 }
 
-/// Faults of every kind come by chance and overlap.
+/// Faults of every kind come at random and overlap.
 fn random_faults(seed: u64) -> Vec<String> {
     let plan = DayPlan {
         seed,
         machines: 12 + (seed % 4) as usize * 8,
-        troubles: 25,
+        faults: 25,
         restarts: !seed.is_multiple_of(3),
     };
     days::play(plan).err().unwrap_or_default()
@@ -159,48 +162,48 @@
 /// Jobs, chained ones among them, cancellations and faults; meanwhile these controllers are replaced by
 /// ones of this version, and then the state service lowers its limits.
 fn submissions_and_faults(world: &mut World, seed: u64, mut to_replace: Vec<usize>) -> Vec<String> {
-    let mut luck = SmallRng::seed_from_u64(seed);
+    let mut rng = SmallRng::seed_from_u64(seed);
     let mut jobs: Vec<String> = Vec::new();
     for round in 1..=36 {
         if round % 6 == 0
             && let Some(controller) = to_replace.pop()
         {
-            let away_ms = luck.random_range(200..4000);
+            let away_ms = rng.random_range(200..4000);
             restart_as_new(world, controller, away_ms);
             if to_replace.is_empty() {
                 world.run(3000);
                 lower_limits(world);
             }
         }
-        submit(world, &mut luck, round, &mut jobs);
-        cancel(world, &mut luck, &jobs);
-        let controller = luck.random_range(0..world.controllers.len());
-        match luck.random_range(0..10) {
-            kind @ 0..=4 => world.trouble(controller, kind, &mut luck),
-            5 => world.links[controller].state = StoreFault::FaultyStore,
-            6 => world.freeze(controller, luck.random_range(500..5000)),
+        submit(world, &mut rng, round, &mut jobs);
+        cancel(world, &mut rng, &jobs);
+        let controller = rng.random_range(0..world.controllers.len());
+        match rng.random_range(0..10) {
+            kind @ 0..=4 => world.inject_fault(controller, kind, &mut rng),
+            5 => world.links[controller].state = StoreFault::Intermittent,
+            6 => world.pause(controller, rng.random_range(500..5000)),
             7 | 8 => world.heal(),
             _ => {}
         }
-        world.run_asking(luck.random_range(500..4000), &jobs);
+        world.run_asking(rng.random_range(500..4000), &jobs);
     }
     world.heal();
     world.run_asking(60_000, &jobs);
-    std::mem::take(&mut world.broken)
+    std::mem::take(&mut world.violations)
 }
 
 /// Submits a job, sometimes one that waits for others.
-fn submit(world: &mut World, luck: &mut SmallRng, number: u32, jobs: &mut Vec<String>) {
-    let mut spec = world.spec(luck.random_range(1..24));
-    spec.team = ["blue", "red", "guest"][luck.random_range(0..3)].into();
-    if luck.random_bool(0.3) {
+fn submit(world: &mut World, rng: &mut SmallRng, number: u32, jobs: &mut Vec<String>) {
+    let mut spec = world.spec(rng.random_range(1..24));
+    spec.team = ["blue", "red", "guest"][rng.random_range(0..3)].into();
+    if rng.random_bool(0.3) {
         spec.priority = Priority::Urgent;
     }
-    world.run_ms = luck.random_range(2000..20_000);
-    let named: Vec<String> = (0..luck.random_range(0..3))
-        .filter_map(|_| jobs.get(luck.random_range(0..jobs.len().max(1))).cloned())
+    world.run_ms = rng.random_range(2000..20_000);
+    let named: Vec<String> = (0..rng.random_range(0..3))
+        .filter_map(|_| jobs.get(rng.random_range(0..jobs.len().max(1))).cloned())
         .collect();
-    let controller = luck.random_range(0..world.controllers.len());
+    let controller = rng.random_range(0..world.controllers.len());
     let accepted = match named.is_empty() {
         true => Some(world.submit(number, spec)),
         false => world.submit_after(controller, number, spec, &named),
@@ -209,71 +212,68 @@
 }
 
 /// Sometimes a user cancels a job.
-fn cancel(world: &mut World, luck: &mut SmallRng, jobs: &[String]) {
-    if jobs.is_empty() || !luck.random_bool(0.15) {
+fn cancel(world: &mut World, rng: &mut SmallRng, jobs: &[String]) {
+    if jobs.is_empty() || !rng.random_bool(0.15) {
         return;
     }
-    let job = &jobs[luck.random_range(0..jobs.len())];
+    let job = &jobs[rng.random_range(0..jobs.len())];
     if world.is_open(job) {
-        let controller = luck.random_range(0..world.controllers.len());
+        let controller = rng.random_range(0..world.controllers.len());
         world.cancel_through(controller, job);
     }
 }
 
-/// Three cells lend each other jobs while faults come by chance in and between them.
+/// Three cells lend each other jobs while faults come at random in and between them.
 fn spillover(seed: u64) -> Vec<String> {
-    let mut luck = SmallRng::seed_from_u64(seed);
+    let mut rng = SmallRng::seed_from_u64(seed);
     let mut cells = Cells::new(seed, &[2, 5, 4]);
-    if luck.random_bool(0.5) {
-        cells.copies = vec![
-            luck.random_range(200..5000),
-            luck.random_range(5000..60_000),
-        ];
+    if rng.random_bool(0.5) {
+        cells.request_copies = vec![rng.random_range(200..5000), rng.random_range(5000..60_000)];
     }
     let mut jobs: Vec<(usize, String)> = Vec::new();
     for _ in 0..12 {
-        let cell = luck.random_range(0..4usize).saturating_sub(1);
-        let (count, tasks) = (luck.random_range(1..6), luck.random_range(1..7));
+        let cell = rng.random_range(0..4usize).saturating_sub(1);
+        let (count, tasks) = (rng.random_range(1..6), rng.random_range(1..7));
         for world in &mut cells.cells {
-            world.run_ms = luck.random_range(2000..25_000);
+            world.run_ms = rng.random_range(2000..25_000);
         }
         let submitted = cells.submit_many(cell, count, tasks);
         jobs.extend(submitted.into_iter().map(|job| (cell, job)));
-        let (cell, job) = &jobs[luck.random_range(0..jobs.len())];
+        let (cell, job) = &jobs[rng.random_range(0..jobs.len())];
         let world = &mut cells.cells[*cell];
-        if luck.random_bool(0.3) && world.is_open(job) && !world.state.out {
+        if rng.random_bool(0.3) && world.is_open(job) && !world.state.out {
             world.cancel(job);
         }
-        fault_between_cells(&mut cells, &mut luck);
-        cells.run(luck.random_range(200..12_000));
-        if luck.random_bool(0.4) {
+        fault_between_cells(&mut cells, &mut rng);
+        cells.run(rng.random_range(200..12_000));
+        if rng.random_bool(0.4) {
             cells.heal();
         }
     }
     cells.heal();
     cells.run(60_000);
-    let broken = cells.cells.iter().flat_map(|world| &world.broken);
+    let violations = cells.cells.iter().flat_map(|world| &world.violations);
     // A start that was on its way when the job's end was recorded breaks no rule.
-    let broken = broken.filter(|rule| !rule.ends_with("is launched after its job is done"));
-    broken.chain(&cells.broken).cloned().collect()
+    let violations = violations.filter(|rule| !rule.ends_with("is launched after its job is done"));
+    violations.chain(&cells.violations).cloned().collect()
 }
 
-fn fault_between_cells(cells: &mut Cells, luck: &mut SmallRng) {
+fn fault_between_cells(cells: &mut Cells, rng: &mut SmallRng) {
     let count = cells.cells.len();
-    let (cell, other) = (luck.random_range(0..count), luck.random_range(0..count));
-    let controller = luck.random_range(0..3usize);
-    let ms = luck.random_range(500..20_000);
-    match luck.random_range(0..10) {
+    let (cell, other) = (rng.random_range(0..count), rng.random_range(0..count));
+    let controller = rng.random_range(0..3usize);
+    let ms = rng.random_range(500..20_000);
+    match rng.random_range(0..10) {
         0 => cells.cells[cell].crash(controller),
         1 => cells.cells[cell].outage(true),
-        2 => cells.cells[cell].freeze(controller, ms),
-        3 => cells.cells[cell].links[controller].state = StoreFault::FaultyStore,
-        4 => cells.cells[cell].strand(controller),
+        2 => cells.cells[cell].pause(controller, ms),
+        3 => cells.cells[cell].links[controller].state = StoreFault::Intermittent,
+        4 => cells.cells[cell].isolate(controller),
         5 => cells.cut_off(cell),
-        6 => cells.ways[cell][other] = Way::LosesAnswers,
-        7 => cells.ways[cell][other] = Way::Late(ms),
+        6 => cells.cell_links[cell][other] = CellLink::LosesAnswers,
+        7 => cells.cell_links[cell][other] = CellLink::Late(ms),
         8 => {
-            cells.shut.insert((cell, controller));
+            cells.refusing.insert((cell, controller));
         }
         _ => {}
     }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -55,7 +55,8 @@
     #[allow(dead_code)]
     pub struct JobSpec {
         pub route: String,
-        pub crew: String,
+        #[serde(rename = "crew")]
+        pub team: String,
         pub shape: JobKind,
         #[serde(rename = "urgency")]
         pub priority: Priority,
@@ -64,19 +65,25 @@
         pub vcpus: f64,
         pub gpus: f64,
         pub ram_gb: f64,
-        pub kit: String,
+        #[serde(rename = "kit")]
+        pub image: String,
         pub size_gb: f64,
         #[serde(default)]
         #[serde(rename = "frames")]
         pub machine_types: Option<Vec<String>>,
         #[serde(default)]
-        pub yard: Option<String>,
+        #[serde(rename = "yard")]
+        pub zone: Option<String>,
         pub same_place: bool,
         pub spread: bool,
-        pub loaners: bool,
-        pub ride_s: f64,
-        pub waypoint_s: f64,
-        pub stow_s: f64,
+        #[serde(rename = "loaners")]
+        pub spot: bool,
+        #[serde(rename = "rideS")]
+        pub estimate_s: f64,
+        #[serde(rename = "waypointS")]
+        pub checkpoint_s: f64,
+        #[serde(rename = "stowS")]
+        pub save_s: f64,
         #[serde(default)]
         pub due_s: Option<f64>,
     }
@@ -342,9 +349,9 @@
     let first = w.submit(1, w.spec(9));
     let mut spec = w.spec(3);
     (spec.due_s, spec.zone) = (Some(60.0), Some("north".into()));
-    let second = w.chain(2, spec, &[&first]);
-    let third = w.chain(3, w.spec(1), &[&second]);
-    let fourth = w.chain(4, w.spec(1), &[&third]);
+    let second = w.submit_dependent(2, spec, &[&first]);
+    let third = w.submit_dependent(3, w.spec(1), &[&second]);
+    let fourth = w.submit_dependent(4, w.spec(1), &[&third]);
     let mut waited = false;
     for step in 0..400 {
         w.run(100);
@@ -372,7 +379,7 @@
         }
     }
     assert!(waited && w.is_done(&third), "all kinds of keys were there");
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
--- a/tests/duplicate_execution.rs
+++ b/tests/duplicate_execution.rs
@@ -1,4 +1,4 @@
-//! Stories of the rule that a task is on one machine at a time: each one made a task run twice, or
+//! Tests of the rule that a task is on one machine at a time: each one made a task run twice, or
 //! freed one that might still start, before its guard was there.
 
 mod support;
@@ -25,11 +25,11 @@
 /// machine is cut off, hangs, or the task saves.
 #[test]
 fn a_planted_double_start_is_found_while_its_machine_is_cut_off_hangs_or_saves() {
-    for trouble in 0..3 {
+    for inject_fault in 0..3 {
         let (mut w, _) = World::busy(1, 3, 60_000);
         let at = w.workers.iter().position(|m| !m.tasks.is_empty());
         let at = at.expect("something runs");
-        match trouble {
+        match inject_fault {
             0 => w.workers[at].cut = true,
             1 => w.workers[at].hung = true,
             _ => {
@@ -39,12 +39,12 @@
                 }
             }
         }
-        w.assert_kept();
+        w.assert_no_violations();
         let planted = w.workers[at].tasks[0].task.clone();
         let other = (at + 1) % w.workers.len();
         w.plant(other, &planted);
         w.run(100);
-        assert!(w.broken.iter().any(|b| b.starts_with("ran_twice")));
+        assert!(w.violations.iter().any(|b| b.starts_with("ran_twice")));
     }
 }
 
@@ -96,7 +96,7 @@
     format!("{name}/{task}")
 }
 
-/// Completions that a holder has heard of count for it when its block is granted anew. It used to
+/// Completions that a holder has heard of count for it when its block is granted again. It used to
 /// forget them with the token, and started the tasks of a job that its leader had recorded as done on
 /// its word (search, seed 12151).
 #[test]
@@ -107,7 +107,7 @@
     let machine = w.workers[at].machine.name.clone();
     let holder = w.holder(&machine).expect("held");
     let begun = w.starts_of(&job);
-    // The tasks end, and the worker's lease with them: only a copy of its report arrives.
+    // The tasks end, and the worker's lease with them: only a copy of its heartbeat arrives.
     let mut copy = w.workers[at].heartbeat();
     for task in &mut copy.tasks {
         (task.status, task.cause) = (TaskPhase::Ended, Some(ExitReason::Done));
@@ -125,7 +125,7 @@
     w.state.overwrite(&key, &grant);
     w.run(10_000);
     assert_eq!(w.starts_of(&job), begun);
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 /// Machines whose blocks the leader does not hold.
@@ -191,7 +191,7 @@
     for seed in 0..24 {
         let (w, held) = steal_behind_the_leaders_watch(seed);
         taken_over += u32::from(held);
-        w.assert_kept();
+        w.assert_no_violations();
     }
     assert!(taken_over >= 2, "{taken_over}");
 }
@@ -199,21 +199,21 @@
 #[test]
 fn an_exit_reported_by_an_earlier_epoch_frees_no_task_that_has_restarted() {
     // A new holder took in what a late copy said had failed, before the machine had shown its token.
-    // The task had been started again in the machine's next session.
+    // The task had been started again in the machine's next epoch.
     for seed in 0..6 {
         let (mut w, _) = World::busy(seed, 3, 60_000);
         w.cloud_up = false;
         w.run_ms = 60_000;
         let runs = |m: &support::Worker| !m.tasks.is_empty();
         let at = w.workers.iter().position(runs).expect("something runs");
-        // Its task fails; the report of this is held up on its way.
+        // Its task fails; the heartbeat of this is held up on its way.
         w.workers[at].cut = true;
         let mut late = w.workers[at].heartbeat();
         late.sequence += 1;
         late.tasks[0].status = TaskPhase::Ended;
         late.tasks[0].cause = Some(ExitReason::Error);
         let task = late.tasks[0].task.clone();
-        // All controllers are away until its session is over.
+        // All controllers are away until its epoch is over.
         (0..3).for_each(|i| w.crash(i));
         w.run(13_000);
         w.workers[at].cut = false;
@@ -233,7 +233,7 @@
         let before = starts(&w);
         w.run(20_000);
         assert_eq!(starts(&w), before, "{task} was started once more");
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -262,7 +262,7 @@
         w.state
             .overwrite(&key.replace("block", "grant"), &stale_grant);
         w.run(200);
-        w.strand(stale);
+        w.isolate(stale);
         w.run(5000);
         // The next holder finds that it may not start anything there, and frees what is bound.
         w.workers[at].cut = false;
@@ -277,7 +277,7 @@
         w.workers[at].at = stale;
         assert!(w.controller(stale).has_authority(w.clock(stale)));
         w.run(3000);
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -312,7 +312,7 @@
         }
         w.links[leader].state = StoreFault::Good;
         w.run(5000);
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -354,7 +354,7 @@
         w.links[i].watch_hangs = false;
         w.links[i].workers = true;
         w.until(60_000, "done", |w| w.is_done(&job));
-        w.assert_kept();
+        w.assert_no_violations();
         assert_eq!(w.starts_of(&job), 12, "running work was lost");
     }
 }
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -1,4 +1,4 @@
-//! Stories of jobs that wait for others: they start once all that they need is finally done, and are
+//! Tests of jobs that wait for others: they start once all that they need is finally done, and are
 //! cancelled with it, whatever fails.
 
 mod support;
@@ -15,22 +15,22 @@
 
 /// A chain of so many jobs of two tasks each, numbered from `n`; the first waits for nothing.
 fn chain_of(w: &mut World, n: u32, jobs: u32) -> Vec<String> {
-    let mut chain = vec![w.submit(n, w.spec(2))];
+    let mut submit_dependent = vec![w.submit(n, w.spec(2))];
     for k in 1..jobs {
-        let last = chain[chain.len() - 1].clone();
-        chain.push(w.chain(n + k, w.spec(2), &[&last]));
+        let last = submit_dependent[submit_dependent.len() - 1].clone();
+        submit_dependent.push(w.submit_dependent(n + k, w.spec(2), &[&last]));
     }
-    chain
+    submit_dependent
 }
 
 /// What every controller that is up to date answers.
 fn all_answer(w: &mut World, job: &str) -> Vec<JobStatus> {
     (0..w.controllers.len())
-        .filter_map(|i| w.ask(i, job))
+        .filter_map(|i| w.poll_status(i, job))
         .collect()
 }
 
-/// Plays on until each of these jobs is shown as withdrawn by every controller, within the time that
+/// Plays on until each of these jobs is shown as cancelled by every controller, within the time that
 /// a cancellation has, and archived as such in the end.
 fn all_cancelled(w: &mut World, jobs: &[String]) {
     w.run(w.cancel_ms());
@@ -53,9 +53,9 @@
 fn dependent_jobs_run_in_order_and_each_begins_once_its_predecessor_is_done() {
     let mut w = World::settled(1, 3, 6);
     w.run_ms = 4000;
-    let chain = chain_of(&mut w, 1, 4);
+    let submit_dependent = chain_of(&mut w, 1, 4);
     w.run(2000);
-    for job in &chain[1..] {
+    for job in &submit_dependent[1..] {
         assert!(
             all_answer(&mut w, job)
                 .iter()
@@ -63,11 +63,11 @@
         );
         assert_eq!(w.starts_of(job), 0);
     }
-    for pair in chain.windows(2) {
+    for pair in submit_dependent.windows(2) {
         w.until(30_000, "the one before is done", |w| w.is_done(&pair[0]));
         w.until(3500, "the next one begins", |w| w.running_of(&pair[1]) > 0);
     }
-    w.all_end_well(&chain);
+    w.assert_all_jobs_finish(&submit_dependent);
 }
 
 #[test]
@@ -83,8 +83,8 @@
     red.team = "red".into();
     let other = w.submit(2, red);
     let slow = w.submit(3, w.spec(2));
-    w.faulty.insert(slow.clone());
-    let last = w.chain(4, w.spec(2), &[&done, &other, &slow, &done]);
+    w.failing_jobs.insert(slow.clone());
+    let last = w.submit_dependent(4, w.spec(2), &[&done, &other, &slow, &done]);
     w.until(30_000, "the other is done", |w| w.is_done(&other));
     w.run(20_000);
     assert_eq!(w.starts_of(&last), 0, "one that it names is not done");
@@ -92,12 +92,12 @@
         w.waiting(&last).map(|r| r.predecessors.names().len()),
         Some(2)
     );
-    w.faulty.clear();
+    w.failing_jobs.clear();
     w.until(120_000, "done", |w| w.is_done(&last));
-    let after = w.chain(5, w.spec(1), &[&done, &last]);
+    let after = w.submit_dependent(5, w.spec(1), &[&done, &last]);
     assert!(w.waiting(&after).is_none(), "all is done: it need not wait");
     w.until(30_000, "done", |w| w.is_done(&after));
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -123,7 +123,7 @@
     let mut large = w.spec(400);
     large.priority = Priority::Critical;
     for n in 2..20 {
-        w.chain(n, large.clone(), &[&first]);
+        w.submit_dependent(n, large.clone(), &[&first]);
     }
     w.run(60_000);
     assert_eq!(
@@ -134,7 +134,7 @@
     w.run_ms = 3000;
     let other = w.submit(30, w.spec(12));
     w.until(15_000, "others have the room", |w| w.is_done(&other));
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 /// Whether the first job of a chain whose last one has this priority and deadline is done before one
@@ -154,14 +154,14 @@
     w.run(3000);
     let alone = w.submit(40, spec(&w, Priority::BestEffort));
     let first = w.submit(41, spec(&w, Priority::BestEffort));
-    let second = w.chain(42, spec(&w, Priority::BestEffort), &[&first]);
+    let second = w.submit_dependent(42, spec(&w, Priority::BestEffort), &[&first]);
     let mut last = spec(&w, priority);
     last.due_s = due_s;
-    w.chain(43, last, &[&second]);
+    w.submit_dependent(43, last, &[&second]);
     w.until(120_000, "one is done", |w| {
         w.is_done(&first) || w.is_done(&alone)
     });
-    w.assert_kept();
+    w.assert_no_violations();
     w.is_done(&first) && !w.is_done(&alone)
 }
 
@@ -186,12 +186,14 @@
         let mut w = World::settled(seed, 3, 6);
         w.run_ms = 60_000;
         let top = w.submit(1, w.spec(2));
-        let left = w.chain(2, w.spec(2), &[&top]);
-        let right = w.chain(3, w.spec(2), &[&top]);
-        let bottom = w.chain(4, w.spec(2), &[&left, &right]);
-        let tail = w.chain(5, w.spec(2), &[&bottom]);
-        let fan: Vec<String> = (6..20).map(|n| w.chain(n, w.spec(1), &[&left])).collect();
-        let aside = w.chain(30, w.spec(1), &[&right]);
+        let left = w.submit_dependent(2, w.spec(2), &[&top]);
+        let right = w.submit_dependent(3, w.spec(2), &[&top]);
+        let bottom = w.submit_dependent(4, w.spec(2), &[&left, &right]);
+        let tail = w.submit_dependent(5, w.spec(2), &[&bottom]);
+        let fan: Vec<String> = (6..20)
+            .map(|n| w.submit_dependent(n, w.spec(1), &[&left]))
+            .collect();
+        let aside = w.submit_dependent(30, w.spec(1), &[&right]);
         w.run(1500);
         let victim = [&top, &left][cancelled_at].clone();
         assert!(matches!(
@@ -206,7 +208,7 @@
         // Whoever knows of the cancellation answers alike, at once.
         w.run(100);
         for job in &over {
-            assert_eq!(w.ask(0, job), Some(JobStatus::Cancelled), "{job}");
+            assert_eq!(w.poll_status(0, job), Some(JobStatus::Cancelled), "{job}");
         }
         w.run_ms = 3000;
         all_cancelled(&mut w, &over);
@@ -216,7 +218,7 @@
                 named.iter().all(|j| w.is_done(j))
             });
         }
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -224,16 +226,16 @@
 fn a_job_that_depends_on_a_cancelled_one_is_accepted_and_cancelled() {
     let mut w = World::settled(8, 3, 4);
     let first = w.submit(1, w.spec(2));
-    let second = w.chain(2, w.spec(2), &[&first]);
+    let second = w.submit_dependent(2, w.spec(2), &[&first]);
     w.run(500);
     w.cancel(&first);
     w.run(500);
-    // Its predecessor was withdrawn with the first; later both are archived.
-    let third = w.chain(3, w.spec(2), &[&second]);
+    // Its predecessor was cancelled with the first; later both are archived.
+    let third = w.submit_dependent(3, w.spec(2), &[&second]);
     all_cancelled(&mut w, &[first.clone(), second.clone(), third]);
-    let fourth = w.chain(4, w.spec(2), &[&second]);
+    let fourth = w.submit_dependent(4, w.spec(2), &[&second]);
     all_cancelled(&mut w, &[fourth]);
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -243,7 +245,7 @@
             let mut w = World::settled(seed, 3, 4);
             w.run_ms = 4000;
             let first = w.submit(1, w.spec(2));
-            let next = w.chain(2, w.spec(2), &[&first]);
+            let next = w.submit_dependent(2, w.spec(2), &[&first]);
             w.until(15_000, "it runs", |w| w.running_of(&first) == 2);
             if order {
                 w.until(15_000, "all tasks are done", |w| w.done(&first) == 2);
@@ -261,7 +263,7 @@
                 }
                 _ => w.until(60_000, "the chain goes on", |w| w.is_done(&next)),
             }
-            w.assert_kept();
+            w.assert_no_violations();
         }
     }
 }
@@ -272,8 +274,8 @@
         let mut w = World::settled(seed, 3, 4);
         w.run_ms = 3000;
         let first = w.submit(1, w.spec(1));
-        let next = w.chain(2, w.spec(2), &[&first]);
-        let last = w.chain(3, w.spec(2), &[&next]);
+        let next = w.submit_dependent(2, w.spec(2), &[&first]);
+        let last = w.submit_dependent(3, w.spec(2), &[&next]);
         w.until(30_000, "it is ready", |w| w.is_done(&first));
         // An answer that is lost, a copy that is carried out later, a controller that refuses.
         let leader = w.leader().expect("leads");
@@ -288,7 +290,7 @@
         w.run(4000);
         w.heal();
         all_cancelled(&mut w, &[next, last]);
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -322,12 +324,12 @@
             w.state.commit(&transaction),
             CommitOutcome::Conflict(_)
         ));
-        let second = w.chain(2, w.spec(1), &[&first]);
+        let second = w.submit_dependent(2, w.spec(1), &[&first]);
         match cancelled {
             true => all_cancelled(&mut w, &[second]),
             false => w.until(30_000, "done", |w| w.is_done(&second)),
         }
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -336,7 +338,7 @@
     let mut w = World::settled(21, 3, 4);
     w.run_ms = 3000;
     let first = w.submit(1, w.spec(1));
-    let second = w.chain(2, w.spec(1), &[&first]);
+    let second = w.submit_dependent(2, w.spec(1), &[&first]);
     w.run(300);
     // With other names, with none, and as an ordinary job.
     assert_eq!(
@@ -355,7 +357,7 @@
         CommitOutcome::Conflict(_)
     ));
     assert_eq!(w.starts_of(&second), 1);
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -369,14 +371,14 @@
     let aside = w.submit(4, w.spec(1));
     let first = w.submit(1, w.spec(1));
     let slow = w.submit(2, w.spec(1));
-    w.faulty.insert(slow.clone());
-    let last = w.chain(3, w.spec(2), &[&first, &slow]);
+    w.failing_jobs.insert(slow.clone());
+    let last = w.submit_dependent(3, w.spec(2), &[&first, &slow]);
     w.until(20_000, "done", |w| w.is_done(&first));
     w.run(90_000);
     let archived = |w: &World, job: &str| w.state.value(&past_key(job)).is_some();
     assert!(archived(&w, &aside), "nothing is archived at all");
     assert!(!archived(&w, &first), "it is still needed");
-    // Everybody reads everything anew.
+    // Everybody reads everything again.
     for i in 0..3 {
         w.crash(i);
     }
@@ -384,12 +386,12 @@
     (0..3).for_each(|i| w.start(i));
     w.run(20_000);
     assert_eq!(w.starts_of(&last), 0);
-    w.faulty.clear();
+    w.failing_jobs.clear();
     w.until(120_000, "done", |w| w.is_done(&last));
     w.until(120_000, "archived", |w| {
         w.state.value(&past_key(&first)).is_some()
     });
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -398,8 +400,8 @@
         let mut w = World::settled(23, 3, 4);
         w.run_ms = 3000;
         let first = w.submit(1, w.spec(1));
-        w.faulty.insert(first.clone());
-        let next = w.chain(2, w.spec(1), &[&first]);
+        w.failing_jobs.insert(first.clone());
+        let next = w.submit_dependent(2, w.spec(1), &[&first]);
         w.run(3000);
         let mut record = w.job(&first).expect("known");
         record.status = status;
@@ -418,7 +420,7 @@
     for seed in 24..28 {
         let mut w = World::settled(seed, [3, 5][seed as usize % 2], 8);
         w.run_ms = 4000;
-        let mut luck = SmallRng::seed_from_u64(seed);
+        let mut rng = SmallRng::seed_from_u64(seed);
         let mut all = Vec::new();
         for n in 0..4 {
             all.extend(chain_of(&mut w, 100 * (n + 1), 4));
@@ -428,10 +430,10 @@
             if let Some(leader) = leader {
                 w.crash(leader);
             }
-            w.outage(luck.random_bool(0.4));
-            w.run(luck.random_range(500..6000));
+            w.outage(rng.random_bool(0.4));
+            w.run(rng.random_range(500..6000));
             w.heal();
-            w.run(luck.random_range(2000..8000));
+            w.run(rng.random_range(2000..8000));
         }
         let called_off = all[5].clone();
         let cancelled =
@@ -440,11 +442,11 @@
             cancelled && ["wk-000201", "wk-000202", "wk-000203"].contains(&j.as_str())
         });
         w.run_asking(20_000, &over);
-        w.all_end_well(&rest);
+        w.assert_all_jobs_finish(&rest);
         if cancelled {
             all_cancelled(&mut w, &over);
         }
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -453,22 +455,22 @@
     for seed in 28..32 {
         let mut w = World::settled(seed, 3, 6);
         w.run_ms = 20_000;
-        let chain = chain_of(&mut w, 1, 5);
+        let submit_dependent = chain_of(&mut w, 1, 5);
         w.run(4000);
         let at = seed as usize % 2;
         let leader = w.leader().expect("leads");
         assert!(matches!(
-            w.cancel_through(at, &chain[0]),
+            w.cancel_through(at, &submit_dependent[0]),
             CommitOutcome::Done(_)
         ));
         w.outage(true);
-        w.run_asking(3000, &chain);
+        w.run_asking(3000, &submit_dependent);
         w.crash(leader);
         w.run(3000);
         w.heal();
-        w.run_asking(15_000, &chain);
-        all_cancelled(&mut w, &chain);
-        w.assert_kept();
+        w.run_asking(15_000, &submit_dependent);
+        all_cancelled(&mut w, &submit_dependent);
+        w.assert_no_violations();
     }
 }
 
@@ -520,7 +522,11 @@
     let (mut w, awaits, first) = begun_gradually(32);
     let job = "wk-000099".to_owned();
     for i in 0..3 {
-        assert_eq!(w.ask(i, &job), None, "nobody was told that it is accepted");
+        assert_eq!(
+            w.poll_status(i, &job),
+            None,
+            "nobody was told that it is accepted"
+        );
     }
     // A predecessor that is held is done, and one that is not; a controller ends.
     w.until(40_000, "some are done", |w| {
@@ -545,12 +551,12 @@
         CommitOutcome::Done(_)
     ));
     w.run(500);
-    assert_eq!(w.ask(0, &job), Some(JobStatus::Pending));
+    assert_eq!(w.poll_status(0, &job), Some(JobStatus::Pending));
     w.until(120_000, "all that it names is done", |w| {
         awaits.iter().all(|a| w.is_done(a))
     });
     w.until(60_000, "it is done", |w| w.done(&job) == 1);
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -571,7 +577,7 @@
     };
     assert!(matches!(w.state.commit(&first), CommitOutcome::Conflict(_)));
     assert_eq!(w.starts_of("wk-000099"), 0);
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! A story of about 4,000 machines, the largest fleet that the users run.
+//! A test of about 4,000 machines, the largest fleet that the users run.
 
 mod support;
 
@@ -51,6 +51,6 @@
     run_until_held(&mut w, 15);
     w.start(leader);
     w.until(120_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
-    w.assert_kept();
+    w.assert_no_violations();
     assert_eq!(w.starts.len(), 2000, "running work was lost");
 }
--- a/tests/loopback_cells.rs
+++ b/tests/loopback_cells.rs
@@ -19,7 +19,7 @@
 const JOBS: usize = 14;
 const TASKS: u32 = 2;
 const RUN_MS: u64 = 3000;
-/// Longest time that the whole story may take: a called back loan takes 18 s.
+/// Longest time that the whole test may take: a called back loan takes 18 s.
 const PATIENCE: Duration = Duration::from_secs(150);
 
 /// A cell of real processes.
@@ -200,7 +200,7 @@
         let elsewhere = state_of(&cells[2], 0).await;
         assert_eq!(elsewhere.map(|s| s.0), Some(404));
         let log = log.lock().expect("lock");
-        assert_eq!(log.broken, Vec::<String>::new());
+        assert_eq!(log.violations, Vec::<String>::new());
         assert_eq!(
             log.done.len(),
             JOBS * TASKS as usize,
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -54,5 +54,5 @@
     }
     assert!(w.done(&giant) > 500, "it runs");
     assert!(largest < GROWTH, "{largest} bytes more than without it");
-    w.assert_kept();
+    w.assert_no_violations();
 }
--- a/tests/missed_messages.rs
+++ b/tests/missed_messages.rs
@@ -1,5 +1,5 @@
-//! Stories of the addition to the rules: nobody is starved, machines that do not hear, late
-//! copies of reports, controllers that are stranded with their workers, and lives that follow
+//! Tests of machines and controllers that miss messages: nobody is starved, machines that do not hear, late
+//! copies of heartbeats, controllers that are partitioned with their workers, and incarnations that follow
 //! one another within a fraction of a second; with three controllers and with five.
 
 mod support;
@@ -25,7 +25,7 @@
 /// The job of a [`busy`] world is done in the end, and each of its tasks was started once.
 fn nothing_lost(w: &mut World, job: &str) {
     w.until(60_000, "done", |w| w.is_done(job));
-    w.assert_kept();
+    w.assert_no_violations();
     assert_eq!(w.starts.len(), 16, "running work was lost");
 }
 
@@ -40,17 +40,17 @@
     let mut w = settled(1, 3, 4);
     w.run_ms = 6000;
     // Three CPUs' worth of urgent work for each CPU that the team may use, before and after.
-    w.flood(15);
+    w.submit_burst(15);
     let mut large = w.spec(200);
     large.priority = Priority::BestEffort;
     large.cpus = 2.0;
     let large = w.submit(1, large);
     let submitted = w.now;
-    w.flood(240);
+    w.submit_burst(240);
     let begun = w.starts.iter().find(|s| s.1.starts_with(&large));
     let begun = begun.map(|s| s.0 - submitted).expect("it begins");
     assert!(begun < 240_000, "after {begun} ms");
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -58,9 +58,9 @@
     let mut w = settled(2, 3, 6);
     w.cloud_up = false;
     for n in 1..=20 {
-        let mut flood = w.spec(40);
-        flood.priority = Priority::Urgent;
-        w.submit(n, flood);
+        let mut burst_jobs = w.spec(40);
+        burst_jobs.priority = Priority::Urgent;
+        w.submit(n, burst_jobs);
     }
     w.run(10_000);
     let mut theirs = w.spec(8);
@@ -69,7 +69,7 @@
     w.until(60_000, "the other team's job is done", |w| {
         w.is_done(&theirs)
     });
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -80,15 +80,15 @@
     long.estimate_s = 20.0;
     w.submit(1, long);
     w.until(30_000, "machines come", |w| w.workers.len() > 2);
-    let unreachable_since = w.workers.len() - 1;
-    w.workers[unreachable_since].unreachable_since = true;
-    let machine = w.workers[unreachable_since].machine.name.clone();
+    let unreachable = w.workers.len() - 1;
+    w.workers[unreachable].unreachable = true;
+    let machine = w.workers[unreachable].machine.name.clone();
     let grants = w.state.writes_to("qb/grant/");
     w.until(150_000, "it is returned", |w| w.returned.contains(&machine));
     assert!(w.starts.iter().all(|s| s.2 != machine));
     let moved = w.state.writes_to("qb/grant/") - grants;
     assert!(moved <= 3, "its wandering moved {moved} grants");
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -96,11 +96,11 @@
     for controllers in [3, 5] {
         let (mut w, job) = busy(4, controllers, 30_000);
         let at = with_tasks(&w)[0];
-        w.workers[at].unreachable_since = true;
+        w.workers[at].unreachable = true;
         let since = w.now;
         let machine = w.workers[at].machine.name.clone();
         w.until(150_000, "done", |w| w.is_done(&job));
-        w.assert_kept();
+        w.assert_no_violations();
         let again: Vec<_> = w.starts.iter().filter(|s| s.0 > since).collect();
         assert!(again.iter().all(|s| s.0 > since + 9000), "{again:?}");
         assert!(
@@ -114,13 +114,13 @@
 fn a_machine_that_is_reachable_again_is_used_again() {
     let mut w = settled(5, 3, 1);
     w.cloud_up = false;
-    w.workers[0].unreachable_since = true;
+    w.workers[0].unreachable = true;
     let job = w.submit(1, w.spec(8));
     w.run(40_000);
     assert_eq!(w.starts.len(), 0);
-    w.workers[0].unreachable_since = false;
+    w.workers[0].unreachable = false;
     w.until(90_000, "done", |w| w.is_done(&job));
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -132,7 +132,7 @@
         (9, vec![40_000, 60_000, 300]),
     ] {
         let mut w = settled(seed, 3, 6);
-        w.copies = ages.clone();
+        w.heartbeat_copies = ages.clone();
         w.run_ms = 12_000;
         let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(16))).collect();
         w.run(10_000);
@@ -152,7 +152,7 @@
         w.run(300);
         (0..3).for_each(|i| w.start(i));
         w.until(150_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
-        w.assert_kept();
+        w.assert_no_violations();
         assert_eq!(w.starts.len(), 48, "copies {ages:?} lost running work");
     }
 }
@@ -160,7 +160,7 @@
 #[test]
 fn a_late_heartbeat_copy_revives_no_machine_that_is_gone() {
     let (mut w, job) = busy(10, 3, 20_000);
-    w.copies = vec![3000, 9000, 16_000, 30_000];
+    w.heartbeat_copies = vec![3000, 9000, 16_000, 30_000];
     w.run(4000);
     let at = with_tasks(&w)[0];
     let gone = w.workers.remove(at).machine.name;
@@ -171,7 +171,7 @@
     w.start(leader);
     w.until(120_000, "done", |w| w.is_done(&job));
     w.run(45_000);
-    w.assert_kept();
+    w.assert_no_violations();
     for i in 0..3 {
         let replica = &w.controller(i).replica;
         let there = replica.names.machines.get(&gone);
@@ -202,7 +202,7 @@
             controller.on_heartbeat(copy.clone(), clock);
         }
     }
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -216,7 +216,7 @@
             (leader + 1) % controllers
         };
         let cut = w.now;
-        w.strand(i);
+        w.isolate(i);
         w.run(4000);
         assert!(
             !w.controller(i).ready(Timestamp(w.now)),
@@ -240,14 +240,14 @@
 fn work_cancelled_while_its_controller_is_partitioned_stops_in_time() {
     let (mut w, job) = busy(12, 3, 120_000);
     let i = (w.leader().expect("leads") + 1) % 3;
-    w.strand(i);
+    w.isolate(i);
     w.run(1000);
     w.cancel(&job);
     let cancel_s = w.settings.platform.settings.workers.cancel_s;
     w.run((cancel_s * 1000.0) as u64);
     assert_eq!(w.running(), 0);
     assert_eq!(w.job(&job).map(|j| j.status), Some(JobStatus::Cancelled));
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -281,13 +281,13 @@
     let presumed_dead = w.workers[at].tasks.len();
     w.restart_machine(at);
     w.until(90_000, "done", |w| w.is_done(&job));
-    w.assert_kept();
+    w.assert_no_violations();
     assert_eq!(w.starts.len(), 16 + presumed_dead);
     let again = w.submit(2, w.spec(40));
     w.cloud_up = false;
     let before = w.now;
     w.until(120_000, "done", |w| w.is_done(&again));
-    w.assert_kept();
+    w.assert_no_violations();
     let used = w.starts.iter().any(|s| s.0 > before && s.2 == machine);
     assert!(
         used || w.returned.contains(&machine),
@@ -306,7 +306,7 @@
         w.run(4000);
         let grants = w.state.writes_to("qb/grant/") - before;
         assert_eq!(grants, 1, "seed {seed}");
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -321,7 +321,7 @@
         assert_eq!(w.state.writes_to("qb/grant/"), grants);
         w.heal();
         w.until(60_000, "done", |w| w.is_done(&job));
-        w.assert_kept();
+        w.assert_no_violations();
         assert_eq!(w.starts.len(), 16);
     }
 }
@@ -332,7 +332,7 @@
     let leader = w.leader().expect("leads");
     // Two of five hear each other and nobody else; all reach the state service.
     let two = [(leader + 1) % 5, (leader + 2) % 5];
-    w.side = (0..5).map(|i| u8::from(two.contains(&i))).collect();
+    w.partition_side = (0..5).map(|i| u8::from(two.contains(&i))).collect();
     let before = w.state.writes_to("qb/lead");
     w.run(30_000);
     assert_eq!(
@@ -347,39 +347,39 @@
 fn random_faults_keep_the_rules_with_five_controllers() {
     use rand::{Rng, SeedableRng};
     for seed in 0..8 {
-        let mut luck = rand::rngs::SmallRng::seed_from_u64(500 + seed);
+        let mut rng = rand::rngs::SmallRng::seed_from_u64(500 + seed);
         let mut w = settled(500 + seed, 5, 8);
         if seed % 2 == 0 {
-            w.copies = vec![1500, 14_000];
+            w.heartbeat_copies = vec![1500, 14_000];
         }
         if seed % 3 == 0 {
             // Also from lives of controllers that are over.
-            w.peer_copies = vec![900, 8000, 30_000];
+            w.peer_message_copies = vec![900, 8000, 30_000];
         }
         let jobs: Vec<String> = (1..=4).map(|n| w.submit(n, w.spec(20))).collect();
         for _ in 0..12 {
-            let i = luck.random_range(0..5);
-            match luck.random_range(0..9) {
-                kind @ 0..=4 => w.trouble(i, kind, &mut luck),
-                5 => w.strand(i),
+            let i = rng.random_range(0..5);
+            match rng.random_range(0..9) {
+                kind @ 0..=4 => w.inject_fault(i, kind, &mut rng),
+                5 => w.isolate(i),
                 n => {
                     let all = w.workers.len();
                     if all > 0 {
-                        let at = luck.random_range(0..all);
+                        let at = rng.random_range(0..all);
                         match n {
                             6 => w.workers[at].cut = true,
-                            7 => w.workers[at].unreachable_since = true,
+                            7 => w.workers[at].unreachable = true,
                             _ => w.restart_machine(at),
                         }
                     }
                 }
             }
-            w.run(luck.random_range(300..9000));
-            if luck.random_bool(0.6) {
+            w.run(rng.random_range(300..9000));
+            if rng.random_bool(0.6) {
                 w.heal();
             }
         }
-        w.all_end_well(&jobs);
+        w.assert_all_jobs_finish(&jobs);
     }
 }
 
@@ -407,7 +407,7 @@
     assert!(steals > 20, "only {steals} steals");
     assert!(hops <= steals * 7, "{hops} hops of {steals} steals");
     assert!(steals < 12 * 120 * 4, "{steals} steals in 12 rounds");
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -435,13 +435,13 @@
     assert_eq!(kept.count(), there.len(), "{:?}", w.returned);
     w.heal();
     w.until(150_000, "done", |w| w.is_done(&job));
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
 fn a_controller_that_lags_marks_no_machine_unreachable() {
     // While its answers were slow, a controller had 165 machines returned that missed them.
-    let unreachable_since = |misses: &dyn Fn(usize) -> bool| {
+    let unreachable = |misses: &dyn Fn(usize) -> bool| {
         let mut w = settled(21, 3, 15);
         let i = (w.leader().expect("leads") + 1) % 3;
         let held = |w: &World, at: &usize| w.holder(&w.workers[*at].machine.name) == Some(i);
@@ -468,12 +468,12 @@
         fleet.machines.iter().filter(|m| !m.obeys).count()
     };
     assert_eq!(
-        unreachable_since(&|n| n == 0),
+        unreachable(&|n| n == 0),
         1,
         "one that misses its answers is found out"
     );
     assert_eq!(
-        unreachable_since(&|_| true),
+        unreachable(&|_| true),
         0,
         "all that miss them are not to blame"
     );
@@ -500,14 +500,14 @@
         w.run(10_000);
         w.heal();
         w.until(120_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
-        w.assert_kept();
+        w.assert_no_violations();
         assert_eq!(w.starts.len(), 720, "some task was started again");
     }
 }
 
 #[test]
 fn a_task_bound_just_after_a_heartbeat_starts_in_the_delayed_acknowledgement() {
-    // Machines that came up by the hundred stood idle for half an interval of reports.
+    // Machines that came up by the hundred stood idle for half an interval of heartbeats.
     let mut w = settled(23, 3, 1);
     w.cloud_up = false;
     let machine = w.workers[0].machine.name.clone();
@@ -544,12 +544,12 @@
     // What was launched this way counts as begun until a newer report shows it.
     assert_eq!(orders(controller.answer_late(&machine, number, clock)), 0);
     assert_eq!(controller.may_wait(&machine, number, clock), None);
-    // An answer to a report that was overtaken, or under a grant that is gone, starts nothing.
+    // An answer to a heartbeat that was overtaken, or under a grant that is gone, starts nothing.
     let mut newer = heartbeat;
     newer.sequence += 1;
     controller.on_heartbeat(newer, clock);
     assert_eq!(orders(controller.answer_late(&machine, number, clock)), 0);
-    w.strand(i);
+    w.isolate(i);
     w.run(40_000);
     let clock = w.clock(i);
     let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
@@ -591,13 +591,13 @@
     }
     assert!(full > 1000, "the blocks never filled up: {full}");
     w.until(400_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
 fn an_idle_machine_with_heartbeats_every_five_seconds_is_not_marked_unreachable() {
-    // Reports that come later than an answer's time runs out are no sign of deafness where the
-    // interval of reports is longer than that: idle machines were drained and returned for it.
+    // Heartbeats that come later than an answer's time runs out do not mark a machine unreachable where the
+    // interval of heartbeats is longer than that: idle machines were drained and returned for it.
     let mut w = settled(22, 3, 6);
     w.settings.platform.settings.workers.heartbeat_s = 5.0;
     (0..3).for_each(|i| w.crash(i));
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -2,7 +2,7 @@
 //! history, and the present one serve side by side on one store while jobs run, chains wait and
 //! some are cancelled.
 //!
-//! The earlier versions have to be built first, so these stories are run by `.ci/run` and by
+//! The earlier versions have to be built first, so these tests are run by `.ci/run` and by
 //! `cargo test --test mixed_versions -- --ignored`.
 
 mod processes;
@@ -98,7 +98,7 @@
     /// Accepted jobs with their numbers of tasks.
     accepted: Vec<(String, u32)>,
     /// Final answers that some controller gave.
-    told: HashMap<String, String>,
+    last_final_answer: HashMap<String, String>,
 }
 
 impl Fleet {
@@ -115,7 +115,7 @@
             programs: (0..CONTROLLERS).map(|_| None).collect(),
             log: Rc::default(),
             accepted: Vec::new(),
-            told: HashMap::new(),
+            last_final_answer: HashMap::new(),
         };
         for i in 0..CONTROLLERS {
             fleet.start_old(i);
@@ -215,7 +215,7 @@
     }
 
     /// What a controller answers about a job; none if it does not serve.
-    async fn ask(&self, i: usize, job: &str) -> Option<String> {
+    async fn poll_status(&self, i: usize, job: &str) -> Option<String> {
         let url = format!("http://{}/api/jobs/{job}", self.places[i].public);
         let (status, answer) = call("GET", &url, None).await?;
         match status {
@@ -232,14 +232,14 @@
                 if self.programs[i].is_none() {
                     continue;
                 }
-                let Some(answer) = self.ask(i, &job).await else {
+                let Some(answer) = self.poll_status(i, &job).await else {
                     continue;
                 };
                 assert_ne!(answer, "forgotten", "{job} at {i}");
-                if let Some(told) = self.told.get(&job) {
-                    assert_eq!(&answer, told, "went_back: {job} at {i}");
+                if let Some(last_final_answer) = self.last_final_answer.get(&job) {
+                    assert_eq!(&answer, last_final_answer, "went_back: {job} at {i}");
                 } else if ["done", "withdrawn"].contains(&answer.as_str()) {
-                    self.told.insert(job.clone(), answer);
+                    self.last_final_answer.insert(job.clone(), answer);
                 }
             }
         }
@@ -260,18 +260,22 @@
             self.ask_all().await;
             if jobs
                 .iter()
-                .all(|j| self.told.get(*j).is_some_and(|s| s == state))
+                .all(|j| self.last_final_answer.get(*j).is_some_and(|s| s == state))
             {
                 return;
             }
             let waited = began.elapsed();
-            assert!(waited < wait, "{jobs:?} not {state}: {:?}", self.told);
+            assert!(
+                waited < wait,
+                "{jobs:?} not {state}: {:?}",
+                self.last_final_answer
+            );
             actix_web::rt::time::sleep(REPORT_EVERY).await;
         }
     }
 
     /// Each accepted job is done, but for those that were cancelled, and no rule was broken.
-    async fn all_end_well(&mut self, cancelled: &[&str]) {
+    async fn assert_all_jobs_finish(&mut self, cancelled: &[&str]) {
         let jobs: Vec<String> = self.accepted.iter().map(|a| a.0.clone()).collect();
         let (over, rest): (Vec<&str>, Vec<&str>) = jobs
             .iter()
@@ -280,7 +284,7 @@
         self.until_all(&over, "withdrawn", CANCEL_WAIT).await;
         self.until_all(&rest, "done", Duration::from_secs(90)).await;
         let log = self.log.lock().expect("lock");
-        assert_eq!(log.broken, [""; 0], "rules were broken");
+        assert_eq!(log.violations, [""; 0], "rules were broken");
         for (job, tasks) in self
             .accepted
             .iter()
@@ -324,7 +328,7 @@
             fleet.submit(1, 32, 1, &[&third]).await;
             assert_eq!(fleet.cancel(0, &long).await, "withdrawn");
             for (i, job) in cancelled.iter().enumerate() {
-                let answer = fleet.ask(i, job).await;
+                let answer = fleet.poll_status(i, job).await;
                 assert_eq!(answer.as_deref(), Some("withdrawn"), "{job} at {i}");
             }
         }
@@ -346,7 +350,7 @@
             cancelled.extend([late, "wk-000042".into()]);
         }
         let cancelled: Vec<&str> = cancelled.iter().map(String::as_str).collect();
-        fleet.all_end_well(&cancelled).await;
+        fleet.assert_all_jobs_finish(&cancelled).await;
         drop(fleet.programs);
         fleet.outside.stop().await;
     });
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -1,4 +1,4 @@
-//! Stories of troubles that meet, one or more for each meeting that the users list; the table in
+//! Tests of faults that meet, one or more for each meeting that the users list; the table in
 //! `docs/design.md` names the guard behind each.
 
 mod support;
@@ -24,7 +24,7 @@
 
 /// All jobs are done in the end, with the rules kept and no task started twice.
 fn all_once(w: &mut World, jobs: &[String], starts: usize) {
-    w.all_end_well(jobs);
+    w.assert_all_jobs_finish(jobs);
     assert_eq!(w.starts.len(), starts, "running work was lost");
 }
 
@@ -64,7 +64,7 @@
             w.heal();
             w.run(20_000);
             assert_eq!(w.running_of(&job), 0, "it runs again");
-            w.assert_kept();
+            w.assert_no_violations();
         }
     }
 }
@@ -97,7 +97,7 @@
     w.run(9000);
     assert_eq!(w.running_of(&called_off), 0, "they wait for their lease");
     assert_eq!(w.running_of(&kept), 6, "others were stopped with them");
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -172,12 +172,11 @@
 
 #[test]
 fn a_leader_ends_while_machines_with_long_tasks_do_not_hear_its_successor() {
-    for (seed, unreachable_since) in [(12, true), (13, false)] {
+    for (seed, unreachable) in [(12, true), (13, false)] {
         let (mut w, job) = World::busy(seed, 3, 60_000);
         let hit: Vec<usize> = with_tasks(&w).into_iter().take(2).collect();
         for &at in &hit {
-            (w.workers[at].unreachable_since, w.workers[at].cut) =
-                (unreachable_since, !unreachable_since);
+            (w.workers[at].unreachable, w.workers[at].cut) = (unreachable, !unreachable);
         }
         let leader = w.leader().expect("leads");
         w.crash(leader);
@@ -185,11 +184,11 @@
         w.start(leader);
         // Within their lease they go on, beside whatever was decided meanwhile.
         hit.iter().for_each(|&at| {
-            w.workers[at].unreachable_since = false;
+            w.workers[at].unreachable = false;
             w.workers[at].cut = false;
         });
         w.run(30_000);
-        w.all_end_well(&[job]);
+        w.assert_all_jobs_finish(&[job]);
     }
 }
 
@@ -212,7 +211,7 @@
             }
             w.run(9000);
         }
-        w.all_end_well(&jobs);
+        w.assert_all_jobs_finish(&jobs);
     }
 }
 
@@ -223,7 +222,7 @@
     (0..3).for_each(|i| w.crash(i));
     w.run(14_000);
     assert_eq!(w.running(), 0, "their lease is over");
-    w.all_end_well(&[job, also]);
+    w.assert_all_jobs_finish(&[job, also]);
     assert_eq!(w.starts.len(), 12 + 12 + 8);
 }
 
@@ -252,7 +251,7 @@
         .sum();
     all_once(&mut w, &jobs, all as usize);
     w.run_asking(15_000, &jobs);
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 // Zones.
@@ -261,7 +260,7 @@
 fn jobs_of_one_zone_stay_in_it_while_writes_are_unanswered_and_machines_go() {
     // Tasks whose binding was under way did not count: the rest went to another zone.
     for seed in 20..26 {
-        let mut luck = SmallRng::seed_from_u64(seed);
+        let mut rng = SmallRng::seed_from_u64(seed);
         let mut w = World::settled(seed, 3, 24);
         w.settings.platform.settings.teams[0].cpus_max = 90.0;
         (0..3).for_each(|i| w.crash(i));
@@ -279,12 +278,12 @@
             jobs.push(w.submit(n, spec));
             w.run(1500);
             if n % 3 == 0 {
-                let at = luck.random_range(0..w.workers.len());
+                let at = rng.random_range(0..w.workers.len());
                 w.workers.remove(at);
             }
         }
         w.heal();
-        w.all_end_well(&jobs);
+        w.assert_all_jobs_finish(&jobs);
     }
 }
 
@@ -293,8 +292,8 @@
     for cancelled in [false, true] {
         let (mut w, job) = World::busy(27, 3, 50_000);
         let inside = (w.leader().expect("leads") + 1) % 3;
-        w.side[inside] = 1;
-        w.strand(inside);
+        w.partition_side[inside] = 1;
+        w.isolate(inside);
         let presumed_dead: Vec<usize> = (0..w.workers.len())
             .filter(|&i| w.workers[i].machine.zone == "south")
             .collect();
@@ -308,14 +307,14 @@
         }
         w.run(33_000);
         w.workers.iter_mut().for_each(|m| m.only = None);
-        w.side = vec![0; 3];
+        w.partition_side = vec![0; 3];
         w.heal();
         w.run(15_000);
         if cancelled {
             assert_eq!(w.running_of(&job), 0);
-            w.assert_kept();
+            w.assert_no_violations();
         } else {
-            w.all_end_well(&[job]);
+            w.assert_all_jobs_finish(&[job]);
         }
     }
 }
@@ -341,9 +340,9 @@
         assert_eq!(w.running_of(&jobs[0]), 0);
         w.heal();
         w.run_asking(5000, &jobs);
-        w.all_end_well(&jobs[1..]);
+        w.assert_all_jobs_finish(&jobs[1..]);
         w.run_asking(9000, &jobs);
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -351,30 +350,30 @@
 fn a_transaction_without_an_answer_is_carried_out_late_after_newer_ones() {
     // In between the leader ends, so that the next one knows nothing of what is on its way.
     for seed in 33..39 {
-        let mut luck = SmallRng::seed_from_u64(seed);
+        let mut rng = SmallRng::seed_from_u64(seed);
         let mut w = World::settled(seed, 3, 8);
         let jobs: Vec<String> = (1..=4).map(|n| w.submit(n, w.spec(12))).collect();
         for _ in 0..8 {
             for i in 0..3 {
-                let late = luck.random_bool(0.5);
-                let ms = luck.random_range(2000..12_000);
+                let late = rng.random_bool(0.5);
+                let ms = rng.random_range(2000..12_000);
                 w.links[i].state = if late {
                     StoreFault::Late(ms)
                 } else {
                     StoreFault::Good
                 };
             }
-            w.run(luck.random_range(500..3000));
-            if luck.random_bool(0.3) {
-                let i = luck.random_range(0..3);
+            w.run(rng.random_range(500..3000));
+            if rng.random_bool(0.3) {
+                let i = rng.random_range(0..3);
                 w.crash(i);
                 w.run(300);
                 w.start(i);
             }
             (0..3).for_each(|i| w.links[i].state = StoreFault::Good);
-            w.run(luck.random_range(500..4000));
+            w.run(rng.random_range(500..4000));
         }
-        w.all_end_well(&jobs);
+        w.assert_all_jobs_finish(&jobs);
     }
 }
 
@@ -383,7 +382,7 @@
     for (seed, controllers) in [(40, 3), (41, 5)] {
         let (mut w, job) = World::busy(seed, controllers, 200_000);
         let old = w.leader().expect("leads");
-        w.strand(old);
+        w.isolate(old);
         w.until(20_000, "another leads", |w| w.leader_but(old).is_some());
         let new = w.leader_but(old).expect("leads");
         w.cancel_through(new, &job);
@@ -391,7 +390,7 @@
         assert_eq!(w.running_of(&job), 0);
         w.heal();
         w.run(10_000);
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -424,7 +423,7 @@
 
 #[test]
 fn a_leader_that_was_paused_returns_no_machine_because_its_timers_went_on() {
-    // All seemed silent to it for as long as it had stood still itself.
+    // All seemed silent to it for as long as it had been paused itself.
     for ms in [14_000, 21_000, 22_500] {
         let mut w = World::settled(46, 3, 8);
         w.run(3000);
@@ -440,7 +439,7 @@
             .filter(|&i| i != leader)
             .for_each(|i| w.links[i].state = StoreFault::Refuses);
         let others: Vec<usize> = (0..3).filter(|&i| i != leader).collect();
-        w.freeze(leader, ms);
+        w.pause(leader, ms);
         w.run(ms - 200);
         others
             .iter()
@@ -448,7 +447,7 @@
         w.run(30_000);
         assert!(w.returned.is_empty(), "after {ms} ms: {:?}", w.returned);
         assert_eq!(w.running(), 32, "{job} and the other go on or run again");
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -458,9 +457,9 @@
 fn heartbeats_arrive_again_from_earlier_epochs_and_attempts_and_at_a_new_leader() {
     for seed in 50..54 {
         let (mut w, job) = World::busy(seed, 3, 25_000);
-        w.copies = vec![2500, 13_000, 29_000];
+        w.heartbeat_copies = vec![2500, 13_000, 29_000];
         let at = with_tasks(&w)[0];
-        // Its session ends; the next attempts run here or elsewhere.
+        // Its epoch ends; the next attempts run here or elsewhere.
         w.workers[at].cut = true;
         w.run(14_000);
         w.workers[at].cut = false;
@@ -478,7 +477,7 @@
             }
         }
         w.start(leader);
-        w.all_end_well(&[job]);
+        w.assert_all_jobs_finish(&[job]);
     }
 }
 
@@ -501,7 +500,7 @@
         w.start(leader);
         out.iter().for_each(|&at| w.workers[at].hung = false);
         w.run(4000);
-        w.all_end_well(&[waiting]);
+        w.assert_all_jobs_finish(&[waiting]);
     }
 }
 
@@ -512,7 +511,7 @@
     hit.iter().for_each(|&at| w.workers[at].cut = true);
     w.run(15_000);
     hit.iter().for_each(|&at| w.workers[at].cut = false);
-    w.all_end_well(&[job]);
+    w.assert_all_jobs_finish(&[job]);
     assert_eq!(w.starts.len(), 24);
 }
 
@@ -528,7 +527,7 @@
         w.workers.iter_mut().for_each(|m| m.hung = false);
         w.until(6000, "all are gone", |w| w.running_of(&job) == 0);
         w.run(30_000);
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -543,19 +542,15 @@
         for turn in 0..6 {
             let i = (w.leader().unwrap_or(0) + turn) % 3;
             // Answers are lost for a moment, then the controller is.
-            w.workers
-                .iter_mut()
-                .for_each(|m| m.unreachable_since = true);
+            w.workers.iter_mut().for_each(|m| m.unreachable = true);
             w.run(900);
-            w.workers
-                .iter_mut()
-                .for_each(|m| m.unreachable_since = false);
+            w.workers.iter_mut().for_each(|m| m.unreachable = false);
             w.links[i].workers = false;
             w.run(3500);
             w.links[i].workers = true;
             w.run(3000);
         }
-        w.all_end_well(&jobs);
+        w.assert_all_jobs_finish(&jobs);
     }
 }
 
@@ -572,7 +567,7 @@
         w.run(2000 + seed * 100);
         let record = w.job(&job).expect("known");
         for i in 0..3 {
-            w.ask(i, &job);
+            w.poll_status(i, &job);
         }
         let outcome = match record.status {
             JobStatus::Pending => w.cancel_through((seed % 3) as usize, &job),
@@ -581,14 +576,14 @@
         for _ in 0..120 {
             w.step();
             for i in 0..3 {
-                w.ask(i, &job);
+                w.poll_status(i, &job);
             }
         }
         // A repeat of the submission is refused by what is there, also once that was moved.
         let again = quillbend::jobs::new_record(w.spec(2), w.now);
         let again = w.state.commit(&quillbend::jobs::accept(&job, &again));
         assert!(matches!(again, CommitOutcome::Conflict(_)));
-        let last = w.ask(0, &job).expect("answered");
+        let last = w.poll_status(0, &job).expect("answered");
         match outcome {
             CommitOutcome::Done(_) => {
                 cancelled += 1;
@@ -599,7 +594,7 @@
                 assert_eq!(last, JobStatus::Done);
             }
         }
-        w.assert_kept();
+        w.assert_no_violations();
     }
     assert!(done > 0 && cancelled > 0, "{done} and {cancelled}");
 }
@@ -621,7 +616,7 @@
     }
     (0..3).for_each(|i| w.links[i].state = StoreFault::Slow(800));
     w.run(15_000);
-    w.all_end_well(&jobs);
+    w.assert_all_jobs_finish(&jobs);
 }
 
 #[test]
@@ -633,73 +628,73 @@
     hopeless.machine_types = Some(vec!["large".into()]);
     w.submit(1, hopeless);
     w.run_ms = 6000;
-    w.flood(10);
+    w.submit_burst(10);
     let mut late = w.spec(20);
     late.priority = Priority::BestEffort;
     let late = w.submit(2, late);
     let submitted = w.now;
-    w.flood(150);
+    w.submit_burst(150);
     let begun = w.starts.iter().find(|s| s.1.starts_with(&late));
     let begun = begun.map(|s| s.0 - submitted).expect("it begins");
     assert!(begun < 120_000, "after {begun} ms");
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
 fn random_overlapping_faults_keep_the_rules() {
     for seed in 0..16 {
         let controllers = [3, 5][seed as usize % 2];
-        let mut luck = SmallRng::seed_from_u64(900 + seed);
+        let mut rng = SmallRng::seed_from_u64(900 + seed);
         let mut w = World::settled(900 + seed, controllers, 8);
         w.drift[0] = -0.0005;
         w.drift[1] = 0.0005;
         if seed % 3 == 0 {
-            w.copies = vec![2500, 14_000];
+            w.heartbeat_copies = vec![2500, 14_000];
         }
         let mut open: Vec<String> = Vec::new();
         let mut all: Vec<String> = Vec::new();
         for n in 1..=14 {
             if n <= 6 {
-                let mut spec = w.spec(luck.random_range(1..16));
-                spec.one_zone = luck.random_bool(0.3);
-                spec.spread = !spec.one_zone && luck.random_bool(0.3);
-                w.run_ms = luck.random_range(3000..40_000);
+                let mut spec = w.spec(rng.random_range(1..16));
+                spec.one_zone = rng.random_bool(0.3);
+                spec.spread = !spec.one_zone && rng.random_bool(0.3);
+                w.run_ms = rng.random_range(3000..40_000);
                 let job = w.submit(n, spec);
                 all.push(job.clone());
                 open.push(job);
             }
-            let i = luck.random_range(0..controllers);
-            let at = luck.random_range(0..w.workers.len().max(1));
-            match luck.random_range(0..13) {
-                kind @ 0..=4 => w.trouble(i, kind, &mut luck),
-                5 => w.strand(i),
+            let i = rng.random_range(0..controllers);
+            let at = rng.random_range(0..w.workers.len().max(1));
+            match rng.random_range(0..13) {
+                kind @ 0..=4 => w.inject_fault(i, kind, &mut rng),
+                5 => w.isolate(i),
                 6 => refuse(&mut w, i),
                 7 => w.outage(true),
-                8 if luck.random_bool(0.3) => (0..controllers).for_each(|i| w.crash(i)),
-                8 => w.links[i].state = StoreFault::Late(luck.random_range(2000..12_000)),
+                8 if rng.random_bool(0.3) => (0..controllers).for_each(|i| w.crash(i)),
+                8 => w.links[i].state = StoreFault::Late(rng.random_range(2000..12_000)),
                 kind if at < w.workers.len() => match kind {
                     9 => w.workers[at].cut = true,
-                    10 => w.workers[at].unreachable_since = true,
+                    10 => w.workers[at].unreachable = true,
                     11 => w.workers[at].hung = true,
                     _ => w.restart_machine(at),
                 },
                 _ => {}
             }
-            w.run_asking(luck.random_range(100..6000), &all);
-            if luck.random_bool(0.2) && !open.is_empty() {
-                let job = open.swap_remove(luck.random_range(0..open.len()));
+            w.run_asking(rng.random_range(100..6000), &all);
+            if rng.random_bool(0.2) && !open.is_empty() {
+                let job = open.swap_remove(rng.random_range(0..open.len()));
                 if w.job(&job).is_some_and(|j| j.status == JobStatus::Pending) {
                     w.cancel(&job);
                 }
             }
-            w.run_asking(luck.random_range(100..6000), &all);
-            if luck.random_bool(0.5) {
+            w.run_asking(rng.random_range(100..6000), &all);
+            if rng.random_bool(0.5) {
                 w.heal();
             }
         }
-        w.all_end_well(&open);
+        w.assert_all_jobs_finish(&open);
         w.run_asking(10_000, &all);
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -740,5 +735,5 @@
     w.run(20_000);
     w.state.budget = None;
     w.until(200_000, "done", |w| w.is_done(&long));
-    w.assert_kept();
+    w.assert_no_violations();
 }
--- a/tests/processes/mod.rs
+++ b/tests/processes/mod.rs
@@ -291,7 +291,7 @@
     Some((status, answer.json().await.unwrap_or(Value::Null)))
 }
 
-/// What happened on all workers, for the judgement of a story.
+/// What happened on all workers, for the judgement of a test.
 #[derive(Default)]
 pub struct WorkLog {
     /// Each task that is on a machine now, with that machine.
@@ -304,7 +304,7 @@
     /// of tasks.
     pub needs: HashMap<String, Vec<(String, u32)>>,
     /// What broke a rule.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl WorkLog {
@@ -313,13 +313,13 @@
         self.starts.push(task.into());
         let present = self.present.iter().map(|(t, m)| (t.as_str(), m.as_str()));
         if let Some(double) = double_start(present) {
-            self.broken.push(format!("ran_twice: {double:?}"));
+            self.violations.push(format!("ran_twice: {double:?}"));
         }
         let job = task.split('/').next().unwrap_or_default();
         for (needed, tasks) in self.needs.get(job).cloned().unwrap_or_default() {
             let done = (0..tasks).all(|n| self.done.contains(&format!("{needed}/{n}")));
             if !done {
-                self.broken
+                self.violations
                     .push(format!("too_early: {task} before {needed}"));
             }
         }
--- a/tests/recovery_at_night.rs
+++ b/tests/recovery_at_night.rs
@@ -1,4 +1,4 @@
-//! Stories of bad nights: guest teams, jobs submitted with a mistake, controllers that stand still
+//! Tests of bad nights: guest teams, jobs submitted with a mistake, controllers that are paused
 //! while their clocks run on, machines that come up late or never, and many questions.
 
 mod support;
@@ -6,7 +6,7 @@
 use quillbend::protocol::{JobStatus, Priority};
 use support::World;
 
-/// Seconds of a story's time until something of a job starts.
+/// Seconds of a test's time until something of a job starts.
 fn begins_within(w: &mut World, job: &str, ms: u64) -> u64 {
     let since = w.now;
     w.until(ms, "it begins", |w| w.running_of(job) > 0);
@@ -41,7 +41,7 @@
     }
     let done = w.done(&giant);
     assert!(done > 200, "{done} of the guest's tasks");
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -70,7 +70,7 @@
     assert!(writes < limit, "{writes} changes a second of {limit}");
     let left = w.state.list("qb/job/").0.len();
     assert!(left < 150, "{left} jobs that are over stay in every memory");
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -90,7 +90,7 @@
     (small.team, small.estimate_s) = ("guest".into(), 3.0);
     let small = w.submit(2, small);
     w.until(200_000, "done", |w| w.is_done(&large) && w.is_done(&small));
-    w.assert_kept();
+    w.assert_no_violations();
     let moved: u64 = (0..3).map(|i| w.controller(i).counters.stolen_tasks).sum();
     assert!(moved <= 64 * 2, "{moved} moves of 64 tasks");
     assert_eq!(w.starts.len(), 64);
@@ -101,16 +101,16 @@
     let mut w = World::settled(4, 3, 6);
     w.cloud_up = false;
     w.run_ms = 2000;
-    let faulty = w.submit(1, w.spec(12));
-    w.faulty.insert(faulty.clone());
+    let failing_jobs = w.submit(1, w.spec(12));
+    w.failing_jobs.insert(failing_jobs.clone());
     w.run(40_000);
-    let before = w.starts_of(&faulty);
+    let before = w.starts_of(&failing_jobs);
     let good: Vec<String> = (2..=5).map(|n| w.submit(n, w.spec(10))).collect();
     w.until(40_000, "the others are done", |w| {
         good.iter().all(|j| w.is_done(j))
     });
     w.run(60_000);
-    let tries = w.starts_of(&faulty) - before;
+    let tries = w.starts_of(&failing_jobs) - before;
     assert!((1..=60).contains(&tries), "{tries} tries");
     assert!(
         w.returned.is_empty(),
@@ -118,16 +118,16 @@
         w.returned
     );
     assert_eq!(
-        w.ask(0, &faulty),
+        w.poll_status(0, &failing_jobs),
         Some(JobStatus::Pending),
         "it stays known"
     );
-    w.cancel(&faulty);
+    w.cancel(&failing_jobs);
     w.run(3000);
-    let tries = w.starts_of(&faulty);
+    let tries = w.starts_of(&failing_jobs);
     w.run(80_000);
-    assert_eq!(w.starts_of(&faulty), tries);
-    w.assert_kept();
+    assert_eq!(w.starts_of(&failing_jobs), tries);
+    w.assert_no_violations();
 }
 
 #[test]
@@ -138,17 +138,17 @@
             for who in 0..3 {
                 let (mut w, job) = World::busy(seed, controllers, 30_000);
                 let leader = w.leader().expect("leads");
-                let frozen = match who {
+                let paused = match who {
                     0 => vec![leader],
                     1 => vec![(leader + 1) % controllers],
                     _ => vec![leader, (leader + 1) % controllers],
                 };
-                frozen.iter().for_each(|&i| w.freeze(i, ms));
+                paused.iter().for_each(|&i| w.pause(i, ms));
                 let grants = w.state.writes_to("qb/grant/");
                 w.run(ms + 300);
                 let moved = w.state.writes_to("qb/grant/") - grants;
                 w.run(12_000);
-                w.all_end_well(&[job]);
+                w.assert_all_jobs_finish(&[job]);
                 if ms <= 1500 {
                     assert_eq!(moved, 0, "a moment's pause moved {moved} blocks");
                 }
@@ -175,7 +175,7 @@
         w.run(200_000);
         let kept = w.workers.iter().filter(|m| first.contains(&m.machine.name));
         assert_eq!(kept.count(), 0, "they are kept for nothing");
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -202,5 +202,5 @@
     // A silent machine has at least a worker's lease and 8 s.
     w.until(28_000, "it is given back", |w| w.returned.contains(&late));
     w.until(200_000, "all is done", |w| w.is_done(&second));
-    w.assert_kept();
+    w.assert_no_violations();
 }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! Short stories of several controllers, one for each line of the safety argument where it can
+//! Short tests of several controllers, one for each line of the safety argument where it can
 //! go wrong (`docs/design.md`).
 
 mod support;
@@ -26,7 +26,7 @@
     let mut w = settled(1, 3);
     let job = w.submit(1, w.spec(20));
     w.until(60_000, "the job is done", |w| w.is_done(&job));
-    w.assert_kept();
+    w.assert_no_violations();
     assert_eq!(w.starts.len(), 20, "every task started once");
     assert_eq!(w.job(&job).map(|j| j.done.tasks.len()), Some(20));
     w.run(10_000);
@@ -46,7 +46,7 @@
         most = most.max(w.running());
         jobs.iter().all(|j| w.is_done(j))
     });
-    w.assert_kept();
+    w.assert_no_violations();
     assert!((12..=16).contains(&most), "{most} ran at once");
 }
 
@@ -56,7 +56,7 @@
     let dead = (w.leader().expect("leads") + 1) % 3;
     w.crash(dead);
     w.until(60_000, "done", |w| w.is_done(&job));
-    w.assert_kept();
+    w.assert_no_violations();
     assert_eq!(w.starts.len(), 16, "no running task was lost");
 }
 
@@ -67,7 +67,7 @@
     w.crash(leader);
     let job = w.submit(1, w.spec(10));
     w.until(40_000, "done", |w| w.is_done(&job));
-    w.assert_kept();
+    w.assert_no_violations();
     assert_ne!(w.leader(), Some(leader));
 }
 
@@ -78,7 +78,7 @@
     w.run(6000);
     (0..3).for_each(|i| w.start(i));
     w.until(60_000, "done", |w| w.is_done(&job));
-    w.assert_kept();
+    w.assert_no_violations();
     assert_eq!(
         w.starts.len(),
         12,
@@ -133,7 +133,7 @@
             w.run(2500);
         }
         w.until(90_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
-        w.assert_kept();
+        w.assert_no_violations();
         assert_eq!(w.starts.len(), 40, "led by {leader} first");
     }
 }
@@ -149,7 +149,7 @@
     (0..3).for_each(|i| w.start(i));
     w.until(6000, "another leads", |w| w.leader().is_some());
     w.until(60_000, "done", |w| w.is_done(&job));
-    w.assert_kept();
+    w.assert_no_violations();
     assert_eq!(w.starts.len(), 16, "no running task was lost");
 }
 
@@ -164,7 +164,7 @@
     w.until(60_000, "another leads and finishes", |w| w.is_done(&job));
     w.links[old].state = StoreFault::Good;
     w.run(30_000);
-    w.assert_kept();
+    w.assert_no_violations();
     assert_eq!(w.starts.len(), 16);
 }
 
@@ -186,7 +186,7 @@
     let cut = (w.leader().expect("leads") + 1) % 3;
     w.links[cut].workers = false;
     w.until(80_000, "done", |w| w.is_done(&job));
-    w.assert_kept();
+    w.assert_no_violations();
     assert_eq!(
         w.starts.len(),
         16,
@@ -206,7 +206,7 @@
     let since = w.now;
     let presumed_dead = w.workers[at].tasks.len();
     w.until(120_000, "done", |w| w.is_done(&job));
-    w.assert_kept();
+    w.assert_no_violations();
     let again: Vec<_> = w.starts.iter().filter(|s| s.0 > since).collect();
     assert!(again.len() >= presumed_dead);
     assert!(again.iter().all(|s| s.0 > since + 10_000), "{again:?}");
@@ -228,7 +228,7 @@
         "nothing starts any more"
     );
     assert_eq!(w.job(&job).map(|j| j.status), Some(JobStatus::Cancelled));
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -282,7 +282,7 @@
         m.up_at = at;
     }
     w.until(120_000, "done", |w| w.is_done(&job));
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -327,7 +327,7 @@
     w.until(15_000, "queues are full", |w| w.running() == 8);
     w.cloud_up = true;
     w.until(90_000, "done", |w| w.is_done(&job));
-    w.assert_kept();
+    w.assert_no_violations();
     let moved: u64 = (0..3).map(|i| w.controller(i).counters.stolen_tasks).sum();
     assert!(moved > 0, "machines that came later stole nothing");
     assert_eq!(w.starts.len(), 16);
@@ -384,7 +384,7 @@
             w.run(4000);
         }
         w.until(150_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -409,7 +409,7 @@
         assert!(!listed, "its tasks still wait on it");
     }
     w.until(100_000, "done", |w| w.is_done(&job));
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -452,19 +452,19 @@
     let mut w = settled(18, 6);
     let first = w.submit(1, w.spec(16));
     w.until(60_000, "done", |w| w.is_done(&first));
-    let quarantined = w.workers[0].machine.name.clone();
-    w.workers[0].quarantined = true;
+    let fails_tasks = w.workers[0].machine.name.clone();
+    w.workers[0].fails_tasks = true;
     let jobs: Vec<String> = (2..=3).map(|n| w.submit(n, w.spec(30))).collect();
     w.until(150_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
     w.run(15_000);
-    w.assert_kept();
-    assert!(w.returned.contains(&quarantined), "{:?}", w.returned);
+    w.assert_no_violations();
+    assert!(w.returned.contains(&fails_tasks), "{:?}", w.returned);
 }
 
 #[test]
 fn a_job_that_fails_everywhere_does_not_quarantine_the_fleet() {
     let mut w = settled(19, 4);
-    w.workers.iter_mut().for_each(|m| m.quarantined = true);
+    w.workers.iter_mut().for_each(|m| m.fails_tasks = true);
     w.submit(1, w.spec(2));
     w.run(60_000);
     assert!(w.returned.len() < 4, "{:?}", w.returned);
@@ -488,34 +488,34 @@
     w.start(leader);
     let again = w.submit(2, w.spec(8));
     w.until(90_000, "done", |w| w.is_done(&again));
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
 fn random_faults_keep_the_rules() {
     use rand::{Rng, SeedableRng};
     for seed in 0..8 {
-        let mut luck = rand::rngs::SmallRng::seed_from_u64(seed);
+        let mut rng = rand::rngs::SmallRng::seed_from_u64(seed);
         let mut w = settled(200 + seed, 6);
         let jobs: Vec<String> = (1..=4).map(|n| w.submit(n, w.spec(20))).collect();
         for _ in 0..12 {
-            let i = luck.random_range(0..3);
-            match luck.random_range(0..7) {
-                kind @ 0..=4 => w.trouble(i, kind, &mut luck),
+            let i = rng.random_range(0..3);
+            match rng.random_range(0..7) {
+                kind @ 0..=4 => w.inject_fault(i, kind, &mut rng),
                 5 => w.links[i].watch_hangs = true,
                 _ => {
                     let n = w.workers.len();
                     if n > 0 {
-                        w.workers[luck.random_range(0..n)].cut = true;
+                        w.workers[rng.random_range(0..n)].cut = true;
                     }
                 }
             }
-            w.run(luck.random_range(1000..9000));
-            if luck.random_bool(0.6) {
+            w.run(rng.random_range(1000..9000));
+            if rng.random_bool(0.6) {
                 w.heal();
             }
         }
-        w.all_end_well(&jobs);
+        w.assert_all_jobs_finish(&jobs);
     }
 }
 
@@ -526,7 +526,7 @@
         w.drift = vec![0.0005, 0.0, -0.0005];
         let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(20))).collect();
         for i in 0..3 {
-            w.links[i].state = StoreFault::FaultyStore;
+            w.links[i].state = StoreFault::Intermittent;
         }
         w.run(30_000);
         let busy = w.workers.iter().position(|m| !m.tasks.is_empty());
@@ -536,7 +536,7 @@
         w.run(30_000);
         w.heal();
         w.until(120_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
@@ -565,7 +565,7 @@
     }
     w.run(30_000);
     assert_eq!(w.starts.len(), 24, "something was begun again");
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -579,6 +579,6 @@
         spec.one_zone = one_zone;
         w.submit(1, spec);
         w.until(30_000, "more than a share runs", |w| w.running() > 320);
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
--- a/tests/search.rs
+++ b/tests/search.rs
@@ -1,4 +1,4 @@
-//! Days by chance on many machines, and the search for one that breaks a rule.
+//! Days at random on many machines, and the search for one that breaks a rule.
 
 mod support;
 
@@ -9,7 +9,7 @@
     DayPlan {
         seed,
         machines: 12 + (seed % 5) as usize * 12,
-        troubles: 25,
+        faults: 25,
         restarts: !seed.is_multiple_of(3),
     }
 }
@@ -17,8 +17,8 @@
 #[test]
 fn random_fault_days_keep_the_rules() {
     for seed in 0..4 {
-        if let Err(broken) = play(plan(seed)) {
-            panic!("{}", broken.join("\n"));
+        if let Err(violations) = play(plan(seed)) {
+            panic!("{}", violations.join("\n"));
         }
     }
 }
--- a/tests/spillover.rs
+++ b/tests/spillover.rs
@@ -1,4 +1,4 @@
-//! Stories of cells that lend each other jobs: whatever fails between them, no task is in two cells at
+//! Tests of cells that lend each other jobs: whatever fails between them, no task is in two cells at
 //! once and every job is done.
 
 mod support;
@@ -11,7 +11,7 @@
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use support::cells::{Cells, Way};
+use support::cells::{CellLink, Cells};
 use support::{StoreFault, World};
 
 const EAST: usize = 0;
@@ -57,7 +57,7 @@
     });
     // The cell has recovered: what comes now stays.
     let later = c.submit_many(EAST, 1, 4);
-    c.all_end_well(EAST, &later);
+    c.assert_all_jobs_finish(EAST, &later);
     assert_eq!(c.starts_in(NORTH, &later), 0);
 }
 
@@ -82,17 +82,17 @@
 #[test]
 fn answers_that_are_lost_and_offers_that_come_again_make_one_loan() {
     let (mut c, jobs) = saturated(2, &[2, 6]);
-    c.ways[EAST][NORTH] = Way::LosesAnswers;
-    c.copies = vec![700, 9000, 40_000];
+    c.cell_links[EAST][NORTH] = CellLink::LosesAnswers;
+    c.request_copies = vec![700, 9000, 40_000];
     c.run(4000);
-    c.ways[EAST][NORTH] = Way::Open;
+    c.cell_links[EAST][NORTH] = CellLink::Open;
     c.until(40_000, "loans run", |c| c.starts_in(NORTH, &jobs) > 0);
-    c.all_end_well(EAST, &jobs);
+    c.assert_all_jobs_finish(EAST, &jobs);
     // Copies that come after all is over change nothing.
     let starts = c.starts_in(NORTH, &jobs);
     c.run(60_000);
     assert_eq!(c.starts_in(NORTH, &jobs), starts);
-    c.assert_kept();
+    c.assert_no_violations();
 }
 
 /// The write that lends jobs comes late and has no answer, and room comes free at home before the
@@ -116,7 +116,7 @@
     c.run(12_000);
     assert!(c.starts_in(NORTH, &jobs) > 0, "some were lent all the same");
     c.cells[EAST].late_lending = None;
-    c.all_end_well(EAST, &jobs);
+    c.assert_all_jobs_finish(EAST, &jobs);
 }
 
 /// The borrower falls silent while it runs loans, and goes on for itself; it comes back before or
@@ -132,7 +132,7 @@
             let running: usize = jobs.iter().map(|j| c.cells[NORTH].running_of(j)).sum();
             assert_eq!(running, 0, "stopped without a confirmation");
         }
-        c.all_end_well(EAST, &jobs);
+        c.assert_all_jobs_finish(EAST, &jobs);
     }
 }
 
@@ -156,7 +156,7 @@
     c.heal();
     c.until(5000, "recorded", |c| c.cells[EAST].is_done(&done));
     assert_eq!(c.starts_in(EAST, std::slice::from_ref(&done)), 0);
-    c.all_end_well(EAST, &jobs);
+    c.assert_all_jobs_finish(EAST, &jobs);
 }
 
 #[test]
@@ -171,7 +171,7 @@
         c.run(16_000);
         let running: usize = jobs.iter().map(|j| c.cells[NORTH].running_of(j)).sum();
         assert_eq!(running, 0, "no confirmation, no work");
-        c.all_end_well(EAST, &jobs);
+        c.assert_all_jobs_finish(EAST, &jobs);
     }
 }
 
@@ -179,8 +179,8 @@
 fn leaders_state_services_and_all_controllers_fail_on_either_side() {
     for seed in 11..23 {
         let (mut c, jobs) = saturated(seed, &[2, 6]);
-        let mut luck = SmallRng::seed_from_u64(seed);
-        c.run(luck.random_range(2000..12_000));
+        let mut rng = SmallRng::seed_from_u64(seed);
+        c.run(rng.random_range(2000..12_000));
         let cell = [EAST, NORTH][seed as usize % 2];
         let leader = c.cells[cell].leader().unwrap_or(0);
         match seed % 3 {
@@ -188,8 +188,8 @@
             1 => (0..3).for_each(|i| c.cells[cell].crash(i)),
             _ => c.cells[cell].outage(true),
         }
-        c.run(luck.random_range(500..20_000));
-        c.all_end_well(EAST, &jobs);
+        c.run(rng.random_range(500..20_000));
+        c.assert_all_jobs_finish(EAST, &jobs);
     }
 }
 
@@ -214,7 +214,7 @@
             assert_eq!(state, JobStatus::Cancelled);
         }
         let rest: Vec<String> = jobs.into_iter().filter(|j| !lent.contains(j)).collect();
-        c.all_end_well(EAST, &rest);
+        c.assert_all_jobs_finish(EAST, &rest);
     }
 }
 
@@ -237,7 +237,7 @@
         c.until(120_000, "the others are done", |c| {
             jobs.iter().all(|job| !c.cells[EAST].is_open(job))
         });
-        c.assert_kept();
+        c.assert_no_violations();
     }
 }
 
@@ -245,21 +245,21 @@
 fn one_controller_that_reaches_no_other_cell_asks_its_peers() {
     let (mut c, jobs) = lending_long(40, 30_000);
     let leader = c.cells[NORTH].leader().expect("leads");
-    let shut = (0..3).find(|&i| i != leader).expect("another one");
-    c.shut.insert((NORTH, shut));
+    let refusing = (0..3).find(|&i| i != leader).expect("another one");
+    c.refusing.insert((NORTH, refusing));
     c.run(14_000);
     // Its machines go on, for its peers tell it what was confirmed.
-    let held = |m: &&support::Worker| c.cells[NORTH].holder(&m.machine.name) == Some(shut);
+    let held = |m: &&support::Worker| c.cells[NORTH].holder(&m.machine.name) == Some(refusing);
     let busy = c.cells[NORTH].workers.iter().filter(held);
     assert!(busy.flat_map(|m| &m.tasks).any(|t| t.ended.is_none()));
-    c.all_end_well(EAST, &jobs);
+    c.assert_all_jobs_finish(EAST, &jobs);
 }
 
 #[test]
 fn a_one_way_cut_lends_nothing_and_keeps_nothing() {
     for (seed, (from, to)) in [(41, (EAST, NORTH)), (42, (NORTH, EAST))] {
         let (mut c, jobs) = lending(seed);
-        c.ways[from][to] = Way::Cut;
+        c.cell_links[from][to] = CellLink::Cut;
         // There is no room at home that would call them back.
         c.cells[EAST].run_ms = 60_000;
         let more = c.submit_many(EAST, 6, 4);
@@ -267,7 +267,7 @@
         c.run(50_000);
         assert_eq!(c.lent(EAST), Vec::<String>::new());
         c.cells[EAST].run_ms = 8000;
-        c.all_end_well(EAST, &[jobs, more].concat());
+        c.assert_all_jobs_finish(EAST, &[jobs, more].concat());
     }
 }
 
@@ -276,9 +276,9 @@
     for seed in 43..47 {
         let (mut c, jobs) = lending_long(seed, 40_000);
         c.run(3000);
-        (0..3).for_each(|i| c.cells[NORTH].freeze(i, 33_000));
+        (0..3).for_each(|i| c.cells[NORTH].pause(i, 33_000));
         c.run(60_000);
-        c.all_end_well(EAST, &jobs);
+        c.assert_all_jobs_finish(EAST, &jobs);
     }
 }
 
@@ -288,9 +288,9 @@
 fn a_confirmation_from_a_controller_that_is_behind_does_not_outlive_a_cancellation() {
     let (mut c, _) = lending_long(48, 90_000);
     let leader = c.cells[EAST].leader().expect("leads");
-    c.shut.insert((EAST, leader));
+    c.refusing.insert((EAST, leader));
     for i in (0..3).filter(|&i| i != leader) {
-        c.cells[EAST].strand(i);
+        c.cells[EAST].isolate(i);
     }
     c.run(2000);
     let lent = c.lent(EAST);
@@ -300,10 +300,10 @@
     c.run(38_000);
     let running: usize = lent.iter().map(|j| c.cells[NORTH].running_of(j)).sum();
     assert_eq!(running, 0);
-    c.assert_kept();
+    c.assert_no_violations();
 }
 
-/// Controllers that begin anew again and again have no confirmation each time: they must not keep the
+/// Controllers that restart again and again have no confirmation each time: they must not keep the
 /// workers' leases alive with it.
 #[test]
 fn a_borrower_whose_controllers_restart_again_and_again_keeps_no_loan_alive() {
@@ -315,7 +315,7 @@
         (0..3).for_each(|i| c.cells[NORTH].start(i));
         c.run(2500);
     }
-    c.all_end_well(EAST, &jobs);
+    c.assert_all_jobs_finish(EAST, &jobs);
 }
 
 #[test]
@@ -325,7 +325,7 @@
     let theirs = c.submit_many(NORTH, 10, 4);
     c.run(20_000);
     assert_eq!(c.starts_in(NORTH, &jobs) + c.starts_in(EAST, &theirs), 0);
-    c.all_end_well(EAST, &jobs);
+    c.assert_all_jobs_finish(EAST, &jobs);
     c.until(120_000, "done", |c| {
         theirs.iter().all(|j| c.cells[NORTH].is_done(j))
     });
@@ -349,7 +349,7 @@
         lent.iter()
             .any(|job| !c.is_lent(EAST, job) && c.cells[NORTH].starts_of(job) == 0)
     );
-    c.all_end_well(EAST, &jobs);
+    c.assert_all_jobs_finish(EAST, &jobs);
 }
 
 #[test]
@@ -370,7 +370,7 @@
             ));
         }
     }
-    c.all_end_well(EAST, &east);
+    c.assert_all_jobs_finish(EAST, &east);
     c.until(120_000, "done", |c| {
         north.iter().all(|j| c.cells[NORTH].is_done(j))
     });
@@ -389,14 +389,14 @@
     assert_eq!(c.starts_in(NORTH, &jobs), 0);
     c.cells[EAST].old[0] = false;
     c.cells[EAST].crash(0);
-    c.all_end_well(EAST, &jobs);
+    c.assert_all_jobs_finish(EAST, &jobs);
 }
 
 /// A copy of an offer that arrives after the refusal, when there is room again, finds the record of it.
 #[test]
 fn a_refused_offer_stays_refused_whatever_copies_of_it_arrive() {
     let (mut c, jobs) = saturated(55, &[2, 6]);
-    c.copies = vec![30_000];
+    c.request_copies = vec![30_000];
     c.until(20_000, "lent", |c| !c.lent(EAST).is_empty());
     let offered = c.lent(EAST);
     c.restart_with(NORTH, |settings| settings.borrow = false);
@@ -407,7 +407,7 @@
     c.restart_with(NORTH, |settings| settings.borrow = true);
     c.run(40_000);
     assert_eq!(c.cells[NORTH].state.writes_to("qb/job/"), 0);
-    c.all_end_well(EAST, &jobs);
+    c.assert_all_jobs_finish(EAST, &jobs);
 }
 
 /// A repeat of an offer arrives when the loan was given up and its tasks still run: that is not called
@@ -481,54 +481,53 @@
     assert_eq!(page["spillover"]["counters"]["rejected"], 4);
 }
 
-/// Troubles of all kinds by chance, on every side.
+/// Faults of all kinds at random, on every side.
 fn day_of_chance(seed: u64) -> Result<(), Vec<String>> {
-    let mut luck = SmallRng::seed_from_u64(seed);
+    let mut rng = SmallRng::seed_from_u64(seed);
     let mut c = Cells::new(seed, &[2, 5, 4]);
-    if luck.random_bool(0.5) {
-        c.copies = vec![
-            luck.random_range(200..5000),
-            luck.random_range(5000..60_000),
-        ];
+    if rng.random_bool(0.5) {
+        c.request_copies = vec![rng.random_range(200..5000), rng.random_range(5000..60_000)];
     }
     let mut jobs: Vec<(usize, String)> = Vec::new();
     for _ in 0..14 {
-        let cell = luck.random_range(0..4usize).saturating_sub(1);
-        let (count, tasks) = (luck.random_range(1..6), luck.random_range(1..7));
+        let cell = rng.random_range(0..4usize).saturating_sub(1);
+        let (count, tasks) = (rng.random_range(1..6), rng.random_range(1..7));
         c.cells
             .iter_mut()
-            .for_each(|w| w.run_ms = luck.random_range(2000..25_000));
+            .for_each(|w| w.run_ms = rng.random_range(2000..25_000));
         let new = c.submit_many(cell, count, tasks);
         jobs.extend(new.into_iter().map(|job| (cell, job)));
-        if luck.random_bool(0.3) {
-            let (cell, job) = jobs[luck.random_range(0..jobs.len())].clone();
+        if rng.random_bool(0.3) {
+            let (cell, job) = jobs[rng.random_range(0..jobs.len())].clone();
             if c.cells[cell].is_open(&job) && !c.cells[cell].state.out {
                 c.cells[cell].cancel(&job);
             }
         }
-        trouble(&mut c, &mut luck);
-        c.run(luck.random_range(200..12_000));
-        if luck.random_bool(0.25) {
+        inject_fault(&mut c, &mut rng);
+        c.run(rng.random_range(200..12_000));
+        if rng.random_bool(0.25) {
             c.heal();
         }
     }
     c.heal();
-    c.cells.iter_mut().for_each(|w| w.no_capacity = false);
+    c.cells
+        .iter_mut()
+        .for_each(|w| w.cloud_has_no_capacity = false);
     c.run(250_000);
     let late = c
         .cells
         .iter()
-        .flat_map(|w| w.broken.iter())
-        .chain(&c.broken);
+        .flat_map(|w| w.violations.iter())
+        .chain(&c.violations);
     // A start that was on its way when the job's end was recorded breaks no rule.
-    let mut broken: Vec<String> = late
+    let mut violations: Vec<String> = late
         .filter(|b| !b.ends_with("is launched after its job is done"))
         .cloned()
         .collect();
     let open = jobs
         .iter()
         .filter(|(cell, job)| c.cells[*cell].is_open(job));
-    broken.extend(open.map(|(cell, job)| {
+    violations.extend(open.map(|(cell, job)| {
         let home = &c.cells[*cell];
         let value = serde_json::to_string(&home.job(job)).expect("plain data");
         let (done, running) = (home.done(job), home.running_of(job));
@@ -541,32 +540,32 @@
             "{job} of {cell} is not over: {done} done, {running} run at home, {away:?}, {value}"
         )
     }));
-    match broken.is_empty() {
+    match violations.is_empty() {
         true => Ok(()),
-        false => Err(broken),
+        false => Err(violations),
     }
 }
 
-fn trouble(c: &mut Cells, luck: &mut SmallRng) {
+fn inject_fault(c: &mut Cells, rng: &mut SmallRng) {
     let cells = c.cells.len();
-    let (cell, other) = (luck.random_range(0..cells), luck.random_range(0..cells));
-    let node = luck.random_range(0..3usize);
-    let ms = luck.random_range(500..40_000);
-    match luck.random_range(0..13) {
+    let (cell, other) = (rng.random_range(0..cells), rng.random_range(0..cells));
+    let node = rng.random_range(0..3usize);
+    let ms = rng.random_range(500..40_000);
+    match rng.random_range(0..13) {
         0 => c.cells[cell].crash(node),
         1 => (0..3).for_each(|i| c.cells[cell].crash(i)),
         2 => c.cells[cell].outage(true),
-        3 => c.cells[cell].freeze(node, ms),
-        4 => (0..3).for_each(|i| c.cells[cell].freeze(i, ms)),
-        5 => c.cells[cell].links[node].state = StoreFault::FaultyStore,
+        3 => c.cells[cell].pause(node, ms),
+        4 => (0..3).for_each(|i| c.cells[cell].pause(i, ms)),
+        5 => c.cells[cell].links[node].state = StoreFault::Intermittent,
         6 => c.cells[cell].links[node].state = StoreFault::Late(ms.min(12_000)),
-        7 => c.cells[cell].strand(node),
+        7 => c.cells[cell].isolate(node),
         8 => c.cut_off(cell),
-        9 => c.ways[cell][other] = Way::Cut,
-        10 => c.ways[cell][other] = Way::LosesAnswers,
-        11 => c.ways[cell][other] = Way::Late(ms),
+        9 => c.cell_links[cell][other] = CellLink::Cut,
+        10 => c.cell_links[cell][other] = CellLink::LosesAnswers,
+        11 => c.cell_links[cell][other] = CellLink::Late(ms),
         _ => {
-            c.shut.insert((cell, node));
+            c.refusing.insert((cell, node));
             if let Some(worker) = c.cells[cell].workers.get_mut(node) {
                 worker.hung = true;
             }
@@ -580,8 +579,8 @@
 #[test]
 fn random_fault_days_between_cells_keep_the_rules() {
     for seed in [0, 1, 2, 3, 2064, 4344] {
-        if let Err(broken) = day_of_chance(seed) {
-            panic!("seed {seed}:\n{}", broken.join("\n"));
+        if let Err(violations) = day_of_chance(seed) {
+            panic!("seed {seed}:\n{}", violations.join("\n"));
         }
     }
 }
@@ -640,7 +639,7 @@
             }
         }
     }
-    c.assert_kept();
+    c.assert_no_violations();
     let served = |cell: usize| {
         let mine = || jobs.iter().zip(&done).filter(|(j, _)| j.0 == cell);
         let wait_s = |job: &str, at: u64| {
@@ -703,10 +702,10 @@
         let first = (c.now() - cut) as f64 / 1000.0;
         c.until(120_000, "all home", |c| c.lent(EAST).is_empty());
         println!(
-            "seed {seed}: {} loans of a silent cell, the first begins anew after {first:.1} s, all home after {:.1} s",
+            "seed {seed}: {} loans of a silent cell, the first restarts after {first:.1} s, all home after {:.1} s",
             away.len(),
             (c.now() - cut) as f64 / 1000.0
         );
-        c.all_end_well(EAST, &jobs);
+        c.assert_all_jobs_finish(EAST, &jobs);
     }
 }
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -10,7 +10,7 @@
 
 /// What happens to messages from one controller or cell to another cell.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Way {
+pub enum CellLink {
     Open,
     Cut,
     /// Requests arrive, answers are lost.
@@ -35,12 +35,12 @@
 pub struct Cells {
     pub cells: Vec<World>,
     /// How messages of each cell reach each other cell.
-    pub ways: Vec<Vec<Way>>,
+    pub cell_links: Vec<Vec<CellLink>>,
     /// Controllers, by cell and place, that reach no other cell.
-    pub shut: BTreeSet<(usize, usize)>,
+    pub refusing: BTreeSet<(usize, usize)>,
     /// Copies of each request arrive this many ms later.
-    pub copies: Vec<u64>,
-    pub broken: Vec<String>,
+    pub request_copies: Vec<u64>,
+    pub violations: Vec<String>,
     /// Requests between cells that were sent.
     pub requests: u64,
     requests_under_way: Vec<Request>,
@@ -107,15 +107,15 @@
             // What is there stays there.
             world.settings.options.fleet_idle_s = 3600.0;
             (0..controllers).for_each(|i| world.start(i));
-            world.no_capacity = true;
+            world.cloud_has_no_capacity = true;
             world
         });
         let mut cells = Cells {
             cells: worlds.collect(),
-            ways: vec![vec![Way::Open; machines.len()]; machines.len()],
-            shut: BTreeSet::new(),
-            copies: Vec::new(),
-            broken: Vec::new(),
+            cell_links: vec![vec![CellLink::Open; machines.len()]; machines.len()],
+            refusing: BTreeSet::new(),
+            request_copies: Vec::new(),
+            violations: Vec::new(),
             requests: 0,
             requests_under_way: Vec::new(),
             last_number: 0,
@@ -157,24 +157,27 @@
         }
     }
 
-    /// Ends all troubles; every job is done in the end, and the rules were kept.
-    pub fn all_end_well(&mut self, cell: usize, jobs: &[String]) {
+    /// Ends all faults; every job is done in the end, and the rules were kept.
+    pub fn assert_all_jobs_finish(&mut self, cell: usize, jobs: &[String]) {
         self.heal();
         self.until(240_000, "done", |c| {
             jobs.iter().all(|job| c.cells[cell].is_done(job))
         });
-        self.assert_kept();
+        self.assert_no_violations();
     }
 
     pub fn heal(&mut self) {
         self.cells.iter_mut().for_each(World::heal);
-        self.ways.iter_mut().flatten().for_each(|w| *w = Way::Open);
-        self.shut.clear();
+        self.cell_links
+            .iter_mut()
+            .flatten()
+            .for_each(|w| *w = CellLink::Open);
+        self.refusing.clear();
     }
 
-    pub fn assert_kept(&self) {
-        assert!(self.broken.is_empty(), "{:?}", self.broken);
-        self.cells.iter().for_each(World::assert_kept);
+    pub fn assert_no_violations(&self) {
+        assert!(self.violations.is_empty(), "{:?}", self.violations);
+        self.cells.iter().for_each(World::assert_no_violations);
     }
 
     /// Whether a cell's state service shows a job as lent.
@@ -212,8 +215,8 @@
     /// Cuts a cell from all others, in both directions.
     pub fn cut_off(&mut self, cell: usize) {
         for other in 0..self.cells.len() {
-            self.ways[cell][other] = Way::Cut;
-            self.ways[other][cell] = Way::Cut;
+            self.cell_links[cell][other] = CellLink::Cut;
+            self.cell_links[other][cell] = CellLink::Cut;
         }
     }
 
@@ -237,11 +240,11 @@
         self.requests += u64::from(to.0 != from);
         let sent = self.cells[from].clock(node);
         let way = match from == to.0 {
-            true => Way::Open,
-            false => self.ways[from][to.0],
+            true => CellLink::Open,
+            false => self.cell_links[from][to.0],
         };
-        let delay = if let Way::Late(ms) = way { ms } else { 0 };
-        let cut = way == Way::Cut || (from != to.0 && self.shut.contains(&(from, node)));
+        let delay = if let CellLink::Late(ms) = way { ms } else { 0 };
+        let cut = way == CellLink::Cut || (from != to.0 && self.refusing.contains(&(from, node)));
         let request = |at: u64, awaited: bool| Request {
             at,
             from,
@@ -255,14 +258,16 @@
         if cut || delay > 0 {
             self.answer(&request(now, true), None);
         } else {
-            let awaited = way != Way::LosesAnswers;
+            let awaited = way != CellLink::LosesAnswers;
             self.requests_under_way.push(request(now, awaited));
             if !awaited {
                 self.answer(&request(now, true), None);
             }
         }
-        let copies = self.copies.iter().copied();
-        let late = copies.chain((delay > 0).then_some(delay)).filter(|_| !cut);
+        let request_copies = self.request_copies.iter().copied();
+        let late = request_copies
+            .chain((delay > 0).then_some(delay))
+            .filter(|_| !cut);
         let late: Vec<Request> = late.map(|ms| request(now + ms, false)).collect();
         self.requests_under_way.extend(late);
     }
@@ -270,11 +275,10 @@
     fn deliver(&mut self, request: Request) {
         let (cell, node) = request.to;
         let world = &mut self.cells[cell];
-        let unreachable_since = world.frozen(node)
-            || (request.from != cell && self.shut.contains(&(cell, node)))
+        let unreachable = world.paused(node)
+            || (request.from != cell && self.refusing.contains(&(cell, node)))
             || world.controllers[node].is_none();
-        let answer =
-            (!unreachable_since).then(|| world.take_cell_request(node, &request.call.request));
+        let answer = (!unreachable).then(|| world.take_cell_request(node, &request.call.request));
         if request.awaited {
             self.answer(&request, answer);
         }
@@ -285,7 +289,7 @@
         let now = world.clock(request.node);
         let back = match request.from == request.to.0 {
             true => true,
-            false => self.ways[request.to.0][request.from] != Way::Cut,
+            false => self.cell_links[request.to.0][request.from] != CellLink::Cut,
         };
         if let Some(node) = &mut world.controllers[request.node] {
             let controller = &mut node.controller;
@@ -316,14 +320,14 @@
         });
         if let Some(double) = occupancy::double_start(present) {
             let what = format!("ran_twice: {double:?} at {}", self.now());
-            self.broken.push(what);
+            self.violations.push(what);
         }
         for origin in &self.cells {
             for (job, at) in &origin.cancelled {
                 let late = self.now() > at + origin.cancel_ms();
                 let runs = late && self.cells.iter().any(|w| w.running_of(job) > 0);
                 if runs {
-                    self.broken.push(format!("ran_cancelled: {job}"));
+                    self.violations.push(format!("ran_cancelled: {job}"));
                 }
             }
         }
@@ -417,11 +421,11 @@
                 self.state.late.push((self.now + ms, transaction.clone()));
                 CommitOutcome::Unknown
             }
-            StoreFault::FaultyStore if self.rng.random_bool(0.3) => {
+            StoreFault::Intermittent if self.rng.random_bool(0.3) => {
                 self.state.commit(transaction);
                 CommitOutcome::Unknown
             }
-            StoreFault::FaultyStore | StoreFault::Refuses => CommitOutcome::Refused,
+            StoreFault::Intermittent | StoreFault::Refuses => CommitOutcome::Refused,
         }
     }
 }
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -3,19 +3,19 @@
 use super::*;
 
 impl World {
-    /// One of six troubles of a controller.
-    pub fn trouble(&mut self, i: usize, kind: u32, luck: &mut SmallRng) {
+    /// One of six faults of a controller.
+    pub fn inject_fault(&mut self, i: usize, kind: u32, rng: &mut SmallRng) {
         match kind {
             0 => self.crash(i),
             1 => self.links[i].state = StoreFault::Refuses,
-            2 if luck.random_bool(0.5) => self.links[i].state = StoreFault::Slow(1500),
-            2 => self.links[i].state = StoreFault::Late(luck.random_range(200..8000)),
+            2 if rng.random_bool(0.5) => self.links[i].state = StoreFault::Slow(1500),
+            2 => self.links[i].state = StoreFault::Late(rng.random_range(200..8000)),
             3 => self.links[i].peers = false,
             _ => self.links[i].workers = false,
         }
     }
 
-    /// A controller's steady clock. It drifts, but does not jump when a story sets its drift.
+    /// A controller's steady clock. It drifts, but does not jump when a test sets its drift.
     pub fn clock(&self, i: usize) -> Timestamp {
         let passed = (self.now - BEGIN) as f64 * (1.0 + self.drift[i]);
         Timestamp(BEGIN + passed as u64)
@@ -45,7 +45,7 @@
         }
         let node = Node {
             controller,
-            frozen_until: 0,
+            paused_until: 0,
             next_watch: 0,
             loaded: false,
         };
@@ -115,16 +115,16 @@
         self.state.out = out;
     }
 
-    /// A controller stands still for a while; what is asked of it then has no answer.
-    pub fn freeze(&mut self, i: usize, ms: u64) {
+    /// A controller is paused for a while; what is asked of it then has no answer.
+    pub fn pause(&mut self, i: usize, ms: u64) {
         if let Some(n) = &mut self.controllers[i] {
-            n.frozen_until = self.now + ms;
+            n.paused_until = self.now + ms;
         }
     }
 
-    pub(super) fn frozen(&self, i: usize) -> bool {
+    pub(super) fn paused(&self, i: usize) -> bool {
         let node = self.controllers[i].as_ref();
-        node.is_some_and(|n| self.now < n.frozen_until)
+        node.is_some_and(|n| self.now < n.paused_until)
     }
 
     /// How a controller reaches the others now.
@@ -140,13 +140,13 @@
     }
 
     /// Cuts a controller from the state service and from the others, but not from its workers.
-    pub fn strand(&mut self, i: usize) {
+    pub fn isolate(&mut self, i: usize) {
         self.links[i].state = StoreFault::Refuses;
         self.links[i].watch_hangs = true;
         self.links[i].peers = false;
     }
 
-    /// Names the controller and the time in what a traced story logs.
+    /// Names the controller and the time in what a traced test logs.
     pub(super) fn span(&self, i: usize) -> tracing::Span {
         tracing::debug_span!("controller", i, now = self.now)
     }
@@ -159,12 +159,12 @@
         let now = self.clock(i);
         let link = self.link(i);
         let late = match link.state {
-            StoreFault::Good | StoreFault::FaultyStore => Some(0),
+            StoreFault::Good | StoreFault::Intermittent => Some(0),
             StoreFault::Slow(ms) => Some(ms),
             _ => None,
         };
-        // After it stood still its timers fire before the first answers are in.
-        let waking = node.frozen_until > 0 && self.now < node.frozen_until + 400;
+        // After it was paused its timers fire before the first answers are in.
+        let waking = node.paused_until > 0 && self.now < node.paused_until + 400;
         let due = self.now >= node.next_watch && !link.watch_hangs && !waking;
         if let Some(late) = late.filter(|_| due) {
             if node.loaded {
@@ -224,11 +224,11 @@
                 let Some(j) = position(&name).filter(|j| *j < self.controllers.len()) else {
                     return false;
                 };
-                let apart = self.side[i] != self.side[j];
-                if apart || self.frozen(j) || !self.links[i].peers || !self.links[j].peers {
+                let apart = self.partition_side[i] != self.partition_side[j];
+                if apart || self.paused(j) || !self.links[i].peers || !self.links[j].peers {
                     return false;
                 }
-                for &age in &self.peer_copies {
+                for &age in &self.peer_message_copies {
                     self.late_messages
                         .push((self.now + age, j, (*message).clone()));
                 }
@@ -256,7 +256,7 @@
             }
             Effect::Cell(call) => self.cell_calls.push((i, *call)),
             Effect::Rent(r) => {
-                if self.cloud_up && self.no_capacity {
+                if self.cloud_up && self.cloud_has_no_capacity {
                     controller.on_rented(&r, None, true, now);
                     return false;
                 }
@@ -297,10 +297,10 @@
         fault: StoreFault,
     ) -> bool {
         let fault = match (fault, self.rng.random_range(0..6)) {
-            (StoreFault::FaultyStore, 0) => StoreFault::LosesAnswers,
-            (StoreFault::FaultyStore, 1) => StoreFault::Late(self.rng.random_range(100..5000)),
-            (StoreFault::FaultyStore, 2 | 3) => StoreFault::Refuses,
-            (StoreFault::FaultyStore, _) => StoreFault::Good,
+            (StoreFault::Intermittent, 0) => StoreFault::LosesAnswers,
+            (StoreFault::Intermittent, 1) => StoreFault::Late(self.rng.random_range(100..5000)),
+            (StoreFault::Intermittent, 2 | 3) => StoreFault::Refuses,
+            (StoreFault::Intermittent, _) => StoreFault::Good,
             (StoreFault::Slow(_), 0 | 1) => StoreFault::LosesAnswers,
             (StoreFault::Slow(_), _) => StoreFault::Good,
             (fault, _) => fault,
@@ -320,7 +320,7 @@
                 self.state.late.push((self.now + ms, transaction));
                 CommitOutcome::Unknown
             }
-            StoreFault::Refuses | StoreFault::FaultyStore | StoreFault::Slow(_) => {
+            StoreFault::Refuses | StoreFault::Intermittent | StoreFault::Slow(_) => {
                 CommitOutcome::Refused
             }
         };
@@ -354,7 +354,7 @@
             let what = format!(
                 "commit: {largest} of {all} bytes, {in_flight} changes, {preconditions} conditions"
             );
-            self.broken.push(what);
+            self.violations.push(what);
         }
     }
 }
--- a/tests/support/days.rs
+++ b/tests/support/days.rs
@@ -1,4 +1,4 @@
-//! Days of several controllers and many machines on which troubles come by chance and overlap.
+//! Days of several controllers and many machines on which faults come at random and overlap.
 
 use super::*;
 
@@ -50,25 +50,25 @@
 
 /// What can go wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Trouble {
+enum Fault {
     Crash,
     CrashAll,
     RestartAtOnce,
     StateRefuses,
     StateLate,
-    StateFaults,
+    StateIntermittent,
     StateSlow,
     WatchHangs,
     Outage,
     PeersCut,
     WorkersCut,
-    Stranded,
-    Frozen,
+    Isolated,
+    Paused,
     MachinesCut,
-    MachinesDeaf,
+    MachinesUnreachable,
     MachinesHang,
     MachinesRestart,
-    MachinesSick,
+    MachinesFailTasks,
     MachinesDie,
     SpotNotice,
     ZoneCut,
@@ -76,30 +76,30 @@
     Recovery,
 }
 
-const TROUBLES: [Trouble; 23] = [
-    Trouble::Crash,
-    Trouble::CrashAll,
-    Trouble::RestartAtOnce,
-    Trouble::StateRefuses,
-    Trouble::StateLate,
-    Trouble::StateFaults,
-    Trouble::StateSlow,
-    Trouble::WatchHangs,
-    Trouble::Outage,
-    Trouble::PeersCut,
-    Trouble::WorkersCut,
-    Trouble::Stranded,
-    Trouble::Frozen,
-    Trouble::MachinesCut,
-    Trouble::MachinesDeaf,
-    Trouble::MachinesHang,
-    Trouble::MachinesRestart,
-    Trouble::MachinesSick,
-    Trouble::MachinesDie,
-    Trouble::SpotNotice,
-    Trouble::ZoneCut,
-    Trouble::CloudDown,
-    Trouble::Recovery,
+const TROUBLES: [Fault; 23] = [
+    Fault::Crash,
+    Fault::CrashAll,
+    Fault::RestartAtOnce,
+    Fault::StateRefuses,
+    Fault::StateLate,
+    Fault::StateIntermittent,
+    Fault::StateSlow,
+    Fault::WatchHangs,
+    Fault::Outage,
+    Fault::PeersCut,
+    Fault::WorkersCut,
+    Fault::Isolated,
+    Fault::Paused,
+    Fault::MachinesCut,
+    Fault::MachinesUnreachable,
+    Fault::MachinesHang,
+    Fault::MachinesRestart,
+    Fault::MachinesFailTasks,
+    Fault::MachinesDie,
+    Fault::SpotNotice,
+    Fault::ZoneCut,
+    Fault::CloudDown,
+    Fault::Recovery,
 ];
 
 /// How a day is played.
@@ -107,20 +107,20 @@
 pub struct DayPlan {
     pub seed: u64,
     pub machines: usize,
-    /// Number of troubles.
-    pub troubles: usize,
-    /// Whether the machines may begin anew under the same name.
+    /// Number of faults.
+    pub faults: usize,
+    /// Whether the machines may restart under the same name.
     pub restarts: bool,
 }
 
 /// A day under way.
 struct Day {
     world: World,
-    luck: SmallRng,
+    rng: SmallRng,
     plan: DayPlan,
     open: Vec<String>,
     submitted: u32,
-    /// What happened, for the story that a failing day is shortened to.
+    /// What happened, for the test that a failing day is shortened to.
     log: Vec<(u64, String)>,
 }
 
@@ -136,25 +136,25 @@
 /// Plays a day; the rules that were broken, with what had happened before.
 pub fn play(plan: DayPlan) -> Result<DayResult, Vec<String>> {
     let mut day = Day::new(plan);
-    for _ in 0..plan.troubles {
+    for _ in 0..plan.faults {
         day.submit_some();
         day.cancel_some();
-        day.trouble();
-        let pause = day.luck.random_range(100..6000);
+        day.inject_fault();
+        let pause = day.rng.random_range(100..6000);
         day.world.run(pause);
-        if day.luck.random_bool(0.3) {
+        if day.rng.random_bool(0.3) {
             day.note("heal".into());
             day.world.heal();
             day.world.cloud_up = true;
         }
-        if !day.world.broken.is_empty() {
+        if !day.world.violations.is_empty() {
             return Err(day.heartbeat());
         }
     }
     day.world.heal();
     day.world.cloud_up = true;
     day.world.run(30_000);
-    match day.world.broken.is_empty() {
+    match day.world.violations.is_empty() {
         true => Ok(DayResult {
             revision: day.world.state.revision(),
             starts: std::mem::take(&mut day.world.starts),
@@ -166,7 +166,7 @@
 impl Day {
     fn new(plan: DayPlan) -> Day {
         let limits = &LIMITS[plan.seed as usize % LIMITS.len()];
-        let mut luck = SmallRng::seed_from_u64(plan.seed);
+        let mut rng = SmallRng::seed_from_u64(plan.seed);
         let platform = PLATFORM
             .replace(
                 "report_s = 2.0",
@@ -189,22 +189,20 @@
         let mut world =
             World::with_platform(plan.seed, limits.controllers, plan.machines, &platform);
         world.run_ms = 12_000;
-        world.fetch_ms = [0, 1500, 4000][luck.random_range(0..3)];
-        world.save_ms = [0, 3000][luck.random_range(0..2)];
-        world.list_lag_ms = [0, 3000, 6000][luck.random_range(0..3)];
-        if luck.random_bool(0.6) {
-            world.copies = vec![
-                luck.random_range(300..8000),
-                luck.random_range(8000..40_000),
-            ];
+        world.fetch_ms = [0, 1500, 4000][rng.random_range(0..3)];
+        world.save_ms = [0, 3000][rng.random_range(0..2)];
+        world.list_lag_ms = [0, 3000, 6000][rng.random_range(0..3)];
+        if rng.random_bool(0.6) {
+            world.heartbeat_copies =
+                vec![rng.random_range(300..8000), rng.random_range(8000..40_000)];
         }
-        world.copies_for_next = luck.random_bool(0.5);
+        world.copies_for_next = rng.random_bool(0.5);
         world.drift[0] = -0.0005;
         world.drift[1] = 0.0005;
         world.run(12_000);
         Day {
             world,
-            luck,
+            rng,
             plan,
             open: Vec::new(),
             submitted: 0,
@@ -218,44 +216,44 @@
 
     fn heartbeat(&self) -> Vec<String> {
         let mut lines = vec![format!("{:?}", self.plan)];
-        lines.extend(self.world.broken.iter().take(3).cloned());
+        lines.extend(self.world.violations.iter().take(3).cloned());
         let log = self.log.iter().map(|(at, what)| format!("{at} {what}"));
         lines.extend(log);
         lines
     }
 
     fn submit_some(&mut self) {
-        for _ in 0..self.luck.random_range(0..4) {
+        for _ in 0..self.rng.random_range(0..4) {
             self.submitted += 1;
-            let mut spec = self.world.spec(self.luck.random_range(1..24));
-            spec.cpus = [1.0, 1.0, 2.0][self.luck.random_range(0..3)];
-            spec.team = ["blue", "red", "guest"][self.luck.random_range(0..3)].into();
-            spec.priority = match self.luck.random_range(0..4) {
+            let mut spec = self.world.spec(self.rng.random_range(1..24));
+            spec.cpus = [1.0, 1.0, 2.0][self.rng.random_range(0..3)];
+            spec.team = ["blue", "red", "guest"][self.rng.random_range(0..3)].into();
+            spec.priority = match self.rng.random_range(0..4) {
                 0 => Priority::Urgent,
                 1 => Priority::BestEffort,
                 _ => Priority::Normal,
             };
-            spec.one_zone = self.luck.random_bool(0.1);
+            spec.one_zone = self.rng.random_bool(0.1);
             if self.world.save_ms > 0 {
                 spec.checkpoint_s = 5.0;
                 spec.save_s = self.world.save_ms as f64 / 1000.0;
             }
-            self.world.run_ms = self.luck.random_range(2000..30_000);
+            self.world.run_ms = self.rng.random_range(2000..30_000);
             let job = self.world.submit(self.submitted, spec);
-            if self.luck.random_bool(0.05) {
-                self.world.faulty.insert(job.clone());
+            if self.rng.random_bool(0.05) {
+                self.world.failing_jobs.insert(job.clone());
             }
             self.open.push(job);
         }
     }
 
     fn cancel_some(&mut self) {
-        if self.open.is_empty() || !self.luck.random_bool(0.25) {
+        if self.open.is_empty() || !self.rng.random_bool(0.25) {
             return;
         }
         let job = self
             .open
-            .swap_remove(self.luck.random_range(0..self.open.len()));
+            .swap_remove(self.rng.random_range(0..self.open.len()));
         if self.world.is_open(&job) && !self.world.state.out {
             self.note(format!("cancel {job}"));
             self.world.cancel(&job);
@@ -265,48 +263,48 @@
     /// Positions of some machines.
     fn some_machines(&mut self) -> Vec<usize> {
         let all = self.world.workers.len();
-        let share = [0.05, 0.2, 0.5][self.luck.random_range(0..3)];
-        (0..all).filter(|_| self.luck.random_bool(share)).collect()
+        let share = [0.05, 0.2, 0.5][self.rng.random_range(0..3)];
+        (0..all).filter(|_| self.rng.random_bool(share)).collect()
     }
 
-    fn trouble(&mut self) {
-        let kind = TROUBLES[self.luck.random_range(0..TROUBLES.len())];
-        if kind == Trouble::MachinesRestart && !self.plan.restarts {
+    fn inject_fault(&mut self) {
+        let kind = TROUBLES[self.rng.random_range(0..TROUBLES.len())];
+        if kind == Fault::MachinesRestart && !self.plan.restarts {
             return;
         }
         let controllers = self.world.controllers.len();
-        let i = match (self.world.leader(), self.luck.random_bool(0.3)) {
+        let i = match (self.world.leader(), self.rng.random_bool(0.3)) {
             (Some(leader), true) => leader,
-            _ => self.luck.random_range(0..controllers),
+            _ => self.rng.random_range(0..controllers),
         };
-        let ms = self.luck.random_range(500..30_000);
+        let ms = self.rng.random_range(500..30_000);
         let machines = self.some_machines();
         self.note(format!(
             "{kind:?} controller {i} {ms} ms machines {machines:?}"
         ));
         match kind {
-            Trouble::MachinesCut
-            | Trouble::MachinesDeaf
-            | Trouble::MachinesHang
-            | Trouble::MachinesRestart
-            | Trouble::MachinesSick
-            | Trouble::SpotNotice
-            | Trouble::MachinesDie => self.trouble_machines(kind, &machines),
+            Fault::MachinesCut
+            | Fault::MachinesUnreachable
+            | Fault::MachinesHang
+            | Fault::MachinesRestart
+            | Fault::MachinesFailTasks
+            | Fault::SpotNotice
+            | Fault::MachinesDie => self.trouble_machines(kind, &machines),
             _ => self.trouble_controller(kind, i, ms),
         }
     }
 
-    fn trouble_machines(&mut self, kind: Trouble, machines: &[usize]) {
+    fn trouble_machines(&mut self, kind: Fault, machines: &[usize]) {
         let world = &mut self.world;
         for &at in machines.iter().rev() {
             let worker = &mut world.workers[at];
             match kind {
-                Trouble::MachinesCut => worker.cut = true,
-                Trouble::MachinesDeaf => worker.unreachable_since = true,
-                Trouble::MachinesHang => worker.hung = true,
-                Trouble::MachinesSick => worker.quarantined = true,
-                Trouble::SpotNotice => worker.reclaim_s = Some(20.0),
-                Trouble::MachinesRestart => world.restart_machine(at),
+                Fault::MachinesCut => worker.cut = true,
+                Fault::MachinesUnreachable => worker.unreachable = true,
+                Fault::MachinesHang => worker.hung = true,
+                Fault::MachinesFailTasks => worker.fails_tasks = true,
+                Fault::SpotNotice => worker.reclaim_s = Some(20.0),
+                Fault::MachinesRestart => world.restart_machine(at),
                 _ => {
                     world.workers.remove(at);
                 }
@@ -314,27 +312,27 @@
         }
     }
 
-    fn trouble_controller(&mut self, kind: Trouble, i: usize, ms: u64) {
+    fn trouble_controller(&mut self, kind: Fault, i: usize, ms: u64) {
         let world = &mut self.world;
         match kind {
-            Trouble::Crash => world.crash(i),
-            Trouble::CrashAll => (0..world.controllers.len()).for_each(|n| world.crash(n)),
-            Trouble::RestartAtOnce => {
+            Fault::Crash => world.crash(i),
+            Fault::CrashAll => (0..world.controllers.len()).for_each(|n| world.crash(n)),
+            Fault::RestartAtOnce => {
                 world.crash(i);
                 world.run(300);
                 world.start(i);
             }
-            Trouble::StateRefuses => world.links[i].state = StoreFault::Refuses,
-            Trouble::StateLate => world.links[i].state = StoreFault::Late(ms.min(12_000)),
-            Trouble::StateFaults => world.links[i].state = StoreFault::FaultyStore,
-            Trouble::StateSlow => world.links[i].state = StoreFault::Slow(ms.min(3000)),
-            Trouble::WatchHangs => world.links[i].watch_hangs = true,
-            Trouble::Outage => world.outage(true),
-            Trouble::PeersCut => world.links[i].peers = false,
-            Trouble::WorkersCut => world.links[i].workers = false,
-            Trouble::Stranded => world.strand(i),
-            Trouble::Frozen => world.freeze(i, ms),
-            Trouble::ZoneCut => {
+            Fault::StateRefuses => world.links[i].state = StoreFault::Refuses,
+            Fault::StateLate => world.links[i].state = StoreFault::Late(ms.min(12_000)),
+            Fault::StateIntermittent => world.links[i].state = StoreFault::Intermittent,
+            Fault::StateSlow => world.links[i].state = StoreFault::Slow(ms.min(3000)),
+            Fault::WatchHangs => world.links[i].watch_hangs = true,
+            Fault::Outage => world.outage(true),
+            Fault::PeersCut => world.links[i].peers = false,
+            Fault::WorkersCut => world.links[i].workers = false,
+            Fault::Isolated => world.isolate(i),
+            Fault::Paused => world.pause(i, ms),
+            Fault::ZoneCut => {
                 let zone = ["north", "south"][i % 2];
                 let of_zone = world.workers.iter_mut().filter(|w| w.machine.zone == zone);
                 of_zone.for_each(|w| w.only = Some(i));
@@ -342,9 +340,9 @@
                 world.links[i].state = StoreFault::Refuses;
                 world.links[i].watch_hangs = true;
             }
-            Trouble::CloudDown => world.cloud_up = false,
+            Fault::CloudDown => world.cloud_up = false,
             _ => world.workers.iter_mut().for_each(|w| {
-                (w.only, w.quarantined, w.reclaim_s) = (None, false, None);
+                (w.only, w.fails_tasks, w.reclaim_s) = (None, false, None);
             }),
         }
     }
--- a/tests/support/machines.rs
+++ b/tests/support/machines.rs
@@ -47,16 +47,16 @@
             answered: self.now + boot_ms,
             held: None,
             cut: false,
-            unreachable_since: false,
+            unreachable: false,
             hung: false,
             only: None,
-            quarantined: false,
+            fails_tasks: false,
             reclaim_s: None,
         });
         name
     }
 
-    /// A machine that is off for a moment: its worker starts anew, and everything on it is gone.
+    /// A machine that is off for a moment: its worker starts again, and everything on it is gone.
     pub fn restart_machine(&mut self, at: usize) {
         let w = &mut self.workers[at];
         tracing::debug!(now = self.now, machine = w.machine.name, "begins anew");
@@ -109,7 +109,7 @@
             t.left_ms = t.left_ms.saturating_sub(100);
             if t.left_ms == 0 {
                 let job = job_of(&t.task);
-                let failure_streaks = w.quarantined || self.faulty.contains(job);
+                let failure_streaks = w.fails_tasks || self.failing_jobs.contains(job);
                 if !failure_streaks {
                     self.completed.insert(t.task.clone());
                 }
@@ -126,11 +126,11 @@
         }
         let w = &mut self.workers[at];
         if let Some((sent, until, node)) = w.held {
-            // One report at a time: it is still waiting for this answer.
+            // One heartbeat at a time: it is still waiting for this answer.
             let (machine, number) = (w.machine.name.clone(), (w.worker_epoch, w.sequence));
             let (clock, origin) = (self.clock(node), self.origin(node));
             let reached = self.links[node].workers && !self.workers[at].cut;
-            if self.frozen(node) {
+            if self.paused(node) {
                 if now > sent + 4000 {
                     self.give_up(at, sent);
                 }
@@ -141,9 +141,9 @@
                 self.give_up(at, sent);
                 return;
             };
-            let given = controller.woken_machines();
-            self.given.extend(given);
-            if now < until && !self.given.remove(&machine) {
+            let machines_given_tasks = controller.woken_machines();
+            self.machines_given_tasks.extend(machines_given_tasks);
+            if now < until && !self.machines_given_tasks.remove(&machine) {
                 return;
             }
             let _span = tracing::debug_span!("controller", node, now).entered();
@@ -172,7 +172,7 @@
             "sends a report"
         );
         let reaches = w.only.is_none_or(|o| o == node);
-        for &age in &self.copies {
+        for &age in &self.heartbeat_copies {
             let to = self.rng.random_range(0..self.controllers.len());
             self.late_heartbeats
                 .push((now + age, to, heartbeat.clone()));
@@ -180,8 +180,8 @@
         if self.copies_for_next && self.rng.random_bool(0.3) && self.kept_copies.len() < 5000 {
             self.kept_copies.push(heartbeat.clone());
         }
-        if self.frozen(node) {
-            // It finds the report when it goes on; nobody waits for the answer any more.
+        if self.paused(node) {
+            // It finds the heartbeat when it goes on; nobody waits for the answer any more.
             self.late_heartbeats.push((now + 100, node, heartbeat));
             self.give_up(at, now);
             return;
@@ -211,7 +211,7 @@
                     matches!(&reply, HeartbeatResponse::HeartbeatAck(o) if o.orders.is_empty());
                 let patience = nothing.then(|| n.controller.may_wait(&machine, number, clock));
                 if let Some(ms) = patience.flatten()
-                    && !self.workers[at].unreachable_since
+                    && !self.workers[at].unreachable
                 {
                     self.workers[at].held = Some((now, now + ms, node));
                     return;
@@ -221,7 +221,7 @@
             }
             _ => HeartbeatResponse::Unavailable,
         };
-        if self.workers[at].unreachable_since {
+        if self.workers[at].unreachable {
             self.give_up(at, now);
             return;
         }
@@ -306,7 +306,7 @@
         let job = self.job(job_of(&task));
         if job.is_some_and(|j| j.status == JobStatus::Done) {
             let what = format!("{task} is launched after its job is done");
-            self.broken.push(what);
+            self.violations.push(what);
         }
         let left_ms = match self.completed.contains(&task) {
             true => 100,
@@ -326,7 +326,7 @@
         }
     }
 
-    /// Puts a task on a machine behind everybody's back, for stories of the checker itself.
+    /// Puts a task on a machine behind everybody's back, for tests of the checker itself.
     pub fn plant(&mut self, at: usize, task: &str) {
         self.workers[at].tasks.push(Task {
             task: task.to_owned(),
@@ -360,7 +360,7 @@
         let named = self.awaits.get(job).into_iter().flatten();
         if let Some(early) = named.clone().find(|a| !self.is_done(a)) {
             let what = format!("too_early: {task} starts before {early} is done");
-            self.broken.push(what);
+            self.violations.push(what);
         }
         self.starts.push((self.now, task, machine));
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! In-memory fakes of the state service, the cloud, the workers and the network, and a small
-//! world that plays several controllers against them on a fake clock with seeded luck.
-#![allow(dead_code)]
+//! world that plays several controllers against them on a fake clock with seeded random numbers.
+#![allow(dead_code, reason = "each test program uses a part of this module")]
 
 use quillbend::clock::Timestamp;
 use quillbend::controller::{CommitOutcome, Controller, Effect, HeartbeatResponse, WriteKind};
@@ -40,16 +40,16 @@
     Late(u64),
     /// 429 or 503.
     Refuses,
-    /// Any of these, as luck has it.
-    FaultyStore,
+    /// Any of these, at random.
+    Intermittent,
     /// Carried out, but some answers are lost, and the watch comes this many ms late.
     Slow(u64),
 }
 
 pub struct Node {
     pub controller: Controller,
-    /// It stands still until then, while its clock runs on.
-    pub frozen_until: u64,
+    /// It is paused until then, while its clock runs on.
+    pub paused_until: u64,
     next_watch: u64,
     loaded: bool,
 }
@@ -80,7 +80,7 @@
     pub workers: Vec<Worker>,
     pub cloud_up: bool,
     /// The cloud has no machines to rent.
-    pub no_capacity: bool,
+    pub cloud_has_no_capacity: bool,
     /// Which of several cells this is.
     pub cell: usize,
     /// Writes that lend jobs are carried out this many ms late, and have no answer.
@@ -100,22 +100,22 @@
     specs: HashMap<String, JobSpec>,
     /// Tasks whose result is kept: started again they end as soon as they have their image.
     completed: BTreeSet<String>,
-    /// Copies of reports that are kept until another controller leads.
+    /// Copies of heartbeats that are kept until another controller leads.
     pub copies_for_next: bool,
     kept_copies: Vec<Heartbeat>,
     last_leader: Option<usize>,
     pub starts: Vec<(u64, String, String)>,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub returned: BTreeSet<String>,
-    flood: u32,
+    burst_jobs: u32,
     /// Jobs submitted with a mistake: each of their tasks fails, wherever it runs.
-    pub faulty: BTreeSet<String>,
+    pub failing_jobs: BTreeSet<String>,
     /// Machines that are rented come up after so many ms, if not after the usual 5 s.
     pub slow_boot: Option<u64>,
     /// When a job's user was told that it is cancelled.
     cancelled: BTreeMap<String, u64>,
     /// The newest final answer that a job's user was given.
-    told: BTreeMap<String, JobStatus>,
+    last_final_answer: BTreeMap<String, JobStatus>,
     /// How much faster than true time each controller's steady clock runs.
     pub drift: Vec<f64>,
     pub settings: Settings,
@@ -127,16 +127,16 @@
     pub old_format: u32,
     /// The jobs that each job named when it was submitted.
     awaits: BTreeMap<String, Vec<String>>,
-    /// Of each report copies arrive this many ms later, at any controller.
-    pub copies: Vec<u64>,
+    /// Of each heartbeat copies arrive this many ms later, at any controller.
+    pub heartbeat_copies: Vec<u64>,
     /// Of each message between controllers copies arrive this many ms later.
-    pub peer_copies: Vec<u64>,
+    pub peer_message_copies: Vec<u64>,
     late_messages: Vec<(u64, usize, PeerMessage)>,
     /// Controllers on different sides do not reach each other.
-    pub side: Vec<u8>,
+    pub partition_side: Vec<u8>,
     late_heartbeats: Vec<(u64, usize, Heartbeat)>,
     /// Machines whose waiting answers are due.
-    given: BTreeSet<String>,
+    machines_given_tasks: BTreeSet<String>,
     request_counter: HashMap<String, Vec<String>>,
     rng: SmallRng,
     rented: u32,
@@ -148,7 +148,7 @@
 pub const NEXT_LIMITS: &str =
     "[settings.state.next]\nvalue_kb = 1.5\ntxn_ops = 4\nwrite_rps = 18.0\n";
 
-/// When every story begins, ms.
+/// When every test begins, ms.
 const BEGIN: u64 = 10_000_000;
 
 impl World {
@@ -194,7 +194,7 @@
             links: vec![GOOD; controllers],
             workers: Vec::new(),
             cloud_up: true,
-            no_capacity: false,
+            cloud_has_no_capacity: false,
             cell: 0,
             late_lending: None,
             cell_calls: Vec::new(),
@@ -209,25 +209,25 @@
             kept_copies: Vec::new(),
             last_leader: None,
             starts: Vec::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             returned: BTreeSet::new(),
-            flood: 1000,
-            faulty: BTreeSet::new(),
+            burst_jobs: 1000,
+            failing_jobs: BTreeSet::new(),
             slow_boot: None,
             cancelled: BTreeMap::new(),
-            told: BTreeMap::new(),
+            last_final_answer: BTreeMap::new(),
             drift: vec![0.0; controllers],
             settings,
             old_settings,
             old: vec![old; controllers],
             old_format: 0,
             awaits: BTreeMap::new(),
-            copies: Vec::new(),
-            peer_copies: Vec::new(),
+            heartbeat_copies: Vec::new(),
+            peer_message_copies: Vec::new(),
             late_messages: Vec::new(),
-            side: vec![0; controllers],
+            partition_side: vec![0; controllers],
             late_heartbeats: Vec::new(),
-            given: BTreeSet::new(),
+            machines_given_tasks: BTreeSet::new(),
             request_counter: HashMap::new(),
             rng: SmallRng::seed_from_u64(seed),
             rented: 0,
@@ -261,12 +261,12 @@
         (w, job)
     }
 
-    /// Ends every trouble and starts what is down.
+    /// Ends every fault and starts what is down.
     pub fn heal(&mut self) {
         self.links = vec![GOOD; self.controllers.len()];
         self.workers
             .iter_mut()
-            .for_each(|m| (m.cut, m.unreachable_since, m.hung) = (false, false, false));
+            .for_each(|m| (m.cut, m.unreachable, m.hung) = (false, false, false));
         self.outage(false);
         for i in 0..self.controllers.len() {
             if self.controllers[i].is_none() {
@@ -275,11 +275,11 @@
         }
     }
 
-    /// Ends every trouble; all jobs must be done in the end, with the rules kept.
-    pub fn all_end_well(&mut self, jobs: &[String]) {
+    /// Ends every fault; all jobs must be done in the end, with the rules kept.
+    pub fn assert_all_jobs_finish(&mut self, jobs: &[String]) {
         self.heal();
         self.until(200_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
-        self.assert_kept();
+        self.assert_no_violations();
     }
 
     /// Plays on for a while.
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Plays until something holds; fails the story if it does not within the time.
+    /// Plays until something holds; fails the test if it does not within the time.
     pub fn until(&mut self, ms: u64, what: &str, mut holds: impl FnMut(&World) -> bool) {
         let end = self.now + ms;
         while !holds(self) {
@@ -305,17 +305,17 @@
         self.note_list();
         self.release_kept_copies();
         for i in 0..self.controllers.len() {
-            if !self.frozen(i) {
+            if !self.paused(i) {
                 self.play_node(i);
             }
         }
         for w in 0..self.workers.len() {
             self.play_worker(w);
         }
-        let frozen: Vec<bool> = (0..self.controllers.len())
-            .map(|i| self.frozen(i))
+        let paused: Vec<bool> = (0..self.controllers.len())
+            .map(|i| self.paused(i))
             .collect();
-        let due = |at: u64, node: usize| at <= self.now && !frozen[node];
+        let due = |at: u64, node: usize| at <= self.now && !paused[node];
         let due_messages: Vec<_> = self
             .late_messages
             .extract_if(.., |n| due(n.0, n.1))
@@ -349,7 +349,7 @@
         self.check();
     }
 
-    /// Copies of reports that were kept for the next leader arrive there and at all others.
+    /// Copies of heartbeats that were kept for the next leader arrive there and at all others.
     fn release_kept_copies(&mut self) {
         if !self.copies_for_next {
             return;
--- a/tests/support/rules.rs
+++ b/tests/support/rules.rs
@@ -30,8 +30,8 @@
                 "ran_twice: {} on {one} and {other} at {}",
                 double.task, self.now
             );
-            if self.broken.last() != Some(&what) {
-                self.broken.push(what);
+            if self.violations.last() != Some(&what) {
+                self.violations.push(what);
             }
         }
     }
@@ -63,7 +63,7 @@
                 "wrong_place: {name} on {} in {}",
                 machine.name, machine.zone
             );
-            self.broken.push(what);
+            self.violations.push(what);
         }
     }
 
@@ -82,7 +82,7 @@
                         "ran_cancelled: {} on {} after {late}",
                         t.task, w.machine.name
                     );
-                    self.broken.push(what);
+                    self.violations.push(what);
                 }
             }
         }
@@ -94,7 +94,7 @@
             let bindable = self.state.value(&job_key(job)).is_some();
             if let Some(early) = named.iter().find(|n| bindable && !self.is_done(n)) {
                 let what = format!("too_early: {job} may be bound, {early} is not done");
-                self.broken.push(what);
+                self.violations.push(what);
             }
         }
     }
@@ -113,13 +113,14 @@
         for t in &self.settings.platform.settings.teams {
             let now = used.get(&t.name).copied().unwrap_or(0.0);
             if now > t.cpus_max + 1e-6 {
-                self.broken.push(format!("quota: {} uses {now}", t.name));
+                self.violations
+                    .push(format!("quota: {} uses {now}", t.name));
             }
         }
     }
 
-    /// The story's rules held and every start was counted once per attempt.
-    pub fn assert_kept(&self) {
-        assert!(self.broken.is_empty(), "{:?}", self.broken);
+    /// The test's rules held and every start was counted once per attempt.
+    pub fn assert_no_violations(&self) {
+        assert!(self.violations.is_empty(), "{:?}", self.violations);
     }
 }
--- a/tests/support/search.rs
+++ b/tests/support/search.rs
@@ -15,8 +15,8 @@
     let days = number("SEARCH_DAYS").unwrap_or(100);
     let mut failed = Vec::new();
     for seed in from..from + days {
-        if let Err(broken) = play(seed) {
-            println!("seed {seed}:\n{}", broken.join("\n"));
+        if let Err(violations) = play(seed) {
+            println!("seed {seed}:\n{}", violations.join("\n"));
             failed.push(seed);
         }
     }
--- a/tests/support/state.rs
+++ b/tests/support/state.rs
@@ -19,7 +19,7 @@
     pub(super) leases: BTreeMap<u64, (u64, u64)>,
     pub(super) next_lease: u64,
     pub(super) late: Vec<(u64, Transaction)>,
-    /// It answers nobody, and leases stand still.
+    /// It answers nobody, and leases are paused.
     pub out: bool,
     /// Its revision at each moment.
     pub(super) marks: Vec<(u64, u64)>,
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -4,12 +4,12 @@
 
 impl World {
     /// Plays on while more urgent work comes, eight tasks a second, than a team may run.
-    pub fn flood(&mut self, seconds: u32) {
+    pub fn submit_burst(&mut self, seconds: u32) {
         for _ in 0..seconds {
-            self.flood += 1;
+            self.burst_jobs += 1;
             let mut urgent = self.spec(8);
             urgent.priority = Priority::Urgent;
-            self.submit(self.flood, urgent);
+            self.submit(self.burst_jobs, urgent);
             self.run(1000);
         }
     }
@@ -21,7 +21,7 @@
             self.run(500);
             for i in 0..self.controllers.len() {
                 for job in jobs {
-                    self.ask(i, job);
+                    self.poll_status(i, job);
                 }
             }
         }
@@ -127,7 +127,7 @@
     }
 
     /// Submits a job that names others through any controller that takes it.
-    pub fn chain(&mut self, n: u32, spec: JobSpec, awaits: &[&String]) -> String {
+    pub fn submit_dependent(&mut self, n: u32, spec: JobSpec, awaits: &[&String]) -> String {
         let awaits: Vec<String> = awaits.iter().map(|a| (*a).clone()).collect();
         let end = self.now + 20_000;
         while self.now < end {
@@ -192,7 +192,7 @@
 
     /// A user asks a controller, which answers from its replica once that has reached the state
     /// service's revision, as the door does; none if it has not yet.
-    pub fn ask(&mut self, i: usize, name: &str) -> Option<JobStatus> {
+    pub fn poll_status(&mut self, i: usize, name: &str) -> Option<JobStatus> {
         let replica = &self.controllers[i].as_ref()?.controller.replica;
         if replica.revision < self.state.revision() {
             return None;
@@ -211,24 +211,24 @@
             .filter(|_| status != JobStatus::Cancelled)
         {
             let what = format!("orphaned: {name} is {status:?}, cancelled at {at}");
-            self.broken.push(what);
+            self.violations.push(what);
         }
         self.tell(name, status);
         Some(status)
     }
 
     pub(super) fn tell(&mut self, name: &str, status: JobStatus) {
-        if let Some(before) = self.told.get(name).filter(|b| **b != status) {
-            self.broken
+        if let Some(before) = self.last_final_answer.get(name).filter(|b| **b != status) {
+            self.violations
                 .push(format!("went_back: {name} {before:?}, then {status:?}"));
         }
         if status == JobStatus::Done
             && self.done(name) < self.job(name).map_or(0, |j| j.spec.task_count)
         {
-            self.broken.push(format!("not_done: {name}"));
+            self.violations.push(format!("not_done: {name}"));
         }
         if status != JobStatus::Pending {
-            self.told.insert(name.into(), status);
+            self.last_final_answer.insert(name.into(), status);
         }
     }
 
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -56,21 +56,21 @@
     pub tasks: Vec<Task>,
     pub at: usize,
     pub(super) next_heartbeat: u64,
-    /// A report is under way until then.
+    /// A heartbeat is under way until then.
     pub(super) silent_until: u64,
     pub(super) answered: u64,
-    /// Its report, sent then, was taken in by a controller, whose answer waits until then.
+    /// Its heartbeat, sent then, was taken in by a controller, whose answer waits until then.
     pub(super) held: Option<(u64, u64, usize)>,
     /// No report leaves it and nothing reaches it.
     pub cut: bool,
     /// Its reports arrive, but no answer reaches it.
-    pub unreachable_since: bool,
-    /// It stands still with all that runs on it, and may go on at any time.
+    pub unreachable: bool,
+    /// It is paused with all that runs on it, and may go on at any time.
     pub hung: bool,
     /// It reaches this controller alone.
     pub only: Option<usize>,
     /// It fails whatever it starts.
-    pub quarantined: bool,
+    pub fails_tasks: bool,
     pub reclaim_s: Option<f64>,
 }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Stories of a rolling upgrade: both versions serve side by side and on each other's data, and the
+//! Tests of a rolling upgrade: both versions serve side by side and on each other's data, and the
 //! state service lowers its limits afterwards. The version in production is played by this code
 //! held to the formats and the behaviour of that one; the bench plays the real one.
 
@@ -56,7 +56,7 @@
         w.state.value(FORMAT).is_some()
     });
     w.run(300);
-    let second = w.chain(2, w.spec(1), &[&first]);
+    let second = w.submit_dependent(2, w.spec(1), &[&first]);
     // One that is back in the old version for a moment does not turn that back.
     w.crash(1);
     w.old[1] = true;
@@ -67,7 +67,7 @@
             .is_some()
     );
     upgrade(&mut w, 1, 500);
-    w.all_end_well(&[first, second, "wk-000003".into()]);
+    w.assert_all_jobs_finish(&[first, second, "wk-000003".into()]);
 }
 
 #[test]
@@ -76,7 +76,7 @@
     w.crash(2);
     let first = w.submit(1, w.spec(1));
     let before = w.now;
-    w.chain(2, w.spec(1), &[&first]);
+    w.submit_dependent(2, w.spec(1), &[&first]);
     assert!(w.now - before < 1000);
     // Of an upgrade one controller never comes back.
     let mut w = in_production(3, 3, 4);
@@ -95,7 +95,7 @@
     w.until(120_000, "the format is recorded", |w| {
         w.state.value(FORMAT).is_some()
     });
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -106,7 +106,7 @@
     w.run(8000);
     w.run_ms = 3000;
     let first = w.submit(1, w.spec(1));
-    let second = w.chain(2, w.spec(2), &[&first]);
+    let second = w.submit_dependent(2, w.spec(2), &[&first]);
     // All are back in the old version, which sees nothing of the waiting job.
     for i in 0..3 {
         w.crash(i);
@@ -120,7 +120,7 @@
         upgrade(&mut w, i, 500);
     }
     w.until(60_000, "the second is done", |w| w.is_done(&second));
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -140,7 +140,7 @@
             w.run(3000);
         }
         lower_limits(&mut w);
-        w.all_end_well(&jobs);
+        w.assert_all_jobs_finish(&jobs);
         assert_eq!(
             w.starts.len(),
             10 + 5 * controllers,
@@ -201,7 +201,7 @@
         w.starts.len()
     );
     assert_eq!(w.state.too_large, 0);
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 /// Two controllers of this version, one of which leads, and one that reads format 2 as the latest; a
@@ -257,7 +257,7 @@
     w.run(5000);
     let late = w.submit(2, w.spec(16));
     w.until(30_000, "new work begins", |w| w.starts_of(&late) == 16);
-    w.all_end_well(&[job, late]);
+    w.assert_all_jobs_finish(&[job, late]);
     assert_eq!(w.starts.len(), 216, "begun twice");
     assert_eq!(w.state.too_large, 0);
 }
@@ -276,7 +276,7 @@
         upgrade(&mut w, i, 500);
         w.run(2000);
     }
-    // The last one in the old version stays away: its blocks are granted anew, under higher tokens
+    // The last one in the old version stays away: its blocks are granted again, under higher tokens
     // than the others have, before anything may be merged.
     w.crash(2);
     let before = used_blocks(&w);
@@ -288,7 +288,7 @@
     assert_eq!(w.running(), 200, "what ran was lost");
     assert_eq!(w.starts.len(), 200, "begun twice");
     // Endings are believed only under the tokens of the blocks that the machines are in now.
-    w.all_end_well(&[job]);
+    w.assert_all_jobs_finish(&[job]);
     assert_eq!(w.starts.len(), 200, "begun twice");
 }
 
@@ -326,7 +326,7 @@
     assert!(many > 2 * few, "{many}");
     w.until(200_000, "done", |w| w.is_done(&job));
     assert_eq!(w.state.too_large, 0);
-    w.assert_kept();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -347,7 +347,7 @@
         w.run(3000);
         assert!(!is_bitmap(&w, &job));
     }
-    w.all_end_well(&[job]);
+    w.assert_all_jobs_finish(&[job]);
 }
 
 #[test]
@@ -384,47 +384,47 @@
         let archived = |w: &World| w.state.value(&past_key(&job)).is_some();
         w.until(120_000, "archived", archived);
         w.run(100);
-        assert_eq!(w.ask(0, &job), Some(over));
-        w.assert_kept();
+        assert_eq!(w.poll_status(0, &job), Some(over));
+        w.assert_no_violations();
     }
 }
 
 #[test]
 fn no_transaction_is_larger_than_the_limits_to_come_whatever_happens() {
-    // The limits hold from the start; every trouble and every kind of transaction meets them.
+    // The limits hold from the start; every fault and every kind of transaction meets them.
     for seed in 11..15 {
         let mut w = World::in_production(seed, 3, 10);
         w.old = vec![false; 3];
         (0..3).for_each(|i| w.start(i));
         lower_limits(&mut w);
         w.run(5000);
-        let mut luck = SmallRng::seed_from_u64(seed);
+        let mut rng = SmallRng::seed_from_u64(seed);
         w.run_ms = 5000;
         let mut jobs = Vec::new();
         for n in 0..40 {
             if w.controllers.iter().all(Option::is_none) {
                 w.heal();
             }
-            let mut spec = w.spec(luck.random_range(1..30));
+            let mut spec = w.spec(rng.random_range(1..30));
             spec.team = ["blue", "red", "guest"][n as usize % 3].into();
-            let job = match jobs.last().filter(|_| luck.random_bool(0.4)) {
+            let job = match jobs.last().filter(|_| rng.random_bool(0.4)) {
                 Some(last) => {
                     let last: String = String::clone(last);
-                    w.chain(n + 1, spec, &[&last])
+                    w.submit_dependent(n + 1, spec, &[&last])
                 }
                 None => w.submit(n + 1, spec),
             };
             jobs.push(job);
-            let at = luck.random_range(0..3);
-            match luck.random_range(0..8) {
+            let at = rng.random_range(0..3);
+            match rng.random_range(0..8) {
                 0 => w.crash(at),
-                1 => w.links[at].state = StoreFault::FaultyStore,
+                1 => w.links[at].state = StoreFault::Intermittent,
                 2 => w.heal(),
                 _ => {}
             }
-            w.run(luck.random_range(200..2500));
+            w.run(rng.random_range(200..2500));
         }
-        w.all_end_well(&jobs);
+        w.assert_all_jobs_finish(&jobs);
         assert_eq!(
             w.state.too_large, 0,
             "the service refused what was too large"
@@ -443,7 +443,7 @@
             (0..controllers).for_each(|i| w.start(i));
             w.run(3000);
         }
-        let mut luck = SmallRng::seed_from_u64(seed);
+        let mut rng = SmallRng::seed_from_u64(seed);
         w.run_ms = 6000;
         let mut jobs: Vec<String> = Vec::new();
         let mut over: Vec<String> = Vec::new();
@@ -452,20 +452,20 @@
             if n % 6 == 5
                 && let Some(i) = to_upgrade.pop()
             {
-                upgrade(&mut w, i, luck.random_range(200..4000));
+                upgrade(&mut w, i, rng.random_range(200..4000));
             }
             if to_upgrade.is_empty() && n == 36 {
                 lower_limits(&mut w);
             }
-            let mut spec = w.spec(luck.random_range(1..12));
-            if luck.random_bool(0.3) {
+            let mut spec = w.spec(rng.random_range(1..12));
+            if rng.random_bool(0.3) {
                 spec.priority = Priority::Urgent;
             }
             spec.team = ["blue", "red"][n as usize % 2].into();
-            let named: Vec<String> = (0..luck.random_range(0..3))
-                .filter_map(|_| jobs.get(luck.random_range(0..jobs.len().max(1))).cloned())
+            let named: Vec<String> = (0..rng.random_range(0..3))
+                .filter_map(|_| jobs.get(rng.random_range(0..jobs.len().max(1))).cloned())
                 .collect();
-            let at = luck.random_range(0..controllers);
+            let at = rng.random_range(0..controllers);
             let taken = match named.is_empty() {
                 true => Some(w.submit(n + 1, spec)),
                 false => w.submit_after(at, n + 1, spec, &named),
@@ -473,25 +473,25 @@
             if let Some(job) = taken {
                 jobs.push(job);
             }
-            if luck.random_bool(0.15)
-                && let Some(job) = jobs.get(luck.random_range(0..jobs.len())).cloned()
+            if rng.random_bool(0.15)
+                && let Some(job) = jobs.get(rng.random_range(0..jobs.len())).cloned()
                 && w.is_open(&job)
             {
                 w.cancel(&job);
                 over.push(job);
             }
-            let at = luck.random_range(0..controllers);
-            match luck.random_range(0..10) {
+            let at = rng.random_range(0..controllers);
+            match rng.random_range(0..10) {
                 // One that dies before its turn comes back old.
                 0 => w.crash(at),
-                1 => w.links[at].state = StoreFault::FaultyStore,
+                1 => w.links[at].state = StoreFault::Intermittent,
                 2 => w.links[at].peers = false,
-                3 => w.freeze(at, luck.random_range(500..5000)),
+                3 => w.pause(at, rng.random_range(500..5000)),
                 4 | 5 => w.heal(),
                 _ => {}
             }
             let asked = jobs.clone();
-            w.run_asking(luck.random_range(500..2500), &asked);
+            w.run_asking(rng.random_range(500..2500), &asked);
         }
         w.heal();
         for i in to_upgrade {
@@ -506,7 +506,7 @@
         let asked = jobs.clone();
         w.run_asking(5000, &asked);
         assert_eq!(w.state.too_large, 0);
-        w.assert_kept();
+        w.assert_no_violations();
     }
 }
 
