--- a/benches/costs.rs
+++ b/benches/costs.rs
@@ -7,6 +7,7 @@
 
 use hdrhistogram::Histogram;
 use quillbend::clock::Timestamp;
+use quillbend::controller::MessageLength;
 use quillbend::jobs;
 use std::hint::black_box;
 use std::time::Instant;
@@ -91,8 +92,8 @@
         node.controller.replica.revision = before.min(node.controller.replica.revision);
         message.measure(|| node.controller.on_watch_response(list, now, now));
         due.measure(|| node.controller.tick(now, day));
-        long.measure(|| node.controller.peer_message(true, now));
-        short.measure(|| node.controller.peer_message(false, now));
+        long.measure(|| node.controller.peer_message(MessageLength::Long, now));
+        short.measure(|| node.controller.peer_message(MessageLength::Short, now));
         poll.measure(|| {
             let replica = &node.controller.replica;
             let job_id = replica.names.jobs.get("wk-000007")?;
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -108,7 +108,7 @@
     /// the holders, and its blocks follow in their turns.
     pub(crate) fn reported_done(&self) -> BTreeMap<JobId, RangeSet> {
         let mut done = self.completions.unrecorded_done();
-        for (&job, tasks) in self.peers.states.values().flat_map(|p| &p.done) {
+        for (job, tasks) in self.peers.unrecorded_done() {
             done.entry(job).or_default().union(tasks);
         }
         done
--- a/src/controller/heartbeat/admission.rs
+++ b/src/controller/heartbeat/admission.rs
@@ -51,7 +51,7 @@
     /// The controller to which a peer says that this machine's block was granted since.
     fn later_holder(&self, machine_id: MachineId) -> Option<HostId> {
         let block = self.replica.machines.get(&machine_id)?.block;
-        let &(_, holder) = self.peers.reported_grants.get(&block)?;
+        let holder = self.peers.reported_holder(block)?;
         (holder != self.me).then_some(holder)
     }
 
@@ -81,7 +81,7 @@
     }
 
     fn is_heard_peer(&self, host: HostId, now: Timestamp) -> bool {
-        host != self.me && self.hears(host, now)
+        host != self.me && self.peers.hears(host, now)
     }
 
     fn redirect(&mut self, to: Option<HostId>) -> HeartbeatResponse {
--- a/src/controller/heartbeat/answer.rs
+++ b/src/controller/heartbeat/answer.rs
@@ -31,7 +31,7 @@
         self.note_reachability(runtime, heartbeat, now);
         log_first_contact(runtime, heartbeat, held.fencing_token);
         if note_arrival(runtime, heartbeat, held.fencing_token, now) == Fencing::Begins {
-            self.peers.urgent_update = true;
+            self.peers.request_urgent_update();
         }
         note_reclaim(runtime, heartbeat, now);
         runtime.launched.clear();
--- a/src/controller/heartbeat/outcomes.rs
+++ b/src/controller/heartbeat/outcomes.rs
@@ -22,7 +22,9 @@
                 runtime.failed_jobs.clear();
                 self.held.note_success(job);
                 // Others wait for it: the leader hears of its last completions soon.
-                self.peers.urgent_update |= self.replica.dependencies.is_needed(job);
+                if self.replica.dependencies.is_needed(job) {
+                    self.peers.request_urgent_update();
+                }
             }
             TaskOutcome::Failed => self.note_failure(machine_id, runtime, job, now),
             TaskOutcome::Free => {}
--- a/src/controller/heartbeat/reachability.rs
+++ b/src/controller/heartbeat/reachability.rs
@@ -109,9 +109,7 @@
         let missing = missing
             .filter(|(_, runtime)| runtime.missed_acks > 0)
             .count();
-        self.pauses
-            .stalled_at
-            .is_some_and(|at| now.since(at) < LATE_AFTER_STALL_MS)
+        self.pauses.stalled_within(LATE_AFTER_STALL_MS, now)
             || missing > (self.held.len() / LATE_FRACTION).max(LATE_MACHINES)
     }
 }
--- a/src/controller/held_machines.rs
+++ b/src/controller/held_machines.rs
@@ -12,10 +12,9 @@
 
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
-use crate::names::{ClassId, HostId, JobId, MachineId};
-use crate::protocol::{MachineSummary, TaskPhase, UnownedMachine};
-use crate::ranges::RangeSet;
-use crate::replica::{Incarnation, TaskId};
+use crate::names::{ClassId, JobId, MachineId};
+use crate::protocol::TaskPhase;
+use crate::replica::TaskId;
 
 /// Bounds of the ratio of a run time to its owner's estimate.
 const RUN_TIME_RATIO_BOUNDS: (f64, f64) = (0.2, 5.0);
@@ -220,27 +219,3 @@
     /// The last one.
     pub(crate) last: Timestamp,
 }
-
-/// What is known of a peer.
-#[derive(Debug, Clone, Default)]
-pub(crate) struct PeerState {
-    pub heard: Option<Timestamp>,
-    /// The life it spoke in.
-    pub incarnation: Option<Incarnation>,
-    pub state_ok: bool,
-    /// Since when it says that the state service does not answer it, while it answers us.
-    pub refused_since: Option<Timestamp>,
-    /// When it last said that it had to refuse users for the budget of changes.
-    pub short_at: Option<Timestamp>,
-    /// Ages of what it heard from others when it spoke last.
-    pub hears: HashMap<HostId, u64>,
-    /// What it last said of its machines, and when.
-    pub machines: HashMap<MachineId, MachineSummary>,
-    pub machines_at: Option<Timestamp>,
-    /// Tasks that run on them.
-    pub running: HashMap<JobId, u32>,
-    /// Tasks that were done on them and that it has not recorded yet.
-    pub done: HashMap<JobId, RangeSet>,
-    pub unowned_machines: Vec<UnownedMachine>,
-    pub failure_streaks: Vec<(JobId, u32, Timestamp)>,
-}
--- a/src/controller/machine_status.rs
+++ b/src/controller/machine_status.rs
@@ -26,9 +26,8 @@
                 restarted: runtime.restarted,
             });
         }
-        let peer = self.peers.states.get(&grant.host)?;
-        let message_age = now.since(peer.machines_at?);
-        let summary = peer.machines.get(&machine_id)?;
+        let (summary, received_at) = self.peers.machine(grant.host, machine_id)?;
+        let message_age = now.since(received_at);
         Some(MachineInfo {
             age_ms: summary.age_ms.map(|age| age + message_age),
             obeys: summary.obeys,
@@ -69,16 +68,11 @@
     /// Running tasks of a job as far as this controller has heard, for display.
     pub fn running(&self, job: JobId) -> u32 {
         let mine = self.held.running(job);
-        let theirs = self
-            .peers
-            .states
-            .values()
-            .filter_map(|p| p.running.get(&job));
-        mine + theirs.sum::<u32>()
+        mine + self.peers.running(job)
     }
 
     /// Whether no task of a job may run any more, as far as this controller knows.
     pub(crate) fn is_over(&self, job_id: JobId, job: &Job) -> bool {
-        job.status != JobStatus::Pending || self.peers.reported_cancellations.contains(&job_id)
+        job.status != JobStatus::Pending || self.peers.reports_cancelled(job_id)
     }
 }
--- a/src/controller/metrics.rs
+++ b/src/controller/metrics.rs
@@ -1,14 +1,17 @@
 //! Counters and the status page, for operators.
 
-use super::*;
+use super::Controller;
+use crate::clock::Timestamp;
+use std::collections::BTreeMap;
+use tracing::info;
 
 /// Counters shown to operators.
 #[derive(Debug, Clone, Default, serde::Serialize)]
 pub struct Counters {
-    /// Reports answered with 200.
+    /// Heartbeats answered with 200.
     #[serde(rename = "reports")]
     pub heartbeats: u64,
-    /// Reports sent elsewhere.
+    /// Heartbeats redirected to another controller.
     pub redirects: u64,
     /// Tasks launched.
     pub launches: u64,
@@ -18,27 +21,27 @@
     pub failed: u64,
     /// Tasks put back unbound.
     pub freed: u64,
-    /// Tasks bound as leader.
+    /// Tasks that this controller bound as leader.
     pub bound: u64,
-    /// Tasks marked as leader to be stopped for more pressing ones.
+    /// Tasks that this controller, as leader, marked to be preempted.
     pub evicted: u64,
-    /// Steals sent.
+    /// Steal messages sent.
     pub steals: u64,
-    /// Hops of steals passed on.
+    /// Steal messages passed on to another machine.
     pub hops: u64,
-    /// Hints sent.
+    /// Hint messages sent.
     pub hints: u64,
     /// Packs moved.
     pub packs: u64,
     /// Tasks moved in packs.
     pub stolen_tasks: u64,
-    /// Transactions whose conditions failed.
+    /// Transactions a precondition of which failed.
     pub conflicts: u64,
     /// Transactions without an answer.
     pub unanswered: u64,
     /// Transactions refused for budget or outage.
     pub refused: u64,
-    /// Machines given up as lost.
+    /// Machines presumed dead.
     #[serde(rename = "lost_machines")]
     pub machines_presumed_dead: u64,
 }
@@ -87,7 +90,7 @@
             })
             .collect();
         let mut page = serde_json::json!({
-            "host": self.my_name(), "boot": self.membership.incarnation.0, "ready": self.ready(now),
+            "host": self.my_name(), "boot": self.membership.incarnation().0, "ready": self.ready(now),
             "authority": self.has_authority(now), "leads": self.leads().map(|l| l.mod_revision),
             "leader": self.replica.leader.map(|l| names.hosts.name(l.host)),
             "ledger": self.replica.revision, "jobs": self.replica.jobs.len(),
@@ -119,6 +122,8 @@
         let hosts = &self.replica.names.hosts;
         let live_controllers = self.replica.live_controllers.iter();
         let shown = live_controllers.map(|(&host, node)| (hosts.name(host), node.format));
-        shown.chain([(self.my_name(), self.formats.own)]).collect()
+        shown
+            .chain([(self.my_name(), self.formats.own())])
+            .collect()
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,9 +1,13 @@
-//! The decisions of one controller: membership, leases and the duties of a block holder.
+//! One controller's deterministic state machine: events in, [`Effect`]s out.
 //!
-//! No input or output happens here. The service feeds in what arrived and when, and carries out
-//! the [`Action`]s that come back; tests do the same with fakes.
+//! Owns the parts of the controller's state and passes events on to them. No input or output happens
+//! here: the runtime feeds in what arrived and when, and carries out the effects that come back;
+//! tests do the same with fakes. Must never read a clock or draw on randomness but its own seeded
+//! generator, so that a run can be replayed from its seed.
 
+mod archive_queries;
 mod blocks;
+mod candidacy;
 pub(crate) mod completions;
 mod effects;
 mod formats;
@@ -16,6 +20,7 @@
 mod pauses;
 mod peers;
 mod queue_load;
+mod replica_changes;
 mod usage;
 pub(crate) mod writes;
 
@@ -27,35 +32,32 @@
 pub(crate) use formats::FormatTracker;
 pub(crate) use heartbeat::NO_TOKEN;
 pub(crate) use held_machines::HeldMachines;
-pub(crate) use held_machines::{MachineRuntime, PeerState, TaskRuntime};
+pub(crate) use held_machines::{MachineRuntime, TaskRuntime};
 pub(crate) use membership::Membership;
 pub use metrics::Counters;
 pub use outcomes::{Move, TaskOutcome};
 pub(crate) use pauses::PauseDetector;
+pub use peers::MessageLength;
 pub(crate) use peers::Peers;
 pub(crate) use queue_load::needs_of;
 pub(crate) use writes::WritePipeline;
 
 use crate::clock::Timestamp;
-use crate::collections::{HashMap, HashSet};
+use crate::collections::HashMap;
 use crate::leadership::LeaderState;
 use crate::names::{HostId, JobId, MachineId, MachineTypeId, TeamId, ZoneId};
 use crate::placement::Room;
-use crate::protocol::{
-    JobStatus, Json, MachineType, Mutation, PeerMessage, Transaction, WatchResponse,
-};
+use crate::protocol::{JobStatus, Json, MachineType, Mutation, Transaction};
 use crate::ranges::RangeSet;
-use crate::records::{CURRENT_FORMAT, ControllerRecord, HolderRecord, SPILLOVER_FORMAT};
-use crate::replica::{
-    Binding, BlockId, Holder, Incarnation, Replica, block_key, grant_key, job_key, node_key,
-};
+use crate::records::{CURRENT_FORMAT, SPILLOVER_FORMAT};
+use crate::replica::{Binding, BlockId, Replica, block_key, grant_key, job_key};
 use crate::settings::Settings;
 use crate::spillover::Spillover;
 use crate::stealing::WorkStealing;
+use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use rand::{Rng, SeedableRng};
-use std::collections::{BTreeMap, VecDeque};
-use tracing::{error, info, warn};
+use std::collections::BTreeMap;
+use tracing::warn;
 
 /// The state of one controller.
 pub struct Controller {
@@ -65,8 +67,6 @@
     pub replica: Replica,
     /// This controller.
     pub me: HostId,
-    /// The other controllers.
-    pub others: Vec<HostId>,
     /// Counters.
     pub counters: Counters,
     /// Lease, incarnation and what the authority of this controller rests on.
@@ -87,9 +87,11 @@
     pub(crate) block_upkeep: BlockUpkeep,
     /// When periodic duties are due.
     pub(crate) schedule: Schedule,
+    /// The only source of random choices.
     pub(crate) rng: SmallRng,
     /// Machine types of the catalog by index, once known.
     pub(crate) machine_types: HashMap<MachineTypeId, MachineType>,
+    /// What this controller keeps while it leads.
     pub(crate) leadership: LeaderState,
     /// The part that this controller plays in work stealing.
     pub(crate) work_stealing: WorkStealing,
@@ -110,45 +112,45 @@
     pub(crate) next_archive_query: Timestamp,
 }
 
-/// A gap between two looks at what is due that shows that the controller cannot keep up, ms.
-const STALL_MS: u64 = 1000;
 /// Interval of the counters in the log, ms.
 const METRICS_MS: u64 = 30_000;
+/// Interval at which the catalog is read again, ms.
+const CATALOG_MS: u64 = 30_000;
+/// The same while it is not known, ms.
+const UNKNOWN_CATALOG_MS: u64 = 1000;
 
 impl Controller {
-    /// A controller that knows nothing yet. `seed` makes its random choices and its life's number.
+    /// A controller that knows nothing yet. `seed` determines its random choices and the number of
+    /// its incarnation.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut replica = Replica::default();
-        let me = replica.names.hosts.intern(&settings.platform.host_name);
-        let others = settings
-            .platform
+        let platform = &settings.platform;
+        let me = replica.names.hosts.intern(&platform.host_name);
+        let others = platform
             .peers
             .iter()
-            .map(|k| replica.names.hosts.intern(&k.host_name))
-            .filter(|&h| h != me)
+            .map(|peer| replica.names.hosts.intern(&peer.host_name))
+            .filter(|&host| host != me)
             .collect();
-        for team in &settings.platform.settings.teams {
+        for team in &platform.settings.teams {
             replica.names.teams.intern(&team.name);
         }
         let mut rng = SmallRng::seed_from_u64(seed);
-        let incarnation = Incarnation(rng.random::<u64>() >> 12);
-        let known = &settings.platform.peers;
-        let peers: Vec<String> = known.iter().map(|k| k.endpoint.clone()).collect();
-        let spillover = Spillover::new(settings.spillover.as_ref(), &peers);
+        let endpoints: Vec<String> = platform.peers.iter().map(|p| p.endpoint.clone()).collect();
+        let spillover = Spillover::new(settings.spillover.as_ref(), &endpoints);
         let format = match spillover.is_on() {
             true => SPILLOVER_FORMAT,
             false => CURRENT_FORMAT,
         };
         Self {
+            membership: Membership::new(me, &settings, &mut rng),
+            peers: Peers::new(me, others, &settings),
+            formats: FormatTracker::new(me, format),
             settings,
             replica,
             me,
-            others,
             counters: Counters::default(),
-            membership: Membership::new(incarnation),
             pauses: PauseDetector::default(),
-            formats: FormatTracker::new(format),
-            peers: Peers::default(),
             held: HeldMachines::default(),
             completions: Completions::default(),
             writes: WritePipeline::default(),
@@ -163,9 +165,9 @@
         }
     }
 
-    /// Makes this controller behave as one of the version before did, for stories of upgrades.
+    /// Makes this controller behave as an earlier version did, for tests of upgrades.
     pub fn run_as_format(&mut self, format: u32) {
-        self.formats.own = format;
+        self.formats.set_own(format);
     }
 
     /// This controller's name.
@@ -182,30 +184,13 @@
     pub fn tick(&mut self, now: Timestamp, day_ms: u64) -> Vec<Effect> {
         let mut out = Vec::new();
         self.day_ms = day_ms;
-        if self.pauses.started_at.is_some() && now.since(self.pauses.last_tick_at) > STALL_MS {
-            self.pauses.stalled_at = Some(now);
-        }
-        if self.pauses.started_at.is_some()
-            && now.since(self.pauses.last_tick_at) > self.silent_ms()
-        {
-            warn!(ms = now.since(self.pauses.last_tick_at), "stood still");
-            self.pauses.resumed_at = Some(now);
-        }
-        let started = *self.pauses.started_at.get_or_insert(now);
-        self.pauses.last_tick_at = now;
+        self.pauses.on_tick(now, self.peers.silent_ms());
         if self.is_outdated() {
-            self.note_outdated();
+            self.formats.log_outdated(self.replica.format);
             return out;
         }
-        if now >= self.schedule.next_metrics {
-            self.schedule.next_metrics = now.plus(METRICS_MS);
-            self.log_metrics();
-        }
-        if now >= self.schedule.next_catalog {
-            let wait = if self.catalog_known() { 30_000 } else { 1000 };
-            self.schedule.next_catalog = now.plus(wait);
-            out.push(Effect::Catalog);
-        }
+        self.tick_metrics(now);
+        self.tick_catalog(now, &mut out);
         self.adjust_write_pace(now);
         self.note_ungranted_blocks(now);
         self.tick_lease(now, &mut out);
@@ -213,36 +198,57 @@
         if self.replica.synced {
             self.tick_join(now, &mut out);
             if self.has_authority(now) && self.caught_up_after_pause(now) {
-                self.tick_leadership(now, started, &mut out);
-                self.find_presumed_dead(now);
-                self.tick_holder(now, &mut out);
-                // Others act in place of one that alone is refused; its machines go over to them,
-                // and would seem dead to it.
-                if !self.alone_without_store(now) {
-                    self.tick_leader(now, &mut out);
-                }
-                self.tick_work_stealing(now, &mut out);
+                self.tick_with_authority(now, &mut out);
             }
         }
         self.ask_archive(now, &mut out);
         self.tick_spillover(now, &mut out);
-        if now >= self.peers.next_message
-            || self.work_stealing.has_outgoing()
-            || self.urgent_update_due(now)
-        {
+        if self.work_stealing.has_outgoing() || self.peers.is_message_due(now) {
             self.tick_peers(now, &mut out);
         }
         out
     }
 
+    /// Does what only a controller with authority may do.
+    fn tick_with_authority(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        self.tick_leadership(now, out);
+        self.find_presumed_dead(now);
+        self.tick_holder(now, out);
+        // Others act in place of one that alone is refused; its machines go over to them,
+        // and would seem dead to it.
+        if !self.alone_without_store(now) {
+            self.tick_leader(now, out);
+        }
+        self.tick_work_stealing(now, out);
+    }
+
+    fn tick_metrics(&mut self, now: Timestamp) {
+        if now >= self.schedule.next_metrics {
+            self.schedule.next_metrics = now.plus(METRICS_MS);
+            self.log_metrics();
+        }
+    }
+
+    fn tick_catalog(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        if now >= self.schedule.next_catalog {
+            let wait = match self.catalog_known() {
+                true => CATALOG_MS,
+                false => UNKNOWN_CATALOG_MS,
+            };
+            self.schedule.next_catalog = now.plus(wait);
+            out.push(Effect::Catalog);
+        }
+    }
+
     /// The cloud's catalog arrived.
     pub fn on_catalog(&mut self, catalog: crate::protocol::Catalog) {
-        for f in catalog.machine_types {
-            for y in &f.zones {
-                self.replica.names.zones.intern(y);
+        for machine_type in catalog.machine_types {
+            for zone in &machine_type.zones {
+                self.replica.names.zones.intern(zone);
             }
-            let machine_id = self.replica.names.machine_types.intern(&f.label);
-            if self.machine_types.insert(machine_id, f).is_none() {
+            let names = &mut self.replica.names.machine_types;
+            let id = names.intern(&machine_type.label);
+            if self.machine_types.insert(id, machine_type).is_none() {
                 // How much the machines of a block may come to list is known only now.
                 self.replica.mark_all_changed();
             }
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -1,462 +1,388 @@
-//! What controllers tell each other, who is heard, and who leads.
+//! The other controllers: what each said and when, who is suspected, and what they are told next.
+//!
+//! Owns what is known at second hand. Must never make it count as proof: a write that rests on
+//! hearsay carries preconditions that the state service checks.
 
-use super::*;
-use crate::protocol::FleetSummary;
+mod messages;
+mod state;
+
+pub use messages::MessageLength;
+use state::PeerState;
+pub(crate) use state::ReportedFailureStreak;
+
+use super::Controller;
+use crate::clock::Timestamp;
+use crate::collections::{HashMap, HashSet};
+use crate::names::{HostId, JobId, MachineId};
+use crate::protocol::{MachineSummary, UnownedMachine};
+use crate::ranges::RangeSet;
+use crate::replica::{BlockId, Holder, Incarnation};
+use crate::settings::Settings;
+use std::collections::VecDeque;
 
 /// Least time between two messages that tell the leader of machines that came up, ms.
 const URGENT_UPDATE_INTERVAL_MS: u64 = 250;
-/// Cancellations that a peer without the state service is told of at most.
+/// Most cancellations that are listed for a peer without the state service.
 const MAX_RECENT_CANCELLATIONS: usize = 500;
 /// After a peer has said for so long that it alone is refused, others act in its place, ms.
 const REFUSED_MS: u64 = 2000;
+/// A peer says how long ago it heard from another one; that age may be short by so much, ms.
+const HEARD_AGE_SLACK_MS: u64 = 300;
+/// Peers heard within this time decide whether a controller without the state service is cut off, ms.
+const HEARD_FOR_READINESS_MS: u64 = 3000;
+/// Every so many periodic messages, all peers are told of all machines.
+const LONG_MESSAGE_EVERY: u32 = 4;
+
+/// Times between messages and until silence counts, from the settings.
+#[derive(Debug, Clone, Copy)]
+struct Timing {
+    /// Interval of the periodic messages, ms.
+    period_ms: u64,
+    /// A peer that has not been heard for so long is spoken to out of turn, ms.
+    overdue_ms: u64,
+    /// A peer that has not been heard for so long is silent, ms.
+    silent_ms: u64,
+    /// A controller listens for so long before it calls others silent, ms.
+    settling_ms: u64,
+    /// Interval at which controllers publish their queue totals, ms.
+    load_period_ms: u64,
+    /// A cancelled task has stopped after so long, ms.
+    cancel_ms: u64,
+}
+
+impl Timing {
+    fn new(settings: &Settings) -> Self {
+        let options = &settings.options;
+        let period_ms = options.peers_period_ms;
+        Self {
+            period_ms: period_ms as u64,
+            overdue_ms: (period_ms * 1.5) as u64,
+            silent_ms: (options.peers_silent_s * 1000.0) as u64,
+            settling_ms: (2.0 * period_ms) as u64 + 100,
+            load_period_ms: (options.balance_period_s * 1000.0) as u64,
+            cancel_ms: (settings.platform.settings.workers.cancel_s * 1000.0) as u64,
+        }
+    }
+}
 
 /// What the other controllers said, and what they are told next.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub(crate) struct Peers {
+    /// This controller.
+    me: HostId,
+    /// The other controllers.
+    others: Vec<HostId>,
+    timing: Timing,
     /// What is known of each peer.
-    pub(crate) states: HashMap<HostId, PeerState>,
+    states: HashMap<HostId, PeerState>,
     /// When each controller's queue totals last arrived by way of the state service.
-    pub(crate) last_load_seen: HashMap<HostId, Timestamp>,
+    last_load_seen: HashMap<HostId, Timestamp>,
     /// Jobs that were cancelled lately, and when that became known here.
-    pub(crate) recent_cancellations: VecDeque<(Timestamp, String)>,
+    recent_cancellations: VecDeque<(Timestamp, String)>,
     /// Jobs that the replica shows as pending and a peer knows to be cancelled.
-    pub(crate) reported_cancellations: HashSet<JobId>,
-    /// Blocks held here that a peer knows to be granted again: fencing token and holder.
-    pub(crate) reported_grants: HashMap<BlockId, (u64, HostId)>,
+    reported_cancellations: HashSet<JobId>,
+    /// Blocks held here that a peer knows to be granted again.
+    reported_grants: HashMap<BlockId, ReportedGrant>,
     /// When the next periodic message is due.
-    pub(crate) next_message: Timestamp,
-    /// Periodic messages so far: every fourth one tells of all machines.
-    pub(crate) message_count: u32,
-    /// Whether machines can be used of which the leader has not been told yet.
-    pub(crate) urgent_update: bool,
+    next_message: Timestamp,
+    /// Periodic messages so far.
+    message_count: u32,
+    /// Whether machines can be used that the leader does not know of yet.
+    urgent_update: bool,
     /// When the leader may be told of them at the earliest.
-    pub(crate) next_urgent_update: Timestamp,
+    next_urgent_update: Timestamp,
 }
 
-impl Controller {
+/// A grant that a peer knows of and the replica does not show yet.
+#[derive(Debug, Clone, Copy)]
+struct ReportedGrant {
+    fencing_token: u64,
+    holder: HostId,
+}
+
+/// Which messages are due.
+#[derive(Debug, Clone, Copy)]
+struct DueMessages {
+    /// The periodic messages to all.
+    periodic: bool,
+    /// The one to the leader about machines that came up.
+    urgent: bool,
+}
+
+impl Peers {
+    /// Peers none of which has been heard yet.
+    pub(crate) fn new(me: HostId, others: Vec<HostId>, settings: &Settings) -> Self {
+        Self {
+            me,
+            others,
+            timing: Timing::new(settings),
+            states: HashMap::default(),
+            last_load_seen: HashMap::default(),
+            recent_cancellations: VecDeque::new(),
+            reported_cancellations: HashSet::default(),
+            reported_grants: HashMap::default(),
+            next_message: Timestamp::default(),
+            message_count: 0,
+            urgent_update: false,
+            next_urgent_update: Timestamp::default(),
+        }
+    }
+
+    /// The other controllers.
+    pub(super) fn others(&self) -> &[HostId] {
+        &self.others
+    }
+
+    /// A peer that has not been heard for so long is silent, ms.
     pub(crate) fn silent_ms(&self) -> u64 {
-        (self.settings.options.peers_silent_s * 1000.0) as u64
+        self.timing.silent_ms
     }
 
-    /// How long a controller that has just started listens before it calls others silent. After
+    /// How long a controller that has just started listens before it calls others silent, ms. After
     /// a restart of all, most of the workers' lease is used up already; and to suspect one that
     /// only starts later costs no more than a change of holders.
     pub(crate) fn settling_ms(&self) -> u64 {
-        (2.0 * self.settings.options.peers_period_ms) as u64 + 100
+        self.timing.settling_ms
     }
 
-    /// Whether a peer was heard lately, in the life that its key shows.
+    /// Whether a peer was heard lately; true of this controller itself.
     pub(crate) fn hears(&self, host: HostId, now: Timestamp) -> bool {
         host == self.me
             || self
-                .peers
                 .states
                 .get(&host)
-                .and_then(|p| p.heard)
-                .is_some_and(|h| now.since(h) <= self.silent_ms())
+                .and_then(|peer| peer.heard_at)
+                .is_some_and(|heard| now.since(heard) <= self.timing.silent_ms)
+    }
+
+    /// Whether a message of this controller has ever come.
+    pub(crate) fn is_known(&self, host: HostId) -> bool {
+        self.states.contains_key(&host)
     }
 
-    /// Whether a controller that is heard speaks in another life than the one given. The earlier
-    /// one is over then, even if its keys are still there: a controller that comes back without
-    /// the state service cannot say so in any other way.
+    /// Whether a controller that is heard speaks in another incarnation than the one given. The
+    /// earlier one is over then, even if its keys are still there: a controller that comes back
+    /// without the state service cannot say so in any other way.
     pub(crate) fn restarted(&self, host: HostId, incarnation: Incarnation, now: Timestamp) -> bool {
         host != self.me
             && self.hears(host, now)
             && self
-                .peers
                 .states
                 .get(&host)
-                .and_then(|p| p.incarnation)
-                .is_some_and(|b| b != incarnation)
+                .and_then(|peer| peer.incarnation)
+                .is_some_and(|spoken| spoken != incarnation)
     }
 
     /// Whether somebody else that is heard does not hear `host` either.
     ///
     /// Guards against a controller that is itself cut off, yet reaches the state service, and
     /// would take over everything from peers that are well. Where those who miss it are no
-    /// majority of all controllers, the others may sit on the far side of a cut together with it:
-    /// then its totals must be missing from the state service as well.
+    /// majority of all controllers, the others may sit on the far side of a partition together
+    /// with it: then its totals must be missing from the state service as well.
     pub(crate) fn corroborated(&self, host: HostId, now: Timestamp) -> bool {
+        let silent_ms = self.timing.silent_ms;
         let heard = || {
             self.others
                 .iter()
-                .filter(|&&h| h != host && self.hears(h, now))
+                .filter(|&&other| other != host && self.hears(other, now))
         };
-        let misses = |h: &&HostId| {
-            self.peers.states.get(*h).is_some_and(|p| {
-                p.hears
+        let misses = |other: &&HostId| {
+            self.states.get(*other).is_some_and(|peer| {
+                peer.heard_ages_ms
                     .get(&host)
-                    .is_none_or(|&age| age + 300 > self.silent_ms())
+                    .is_none_or(|&age| age + HEARD_AGE_SLACK_MS > silent_ms)
             })
         };
         let missing = heard().filter(misses).count();
         if missing == 0 || missing * 2 < heard().count() {
             return false;
         }
-        let signed = self.peers.last_load_seen.get(&host).is_some_and(|&at| {
-            let period = (self.settings.options.balance_period_s * 1000.0) as u64;
-            now.since(at) < period + self.silent_ms()
-        });
-        (missing + 1) * 2 > self.others.len() + 1 || !signed
+        let published = self
+            .last_load_seen
+            .get(&host)
+            .is_some_and(|&at| now.since(at) < self.timing.load_period_ms + silent_ms);
+        (missing + 1) * 2 > self.others.len() + 1 || !published
     }
 
-    /// The term, while this controller leads.
-    pub fn leads(&self) -> Option<Holder> {
-        self.replica.leader.filter(|l| self.holds(l))
+    /// Whether the state service answers some other controller that is heard.
+    pub(super) fn some_heard_has_store(&self, now: Timestamp) -> bool {
+        self.others.iter().any(|&host| {
+            let peer = self.states.get(&host);
+            self.hears(host, now) && peer.is_some_and(|peer| peer.state_ok)
+        })
     }
 
-    pub(crate) fn tick_leadership(
-        &mut self,
-        now: Timestamp,
-        started: Timestamp,
-        out: &mut Vec<Effect>,
-    ) {
-        if self.leads().is_some() || !self.may_plan(WriteKind::Lead, now) {
-            return;
-        }
-        let take = match self.replica.leader {
-            None => true,
-            // Taken, but the replica has not caught up with the taking yet.
-            Some(l) if self.is_mine(&l) => false,
-            // An earlier life of this very controller led: nobody else can be hurt.
-            Some(l) if l.host == self.me => true,
-            Some(l) => {
-                let replaced = self
-                    .replica
-                    .live_controllers
-                    .get(&l.host)
-                    .is_none_or(|n| n.incarnation != l.incarnation);
-                let silent = !self.hears(l.host, now)
-                    && now.since(started) > self.settling_ms()
-                    && self.corroborated(l.host, now);
-                // What a peer says of its life may lag behind its key by a message or two.
-                let restarted = self.restarted(l.host, l.incarnation, now);
-                let refused = self.store_refuses_only(l.host, now);
-                let gone = replaced || silent || refused;
-                let wait = self.leadership.lead_lost_for(gone || restarted, now);
-                let patience = if gone { 0 } else { 1500 };
-                // The lowest-numbered controller that is heard goes first.
-                let rank = self
-                    .others
-                    .iter()
-                    .filter(|&&h| h != l.host && self.hears(h, now))
-                    .filter(|&&h| self.replica.names.hosts.name(h) < self.my_name())
-                    .count() as u64;
-                wait.is_some_and(|w| w >= patience + rank * 600)
-            }
-        };
-        if !take {
-            return;
-        }
-        let record = HolderRecord {
-            host: self.my_name().to_owned(),
-            incarnation: self.membership.incarnation.0,
-        };
-        let key = crate::replica::LEAD;
-        let transaction = Transaction {
-            preconditions: vec![self.precondition(key)],
-            mutations: vec![put(key, &record, self.membership.lease_id)],
-        };
-        info!(before = ?self.replica.leader.map(|l| self.replica.names.hosts.name(l.host).to_owned()), "asking for the leadership");
-        self.writes.submit(
-            WriteKind::Lead,
-            transaction,
-            writes::WriteIntent::default(),
-            out,
-        );
+    /// Whether a peer that is heard has said for a while that the state service does not answer it,
+    /// while it answered this controller.
+    pub(super) fn is_refused(&self, host: HostId, now: Timestamp) -> bool {
+        self.hears(host, now)
+            && self
+                .states
+                .get(&host)
+                .and_then(|peer| peer.refused_since)
+                .is_some_and(|since| now.since(since) >= REFUSED_MS)
     }
 
-    /// Whether the leader is to be told now of machines that came up.
-    pub(crate) fn urgent_update_due(&self, now: Timestamp) -> bool {
-        self.peers.urgent_update && now >= self.peers.next_urgent_update
+    /// Whether the peers show that a state service which does not answer this controller answers
+    /// nobody. A controller that hears no peer is itself cut off, and the others may be well.
+    pub(super) fn none_heard_has_store(&self, now: Timestamp) -> bool {
+        let mut heard = self
+            .others
+            .iter()
+            .filter_map(|host| self.states.get(host))
+            .filter(|peer| {
+                peer.heard_at
+                    .is_some_and(|at| now.since(at) < HEARD_FOR_READINESS_MS)
+            })
+            .peekable();
+        (self.others.is_empty() || heard.peek().is_some()) && heard.all(|peer| !peer.state_ok)
     }
 
-    pub(crate) fn tick_peers(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        let periodic = now >= self.peers.next_message;
-        if periodic {
-            self.peers.next_message = now.plus(self.settings.options.peers_period_ms as u64);
-        }
-        // Machines that come up are of use only once the leader knows of them.
-        let urgent_update = self.urgent_update_due(now);
-        if urgent_update {
-            self.peers.urgent_update = false;
-            self.peers.next_urgent_update = now.plus(URGENT_UPDATE_INTERVAL_MS);
-        }
-        let leader = self
-            .replica
-            .leader
-            .map(|l| l.host)
-            .filter(|_| urgent_update);
-        let mut outbox = self.work_stealing.take_outgoing();
-        for host in self.others.clone() {
-            let mut steal_messages = Vec::new();
-            outbox.retain_mut(|(h, a)| {
-                if *h == host {
-                    steal_messages.push(a.clone());
-                }
-                *h != host
-            });
-            let begins = (periodic && self.begins_with(host, now)) || leader == Some(host);
-            if begins || !steal_messages.is_empty() {
-                let long = begins && self.tells_all(host);
-                let mut message = self.peer_message(long, now);
-                message.steal_messages = steal_messages;
-                self.add_news_for_refused_peer(host, &mut message, now);
-                out.push(Effect::Peer {
-                    host,
-                    message: Box::new(message),
-                });
-            }
-        }
-        self.peers.message_count += u32::from(periodic);
-    }
-
-    /// Whether this controller speaks to a peer first. The answer tells as much as the request,
-    /// so one of the two suffices, unless it has not been heard for a while.
-    fn begins_with(&self, host: HostId, now: Timestamp) -> bool {
-        let patience = (self.settings.options.peers_period_ms * 1.5) as u64;
-        let heard = self.peers.states.get(&host).and_then(|p| p.heard);
-        self.my_name() < self.replica.names.hosts.name(host)
-            || heard.is_none_or(|h| now.since(h) > patience)
-    }
-
-    /// Whether a peer is told of all machines this time: the leader needs to know them well, the
-    /// others roughly.
-    fn tells_all(&self, host: HostId) -> bool {
-        let leads = self.replica.leader.is_some_and(|l| l.host == host);
-        leads || self.peers.message_count.is_multiple_of(4)
-    }
-
-    /// The answer to a peer's message.
-    pub fn respond_to_peer(&mut self, message: PeerMessage, now: Timestamp) -> PeerMessage {
-        let host = self.replica.names.hosts.get(&message.host);
-        let agents_only = !message.steal_messages.is_empty();
-        self.on_peer_message(message, now);
-        let long = !agents_only && host.is_some_and(|h| self.tells_all(h));
-        let mut answer = self.peer_message(long, now);
-        if let Some(host) = host {
-            self.add_news_for_refused_peer(host, &mut answer, now);
-        }
-        answer
-    }
-
-    /// Takes note of cancellations that the replica shows.
-    pub(crate) fn note_cancelled(&mut self, jobs: Vec<JobId>, now: Timestamp) {
-        for job in jobs {
-            self.peers.reported_cancellations.remove(&job);
-            // A loan that was given up may come again, under another token; whether it stands its
-            // lender says.
-            if self.is_loan(job) {
-                continue;
-            }
-            let name = self.replica.names.jobs.name(job).to_owned();
-            self.peers.recent_cancellations.push_back((now, name));
-        }
-        let cancel_ms = (self.settings.platform.settings.workers.cancel_s * 1000.0) as u64;
-        let old = |w: &(Timestamp, String)| now.since(w.0) > cancel_ms;
-        while self.peers.recent_cancellations.len() > MAX_RECENT_CANCELLATIONS
-            || self.peers.recent_cancellations.front().is_some_and(old)
-        {
-            self.peers.recent_cancellations.pop_front();
-        }
+    /// What a machine's holder last said of it, and when.
+    pub(super) fn machine(
+        &self,
+        holder: HostId,
+        machine_id: MachineId,
+    ) -> Option<(&MachineSummary, Timestamp)> {
+        let peer = self.states.get(&holder)?;
+        Some((peer.machines.get(&machine_id)?, peer.machines_at?))
     }
 
-    /// Tells a peer what the state service does not tell it.
-    ///
-    /// A controller that alone is refused goes on answering its machines while its authority
-    /// lasts. That completions in time for every cancellation, but for all tasks at once; one that hears
-    /// of a cancellation stops the tasks of that job alone, and at once. And one that hears that
-    /// its block was granted anew sends the machines to the new holder, without their waiting for
-    /// the end of the old authority.
-    fn add_news_for_refused_peer(
-        &mut self,
-        host: HostId,
-        message: &mut PeerMessage,
-        now: Timestamp,
-    ) {
-        // Own writes show in the replica before the next look at what a watch brought.
-        let newly_cancelled = std::mem::take(&mut self.replica.changes.cancelled);
-        self.note_cancelled(newly_cancelled, now);
-        if self.peers.states.get(&host).is_none_or(|p| p.state_ok) {
-            return;
-        }
-        message.cancelled = self
-            .peers
-            .recent_cancellations
-            .iter()
-            .map(|w| w.1.clone())
-            .collect();
-        let hosts = &self.replica.names.hosts;
-        let grants = self.replica.grants.iter();
-        message.grants = grants
-            .map(|(id, g)| (id.0, g.mod_revision, hosts.name(g.host).to_owned()))
-            .collect();
+    /// Running tasks of a job on the machines of the peers, as far as they said.
+    pub(super) fn running(&self, job: JobId) -> u32 {
+        self.states
+            .values()
+            .filter_map(|peer| peer.running.get(&job))
+            .sum()
     }
 
-    /// Whether the state service answers some other controller that is heard, but not us.
-    pub(crate) fn alone_without_store(&self, now: Timestamp) -> bool {
-        let served = |h: &&HostId| {
-            let peer = self.peers.states.get(*h);
-            self.hears(**h, now) && peer.is_some_and(|p| p.state_ok)
-        };
-        !self.state_ok(now) && self.others.iter().any(|h| served(&h))
+    /// Tasks that were done on machines of the peers and that these have not recorded yet.
+    pub(crate) fn unrecorded_done(&self) -> impl Iterator<Item = (JobId, &RangeSet)> {
+        let peers = self.states.values();
+        peers.flat_map(|peer| peer.done.iter().map(|(&job, tasks)| (job, tasks)))
     }
 
-    /// Whether the state service answers us and the other controllers, but not this one.
-    ///
-    /// It says so itself. While it leads, nothing is bound before its lease is over; what its
-    /// machines end is not recorded, and what is bound to them is not started.
-    pub(crate) fn store_refuses_only(&self, host: HostId, now: Timestamp) -> bool {
-        self.state_ok(now)
-            && self.hears(host, now)
-            && self
-                .peers
-                .states
-                .get(&host)
-                .and_then(|p| p.refused_since)
-                .is_some_and(|since| now.since(since) >= REFUSED_MS)
+    /// Failures of jobs on the machines of the peers.
+    pub(crate) fn failure_streaks(&self) -> impl Iterator<Item = &ReportedFailureStreak> {
+        self.states.values().flat_map(|peer| &peer.failure_streaks)
     }
 
-    /// What this controller tells its peers; a long message tells of its machines.
-    pub fn peer_message(&mut self, long: bool, now: Timestamp) -> PeerMessage {
-        self.held.unowned.forget_silent(now);
-        let names = &self.replica.names;
-        let since = |t: Timestamp| now.since(t);
-        let fleet = long.then(|| FleetSummary {
-            machines: self
-                .held
-                .iter()
-                .map(|(m, runtime)| self.machine_summary(m, runtime, now))
-                .collect(),
-            running: self
-                .held
-                .running_by_job()
-                .map(|(j, n)| (names.jobs.name(j).to_owned(), n))
-                .collect(),
-            done: self
-                .completions
-                .unrecorded_done()
-                .into_iter()
-                .map(|(job, tasks)| (names.jobs.name(job).to_owned(), tasks))
-                .collect(),
+    /// Machines that report to a peer which does not hold them, with that peer.
+    pub(crate) fn unowned_machines(&self) -> impl Iterator<Item = (HostId, &UnownedMachine)> {
+        self.states.iter().flat_map(|(&host, peer)| {
+            let machines = peer.unowned_machines.iter();
+            machines.map(move |machine| (host, machine))
+        })
+    }
+
+    /// Whether a peer had to refuse users for the budget of changes within the last `window_ms`.
+    pub(crate) fn users_refused_within(&self, window_ms: u64, now: Timestamp) -> bool {
+        self.states
+            .values()
+            .filter_map(|peer| peer.short_at)
+            .any(|at| now.since(at) < window_ms)
+    }
+
+    /// Whether a peer knows a job to be cancelled that the replica shows as pending.
+    pub(super) fn reports_cancelled(&self, job: JobId) -> bool {
+        self.reported_cancellations.contains(&job)
+    }
+
+    /// Who holds a block now, as a peer knows, that the replica shows as granted to this controller.
+    pub(crate) fn reported_holder(&self, block: BlockId) -> Option<HostId> {
+        self.reported_grants.get(&block).map(|grant| grant.holder)
+    }
+
+    /// Machines came up that the leader is to be told of soon.
+    pub(crate) fn request_urgent_update(&mut self) {
+        self.urgent_update = true;
+    }
+
+    /// Queue totals of a controller arrived by way of the state service.
+    pub(super) fn note_load(&mut self, host: HostId, now: Timestamp) {
+        self.last_load_seen.insert(host, now);
+    }
+
+    /// Forgets what peers said of grants that the replica shows meanwhile.
+    pub(super) fn follow_grants(&mut self, grants: &HashMap<BlockId, Holder>) {
+        self.reported_grants.retain(|block, reported| {
+            grants
+                .get(block)
+                .is_some_and(|grant| grant.mod_revision < reported.fencing_token)
         });
-        PeerMessage {
-            host: self.my_name().to_owned(),
-            incarnation: self.membership.incarnation.0,
-            state_ok: self.state_ok(now),
-            short: self.writes.user_refused_within(1000, now),
-            heard: self
-                .peers
-                .states
-                .iter()
-                .filter_map(|(&h, p)| Some((names.hosts.name(h).to_owned(), since(p.heard?))))
-                .collect(),
-            fleet,
-            unowned_machines: self.held.unowned.to_report(now),
-            steal_messages: Vec::new(),
-            ratios: self
-                .held
-                .run_time_ratios()
-                .map(|(c, r)| (names.classes.name(c).to_owned(), r))
-                .collect(),
-            failure_streaks: self
-                .held
-                .failure_streaks()
-                .map(|(j, f)| (names.jobs.name(j).to_owned(), f.count, since(f.last)))
-                .collect(),
-            cancelled: Vec::new(),
-            grants: Vec::new(),
-            format: self.formats.own,
-            loans: self.heard_loans(now),
-        }
     }
 
-    /// What a peer says, in a request or in the answer to one.
-    pub fn on_peer_message(&mut self, message: PeerMessage, now: Timestamp) {
-        let Some(host) = self.replica.names.hosts.get(&message.host) else {
-            return;
-        };
-        if host == self.me || !self.others.contains(&host) {
-            return;
+    /// Forgets jobs whose index may come back as another job.
+    pub(super) fn forget_jobs(&mut self, stays: impl Fn(&JobId) -> bool) {
+        self.reported_cancellations.retain(&stays);
+        for peer in self.states.values_mut() {
+            peer.forget_jobs(&stays);
         }
-        self.note_format(host, message.format, now);
-        let state_ok = self.state_ok(now);
-        let names = &self.replica.names;
-        let hears = message
-            .heard
-            .iter()
-            .filter_map(|(h, age)| Some((names.hosts.get(h)?, *age)))
-            .collect();
-        let failure_streaks = message
-            .failure_streaks
-            .iter()
-            .filter_map(|(j, n, age)| {
-                Some((
-                    names.jobs.get(j)?,
-                    *n,
-                    Timestamp(now.0.saturating_sub(*age)),
-                ))
-            })
-            .collect();
-        let peer = self.peers.states.entry(host).or_default();
-        peer.heard = Some(now);
-        peer.incarnation = Some(Incarnation(message.incarnation));
-        peer.state_ok = message.state_ok;
-        if message.state_ok || !state_ok {
-            peer.refused_since = None;
-        } else {
-            peer.refused_since.get_or_insert(now);
-        }
-        if message.short {
-            peer.short_at = Some(now);
-        }
-        peer.hears = hears;
-        peer.unowned_machines = message.unowned_machines;
-        peer.failure_streaks = failure_streaks;
-        if let Some(fleet) = message.fleet {
-            let machines = fleet.machines.into_iter();
-            peer.machines = machines
-                .filter_map(|m| Some((names.machines.get(&m.machine)?, m)))
-                .collect();
-            peer.machines_at = Some(now);
-            let running = fleet.running.iter();
-            peer.running = running
-                .filter_map(|(j, n)| Some((names.jobs.get(j)?, *n)))
-                .collect();
-            let done = fleet.done.into_iter();
-            peer.done = done
-                .filter_map(|(job, tasks)| Some((names.jobs.get(&job)?, tasks)))
-                .collect();
-        }
-        // A cancellation is final, so whoever knows of one may be believed.
-        for name in &message.cancelled {
-            let Some(job_id) = self.replica.names.jobs.get(name) else {
-                continue;
-            };
-            let pending = self.replica.jobs.get(&job_id);
-            if pending.is_some_and(|j| j.status == JobStatus::Pending) && !self.is_loan(job_id) {
-                self.peers.reported_cancellations.insert(job_id);
-            }
-        }
-        for (id, token, holder) in message.grants {
-            let held = self.replica.grants.get(&BlockId(id));
-            let Some(holder) = self.replica.names.hosts.get(&holder) else {
-                continue;
-            };
-            if held.is_some_and(|g| g.host == self.me && g.mod_revision < token) {
-                self.peers
-                    .reported_grants
-                    .insert(BlockId(id), (token, holder));
-            }
+    }
+
+    /// The replica shows that a job is cancelled: no peer's word is needed any more.
+    fn forget_reported_cancellation(&mut self, job: JobId) {
+        self.reported_cancellations.remove(&job);
+    }
+
+    /// Lists a cancellation for peers that the state service does not answer.
+    fn list_cancellation(&mut self, job_name: String, now: Timestamp) {
+        self.recent_cancellations.push_back((now, job_name));
+    }
+
+    /// Drops cancellations whose tasks have stopped by now, and the oldest beyond the most.
+    fn trim_cancellations(&mut self, now: Timestamp) {
+        let cancel_ms = self.timing.cancel_ms;
+        let is_old = |(at, _): &(Timestamp, String)| now.since(*at) > cancel_ms;
+        while self.recent_cancellations.len() > MAX_RECENT_CANCELLATIONS
+            || self.recent_cancellations.front().is_some_and(is_old)
+        {
+            self.recent_cancellations.pop_front();
         }
-        for (class, ratio) in message.ratios {
-            let class = self.replica.names.classes.intern(&class);
-            // Peers' experience counts until there is some of our own.
-            self.held.adopt_run_time_ratio(class, ratio);
+    }
+
+    /// Whether a message to some peer is due, whatever work stealing has to say.
+    pub(super) fn is_message_due(&self, now: Timestamp) -> bool {
+        now >= self.next_message || self.is_urgent_update_due(now)
+    }
+
+    fn is_urgent_update_due(&self, now: Timestamp) -> bool {
+        self.urgent_update && now >= self.next_urgent_update
+    }
+
+    /// Which messages are due now; they count as sent from here on.
+    fn take_due_messages(&mut self, now: Timestamp) -> DueMessages {
+        let periodic = now >= self.next_message;
+        if periodic {
+            self.next_message = now.plus(self.timing.period_ms);
         }
-        self.on_heard_loans(message.loans, now);
-        for agent in message.steal_messages {
-            self.on_steal_message(agent, now);
+        let urgent = self.is_urgent_update_due(now);
+        if urgent {
+            self.urgent_update = false;
+            self.next_urgent_update = now.plus(URGENT_UPDATE_INTERVAL_MS);
         }
+        DueMessages { periodic, urgent }
+    }
+
+    /// Whether a peer's regular message is overdue.
+    fn is_overdue(&self, host: HostId, now: Timestamp) -> bool {
+        let heard_at = self.states.get(&host).and_then(|peer| peer.heard_at);
+        heard_at.is_none_or(|at| now.since(at) > self.timing.overdue_ms)
+    }
+}
+
+/// What the peers and the state service together show.
+impl Controller {
+    /// Whether the state service answers some other controller that is heard, but not this one.
+    pub(crate) fn alone_without_store(&self, now: Timestamp) -> bool {
+        !self.state_ok(now) && self.peers.some_heard_has_store(now)
+    }
+
+    /// Whether the state service answers this and the other controllers, but not that one.
+    ///
+    /// It says so itself. While it leads, nothing is bound before its lease is over; what its
+    /// machines complete is not recorded, and what is bound to them is not started.
+    pub(crate) fn store_refuses_only(&self, host: HostId, now: Timestamp) -> bool {
+        self.state_ok(now) && self.peers.is_refused(host, now)
     }
 }
--- a/src/controller/queue_load.rs
+++ b/src/controller/queue_load.rs
@@ -68,12 +68,8 @@
         match self.replica.holder(machine_id) {
             Some((_, grant)) if grant.host == self.me => self.queue_load(machine_id, now),
             Some((_, grant)) => {
-                let message = self
-                    .peers
-                    .states
-                    .get(&grant.host)
-                    .and_then(|p| p.machines.get(&machine_id));
-                message.map_or(0.0, |n| n.load)
+                let summary = self.peers.machine(grant.host, machine_id);
+                summary.map_or(0.0, |(summary, _)| summary.load)
             }
             None => 0.0,
         }
@@ -99,7 +95,7 @@
         let key = load_key(self.my_name());
         let transaction = Transaction {
             preconditions: Vec::new(),
-            mutations: vec![put(&key, &record, self.membership.lease_id)],
+            mutations: vec![put(&key, &record, self.membership.lease_id())],
         };
         self.writes
             .submit(WriteKind::Load, transaction, WriteIntent::default(), out);
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -1,9 +1,10 @@
-//! Unit tests of `core`.
+//! Unit tests of `Controller`.
 
-use super::*;
+use super::Controller;
+use crate::clock::Timestamp;
 use crate::protocol::Heartbeat;
 
-/// The types that stories rent.
+/// The machine types that tests rent.
 pub(crate) fn catalog() -> crate::protocol::Catalog {
     serde_json::from_str(include_str!("../../tests/support/catalog.json")).expect("good")
 }
--- a/src/controller/writes/commits.rs
+++ b/src/controller/writes/commits.rs
@@ -59,13 +59,7 @@
         self.replica.apply_own(&write.transaction, revision);
         self.pace(write_kind, write.transaction.mutations.len(), now);
         match write_kind {
-            WriteKind::Join => {
-                self.membership.joined = true;
-                info!(
-                    incarnation = self.membership.incarnation.0,
-                    "controller joined"
-                );
-            }
+            WriteKind::Join => self.membership.on_joined(),
             WriteKind::Lead => info!(term = revision, "became leader"),
             WriteKind::Ends(_) => self.on_completions_committed(&write.intent, revision),
             WriteKind::Edit(id) => self.on_block_edit_committed(id, &write.intent),
@@ -120,8 +114,10 @@
 
     /// Forgets the writes in doubt of which the replica shows whether they were carried out.
     pub(crate) fn resolve_in_doubt_writes(&mut self) {
-        let (revision, confirmed_at) =
-            (self.replica.revision, self.membership.replica_confirmed_at);
+        let (revision, confirmed_at) = (
+            self.replica.revision,
+            self.membership.replica_confirmed_at(),
+        );
         for intent in self.writes.in_doubt.take_resolved(revision, confirmed_at) {
             self.completions.release(&intent.moves);
         }
--- a/src/controller/writes/pacing.rs
+++ b/src/controller/writes/pacing.rs
@@ -183,11 +183,7 @@
     /// Whether some controller had to refuse a user a moment ago, as far as is known here.
     pub(crate) fn users_refused(&self, now: Timestamp) -> bool {
         let refused_here = self.writes.user_refused_within(REFUSED_SLOWDOWN_MS, now);
-        let peers = self.peers.states.values();
-        refused_here
-            || peers
-                .filter_map(|peer| peer.short_at)
-                .any(|at| now.since(at) < REFUSED_SLOWDOWN_MS)
+        refused_here || self.peers.users_refused_within(REFUSED_SLOWDOWN_MS, now)
     }
 }
 
--- a/src/leadership/binding/open_jobs.rs
+++ b/src/leadership/binding/open_jobs.rs
@@ -139,13 +139,11 @@
     /// Whether a job must wait before it is tried again: the more of its tasks failed in a row, the
     /// longer.
     fn backs_off(&self, job: JobId, now: Timestamp) -> bool {
-        let of_peers = self.peers.states.values();
-        let of_peers = of_peers.flat_map(|peer| &peer.failure_streaks);
         let (mut failures, mut last) = (0, Timestamp(0));
-        for &(failed, count, at) in of_peers {
-            if failed == job {
-                failures += count;
-                last = last.max(at);
+        for streak in self.peers.failure_streaks() {
+            if streak.job == job {
+                failures += streak.count;
+                last = last.max(streak.last);
             }
         }
         if let Some(streak) = self.held.failure_streak(job) {
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -9,12 +9,11 @@
     /// Whether this controller has listened for long enough to call another one silent. Hearing
     /// goes on whoever leads, so a new leader that has been up for a while need not wait.
     pub(crate) fn listened(&self, now: Timestamp) -> bool {
-        let since = self.pauses.started_at.unwrap_or(now);
-        now.since(since) > self.settling_ms()
+        now.since(self.pauses.started_at(now)) > self.peers.settling_ms()
     }
 
     pub(crate) fn grace_over(&self, now: Timestamp) -> bool {
-        now.since(self.leadership.since) > self.silent_ms() + 500
+        now.since(self.leadership.since) > self.peers.silent_ms() + 500
     }
 
     pub(crate) fn node_usable(&self, host: HostId, now: Timestamp) -> bool {
@@ -22,14 +21,14 @@
             return false;
         };
         if host == self.me {
-            return node.incarnation == self.membership.incarnation;
+            return node.incarnation == self.membership.incarnation();
         }
         if self.store_refuses_only(host, now) {
             return false;
         }
-        let restarted = self.restarted(host, node.incarnation, now);
-        (self.hears(host, now) && !restarted)
-            || (!self.listened(now) && !self.peers.states.contains_key(&host))
+        let restarted = self.peers.restarted(host, node.incarnation, now);
+        (self.peers.hears(host, now) && !restarted)
+            || (!self.listened(now) && !self.peers.is_known(host))
     }
 
     /// Grants blocks that nobody holds, or whose holder is gone or silent, and evens them out.
@@ -52,7 +51,7 @@
             .replica
             .grants
             .values()
-            .filter(|g| self.restarted(g.host, g.incarnation, now))
+            .filter(|g| self.peers.restarted(g.host, g.incarnation, now))
             .map(|g| g.host)
             .collect();
         let restarted = self.leadership.grants.note_restarted(&odd, now);
@@ -66,15 +65,15 @@
                     if node.is_none_or(|n| n.incarnation != g.incarnation) {
                         "holder replaced"
                     } else if g.host != self.me
-                        && !self.hears(g.host, now)
+                        && !self.peers.hears(g.host, now)
                         && self.listened(now)
-                        && self.corroborated(g.host, now)
+                        && self.peers.corroborated(g.host, now)
                     {
                         "holder silent"
                     } else if self.store_refuses_only(g.host, now) {
                         "holder refused by the state service"
                     } else if restarted.contains(&g.host)
-                        && self.restarted(g.host, g.incarnation, now)
+                        && self.peers.restarted(g.host, g.incarnation, now)
                     {
                         "holder restarted"
                     } else if self.restarted_machines(id, now) {
@@ -179,10 +178,8 @@
         let mine = self.held.unowned.to_report(now);
         let theirs = self
             .peers
-            .states
-            .iter()
-            .filter(|&(&h, _)| self.hears(h, now))
-            .flat_map(|(&h, p)| p.unowned_machines.iter().map(move |s| (h, s)));
+            .unowned_machines()
+            .filter(|&(host, _)| self.peers.hears(host, now));
         for (host, s) in mine.iter().map(|s| (self.me, s)).chain(theirs) {
             if s.for_ms < 4500 || !self.node_usable(host, now) {
                 continue;
--- a/src/leadership/machine_placement.rs
+++ b/src/leadership/machine_placement.rs
@@ -29,8 +29,8 @@
     /// Takes up machines that send heartbeats, or that an earlier leader rented, and that are in no
     /// block.
     pub(super) fn note_unplaced_machines(&mut self, now: Timestamp) {
-        let peers = self.peers.states.values();
-        let heard_by_peers = peers.flat_map(|peer| &peer.unowned_machines).cloned();
+        let peers = self.peers.unowned_machines();
+        let heard_by_peers = peers.map(|(_, machine)| machine.clone());
         let heard_here = self.held.unowned.to_report(now);
         let names = &self.replica.names.machines;
         let machines = &self.replica.machines;
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -9,6 +9,7 @@
 mod support;
 
 use quillbend::clock::Timestamp;
+use quillbend::controller::MessageLength;
 use quillbend::protocol::*;
 use quillbend::records::*;
 use quillbend::replica::Replica;
@@ -373,7 +374,7 @@
         for i in 0..3 {
             let clock: Timestamp = w.clock(i);
             let node = w.controllers[i].as_mut().expect("alive");
-            let message = node.controller.peer_message(true, clock);
+            let message = node.controller.peer_message(MessageLength::Long, clock);
             let body = rmp_serde::to_vec_named(&message).expect("written");
             rmp_serde::from_slice::<format_0::PeerMessage>(&body).expect("read by that version");
         }
--- a/tests/missed_messages.rs
+++ b/tests/missed_messages.rs
@@ -5,6 +5,7 @@
 mod support;
 
 use quillbend::clock::Timestamp;
+use quillbend::controller::MessageLength;
 use quillbend::protocol::{JobStatus, Priority};
 use support::{StoreFault, World};
 
@@ -462,7 +463,7 @@
         }
         let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
         let fleet = controller
-            .peer_message(true, Timestamp(now))
+            .peer_message(MessageLength::Long, Timestamp(now))
             .fleet
             .expect("a long message");
         fleet.machines.iter().filter(|m| !m.obeys).count()
@@ -614,7 +615,7 @@
     }
     let controller = &mut w.controllers[holder].as_mut().expect("alive").controller;
     let fleet = controller
-        .peer_message(true, Timestamp(at))
+        .peer_message(MessageLength::Long, Timestamp(at))
         .fleet
         .expect("a long message");
     let machine = &w.workers[0].machine.name;
