--- a/crates/spillover/src/confirmation.rs
+++ b/crates/spillover/src/confirmation.rs
@@ -1,5 +1,7 @@
 //! What a controller of a borrowing cell may do with loans, and until when.
 //!
+//! Owns what the lender last confirmed. Must never allow more than a lease from a confirmed moment.
+//!
 //! A confirmation counts from when the question was *sent*, less the age of the knowledge that the
 //! answer rests on: it never reaches further than a lease from a moment at which the lender's state
 //! service showed that the loan stands. Without one, nothing of the loan is started, and what runs is
@@ -16,7 +18,7 @@
 /// What may be done with the tasks of a loan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Permission {
-    /// They may be started and go on.
+    /// They may be started, and those that run may go on.
     Run,
     /// Nothing was confirmed yet: nothing is started, and machines that run some are not answered.
     Wait,
@@ -26,48 +28,49 @@
 
 /// What is known of one loan.
 #[derive(Debug, Clone)]
-struct Known {
+struct KnownLoan {
     token: TransferToken,
     lease_ms: u64,
     /// When this controller learned of it.
-    recorded_done: u64,
+    known_since: u64,
     /// The latest moment, on this controller's clock, at which the loan surely stood.
     stood_at: Option<u64>,
     over: bool,
-    /// The lender has taken note of its end.
+    /// The lender has recorded its end.
     acknowledged: bool,
 }
 
 /// The loans that a controller knows of, by the names of their jobs.
 #[derive(Debug, Clone, Default)]
 pub struct Confirmations {
-    loans: BTreeMap<String, Known>,
+    loans: BTreeMap<String, KnownLoan>,
 }
 
 impl Confirmations {
-    /// Takes note of a loan that the replica shows. A later transfer of the same job begins anew.
+    /// Records a loan that the replica shows. A later transfer of the same job replaces an earlier one.
     pub fn note(&mut self, loan: &LoanId, lease_ms: u64, now: u64) {
         let known = self.loans.get(&loan.job);
-        if known.is_some_and(|k| k.token >= loan.token) {
+        if known.is_some_and(|known| known.token >= loan.token) {
             return;
         }
-        let known_loan = Known {
+        let recent = KnownLoan {
             token: loan.token,
             lease_ms,
-            recorded_done: now,
+            known_since: now,
             stood_at: None,
             over: false,
             acknowledged: false,
         };
-        self.loans.insert(loan.job.clone(), known_loan);
+        self.loans.insert(loan.job.clone(), recent);
     }
 
-    /// Forgets loans that the replica shows no more.
+    /// Forgets loans that the replica no longer shows: `shown` says which jobs it shows as borrowed.
     pub fn retain(&mut self, shown: impl Fn(&str) -> bool) {
         self.loans.retain(|job, _| shown(job));
     }
 
-    /// Takes an answer to a question that was sent at `sent` and that told of the loan's end, or not.
+    /// Takes the lender's answer to a question that was sent at `sent`. `reported_end`: whether the question
+    /// reported the loan's end, so that the lender knows of it.
     pub fn on_answer(&mut self, answer: &StandingAnswer, sent: u64, reported_end: bool) {
         let Some(known) = self.loans.get_mut(&answer.loan.job) else {
             return;
@@ -98,7 +101,7 @@
         }
         match known.stood_at {
             Some(at) if now < at.saturating_add(known.lease_ms) => Permission::Run,
-            None if now.saturating_sub(known.recorded_done) < FIRST_ANSWER_MS => Permission::Wait,
+            None if now.saturating_sub(known.known_since) < FIRST_ANSWER_MS => Permission::Wait,
             _ => Permission::Stop,
         }
     }
@@ -107,8 +110,8 @@
     pub fn relay(&self, loan: &LoanId, now: u64) -> StandingAnswer {
         let known = self.known(&loan.job, loan.token);
         let (standing, age_ms) = match known {
-            Some(k) if k.over => (Standing::Over, 0),
-            Some(Known {
+            Some(known) if known.over => (Standing::Over, 0),
+            Some(KnownLoan {
                 stood_at: Some(at), ..
             }) => (Standing::Stands, now.saturating_sub(*at)),
             _ => (Standing::Unknown, 0),
@@ -120,17 +123,18 @@
         }
     }
 
-    /// Whether the lender said that a loan stands no more.
+    /// Whether the lender said that a loan no longer stands.
     pub fn is_over(&self, job: &str, token: TransferToken) -> bool {
-        self.known(job, token).is_some_and(|k| k.over)
+        self.known(job, token).is_some_and(|known| known.over)
     }
 
-    /// Whether the lender has taken note of a loan's end: nobody asks about it any more.
+    /// Whether the lender has recorded a loan's end: nobody asks about it any more.
     pub fn is_acknowledged(&self, job: &str, token: TransferToken) -> bool {
-        self.known(job, token).is_some_and(|k| k.acknowledged)
+        self.known(job, token)
+            .is_some_and(|known| known.acknowledged)
     }
 
-    fn known(&self, job: &str, token: TransferToken) -> Option<&Known> {
-        self.loans.get(job).filter(|k| k.token == token)
+    fn known(&self, job: &str, token: TransferToken) -> Option<&KnownLoan> {
+        self.loans.get(job).filter(|known| known.token == token)
     }
 }
--- a/crates/spillover/src/contact.rs
+++ b/crates/spillover/src/contact.rs
@@ -1,15 +1,20 @@
 //! Which controller of another cell is asked next.
+//!
+//! Must never have two questions to a cell in flight. All times are milliseconds of the caller's steady clock.
 
 /// The controllers of a cell, asked in turn: one that answers is asked again, one that does not
 /// makes way for the next.
 #[derive(Debug, Clone)]
 pub struct Contact {
     addresses: Vec<String>,
-    at: usize,
-    busy: bool,
-    asked: Option<u64>,
+    /// Position of the address that is asked next.
+    current: usize,
+    in_flight: bool,
+    /// When the last question was sent, unless it failed.
+    asked_at: Option<u64>,
     paused_until: u64,
-    answered: Option<u64>,
+    /// When the latest question that was answered had been sent.
+    answered_at: Option<u64>,
 }
 
 impl Contact {
@@ -17,50 +22,51 @@
     pub fn new(addresses: Vec<String>) -> Self {
         Self {
             addresses,
-            at: 0,
-            busy: false,
-            asked: None,
+            current: 0,
+            in_flight: false,
+            asked_at: None,
             paused_until: 0,
-            answered: None,
+            answered_at: None,
         }
     }
 
-    /// The address to ask now, if no question is under way and the last one is a period ago. The
+    /// The address to ask now, if no question is in flight and the last one is a period ago. The
     /// caller asks it.
     pub fn ask(&mut self, now: u64, period_ms: u64) -> Option<String> {
         let due = self
-            .asked
-            .is_none_or(|asked| now.saturating_sub(asked) >= period_ms);
-        if self.busy || !due || now < self.paused_until {
+            .asked_at
+            .is_none_or(|asked_at| now.saturating_sub(asked_at) >= period_ms);
+        if self.in_flight || !due || now < self.paused_until {
             return None;
         }
-        self.busy = true;
-        self.asked = Some(now);
-        self.addresses.get(self.at).cloned()
+        self.in_flight = true;
+        self.asked_at = Some(now);
+        self.addresses.get(self.current).cloned()
     }
 
     /// A question sent at `sent` was answered.
     pub fn on_answer(&mut self, sent: u64) {
-        self.busy = false;
-        self.answered = self.answered.max(Some(sent));
+        self.in_flight = false;
+        self.answered_at = self.answered_at.max(Some(sent));
     }
 
     /// A question had no answer, or one of a controller that cannot help: the next one is asked after
     /// a pause.
     pub fn on_failure(&mut self, now: u64, pause_ms: u64) {
-        self.busy = false;
-        self.at = (self.at + 1) % self.addresses.len().max(1);
-        self.asked = None;
+        self.in_flight = false;
+        self.current = (self.current + 1) % self.addresses.len().max(1);
+        self.asked_at = None;
         self.paused_until = now.saturating_add(pause_ms);
     }
 
     /// Whether a question that was sent within the last so many ms was answered.
     pub fn answered_within(&self, ms: u64, now: u64) -> bool {
-        self.answered.is_some_and(|at| now.saturating_sub(at) <= ms)
+        self.answered_at
+            .is_some_and(|answered_at| now.saturating_sub(answered_at) <= ms)
     }
 
-    /// Since when no question was answered; none if none ever was.
+    /// When the latest question that was answered had been sent; none if none ever was.
     pub fn last_answered(&self) -> Option<u64> {
-        self.answered
+        self.answered_at
     }
 }
--- a/crates/spillover/src/message.rs
+++ b/crates/spillover/src/message.rs
@@ -9,7 +9,7 @@
 /// Version of these messages. A receiver refuses others.
 pub const VERSION: u32 = 1;
 
-/// Fencing token of one transfer: a revision of the origin's state service, higher with every
+/// Fencing token of one transfer: a revision of the origin's store, higher with every
 /// transfer of the same job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
@@ -18,9 +18,9 @@
 /// One transfer of one job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LoanId {
-    /// The job's name, the same in both cells.
+    /// Name of the job, the same in both cells.
     pub job: String,
-    /// Which transfer of it.
+    /// Fencing token of the transfer.
     pub token: TransferToken,
 }
 
@@ -42,7 +42,7 @@
     Status,
     /// A lender offers loans that it has recorded as lent. Repeats are harmless.
     Offer(Vec<Offer<Spec>>),
-    /// A borrower reports on its loans and asks whether they stand.
+    /// A borrower reports the status of its loans and asks whether they stand.
     Confirm {
         /// The lender. A controller of the borrower's own cell answers what it knows itself.
         origin: String,
@@ -66,7 +66,7 @@
     pub terms: LoanTerms,
 }
 
-/// What a borrower says of a loan.
+/// The status of a loan in the borrowing cell.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanReport {
     /// The transfer.
@@ -77,7 +77,7 @@
     pub progress: Progress,
 }
 
-/// How far a loan is, as the borrower's state service has it.
+/// How far a loan is, as the borrower's store has it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Progress {
     /// Not over.
@@ -120,7 +120,7 @@
     /// The sender's cell is not in the settings.
     #[error("a cell that is not in the settings")]
     UnknownCell,
-    /// The receiver has not read its state service yet, or runs beside a version without loans.
+    /// The receiver has not read its store yet, or runs beside a version without loans.
     #[error("not ready")]
     NotReady,
 }
@@ -167,7 +167,7 @@
     /// The lender's controllers do not answer.
     #[error("the lender does not answer")]
     Unreachable,
-    /// The state service did not answer, or the job's key changed meanwhile.
+    /// The store did not answer, or the job's key changed meanwhile.
     #[error("the state service did not answer")]
     State,
     /// The transfer is over here.
@@ -234,9 +234,9 @@
     pub cpus: f64,
     /// GPUs.
     pub gpus: f64,
-    /// Memory.
+    /// Memory, GB.
     pub memory_gb: f64,
-    /// Image fetch rate.
+    /// Rate at which images are fetched, GB a second.
     pub fetch_gb_per_s: f64,
     /// Zones that have it.
     pub zones: Vec<String>,
--- a/crates/spillover/src/policy.rs
+++ b/crates/spillover/src/policy.rs
@@ -1,4 +1,6 @@
-//! When a lender lends, what, and to whom; and when a loan comes home.
+//! When a lender lends, what, and to whom; and when a loan is recalled.
+//!
+//! Pure decisions: the caller gathers what they rest on and carries them out.
 
 use crate::message::{CellStatus, MachineType};
 use crate::settings::PolicySettings;
@@ -6,6 +8,8 @@
 
 /// CPUs that a task counts for at least.
 const MIN_TASK_CPUS: f64 = 0.01;
+/// Sums of sizes may exceed a limit by this, for they are rounded.
+const ROUNDING: f64 = 1e-6;
 
 /// A job of which nothing has begun, in the order in which the lender would serve it.
 #[derive(Debug, Clone, PartialEq)]
@@ -54,23 +58,23 @@
         f64::from(self.tasks) * self.task.cpus.max(MIN_TASK_CPUS)
     }
 
-    fn fits(&self, machine: &MachineType) -> bool {
+    fn fits(&self, machine_type: &MachineType) -> bool {
         let allowed = self.machine_types.as_ref();
-        allowed.is_none_or(|types| types.contains(&machine.name))
+        allowed.is_none_or(|types| types.contains(&machine_type.name))
             && self
                 .zone
                 .as_ref()
-                .is_none_or(|zone| machine.zones.contains(zone))
-            && self.task.cpus <= machine.cpus + 1e-6
-            && self.task.gpus <= machine.gpus + 1e-6
-            && self.task.memory_gb <= machine.memory_gb + 1e-6
+                .is_none_or(|zone| machine_type.zones.contains(zone))
+            && self.task.cpus <= machine_type.cpus + ROUNDING
+            && self.task.gpus <= machine_type.gpus + ROUNDING
+            && self.task.memory_gb <= machine_type.memory_gb + ROUNDING
     }
 }
 
 /// What the lender itself has to offer.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct HomeLoad {
-    /// CPUs of all machines that work.
+    /// CPUs of all machines in service.
     pub fleet_cpus: f64,
     /// Those of them that nothing is bound to.
     pub free_cpus: f64,
@@ -100,11 +104,9 @@
     let mut teams: BTreeMap<&str, Queue> = home
         .teams
         .iter()
-        .map(|(name, t)| {
-            (
-                name.as_str(),
-                Queue::new(t.limit_cpus, t.free_cpus, t.bound_s),
-            )
+        .map(|(name, team)| {
+            let queue = Queue::new(team.limit_cpus, team.free_cpus, team.bound_s);
+            (name.as_str(), queue)
         })
         .collect();
     let mut waits = Vec::with_capacity(jobs.len());
@@ -120,6 +122,7 @@
 struct Queue {
     cpus: f64,
     free_cpus: f64,
+    /// Seconds of CPU time that is bound or waits ahead.
     ahead_s: f64,
 }
 
@@ -134,7 +137,7 @@
 
     /// Puts a job at the end; the seconds until its first task begins.
     fn join(&mut self, job: &WaitingJob) -> f64 {
-        let begins_at_once = self.free_cpus + 1e-6 >= job.task.cpus;
+        let begins_at_once = self.free_cpus + ROUNDING >= job.task.cpus;
         let wait_s = match begins_at_once {
             true => 0.0,
             false => self.ahead_s / self.cpus.max(job.task.cpus).max(MIN_TASK_CPUS),
@@ -154,7 +157,7 @@
 }
 
 impl Hysteresis {
-    /// Takes the longest predicted wait; whether to lend now.
+    /// Takes the longest predicted wait, seconds, at a moment, ms; whether to lend now.
     pub fn update(&mut self, longest_wait_s: f64, policy: &PolicySettings, now: u64) -> bool {
         if longest_wait_s >= policy.start_above_s {
             let since = *self.long_since.get_or_insert(now);
@@ -195,7 +198,7 @@
 
 /// Chooses the jobs that gain most from being lent, and for each the cell where it begins first.
 ///
-/// `barred` tells which job may not go to which cell, for it came back from there a moment ago.
+/// `barred` says which job may not go to which cell, for it was returned from there a moment ago.
 pub fn choose(
     jobs: &[WaitingJob],
     waits: &[f64],
@@ -203,8 +206,13 @@
     policy: &PolicySettings,
     barred: impl Fn(&str, &str) -> bool,
 ) -> Vec<Choice> {
-    let mut promised: Vec<f64> = borrowers.iter().map(|b| b.promised_cpus).collect();
-    let mut order: Vec<usize> = (0..jobs.len()).filter(|&i| jobs[i].lendable).collect();
+    let mut promised: Vec<f64> = borrowers
+        .iter()
+        .map(|borrower| borrower.promised_cpus)
+        .collect();
+    let mut order: Vec<usize> = (0..jobs.len())
+        .filter(|&position| jobs[position].lendable)
+        .collect();
     order.sort_by(|&a, &b| waits[b].total_cmp(&waits[a]).then(a.cmp(&b)));
     let mut chosen = Vec::new();
     for position in order {
@@ -212,13 +220,13 @@
             break;
         }
         let job = &jobs[position];
-        let gain_in = |i: usize| {
-            let borrower = &borrowers[i];
+        let gain_in = |place: usize| {
+            let borrower = &borrowers[place];
             if barred(&job.name, &borrower.cell) {
                 return None;
             }
-            let gain_s = gain_s(job, waits[position], borrower, promised[i])?;
-            (gain_s > policy.margin_s).then_some((gain_s, i))
+            let gain_s = gain_s(job, waits[position], borrower, promised[place])?;
+            (gain_s > policy.margin_s).then_some((gain_s, place))
         };
         let best = (0..borrowers.len()).filter_map(gain_in);
         let best = best.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
@@ -234,29 +242,32 @@
 /// will not take it.
 fn gain_s(job: &WaitingJob, home_wait_s: f64, borrower: &Borrower, promised: f64) -> Option<f64> {
     let status = &borrower.status;
-    let team = status.teams.iter().find(|t| t.name == job.team)?;
-    let within = |most: Option<f64>, needed: f64| most.is_none_or(|most| needed <= most + 1e-6);
+    let team = status.teams.iter().find(|team| team.name == job.team)?;
+    let within = |most: Option<f64>, needed: f64| most.is_none_or(|most| needed <= most + ROUNDING);
     let allowed = within(team.cpus, job.task.cpus) && within(team.gpus, job.task.gpus);
     // It begins where one task has room, and goes on as more comes free.
     let room_cpus = status
         .room_cpus
         .min(team.free_cpus.unwrap_or(f64::INFINITY));
-    let has_room = promised + job.task.cpus <= room_cpus + 1e-6;
+    let has_room = promised + job.task.cpus <= room_cpus + ROUNDING;
     let lends_itself = status.lent_classes.contains(&job.class);
     if !allowed || !has_room || lends_itself {
         return None;
     }
-    let fitting = status.machine_types.iter().filter(|m| job.fits(m));
+    let fitting = status
+        .machine_types
+        .iter()
+        .filter(|machine_type| job.fits(machine_type));
     let fetch_s = fitting
-        .map(|m| match m.fetch_gb_per_s > 0.0 {
-            true => job.image_gb / m.fetch_gb_per_s,
+        .map(|machine_type| match machine_type.fetch_gb_per_s > 0.0 {
+            true => job.image_gb / machine_type.fetch_gb_per_s,
             false => 0.0,
         })
         .min_by(f64::total_cmp)?;
     Some(home_wait_s - status.wait_s - fetch_s)
 }
 
-/// A loan that is away, as its lender knows it.
+/// A loan that stands, as its lender knows it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoanState {
     /// Milliseconds since a controller of the borrower last asked about it, or since it was lent.
@@ -267,7 +278,7 @@
     pub idle_ms: u64,
 }
 
-/// Why a loan is called back.
+/// Why a loan is recalled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecallReason {
     /// Nothing was heard of it for too long.
@@ -276,7 +287,7 @@
     RoomAtHome,
 }
 
-/// Whether a loan is to be called back.
+/// Whether a loan is to be recalled, and why. `silent_ms`: silence after which it is.
 pub fn recall(
     loan: &LoanState,
     home_has_room: bool,
--- a/crates/spillover/src/settings.rs
+++ b/crates/spillover/src/settings.rs
@@ -1,4 +1,7 @@
-//! The operators' file that turns spillover on.
+//! The operators' file that turns spillover on: an XML file with the other cells, the times of loans and the
+//! lender's policy.
+//!
+//! A file that is taken has passed every check here; nothing later checks its values again.
 
 use crate::terms::LoanTerms;
 use ipnet::IpNet;
@@ -103,6 +106,16 @@
     pub silent_s: f64,
 }
 
+impl LoanSettings {
+    fn ranges(&self) -> [Range; 3] {
+        [
+            Range::new("loan/lease-s", self.lease_s, 1.0, 600.0),
+            Range::new("loan/ask-s", self.ask_s, 0.2, self.lease_s / 2.0),
+            Range::new("loan/silent-s", self.silent_s, self.ask_s * 2.0, 3600.0),
+        ]
+    }
+}
+
 impl Default for LoanSettings {
     fn default() -> Self {
         Self {
@@ -143,6 +156,23 @@
     pub borrow_cpus: f64,
 }
 
+impl PolicySettings {
+    fn ranges(&self) -> [Range; 8] {
+        let start_s = self.start_above_s;
+        let jobs = self.jobs_per_period as f64;
+        [
+            Range::new("policy/start-above-s", start_s, 0.0, 86_400.0),
+            Range::new("policy/stop-below-s", self.stop_below_s, 0.0, start_s),
+            Range::new("policy/sustain-s", self.sustain_s, 0.0, 3600.0),
+            Range::new("policy/margin-s", self.margin_s, 0.0, 3600.0),
+            Range::new("policy/period-s", self.period_s, 0.2, 600.0),
+            Range::new("policy/jobs-per-period", jobs, 1.0, 1000.0),
+            Range::new("policy/idle-s", self.idle_s, 0.0, 3600.0),
+            Range::new("policy/borrow-cpus", self.borrow_cpus, 0.0, 1e9),
+        ]
+    }
+}
+
 impl Default for PolicySettings {
     fn default() -> Self {
         Self {
@@ -176,6 +206,37 @@
     pub networks: Vec<IpNet>,
 }
 
+/// A number of the file with its limits, both included.
+struct Range {
+    field: String,
+    value: f64,
+    least: f64,
+    most: f64,
+}
+
+impl Range {
+    fn new(field: &str, value: f64, least: f64, most: f64) -> Self {
+        Self {
+            field: field.to_owned(),
+            value,
+            least,
+            most,
+        }
+    }
+
+    /// An error unless the number is within its limits; one that is no number is not.
+    fn check(self) -> Result<(), SpilloverError> {
+        if self.value >= self.least && self.value <= self.most {
+            return Ok(());
+        }
+        Err(SpilloverError::OutOfRange {
+            field: self.field,
+            least: self.least,
+            most: self.most,
+        })
+    }
+}
+
 impl SpilloverSettings {
     /// Spillover turned off: the cell has no name, knows no other, lends and borrows nothing.
     pub fn off() -> Self {
@@ -192,7 +253,7 @@
     /// Reads the file; `cancel_s` is what a cancellation has in this cell.
     pub fn parse(text: &str, cancel_s: f64) -> Result<Self, SpilloverError> {
         let settings: Self = quick_xml::de::from_str(text)
-            .map_err(|e| SpilloverError::Xml(e.to_string().replace('\n', " ")))?;
+            .map_err(|error| SpilloverError::Xml(error.to_string().replace('\n', " ")))?;
         settings.check_ranges()?;
         settings.check_cells()?;
         settings.check_times(cancel_s)?;
@@ -200,55 +261,15 @@
     }
 
     fn check_ranges(&self) -> Result<(), SpilloverError> {
-        let (loan, policy) = (&self.loan, &self.policy);
-        let mut ranges = vec![
-            ("loan/lease-s".to_owned(), loan.lease_s, 1.0, 600.0),
-            ("loan/ask-s".to_owned(), loan.ask_s, 0.2, loan.lease_s / 2.0),
-            (
-                "loan/silent-s".to_owned(),
-                loan.silent_s,
-                loan.ask_s * 2.0,
-                3600.0,
-            ),
-            (
-                "policy/start-above-s".to_owned(),
-                policy.start_above_s,
-                0.0,
-                86_400.0,
-            ),
-            (
-                "policy/stop-below-s".to_owned(),
-                policy.stop_below_s,
-                0.0,
-                policy.start_above_s,
-            ),
-            ("policy/sustain-s".to_owned(), policy.sustain_s, 0.0, 3600.0),
-            ("policy/margin-s".to_owned(), policy.margin_s, 0.0, 3600.0),
-            ("policy/period-s".to_owned(), policy.period_s, 0.2, 600.0),
-            (
-                "policy/jobs-per-period".to_owned(),
-                policy.jobs_per_period as f64,
-                1.0,
-                1000.0,
-            ),
-            ("policy/idle-s".to_owned(), policy.idle_s, 0.0, 3600.0),
-            (
-                "policy/borrow-cpus".to_owned(),
-                policy.borrow_cpus,
-                0.0,
-                1e9,
-            ),
-        ];
-        for cell in &self.cells {
-            let field = format!("worker-lease-s of cell {:?}", cell.name);
-            ranges.push((field, cell.worker_lease_s, 0.1, 3600.0));
-        }
-        for (field, value, least, most) in ranges {
-            if !(value >= least && value <= most) {
-                return Err(SpilloverError::OutOfRange { field, least, most });
-            }
-        }
-        Ok(())
+        let of_cells = self.cells.iter().map(|cell| Range {
+            field: format!("worker-lease-s of cell {:?}", cell.name),
+            value: cell.worker_lease_s,
+            least: 0.1,
+            most: 3600.0,
+        });
+        let loan = self.loan.ranges().into_iter();
+        let mut all = loan.chain(self.policy.ranges()).chain(of_cells);
+        all.try_for_each(Range::check)
     }
 
     fn check_cells(&self) -> Result<(), SpilloverError> {
@@ -306,13 +327,14 @@
 
     /// Another cell by its name.
     pub fn cell_named(&self, name: &str) -> Option<&CellSettings> {
-        self.cells.iter().find(|c| c.name == name)
+        self.cells.iter().find(|cell| cell.name == name)
     }
 }
 
 impl CellSettings {
     /// Whether a message of this cell may come from an address.
     pub fn may_send_from(&self, address: IpAddr) -> bool {
-        self.networks.is_empty() || self.networks.iter().any(|n| n.contains(&address))
+        let mut networks = self.networks.iter();
+        self.networks.is_empty() || networks.any(|network| network.contains(&address))
     }
 }
