--- a/src/spillover/mod.rs
+++ b/src/spillover/mod.rs
@@ -5,15 +5,17 @@
 //!
 //! * [`lending`]: the leader of the origin lends jobs, calls them back and takes them back.
 //! * [`borrowing`]: controllers of the borrower ask whether loans stand, and end what is over.
-//! * [`serving`]: answers to the requests of other cells.
+//! * [`offers`]: the borrower's decisions about offers of loans.
+//! * [`serving`]: answers to the other requests of other cells.
 //! * [`load`]: what both sides know of their own load.
 
 mod borrowing;
 mod lending;
 mod load;
+mod offers;
 mod serving;
 
-pub use serving::{Archived, OfferPlan};
+pub use offers::{Archived, OfferPlan};
 
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
