--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -10,7 +10,7 @@
 mod grants;
 mod grants_seen;
 mod job_dependencies;
-mod job_order;
+pub(crate) mod job_order;
 mod machine_placement;
 mod machines;
 mod observations;
--- a/src/replica/jobs.rs
+++ b/src/replica/jobs.rs
@@ -101,6 +101,17 @@
         jobs.filter_map(|job_id| Some((job_id, self.jobs.get(&job_id)?)))
     }
 
+    /// Whether any job is lent to another cell or borrowed from one.
+    pub fn has_transfers(&self) -> bool {
+        self.transferred().next().is_some()
+    }
+
+    /// The job of this name, if it is under a watched key and waits for no other job.
+    pub fn job_named(&self, name: &str) -> Option<(JobId, &Job)> {
+        let job_id = self.names.jobs.get(name)?;
+        Some((job_id, self.jobs.get(&job_id)?))
+    }
+
     /// Bound tasks of a job, in ascending order.
     pub fn bound(&self, job: JobId) -> impl Iterator<Item = u32> + '_ {
         self.job_index.bound(job)
--- a/src/spillover/borrowing.rs
+++ b/src/spillover/borrowing.rs
@@ -1,4 +1,6 @@
 //! The borrower's side: questions whether loans stand, and the end of those that do not.
+//!
+//! Must never start a task of a loan, or answer a machine that runs one, without the lender's confirmation.
 
 use super::{CellCall, Controller};
 use crate::clock::Timestamp;
@@ -17,7 +19,7 @@
 const IDLE_RETRY_MS: u64 = 2500;
 
 impl Controller {
-    /// Takes note of the loans that the replica shows.
+    /// Records the loans that the replica shows as borrowed, and forgets the others.
     pub(super) fn note_borrowed(&mut self, now: Timestamp) {
         for (job_id, job) in self.replica.transferred() {
             let Some(mark) = job.borrowed() else { continue };
@@ -31,12 +33,8 @@
         }
         let replica = &self.replica;
         let is_borrowed = |name: &str| {
-            let job = replica
-                .names
-                .jobs
-                .get(name)
-                .and_then(|job_id| replica.jobs.get(&job_id));
-            job.is_some_and(|job| job.borrowed().is_some())
+            let job = replica.job_named(name);
+            job.is_some_and(|(_, job)| job.borrowed().is_some())
         };
         self.spillover.confirmations.retain(is_borrowed);
     }
@@ -47,7 +45,7 @@
         let ask_ms = (self.spillover.settings.loan.ask_s * 1000.0) as u64;
         for cell in 0..self.spillover.cells.len() {
             let name = self.spillover.settings.cells[cell].name.clone();
-            let loans = self.reports_to(&name, now);
+            let loans = self.loan_reports(&name, now);
             let period_ms = if loans.is_empty() {
                 IDLE_ASK_MS
             } else {
@@ -80,8 +78,8 @@
         }
     }
 
-    /// What a lender is told of its loans.
-    fn reports_to(&self, lender: &str, now: Timestamp) -> Vec<LoanReport> {
+    /// The status of all loans of a lender.
+    fn loan_reports(&self, lender: &str, now: Timestamp) -> Vec<LoanReport> {
         let loans = self.replica.transferred().filter_map(|(job_id, job)| {
             let mark = job.borrowed().filter(|mark| mark.cell == lender)?;
             let name = self.replica.names.jobs.name(job_id);
@@ -97,7 +95,7 @@
         loans.collect()
     }
 
-    /// How far a loan is. That it was given up and that no queue lists any of its tasks is proof: each
+    /// How far a loan is. That it was cancelled and that no queue lists any of its tasks is proof: each
     /// task left its queue on proof that it is on no machine, and none that is bound to a job which is
     /// over is ever started.
     fn progress(&self, job_id: JobId, job: &Job) -> Progress {
@@ -116,11 +114,11 @@
         }
     }
 
-    /// Lenders' answers about loans.
+    /// A lender, or a relay, answered whether loans stand. `reported` is what the question said of them.
     pub(super) fn on_standings(
         &mut self,
         call: &CellCall,
-        told: &[LoanReport],
+        reported: &[LoanReport],
         answer: Option<CellAnswer>,
         sent: Timestamp,
         now: Timestamp,
@@ -131,7 +129,7 @@
             false => &mut link.origin,
         };
         let Some(CellAnswer::Standings(standings)) = answer else {
-            let pause_ms = if told.is_empty() {
+            let pause_ms = if reported.is_empty() {
                 IDLE_RETRY_MS
             } else {
                 RETRY_MS
@@ -142,17 +140,17 @@
         contact.on_answer(sent.0);
         for standing in standings {
             let reported_end = !call.relayed
-                && told.iter().any(|heartbeat| {
-                    let over = !matches!(heartbeat.progress, Progress::Pending { .. });
-                    heartbeat.loan == standing.loan && over
+                && reported.iter().any(|report| {
+                    let over = !matches!(report.progress, Progress::Pending { .. });
+                    report.loan == standing.loan && over
                 });
             let confirmations = &mut self.spillover.confirmations;
             confirmations.on_answer(&standing, sent.0, reported_end);
         }
     }
 
-    /// Gives up loans of which the lender says that they stand no more. Their tasks are stopped then
-    /// as those of any job that is over.
+    /// Plans the write that cancels loans of which the lender says that they no longer stand. Their tasks are
+    /// then stopped as those of any job that is over.
     pub(crate) fn plan_ended_loans(&self) -> Option<Transaction> {
         let mut batch = self.transfer_batch();
         for (job_id, job) in self.replica.transferred() {
@@ -175,8 +173,8 @@
         batch.finish()
     }
 
-    /// Whether a job may leave the watched keys, as far as transfers go: its lender must have taken
-    /// note of its end.
+    /// Whether a job may leave the watched keys, as far as transfers go: its lender must have recorded its
+    /// end.
     pub(crate) fn may_archive(&self, job_id: JobId, job: &Job) -> bool {
         let name = self.replica.names.jobs.name(job_id);
         job.borrowed().is_none_or(|mark| {
@@ -187,10 +185,10 @@
 
     /// Whether a machine runs tasks of a loan of which this controller has no confirmation yet.
     ///
-    /// Guards against a controller that has just begun: its answer would renew the worker's lease for
+    /// Guards against a controller that has just started: its answer would renew the worker's lease for
     /// tasks that may not go on, and a command to stop would end work that may.
     pub(crate) fn must_wait_for_confirmation(&self, heartbeat: &Heartbeat, now: Timestamp) -> bool {
-        if self.replica.transferred().next().is_none() {
+        if !self.replica.has_transfers() {
             return false;
         }
         heartbeat.tasks.iter().any(|reported| {
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -1,5 +1,8 @@
-//! The lender's side: the leader lends jobs, offers them, calls them back and takes them back.
+//! The lender's side: the leader lends jobs, offers them, recalls them and takes them back.
+//!
+//! Must never take a job back while a task of it may be on a machine of the borrower.
 
+use super::load::WaitForecast;
 use super::{Batch, CellCall, Controller, LentLoan};
 use crate::clock::Timestamp;
 use crate::controller::writes::WriteIntent;
@@ -7,27 +10,41 @@
 use crate::names::JobId;
 use crate::protocol::{JobSpec, JobStatus, Mutation, Transaction};
 use crate::ranges::RangeSet;
+use crate::records::Transfer;
 use crate::replica::{Job, job_key};
 use quillbend_spillover::message::{
     CellAnswer, Decision, LoanId, Offer, OfferAnswer, Reason, RequestBody, TransferToken,
 };
 use quillbend_spillover::policy::{self, Borrower, LoanState};
+use quillbend_spillover::settings::PolicySettings;
+use std::collections::BTreeSet;
+use tracing::{debug, info};
 
 /// Interval of offers, ms.
 const OFFER_MS: u64 = 500;
-/// Most jobs in one offer.
-const OFFERED: usize = 16;
+/// Most jobs in one request with offers.
+const MAX_OFFERS: usize = 16;
 /// Pause before another controller of a cell is asked, ms.
 const NEXT_CONTROLLER_MS: u64 = 200;
 /// A status that is older is not relied on, ms.
-const STATUS_MS: u64 = 10_000;
-/// How long a job that came back is not offered to the same cell, ms.
+const STATUS_MAX_AGE_MS: u64 = 10_000;
+/// How long a job that was returned is not lent to the same cell, ms.
 const BARRED_MS: u64 = 20_000;
+/// Bytes that a lent job's value grows by when it is marked as recalled.
+const RECALL_MARK_BYTES: usize = 16;
+
+/// A lent job that is to be taken back.
+struct DueReturn {
+    job_id: JobId,
+    cell: String,
+    /// Taken back because every lease is over, not on the borrower's refusal.
+    expired: bool,
+}
 
 impl Controller {
-    /// Takes note of the loans that the replica shows.
+    /// Records the loans that the replica shows as lent, and forgets the others.
     pub(super) fn note_lent(&mut self, now: Timestamp) {
-        let mut shown = std::collections::BTreeSet::new();
+        let mut shown = BTreeSet::new();
         for (job_id, job) in self.replica.transferred() {
             let Some(mark) = job.lent() else { continue };
             if job.status != JobStatus::Pending {
@@ -38,16 +55,7 @@
                 token: mark.token,
             };
             shown.insert(id.job.clone());
-            let recent = LentLoan {
-                id: id.clone(),
-                recorded_done: now,
-                heard: None,
-                busy: None,
-                accepted: false,
-                refused: false,
-                declined: false,
-                recalled: None,
-            };
+            let recent = LentLoan::new(id.clone(), now);
             let loan = self
                 .spillover
                 .lent
@@ -57,7 +65,7 @@
                 *loan = recent;
             }
             if mark.recalled {
-                loan.recalled.get_or_insert(now);
+                loan.recalled_at.get_or_insert(now);
             }
         }
         self.spillover.lent.retain(|job, _| shown.contains(job));
@@ -66,44 +74,37 @@
 
     /// The next write about transfers, of the leader.
     pub(crate) fn plan_transfers(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
-        if !self.spillover.is_on() && self.replica.transferred().next().is_none() {
+        if !self.spillover_concerns_us() {
             return None;
         }
-        self.plan_homecomings(now)
+        self.plan_returns(now)
             .or_else(|| self.plan_ended_loans())
             .or_else(|| self.plan_recalls(now))
             .map(|transaction| (transaction, WriteIntent::default()))
             .or_else(|| self.plan_loans(now))
     }
 
-    /// Takes back loans that the borrower has refused on record, and those that were called back so
-    /// long ago that nothing of them can be on any machine.
-    fn plan_homecomings(&mut self, now: Timestamp) -> Option<Transaction> {
-        let home = |controller: &Self, job_id: JobId, job: &Job| {
-            let mark = job.lent()?;
-            let loan = controller
-                .spillover
-                .lent
-                .get(controller.replica.names.jobs.name(job_id))?;
-            let expired = loan
-                .recalled
-                .is_some_and(|at| now.since(at) > mark.terms.gone_after_ms());
-            let due = job.status == JobStatus::Pending && (loan.refused || expired);
-            due.then(|| (mark.cell.clone(), expired))
-        };
+    /// Takes back loans that the borrower has refused on record, and those that were recalled so long ago
+    /// that nothing of them can be on any machine.
+    fn plan_returns(&mut self, now: Timestamp) -> Option<Transaction> {
         let jobs = self.replica.transferred();
-        let due = jobs.filter_map(|(job_id, job)| Some((job_id, home(self, job_id, job)?)));
-        let due: Vec<_> = due.collect();
+        let due = jobs.filter_map(|(job_id, job)| self.due_return(job_id, job, now));
+        let due: Vec<DueReturn> = due.collect();
         let mut batch = self.transfer_batch();
-        for (job_id, (cell, expired)) in due {
+        for due_return in due {
+            let DueReturn {
+                job_id,
+                cell,
+                expired,
+            } = due_return;
             let name = self.replica.names.jobs.name(job_id).to_owned();
-            let Some(change) = self.homecoming(job_id, &RangeSet::new()) else {
+            let Some(mutation) = self.returned_loan(job_id, &RangeSet::new()) else {
                 continue;
             };
-            if !batch.add(self.precondition(&job_key(&name)), change) {
+            if !batch.add(self.precondition(&job_key(&name)), mutation) {
                 break;
             }
-            tracing::info!(job = name, cell, expired, "a loan comes home");
+            info!(job = name, cell, expired, "loan returned");
             self.spillover.counters.expired += u64::from(expired);
             self.spillover.counters.returned += u64::from(!expired);
             let until = now.plus(BARRED_MS);
@@ -112,27 +113,42 @@
         batch.finish()
     }
 
+    /// Whether a lent job is to be taken back now.
+    fn due_return(&self, job_id: JobId, job: &Job, now: Timestamp) -> Option<DueReturn> {
+        let mark = job.lent()?;
+        let name = self.replica.names.jobs.name(job_id);
+        let loan = self.spillover.lent.get(name)?;
+        let expired = loan
+            .recalled_at
+            .is_some_and(|at| now.since(at) > mark.terms.gone_after_ms());
+        let due = job.status == JobStatus::Pending && (loan.refused || expired);
+        due.then(|| DueReturn {
+            job_id,
+            cell: mark.cell.clone(),
+            expired,
+        })
+    }
+
+    /// An empty transaction for writes of several jobs' keys.
     pub(super) fn transfer_batch(&self) -> Batch {
         Batch::new(self.settings.platform.settings.state.txn_ops)
     }
 
-    /// The write that makes a lent job an ordinary one again; these tasks were done elsewhere.
-    pub(super) fn homecoming(&self, job_id: JobId, done_there: &RangeSet) -> Option<Mutation> {
+    /// The write that makes a lent job an ordinary one again; these tasks were done elsewhere. None if the
+    /// value would be too large.
+    pub(super) fn returned_loan(&self, job_id: JobId, done_there: &RangeSet) -> Option<Mutation> {
         let job = self.replica.jobs.get(&job_id)?;
         let mut done = job.done.clone();
         done.union(done_there);
         let mut record = job.record(Default::default(), JobStatus::Pending);
         record.bring_home(self.replica.done_tasks(done));
-        let change = put(
-            &job_key(self.replica.names.jobs.name(job_id)),
-            &record,
-            None,
-        );
-        (change.value_bytes() <= self.settings.value_bytes()).then_some(change)
+        let key = job_key(self.replica.names.jobs.name(job_id));
+        let mutation = put(&key, &record, None);
+        (mutation.value_bytes() <= self.settings.value_bytes()).then_some(mutation)
     }
 
-    /// Calls back loans of which nothing is heard, that were declined, or that wait in vain while
-    /// there is room at home.
+    /// Recalls loans of which nothing is heard, that were declined, or that wait in vain while there is
+    /// room at home.
     fn plan_recalls(&mut self, now: Timestamp) -> Option<Transaction> {
         let settings = &self.spillover.settings;
         let silent_ms = (settings.loan.silent_s * 1000.0) as u64;
@@ -153,32 +169,30 @@
                 continue;
             }
             let state = LoanState {
-                silent_ms: now.since(loan.heard.unwrap_or(loan.recorded_done)),
-                heard: loan.heard.is_some(),
-                idle_ms: now.since(loan.busy.unwrap_or(loan.recorded_done)),
+                silent_ms: now.since(loan.heard_at.unwrap_or(loan.known_since)),
+                heard: loan.heard_at.is_some(),
+                idle_ms: now.since(loan.busy_at.unwrap_or(loan.known_since)),
             };
             let cpus = f64::from(job.spec.task_count) * job.spec.cpus;
             let has_room = cpus <= room_cpus;
-            let why = policy::recall(&state, has_room, silent_ms, &settings.policy);
-            if why.is_none() && !loan.declined {
+            let reason = policy::recall(&state, has_room, silent_ms, &settings.policy);
+            if reason.is_none() && !loan.declined {
                 continue;
             }
             let done = self.replica.done_tasks(job.stored.clone());
             let mut record = job.record(done, JobStatus::Pending);
-            if let Some(crate::records::Transfer::Lent(mark)) = record.transfer.as_deref_mut() {
+            if let Some(Transfer::Lent(mark)) = record.transfer.as_deref_mut() {
                 mark.recalled = true;
             }
             let key = job_key(name);
             if !batch.add(self.precondition(&key), put(&key, &record, None)) {
                 break;
             }
-            tracing::info!(job = name, cell = mark.cell, ?why, "calling a loan back");
+            info!(job = name, cell = mark.cell, ?reason, "recalling loan");
             room_cpus -= cpus;
         }
         let transaction = batch.finish();
-        let recalled = transaction
-            .as_ref()
-            .map_or(0, |transaction| transaction.mutations.len());
+        let recalled = transaction.as_ref().map_or(0, |t| t.mutations.len());
         self.spillover.counters.recalled += recalled as u64;
         transaction
     }
@@ -200,77 +214,85 @@
     /// Lends jobs, if the cell is saturated and another one would begin them clearly earlier.
     ///
     /// Only the leader binds, so nothing of such a job can be bound but by its own writes, and those
-    /// that are under way or may have been carried out are counted.
+    /// that are in flight or in doubt are counted.
     fn plan_loans(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
         let policy = self.spillover.settings.policy.clone();
         if !self.transfers_open() || !self.grace_over(now) || now < self.spillover.next_policy {
             return None;
         }
         self.spillover.next_policy = now.plus((policy.period_s * 1000.0) as u64);
-        let (jobs, waits) = self.predicted_waits(now);
-        self.spillover.longest_wait_s = waits.iter().copied().fold(0.0, f64::max);
-        let asked: f64 = jobs.iter().map(policy::WaitingJob::cpus).sum();
-        self.spillover.idle_cpus = (self.home_load(now).free_cpus - asked).max(0.0);
+        let forecast = self.wait_forecast(now);
+        self.spillover.longest_wait_s = forecast.longest_wait_s();
+        self.spillover.idle_cpus = forecast.idle_cpus();
         let longest_wait_s = self.spillover.longest_wait_s;
         let hysteresis = &mut self.spillover.hysteresis;
         let lends = hysteresis.update(longest_wait_s, &policy, now.0);
         if !lends || !self.spillover.settings.lend {
             return None;
         }
+        self.lend_chosen_jobs(&forecast, &policy, now)
+    }
+
+    /// Plans the write that lends the jobs which gain most from it.
+    fn lend_chosen_jobs(
+        &mut self,
+        forecast: &WaitForecast,
+        policy: &PolicySettings,
+        now: Timestamp,
+    ) -> Option<(Transaction, WriteIntent)> {
+        let WaitForecast { jobs, waits_s, .. } = forecast;
         let (places, borrowers): (Vec<usize>, Vec<Borrower>) =
             self.known_borrowers(now).into_iter().unzip();
         let barred = |job: &str, cell: &str| {
             let key = (job.to_owned(), cell.to_owned());
             self.spillover.barred.contains_key(&key)
         };
-        let choices = policy::choose(&jobs, &waits, &borrowers, &policy, barred);
+        let choices = policy::choose(jobs, waits_s, &borrowers, policy, barred);
         let token = TransferToken(self.replica.latest());
         let (mut batch, mut intent) = (self.transfer_batch(), WriteIntent::default());
         for choice in choices {
             let (job, borrower) = (&jobs[choice.position], &borrowers[choice.borrower]);
             let place = places[choice.borrower];
-            let Some((machine_id, change)) = self.loan_of(&job.name, place, token) else {
+            let Some((job_id, mutation)) = self.loan_of(&job.name, place, token) else {
                 continue;
             };
-            if !batch.add(self.precondition(&job_key(&job.name)), change) {
+            if !batch.add(self.precondition(&job_key(&job.name)), mutation) {
                 break;
             }
-            let (wait_s, there_s) = (waits[choice.position], borrower.status.wait_s);
-            tracing::info!(
+            info!(
                 job = job.name,
                 cell = borrower.cell,
-                wait_s,
-                there_s,
-                "lending"
+                wait_s = waits_s[choice.position],
+                wait_there_s = borrower.status.wait_s,
+                "lending job"
             );
             self.spillover.cells[place].promised_cpus += job.cpus();
-            intent.lent.push(machine_id);
+            intent.lent.push(job_id);
         }
         self.spillover.counters.lent += intent.lent.len() as u64;
         batch.finish().map(|transaction| (transaction, intent))
     }
 
-    /// The write that lends a job to the cell at a place in the settings.
+    /// The write that lends a job to the cell at a place in the settings. None if the value would be too
+    /// large.
     fn loan_of(&self, name: &str, place: usize, token: TransferToken) -> Option<(JobId, Mutation)> {
-        let job_id = self.replica.names.jobs.get(name)?;
-        let job = self.replica.jobs.get(&job_id)?;
+        let (job_id, job) = self.replica.job_named(name)?;
         let settings = &self.spillover.settings;
         let cell = &settings.cells[place];
         let mut record = job.record(Default::default(), JobStatus::Pending);
         record.lend(&cell.name, token, settings.terms_for(cell));
-        let change = put(&job_key(name), &record, None);
-        // It must still fit when it is marked as called back.
-        let spare = 16;
-        let fits = change.value_bytes() + spare <= self.settings.value_bytes();
-        fits.then_some((job_id, change))
+        let mutation = put(&job_key(name), &record, None);
+        // It must still fit when it is marked as recalled.
+        let fits = mutation.value_bytes() + RECALL_MARK_BYTES <= self.settings.value_bytes();
+        fits.then_some((job_id, mutation))
     }
 
-    /// The cells that told their status lately, with their places in the settings.
+    /// The cells that sent their status lately, with their places in the settings.
     fn known_borrowers(&self, now: Timestamp) -> Vec<(usize, Borrower)> {
         let cells = self.spillover.cells.iter().enumerate();
         let known = cells.filter_map(|(place, link)| {
             let (status, at) = link.status.as_ref()?;
-            let recent = now.since(*at) < STATUS_MS;
+            let recent = now.since(*at) < STATUS_MAX_AGE_MS;
             let borrower = Borrower {
                 cell: self.spillover.settings.cells[place].name.clone(),
                 status: status.clone(),
@@ -309,20 +331,18 @@
 
     /// The loans to a cell that are not known to have arrived.
     fn offers_to(&self, cell: usize) -> Vec<Offer<JobSpec>> {
-        let name = &self.spillover.settings.cells[cell].name;
+        let cell_name = &self.spillover.settings.cells[cell].name;
         let age_ms = |since_ms: u64| self.day_ms.saturating_sub(since_ms);
         let offers = self.replica.transferred().filter_map(|(job_id, job)| {
             let mark = job.lent()?;
-            let loan = self
-                .spillover
-                .lent
-                .get(self.replica.names.jobs.name(job_id))?;
+            let name = self.replica.names.jobs.name(job_id);
+            let loan = self.spillover.lent.get(name)?;
             let open = job.status == JobStatus::Pending
                 && !mark.recalled
                 && !(loan.accepted || loan.refused || loan.declined);
             let mut spec = (*job.spec).clone();
             spec.machine_types = mark.machine_types.clone();
-            (open && mark.cell == *name).then(|| Offer {
+            (open && mark.cell == *cell_name).then(|| Offer {
                 loan: loan.id.clone(),
                 spec,
                 age_ms: age_ms(job.submitted_ms),
@@ -330,10 +350,10 @@
                 terms: mark.terms,
             })
         });
-        offers.take(OFFERED).collect()
+        offers.take(MAX_OFFERS).collect()
     }
 
-    /// A cell told its status.
+    /// A cell answered how it is doing, or did not.
     pub(super) fn on_borrower_status(
         &mut self,
         cell: usize,
@@ -352,7 +372,7 @@
         }
     }
 
-    /// A cell answered offers.
+    /// A cell answered offers, or did not.
     pub(super) fn on_offer_answers(
         &mut self,
         cell: usize,
@@ -379,14 +399,14 @@
                 Decision::Accepted => {
                     loan.accepted = true;
                 }
-                Decision::Refused(why) => {
-                    tracing::info!(job = id.job, %why, "a loan is refused");
+                Decision::Refused(reason) => {
+                    info!(job = id.job, %reason, "loan refused by borrower");
                     loan.refused = true;
                 }
-                Decision::Later(why) => {
-                    tracing::debug!(job = id.job, %why, "a loan is put off");
+                Decision::Later(reason) => {
+                    debug!(job = id.job, %reason, "loan deferred by borrower");
                     // Asked again, these would say the same.
-                    loan.declined |= matches!(why, Reason::NameTaken | Reason::Over);
+                    loan.declined |= matches!(reason, Reason::NameTaken | Reason::Over);
                 }
             }
         }
--- a/src/spillover/load.rs
+++ b/src/spillover/load.rs
@@ -1,8 +1,11 @@
 //! What a cell knows of its own load: how long jobs wait here, and what it would take of others.
+//!
+//! Pure estimates: nothing here changes any state.
 
 use super::Controller;
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
+use crate::leadership::job_order::Rank;
 use crate::names::JobId;
 use crate::protocol::JobStatus;
 use crate::replica::Job;
@@ -21,20 +24,54 @@
     team_cpus: BTreeMap<String, f64>,
 }
 
+/// What waits in this cell, and for how long.
+pub(super) struct WaitForecast {
+    /// The jobs of which something waits, in the order in which they are served.
+    pub(super) jobs: Vec<WaitingJob>,
+    /// For how long each probably waits, seconds.
+    pub(super) waits_s: Vec<f64>,
+    home: HomeLoad,
+}
+
+impl WaitForecast {
+    /// The longest of the waits, seconds.
+    pub(super) fn longest_wait_s(&self) -> f64 {
+        self.waits_s.iter().copied().fold(0.0, f64::max)
+    }
+
+    /// CPUs of this cell that nothing is bound to or waits for.
+    pub(super) fn idle_cpus(&self) -> f64 {
+        let asked: f64 = self.jobs.iter().map(WaitingJob::cpus).sum();
+        (self.home.free_cpus - asked).max(0.0)
+    }
+}
+
+/// A waiting job with what it is ordered by.
+struct RankedJob {
+    rank: Rank,
+    job_id: JobId,
+    job: WaitingJob,
+}
+
 impl Controller {
-    /// The jobs of which something waits, in the order in which they are served, and for how long
-    /// each waits probably, seconds.
-    pub(super) fn predicted_waits(&self, now: Timestamp) -> (Vec<WaitingJob>, Vec<f64>) {
+    /// For how long each job of which something waits will probably wait here.
+    pub(super) fn wait_forecast(&self, now: Timestamp) -> WaitForecast {
         let jobs = self.waiting_in_order(now);
-        let waits = predict_waits(&self.home_load(now), &jobs);
-        (jobs, waits)
+        let home = self.home_load(now);
+        let waits_s = predict_waits(&home, &jobs);
+        WaitForecast {
+            jobs,
+            waits_s,
+            home,
+        }
     }
 
+    /// The jobs of which something waits, in the order in which they are served.
     fn waiting_in_order(&self, now: Timestamp) -> Vec<WaitingJob> {
-        let underway: HashSet<JobId> = self
+        let being_bound: HashSet<JobId> = self
             .writes
             .pending_bindings()
-            .map(|b| b.1.task.job)
+            .map(|(_, binding)| binding.task.job)
             .collect();
         let mut order = Vec::new();
         for (&job_id, job) in &self.replica.jobs {
@@ -48,16 +85,20 @@
                 continue;
             }
             let rank = self.rank(job_id, job);
-            let lendable = self.is_lendable(job_id, job) && !underway.contains(&job_id);
-            order.push((
-                rank.tier,
-                rank.order_s,
+            let lendable = self.is_lendable(job_id, job) && !being_bound.contains(&job_id);
+            order.push(RankedJob {
+                rank,
                 job_id,
-                self.waiting_job(name, job, left, lendable),
-            ));
+                job: self.waiting_job(name, job, left, lendable),
+            });
         }
-        order.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
-        order.into_iter().map(|o| o.3).collect()
+        order.sort_by(|a, b| {
+            let by_tier = a.rank.tier.cmp(&b.rank.tier);
+            by_tier
+                .then(a.rank.order_s.total_cmp(&b.rank.order_s))
+                .then(a.job_id.cmp(&b.job_id))
+        });
+        order.into_iter().map(|ranked| ranked.job).collect()
     }
 
     fn waiting_job(&self, name: &str, job: &Job, tasks: u32, lendable: bool) -> WaitingJob {
@@ -81,7 +122,7 @@
     }
 
     /// What the machines and the teams' limits have to offer.
-    pub(super) fn home_load(&self, now: Timestamp) -> HomeLoad {
+    fn home_load(&self, now: Timestamp) -> HomeLoad {
         let mut load = HomeLoad::default();
         for rented in self.fleet(now) {
             let used = self.used_on(rented.machine).cpus;
@@ -90,21 +131,22 @@
             load.bound_s += self.known_load(rented.machine, now) * rented.size.cpus;
         }
         let mut bound_s: HashMap<_, f64> = HashMap::default();
-        for entry in self.replica.machines.values().flat_map(|m| &m.queue) {
-            if let Some(job) = self.replica.jobs.get(&entry.task.job) {
+        let queues = self.replica.machines.values().map(|machine| &machine.queue);
+        for binding in queues.flatten() {
+            if let Some(job) = self.replica.jobs.get(&binding.task.job) {
                 *bound_s.entry(job.team).or_default() += self.run_s(job) * job.spec.cpus;
             }
         }
         let room = self.team_room();
         let teams = self.settings.platform.settings.teams.iter();
-        for team in teams.filter(|t| t.cpus_max.is_finite()) {
-            let Some(job_id) = self.replica.names.teams.get(&team.name) else {
+        for team in teams.filter(|team| team.cpus_max.is_finite()) {
+            let Some(team_id) = self.replica.names.teams.get(&team.name) else {
                 continue;
             };
             let of_team = TeamLoad {
                 limit_cpus: team.cpus_max,
-                free_cpus: room.get(&job_id).map_or(0.0, |r| r.cpus),
-                bound_s: bound_s.get(&job_id).copied().unwrap_or(0.0),
+                free_cpus: room.get(&team_id).map_or(0.0, |room| room.cpus),
+                bound_s: bound_s.get(&team_id).copied().unwrap_or(0.0),
             };
             load.teams.insert(team.name.clone(), of_team);
         }
@@ -116,13 +158,13 @@
         let load = self.home_load(now);
         let waiting = self.waiting_in_order(now);
         let asked: f64 = waiting.iter().map(WaitingJob::cpus).sum();
-        let work: f64 = waiting.iter().map(|j| j.cpus() * j.run_s).sum();
+        let work: f64 = waiting.iter().map(|job| job.cpus() * job.run_s).sum();
         let queue_s = (work + load.bound_s) / load.fleet_cpus.max(1.0);
         let start_s = self.rentable_start_s(now);
         let idle_cpus = (load.free_cpus - asked).max(0.0);
         let mut team_cpus = BTreeMap::new();
         for (team, of_team) in load.teams {
-            let of_jobs = waiting.iter().filter(|j| j.team == team);
+            let of_jobs = waiting.iter().filter(|job| job.team == team);
             let asked: f64 = of_jobs.map(WaitingJob::cpus).sum();
             team_cpus.insert(team, (of_team.free_cpus - asked).max(0.0));
         }
@@ -165,15 +207,8 @@
     /// How this cell is doing, for lenders.
     pub(super) fn cell_status(&self, now: Timestamp) -> CellStatus {
         let spare = self.spare(now);
-        let finite = |most: f64| most.is_finite().then_some(most);
+        let finite = |limit: f64| limit.is_finite().then_some(limit);
         let teams = self.settings.platform.settings.teams.iter();
-        let lent = self.replica.transferred().filter(|(_, job)| {
-            let open = job.status == JobStatus::Pending;
-            open && job.lent().is_some()
-        });
-        let mut lent_classes: Vec<String> = lent.map(|(_, job)| job.spec.class.clone()).collect();
-        lent_classes.sort_unstable();
-        lent_classes.dedup();
         let mut machine_types: Vec<MachineType> = self
             .machine_types
             .values()
@@ -199,7 +234,19 @@
                 })
                 .collect(),
             machine_types,
-            lent_classes,
+            lent_classes: self.lent_classes(),
         }
     }
+
+    /// Classes of the jobs that this cell lends, sorted.
+    fn lent_classes(&self) -> Vec<String> {
+        let lent = self.replica.transferred().filter(|(_, job)| {
+            let open = job.status == JobStatus::Pending;
+            open && job.lent().is_some()
+        });
+        let mut classes: Vec<String> = lent.map(|(_, job)| job.spec.class.clone()).collect();
+        classes.sort_unstable();
+        classes.dedup();
+        classes
+    }
 }
--- a/src/spillover/mod.rs
+++ b/src/spillover/mod.rs
@@ -3,28 +3,34 @@
 //! The decisions stand in the package `quillbend-spillover`; this module joins them to the replica, the
 //! transactions and the machines. `docs/spillover.md` argues why no task ever runs in two cells.
 //!
-//! * [`lending`]: the leader of the origin lends jobs, calls them back and takes them back.
+//! Owns what is known of loans and of other cells besides the shared keys. Must never let a task of a job run in
+//! two cells: each step rests on what the replica shows and on the lender's confirmations.
+//!
+//! * [`lending`]: the leader of the origin lends jobs, recalls them and takes them back.
 //! * [`borrowing`]: controllers of the borrower ask whether loans stand, and end what is over.
 //! * [`offers`]: the borrower's decisions about offers of loans.
 //! * [`serving`]: answers to the other requests of other cells.
 //! * [`load`]: what both sides know of their own load.
+//! * [`status_page`]: what operators see of it.
 
+mod batch;
 mod borrowing;
 mod lending;
 mod load;
 mod offers;
 mod serving;
+mod status_page;
 
 pub use offers::{Archived, OfferPlan};
 
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
-use crate::controller::completions::TXN_BYTES;
 use crate::controller::{Controller, Effect};
 use crate::names::JobId;
-use crate::protocol::{HeardLoan, JobSpec, Mutation, Precondition, Transaction};
+use crate::protocol::{HeardLoan, JobSpec};
 use crate::records::SPILLOVER_FORMAT;
 use crate::replica::Job;
+use batch::Batch;
 use quillbend_spillover::confirmation::{Confirmations, Permission};
 use quillbend_spillover::contact::Contact;
 use quillbend_spillover::message::{CellAnswer, CellStatus, LoanId, RequestBody, VERSION};
@@ -32,49 +38,9 @@
 use quillbend_spillover::settings::SpilloverSettings;
 use std::collections::BTreeMap;
 
-/// Bytes that a change and its condition take besides the value.
-const SPARE_BYTES: usize = 400;
-
 /// A request to another cell, with our specifications of jobs.
 pub type CellRequest = quillbend_spillover::message::CellRequest<JobSpec>;
 
-/// A transaction of several jobs' keys, within what the state service takes.
-struct Batch {
-    transaction: Transaction,
-    bytes: usize,
-    most_changes: usize,
-}
-
-impl Batch {
-    fn new(most_changes: usize) -> Self {
-        Self {
-            transaction: Transaction::default(),
-            bytes: 0,
-            most_changes,
-        }
-    }
-
-    /// Adds a change with its condition; false if there is no room for it.
-    ///
-    /// Guards against a transaction that is called malformed and planned again for ever.
-    fn add(&mut self, precondition: Precondition, change: Mutation) -> bool {
-        let bytes = self.bytes + change.value_bytes() + SPARE_BYTES;
-        let fits = self.transaction.mutations.is_empty() || bytes <= TXN_BYTES;
-        if !fits || self.transaction.mutations.len() >= self.most_changes {
-            return false;
-        }
-        self.bytes = bytes;
-        self.transaction.preconditions.push(precondition);
-        self.transaction.mutations.push(change);
-        true
-    }
-
-    /// The transaction, unless it is empty.
-    fn finish(self) -> Option<Transaction> {
-        (!self.transaction.mutations.is_empty()).then_some(self.transaction)
-    }
-}
-
 /// A request that the service is to send to a controller of another cell.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CellCall {
@@ -88,25 +54,26 @@
     pub relayed: bool,
 }
 
-/// What a controller keeps for spillover; all of it can be found out anew.
+/// What a controller keeps for spillover; all of it can be found out again after a restart.
 #[derive(Debug)]
 pub(crate) struct Spillover {
-    pub(crate) settings: SpilloverSettings,
+    settings: SpilloverSettings,
     /// The other cells, by their place in the settings.
     cells: Vec<CellLink>,
     /// What may be done with the loans that this cell has borrowed.
-    pub(crate) confirmations: Confirmations,
+    confirmations: Confirmations,
     /// The loans that this cell has lent, by the names of their jobs.
     lent: BTreeMap<String, LentLoan>,
     hysteresis: Hysteresis,
     /// The longest wait that was last predicted, seconds.
     longest_wait_s: f64,
-    /// CPUs at home that nothing is bound to or waited for at that time.
+    /// CPUs of this cell that nothing was bound to or waited for at that time.
     idle_cpus: f64,
+    /// When the lender's policy is applied next.
     next_policy: Timestamp,
-    /// Until when a job is not offered again to a cell that it came back from.
+    /// Until when a job is not lent again to the cell that returned it, by the names of both.
     barred: HashMap<(String, String), Timestamp>,
-    pub(crate) counters: SpilloverCounters,
+    counters: SpilloverCounters,
 }
 
 /// Another cell, as this controller knows it.
@@ -118,8 +85,9 @@
     relay: Contact,
     /// Its leader, asked for its status and offered loans.
     borrower: Contact,
+    /// Its latest status, and when it arrived.
     status: Option<(CellStatus, Timestamp)>,
-    /// CPUs of loans that it was given since it told its status.
+    /// CPUs of loans that it was given since it sent its status.
     promised_cpus: f64,
 }
 
@@ -128,18 +96,35 @@
 struct LentLoan {
     id: LoanId,
     /// When this controller learned of it.
-    recorded_done: Timestamp,
-    /// When it was last reported.
-    heard: Option<Timestamp>,
+    known_since: Timestamp,
+    /// When the borrower last reported on it.
+    heard_at: Option<Timestamp>,
     /// When something of it was last bound there, as far as was reported.
-    busy: Option<Timestamp>,
+    busy_at: Option<Timestamp>,
+    /// The borrower has recorded it.
     accepted: bool,
     /// The borrower has recorded that this transfer can never run there.
     refused: bool,
-    /// Refused without a record: it has to be called back.
+    /// Refused without a record: it has to be recalled.
     declined: bool,
-    /// When this controller's replica first showed that it was called back.
-    recalled: Option<Timestamp>,
+    /// When this controller's replica first showed that it was recalled.
+    recalled_at: Option<Timestamp>,
+}
+
+impl LentLoan {
+    /// A loan of which nothing was heard yet.
+    fn new(id: LoanId, now: Timestamp) -> Self {
+        Self {
+            id,
+            known_since: now,
+            heard_at: None,
+            busy_at: None,
+            accepted: false,
+            refused: false,
+            declined: false,
+            recalled_at: None,
+        }
+    }
 }
 
 /// Counters of spillover for operators.
@@ -147,9 +132,9 @@
 pub(crate) struct SpilloverCounters {
     /// Jobs lent.
     pub(crate) lent: u64,
-    /// Loans called back.
+    /// Loans recalled.
     pub(crate) recalled: u64,
-    /// Loans that came home with the borrower's proof.
+    /// Loans returned with the borrower's proof.
     pub(crate) returned: u64,
     /// Loans taken back after every lease was over.
     pub(crate) expired: u64,
@@ -174,7 +159,7 @@
             status: None,
             promised_cpus: 0.0,
         };
-        let cells = settings.cells.iter().map(|c| link(&c.controllers));
+        let cells = settings.cells.iter().map(|cell| link(&cell.controllers));
         Self {
             cells: cells.collect(),
             settings,
@@ -201,9 +186,14 @@
         self.spillover.is_on() && self.replica.synced && self.replica.format >= SPILLOVER_FORMAT
     }
 
-    /// Takes note of the loans that the replica shows, and asks other cells what is due.
+    /// Whether there is anything to do: spillover is turned on, or loans of a time when it was are left.
+    fn spillover_concerns_us(&self) -> bool {
+        self.spillover.is_on() || self.replica.has_transfers()
+    }
+
+    /// Records the loans that the replica shows, and asks other cells what is due.
     pub(crate) fn tick_spillover(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if !self.spillover.is_on() && self.replica.transferred().next().is_none() {
+        if !self.spillover_concerns_us() {
             return;
         }
         self.note_borrowed(now);
@@ -241,6 +231,7 @@
         self.permission(job, name, now) == Permission::Run
     }
 
+    /// A request of this cell.
     fn cell_request(&self, body: RequestBody<JobSpec>) -> CellRequest {
         CellRequest {
             version: VERSION,
@@ -275,8 +266,8 @@
             Some(HeardLoan {
                 job: loan.id.job.clone(),
                 token: loan.id.token.0,
-                age_ms: now.since(loan.heard?),
-                bound: loan.busy.is_some() && loan.busy == loan.heard,
+                age_ms: now.since(loan.heard_at?),
+                bound: loan.busy_at.is_some() && loan.busy_at == loan.heard_at,
             })
         });
         heard.collect()
@@ -290,69 +281,14 @@
             };
             if loan.id.token.0 == report.token {
                 let at = Timestamp(now.0.saturating_sub(report.age_ms));
-                loan.heard = loan.heard.max(Some(at));
+                loan.heard_at = loan.heard_at.max(Some(at));
                 if report.bound {
-                    loan.busy = loan.busy.max(Some(at));
+                    loan.busy_at = loan.busy_at.max(Some(at));
                 }
                 loan.accepted = true;
             }
         }
     }
-
-    /// What operators see of transfers; none while there is nothing to see.
-    pub(crate) fn spillover_page(&self, now: Timestamp) -> Option<serde_json::Value> {
-        if !self.spillover.is_on() && self.replica.transferred().next().is_none() {
-            return None;
-        }
-        let spillover = &self.spillover;
-        let cells: BTreeMap<&str, serde_json::Value> = spillover
-            .settings
-            .cells
-            .iter()
-            .zip(&spillover.cells)
-            .map(|(cell, link)| {
-                let silent_ms = link
-                    .origin
-                    .last_answered()
-                    .map(|at| now.since(Timestamp(at)));
-                let status = link.status.as_ref().map(|(s, _)| s);
-                let page = serde_json::json!({
-                    "silentMs": silent_ms,
-                    "waitS": status.map(|s| s.wait_s),
-                    "roomCpus": status.map(|s| s.room_cpus),
-                });
-                (cell.name.as_str(), page)
-            })
-            .collect();
-        let (mut lent, mut borrowed) = (BTreeMap::new(), BTreeMap::new());
-        for (job_id, job) in self.replica.transferred() {
-            let name = self.replica.names.jobs.name(job_id);
-            if let Some(mark) = job.lent() {
-                let known = spillover.lent.get(name);
-                lent.insert(
-                    name,
-                    serde_json::json!({
-                        "cell": mark.cell, "token": mark.token, "recalled": mark.recalled,
-                        "silentMs": known.and_then(|l| l.heard).map(|at| now.since(at)),
-                        "idleMs": known.and_then(|l| l.busy).map(|at| now.since(at)),
-                    }),
-                );
-            } else if let Some(mark) = job.borrowed() {
-                let permission = format!("{:?}", self.permission(job, name, now));
-                borrowed.insert(
-                    name,
-                    serde_json::json!({
-                        "cell": mark.cell, "token": mark.token, "permission": permission,
-                    }),
-                );
-            }
-        }
-        Some(serde_json::json!({
-            "cell": spillover.settings.cell, "open": self.transfers_open(),
-            "lends": spillover.hysteresis.lends(), "longestWaitS": spillover.longest_wait_s,
-            "cells": cells, "lent": lent, "borrowed": borrowed, "counters": spillover.counters,
-        }))
-    }
 }
 
 #[cfg(test)]
--- a/src/spillover/offers.rs
+++ b/src/spillover/offers.rs
@@ -1,4 +1,6 @@
 //! The borrower's decisions about offers of loans, and what they write.
+//!
+//! Must never accept a loan without recording it, nor call one refused of which any task may run here.
 
 use super::Controller;
 use crate::clock::Timestamp;
@@ -7,9 +9,12 @@
 use crate::records::{BorrowedMark, JobRecord, SPILLOVER_FORMAT, Transfer};
 use crate::replica::{Job, job_key, past_key, waiting_key};
 use quillbend_spillover::message::{Decision, Offer, Reason};
+use tracing::info;
 
 /// A borrower accepts only while the lender answered a question sent within this time, ms.
-const REACHED_MS: u64 = 15_000;
+const REACHED_WITHIN_MS: u64 = 15_000;
+/// CPUs may exceed the room by this, for sums are rounded.
+const ROUNDING_CPUS: f64 = 1e-6;
 
 /// A job in the archive, with the revision of its key.
 #[derive(Debug, Clone, PartialEq)]
@@ -54,12 +59,23 @@
         if !self.fits_state(&record) {
             return OfferPlan::Answer(Decision::Later(Reason::NeverRuns));
         }
-        let job = &offer.loan.job;
-        let archived_revision = archived.map_or(0, |a| a.mod_revision);
-        let precondition = |k, mod_revision| Precondition {
-            key: k,
-            mod_revision,
-        };
+        let archived_revision = archived.map_or(0, |archived| archived.mod_revision);
+        OfferPlan::Write {
+            transaction: self.decision_write(&offer.loan.job, &record, decision, archived_revision),
+            decision,
+        }
+    }
+
+    /// The write that records a decision about an offer of a job. `archived_revision` is the revision of the
+    /// job's key in the archive, 0 if there is none.
+    fn decision_write(
+        &self,
+        job: &str,
+        record: &JobRecord,
+        decision: Decision,
+        archived_revision: u64,
+    ) -> Transaction {
+        let precondition = |key, mod_revision| Precondition { key, mod_revision };
         // An earlier transfer that is over gives way to this one.
         let earlier = self.earlier_loan_revision(job);
         let preconditions = vec![
@@ -69,28 +85,24 @@
         ];
         let mutations = match decision {
             Decision::Accepted => {
-                let mut mutations = vec![put(&job_key(job), &record, None)];
+                let mut mutations = vec![put(&job_key(job), record, None)];
                 if archived_revision > 0 {
-                    let drop = past_key(job);
-                    mutations.push(Mutation::Delete { key: drop });
+                    mutations.push(Mutation::Delete { key: past_key(job) });
                 }
                 mutations
             }
             // Whatever copies of the offer still arrive, they find this.
-            _ if earlier.is_some() => vec![put(&job_key(job), &record, None)],
-            _ => vec![put(&past_key(job), &record, None)],
+            _ if earlier.is_some() => vec![put(&job_key(job), record, None)],
+            _ => vec![put(&past_key(job), record, None)],
         };
-        OfferPlan::Write {
-            transaction: Transaction {
-                preconditions,
-                mutations,
-            },
-            decision,
+        Transaction {
+            preconditions,
+            mutations,
         }
     }
 
     /// The decision about an offer of a loan that is known under the same token. A refusal is the
-    /// lender's proof that nothing of it runs here: one that was given up is not called refused as long
+    /// lender's proof that nothing of it runs here: one that was cancelled is not called refused as long
     /// as a queue lists any of its tasks.
     fn decision_on_repeat(&self, name: &str, job: &Job) -> Decision {
         match job.status {
@@ -104,8 +116,7 @@
 
     /// The revision of a loan under a job's name that is over and of which no queue lists anything.
     fn earlier_loan_revision(&self, name: &str) -> Option<u64> {
-        let job_id = self.replica.names.jobs.get(name)?;
-        let job = self.replica.jobs.get(&job_id)?;
+        let (job_id, job) = self.replica.job_named(name)?;
         let over = job.borrowed().is_some()
             && job.status != JobStatus::Pending
             && self.replica.bound_len(job_id) == 0
@@ -125,8 +136,7 @@
         if replica.is_unreadable(name) {
             return Some(Decision::Later(Reason::State));
         }
-        let job_id = replica.names.jobs.get(name);
-        if let Some(job) = job_id.and_then(|job_id| replica.jobs.get(&job_id)) {
+        if let Some((_, job)) = replica.job_named(name) {
             let mark = job.borrowed().filter(|mark| mark.cell == from);
             return Some(match mark {
                 Some(mark) if mark.token == offer.loan.token => self.decision_on_repeat(name, job),
@@ -137,6 +147,7 @@
                 None => Decision::Later(Reason::NameTaken),
             });
         }
+        let job_id = replica.names.jobs.get(name);
         if job_id.is_some_and(|job_id| replica.waiting.jobs.contains_key(&job_id)) {
             return Some(Decision::Later(Reason::NameTaken));
         }
@@ -154,6 +165,7 @@
         }
     }
 
+    /// Why an offer is refused for good, if so.
     fn reason_to_refuse(
         &self,
         from: &str,
@@ -161,16 +173,12 @@
         now: Timestamp,
     ) -> Option<Reason> {
         let settings = &self.spillover.settings;
-        let place = settings.cells.iter().position(|c| c.name == from);
+        let place = settings.cells.iter().position(|cell| cell.name == from);
         let reached = place.is_some_and(|place| {
             let contact = &self.spillover.cells[place].origin;
-            contact.answered_within(REACHED_MS, now.0)
+            contact.answered_within(REACHED_WITHIN_MS, now.0)
         });
         let lease_s = self.settings.platform.settings.workers.lease_s;
-        let status = self.cell_status(now);
-        let team = status.teams.iter().find(|t| t.name == offer.spec.team);
-        let most = |limit: Option<f64>| limit.unwrap_or(f64::INFINITY);
-        let room = team.map_or(0.0, |t| status.room_cpus.min(most(t.free_cpus)));
         if !settings.borrow {
             Some(Reason::BorrowsNothing)
         } else if (lease_s * 1000.0) as u64 > offer.terms.worker_lease_ms {
@@ -179,13 +187,24 @@
             Some(Reason::NeverRuns)
         } else if !reached {
             Some(Reason::Unreachable)
-        } else if room + 1e-6 < offer.spec.cpus || status.lent_classes.contains(&offer.spec.class) {
+        } else if self.lacks_room_for(&offer.spec, now) {
             Some(Reason::NoRoom)
         } else {
             None
         }
     }
 
+    /// Whether no task of a job would find room here, or this cell lends work of its class itself.
+    fn lacks_room_for(&self, spec: &JobSpec, now: Timestamp) -> bool {
+        let status = self.cell_status(now);
+        let team = status.teams.iter().find(|team| team.name == spec.team);
+        let room_cpus = team.map_or(0.0, |team| {
+            let free_cpus = team.free_cpus.unwrap_or(f64::INFINITY);
+            status.room_cpus.min(free_cpus)
+        });
+        room_cpus + ROUNDING_CPUS < spec.cpus || status.lent_classes.contains(&spec.class)
+    }
+
     /// The value of a loan here: pending, or over where it is refused.
     fn borrowed_record(&self, from: &str, offer: &Offer<JobSpec>, decision: Decision) -> JobRecord {
         let since = |age_ms: u64| self.day_ms.saturating_sub(age_ms);
@@ -207,14 +226,14 @@
         }
     }
 
-    /// An offer was decided.
+    /// A decision about an offer was recorded, or nothing had to be.
     pub fn on_offer_decided(&mut self, offer: &Offer<JobSpec>, decision: Decision) {
         let job = &offer.loan.job;
         match decision {
             Decision::Accepted => self.spillover.counters.borrowed += 1,
-            Decision::Refused(why) | Decision::Later(why) => {
+            Decision::Refused(reason) | Decision::Later(reason) => {
                 self.spillover.counters.refused += 1;
-                tracing::info!(job, %why, "an offer is not accepted");
+                info!(job, %reason, "loan offer not accepted");
             }
         }
     }
--- a/src/spillover/serving.rs
+++ b/src/spillover/serving.rs
@@ -1,5 +1,7 @@
 //! Answers to the requests of other cells. What has to be written first is planned here as well; the
-//! door sends it and then asks for the answer.
+//! HTTP handler commits it and then asks for the answer.
+//!
+//! Must never say that a loan stands unless the replica shows it, nor how old that is too low.
 
 use super::{CellRequest, Controller};
 use crate::clock::Timestamp;
@@ -14,6 +16,7 @@
     VERSION,
 };
 use std::net::IpAddr;
+use tracing::{info, warn};
 
 impl Controller {
     /// Why a request is refused as a whole, if so. `source` is where it came from, if that is known.
@@ -38,13 +41,13 @@
         } else {
             return None;
         };
-        tracing::warn!(from = request.from, %refusal, "a request of another cell is refused");
+        warn!(cell = request.from, reason = %refusal, "cell request refused");
         self.spillover.counters.rejected += 1;
         Some(CellAnswer::Refused(refusal))
     }
 
-    /// What a borrower's report makes this cell write: the ends of loans. Each has the condition that
-    /// the job's key is as the replica shows it, so the first end to be written counts for everybody.
+    /// What the status of loans makes this cell write: the ends of loans. Each has the condition that the
+    /// job's key is as the replica shows it, so the first end to be written counts for everybody.
     pub fn plan_loan_ends(
         &mut self,
         from: &str,
@@ -53,70 +56,63 @@
     ) -> Vec<Transaction> {
         let mut transactions = Vec::new();
         for report in reports {
-            let Some(machine_id) = self.stands_for(from, &report.loan) else {
+            let Some(job_id) = self.job_lent_as(from, &report.loan) else {
                 continue;
             };
             self.note_report(report, now);
-            let change = match &report.progress {
+            let mutation = match &report.progress {
                 Progress::Pending { .. } => continue,
-                Progress::Done => self.finished(machine_id),
+                Progress::Done => self.finished_loan(job_id),
                 Progress::Returned { done } => {
                     let mut tasks = RangeSet::new();
                     done.iter()
-                        .for_each(|&(lo, hi)| tasks.insert_range(lo, hi + 1));
-                    self.homecoming(machine_id, &tasks)
+                        .for_each(|&(first, last)| tasks.insert_range(first, last + 1));
+                    self.returned_loan(job_id, &tasks)
                 }
             };
             let key = job_key(&report.loan.job);
-            transactions.extend(change.map(|change| Transaction {
+            transactions.extend(mutation.map(|mutation| Transaction {
                 preconditions: vec![self.precondition(&key)],
-                mutations: vec![change],
+                mutations: vec![mutation],
             }));
         }
         transactions
     }
 
-    /// A write of [`Core::plan_loan_ends`] was carried out.
+    /// A write of [`Controller::plan_loan_ends`] was carried out at a revision.
     pub fn on_loan_end(&mut self, transaction: &Transaction, revision: u64) {
         self.replica.apply_own(transaction, revision);
-        for change in &transaction.mutations {
-            let Mutation::Put {
-                key: put, value: v, ..
-            } = change
-            else {
+        for mutation in &transaction.mutations {
+            let Mutation::Put { key, value, .. } = mutation else {
                 continue;
             };
-            let done = v
-                .read::<JobRecord>()
-                .is_ok_and(|r| r.status == JobStatus::Done);
-            tracing::info!(key = put, done, revision, "a loan ends");
+            let record = value.read::<JobRecord>();
+            let done = record.is_ok_and(|record| record.status == JobStatus::Done);
+            info!(key, done, revision, "loan ended");
             self.spillover.counters.finished += u64::from(done);
             self.spillover.counters.returned += u64::from(!done);
         }
     }
 
     /// The write that records that a lent job is done.
-    fn finished(&self, job_id: JobId) -> Option<Mutation> {
+    fn finished_loan(&self, job_id: JobId) -> Option<Mutation> {
         let job = self.replica.jobs.get(&job_id)?;
         let mut record = job.record(Default::default(), JobStatus::Done);
         record.bring_home(self.replica.done_tasks(RangeSet::all(job.spec.task_count)));
         record.shorten(self.settings.value_bytes());
-        Some(put(
-            &job_key(self.replica.names.jobs.name(job_id)),
-            &record,
-            None,
-        ))
+        let key = job_key(self.replica.names.jobs.name(job_id));
+        Some(put(&key, &record, None))
     }
 
-    /// The job of a loan that this cell has made and not ended, called back or not.
-    fn stands_for(&self, borrower: &str, loan: &LoanId) -> Option<JobId> {
-        let job_id = self.replica.names.jobs.get(&loan.job)?;
-        let job = self.replica.jobs.get(&job_id)?;
+    /// The job of a loan that this cell has made and not ended, recalled or not.
+    fn job_lent_as(&self, borrower: &str, loan: &LoanId) -> Option<JobId> {
+        let (job_id, job) = self.replica.job_named(&loan.job)?;
         let mark = job.lent()?;
         let same = mark.cell == borrower && mark.token == loan.token;
         (same && job.status == JobStatus::Pending).then_some(job_id)
     }
 
+    /// Records when a borrower last reported on a loan.
     fn note_report(&mut self, report: &LoanReport, now: Timestamp) {
         let Some(loan) = self.spillover.lent.get_mut(&report.loan.job) else {
             return;
@@ -128,14 +124,14 @@
         // Guards against a cut of one direction: a borrower that is heard but hears nothing can do
         // nothing with the loan.
         if report.confirmed {
-            loan.heard = Some(now);
+            loan.heard_at = Some(now);
         }
         if matches!(report.progress, Progress::Pending { bound, .. } if bound > 0) {
-            loan.busy = Some(now);
+            loan.busy_at = Some(now);
         }
     }
 
-    /// The answer to a request, after what it made this cell write. Offers are answered by the door,
+    /// The answer to a request, after what it made this cell write. Offers are answered by the HTTP handler,
     /// one decision after the other.
     pub fn answer_cell(&mut self, request: &CellRequest, now: Timestamp) -> CellAnswer {
         match &request.body {
@@ -163,11 +159,9 @@
         let Some(age_ms) = self.replica_age_ms(now) else {
             return answer(Standing::Unknown, 0);
         };
-        let job = self.replica.names.jobs.get(&loan.job);
-        let job = job.and_then(|job_id| Some((job_id, self.replica.jobs.get(&job_id)?)));
-        let standing = match job {
+        let standing = match self.replica.job_named(&loan.job) {
             Some((job_id, job)) => self.standing_of(job_id, job, borrower, loan),
-            // What is under no watched key any more is over; but it may not be there yet.
+            // What is no longer under a watched key is over; but it may not be there yet.
             None if self.replica.revision > loan.token.0
                 && !self.replica.is_unreadable(&loan.job) =>
             {
@@ -178,6 +172,7 @@
         answer(standing, age_ms)
     }
 
+    /// Whether a loan of a job that the replica shows stands.
     fn standing_of(&self, job_id: JobId, job: &Job, borrower: &str, loan: &LoanId) -> Standing {
         if self.replica.is_unreadable(&loan.job) {
             return Standing::Unknown;
--- /dev/null
+++ b/src/spillover/status_page.rs
@@ -0,0 +1,68 @@
+//! What operators see of transfers on the status page.
+
+use super::{CellLink, Controller, Spillover};
+use crate::clock::Timestamp;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+
+impl Controller {
+    /// What operators see of transfers; none while there is nothing to see.
+    pub(crate) fn spillover_page(&self, now: Timestamp) -> Option<Value> {
+        if !self.spillover_concerns_us() {
+            return None;
+        }
+        let spillover = &self.spillover;
+        let (lent, borrowed) = self.transfers_page(now);
+        Some(json!({
+            "cell": spillover.settings.cell, "open": self.transfers_open(),
+            "lends": spillover.hysteresis.lends(), "longestWaitS": spillover.longest_wait_s,
+            "cells": spillover.cells_page(now), "lent": lent, "borrowed": borrowed,
+            "counters": spillover.counters,
+        }))
+    }
+
+    /// The jobs that are lent, and those that are borrowed, by their names.
+    fn transfers_page(&self, now: Timestamp) -> (BTreeMap<&str, Value>, BTreeMap<&str, Value>) {
+        let (mut lent, mut borrowed) = (BTreeMap::new(), BTreeMap::new());
+        for (job_id, job) in self.replica.transferred() {
+            let name = self.replica.names.jobs.name(job_id);
+            if let Some(mark) = job.lent() {
+                let known = self.spillover.lent.get(name);
+                let since = |at| now.since(at);
+                let page = json!({
+                    "cell": mark.cell, "token": mark.token, "recalled": mark.recalled,
+                    "silentMs": known.and_then(|loan| loan.heard_at).map(since),
+                    "idleMs": known.and_then(|loan| loan.busy_at).map(since),
+                });
+                lent.insert(name, page);
+            } else if let Some(mark) = job.borrowed() {
+                let permission = format!("{:?}", self.permission(job, name, now));
+                let page = json!({
+                    "cell": mark.cell, "token": mark.token, "permission": permission,
+                });
+                borrowed.insert(name, page);
+            }
+        }
+        (lent, borrowed)
+    }
+}
+
+impl Spillover {
+    /// The other cells, by their names.
+    fn cells_page(&self, now: Timestamp) -> BTreeMap<&str, Value> {
+        let cells = self.settings.cells.iter().zip(&self.cells);
+        cells
+            .map(|(cell, link)| (cell.name.as_str(), cell_page(link, now)))
+            .collect()
+    }
+}
+
+fn cell_page(link: &CellLink, now: Timestamp) -> Value {
+    let answered_at = link.origin.last_answered();
+    let status = link.status.as_ref().map(|(status, _)| status);
+    json!({
+        "silentMs": answered_at.map(|at| now.since(Timestamp(at))),
+        "waitS": status.map(|status| status.wait_s),
+        "roomCpus": status.map(|status| status.room_cpus),
+    })
+}
