--- a/src/spillover/mod.rs
+++ b/src/spillover/mod.rs
@@ -7,6 +7,7 @@
 //! two cells: each step rests on what the replica shows and on the lender's confirmations.
 //!
 //! * [`lending`]: the leader of the origin lends jobs, recalls them and takes them back.
+//! * [`borrowers`]: the leader of the origin asks other cells how they are doing and offers loans.
 //! * [`borrowing`]: controllers of the borrower ask whether loans stand, and end what is over.
 //! * [`offers`]: the borrower's decisions about offers of loans.
 //! * [`serving`]: answers to the other requests of other cells.
@@ -14,6 +15,7 @@
 //! * [`status_page`]: what operators see of it.
 
 mod batch;
+mod borrowers;
 mod borrowing;
 mod lending;
 mod load;
