--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -8,6 +8,7 @@
 mod open_jobs;
 
 use super::preemption::Evictions;
+use super::slots::SlotScope;
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
 use crate::controller::{Controller, needs_of};
@@ -101,11 +102,13 @@
     /// The machines that may take tasks of these jobs.
     fn slots_for(&self, open_jobs: &OpenJobs, now: Timestamp) -> Vec<Slot> {
         let jobs = &open_jobs.in_order;
-        let any_overdue = jobs.iter().any(|open| open.overdue);
-        let any_ahead = jobs
-            .iter()
-            .any(|open| self.goes_ahead_of_turn(open.job, &self.replica.jobs[&open.job]));
-        self.slots(any_overdue, any_ahead, now)
+        let scope = SlotScope {
+            cordoned: jobs.iter().any(|open| open.overdue),
+            ahead_of_turn: jobs
+                .iter()
+                .any(|open| self.goes_ahead_of_turn(open.job, &self.replica.jobs[&open.job])),
+        };
+        self.slots(scope, now)
     }
 
     /// The tasks that may be bound, by job in the order in which jobs are served; what exceeds a
--- a/src/leadership/boot_times/tests.rs
+++ b/src/leadership/boot_times/tests.rs
@@ -1,6 +1,6 @@
-//! Unit tests of `startups`.
+//! Unit tests of boot times.
 
-use super::*;
+use super::{MAX_SAMPLES, StartTimes};
 
 fn seen(seconds: &[f64]) -> StartTimes {
     let mut times = StartTimes::default();
@@ -27,6 +27,6 @@
     many.extend([80.0; 10]);
     assert_eq!(seen(&many).overdue_s(20.0), 90.0);
     // What was long ago is forgotten.
-    many.extend([20.0; REMEMBERED]);
+    many.extend([20.0; MAX_SAMPLES]);
     assert_eq!(seen(&many).overdue_s(20.0), 40.0);
 }
--- a/src/leadership/grants_seen.rs
+++ b/src/leadership/grants_seen.rs
@@ -58,11 +58,11 @@
     pub(super) fn known_for(
         &self,
         block: BlockId,
-        fencing_token: Option<u64>,
+        fencing_token: u64,
         now: Timestamp,
     ) -> Option<u64> {
         let seen = self.grants.get(&block);
-        let seen = seen.filter(|grant| Some(grant.mod_revision) == fencing_token);
+        let seen = seen.filter(|grant| grant.mod_revision == fencing_token);
         seen.map(|grant| now.since(grant.since))
     }
 
--- a/src/leadership/machines.rs
+++ b/src/leadership/machines.rs
@@ -1,24 +1,38 @@
-//! Machines in and out of blocks, and what is known of them.
-
-use super::*;
-
-/// A machine that costs this much more than the cheapest one is dear to hold for a single task.
-const DEAR_TO_HOLD: f64 = 4.0;
-
-/// Price of a CPU of a machine.
-fn per_cpu(machine_type: &MachineType, spot: bool) -> f64 {
-    machine_type.price_of(spot) / machine_type.cpus.max(1e-6)
-}
-
-/// Whether a machine is dear, given the least prices of a CPU and of a machine.
-fn is_dear(machine_type: &MachineType, spot: bool, cheapest: (f64, f64)) -> bool {
-    per_cpu(machine_type, spot) > cheapest.0 * scaling::EXPENSIVE_CPU_FACTOR
-        || machine_type.price_of(spot) > cheapest.1 * DEAR_TO_HOLD
+//! The leader's judgement of machines: who is cut off, who is dead, who is to go.
+//!
+//! Calling a machine dead here never frees its tasks: it makes the leader return the machine, and
+//! only the cloud's answer to that proves that the machine and everything on it are gone.
+
+use super::observations::LastHeard;
+use crate::clock::Timestamp;
+use crate::controller::Controller;
+use crate::names::MachineId;
+use crate::replica::Machine;
+
+/// Silence beyond the end of a worker's lease after which a machine counts as dead, ms.
+const DEAD_AFTER_LEASE_MS: u64 = 8000;
+/// The same beyond the longest time that an earlier holder could answer it, ms.
+const DEAD_AFTER_UNFENCED_MS: u64 = 2000;
+/// A list may be this many times as late as the settings say, and by so much more, ms.
+const LIST_LAG_FACTOR: f64 = 2.0;
+const LIST_LAG_MARGIN_MS: u64 = 2000;
+
+/// What speaks for a machine's death besides its silence.
+#[derive(Debug, Clone, Copy)]
+struct DeathEvidence {
+    /// For how long the machine is known, ms.
+    known_ms: u64,
+    /// For how long its block is held under the present grant, ms.
+    held_ms: u64,
+    /// Whether the cloud's lists should show it and do not.
+    missing: bool,
+    /// Silence after which a machine of a holder that hears well is presumed dead, ms.
+    presumed_dead_ms: u64,
 }
 
 impl Controller {
     /// Takes stock of machines and grants.
-    pub(crate) fn observe_machines(&mut self, now: Timestamp) {
+    pub(super) fn observe_machines(&mut self, now: Timestamp) {
         let heartbeats = self.last_heartbeats(now);
         self.note_start_times(&heartbeats);
         let silent_ms = self.settings.worker_gone_ms();
@@ -74,219 +88,111 @@
     }
 
     /// Whether a machine is silent together with most others of its zone.
-    pub(crate) fn cut_off(&self, machine_id: MachineId, now: Timestamp) -> bool {
+    pub(super) fn cut_off(&self, machine_id: MachineId, now: Timestamp) -> bool {
         let observed = &self.leadership.machines;
         let machine = self.replica.machines.get(&machine_id);
-        let silent_for = observed.silent_for(machine_id, now);
+        let silent_ms = observed.silent_for(machine_id, now);
         machine.is_some_and(|machine| observed.is_partitioned(machine.zone))
-            && silent_for.is_some_and(|silent_ms| silent_ms > self.settings.worker_gone_ms())
-    }
-
-    /// Whether tasks may be bound to a machine now.
-    pub(crate) fn available(&self, machine_id: MachineId, now: Timestamp) -> bool {
-        let recent_ms = (self.settings.platform.settings.workers.heartbeat_s * 2000.0) as u64 + 500;
-        self.replica
-            .machines
-            .get(&machine_id)
-            .is_some_and(|m| !m.leaving)
-            && !self.leadership.inventory.returned().contains(&machine_id)
-            && !self.leadership.scale_in.is_draining(machine_id)
-            && self.machine_info(machine_id, now).is_some_and(|i| {
-                i.obeys && i.age_ms.is_some_and(|a| a < recent_ms) && !i.recalled && !i.quarantined
-            })
-    }
-
-    /// Machines that may take tasks now, if their blocks can be written; on request also those
-    /// that are closed, and those whose blocks can be written ahead of their turn.
-    pub(crate) fn slots(&self, closed_too: bool, early_too: bool, now: Timestamp) -> Vec<Slot> {
-        let open = self.writable_blocks(now);
-        let early = match early_too {
-            true => self.blocks_writable_ahead_of_turn(now),
-            false => HashSet::default(),
-        };
-        let cheapest = self.cheapest();
-        let mut coming: HashMap<MachineId, Vec<Binding>> = HashMap::default();
-        for (m, e) in self.writes.pending_bindings() {
-            coming.entry(*m).or_default().push(*e);
-        }
-        let mut slots = Vec::new();
-        for machine_id in self.replica.machines_sorted() {
-            let m = &self.replica.machines[&machine_id];
-            let (Some(size), Some(machine_type)) =
-                (self.size(m), self.machine_types.get(&m.machine_type))
-            else {
-                continue;
-            };
-            let closed = self.leadership.scale_in.is_cordoned(machine_id);
-            let regular = open.contains(&m.block);
-            let writable = regular || early.contains(&m.block);
-            if !writable || (closed && !closed_too) || !self.available(machine_id, now) {
-                continue;
-            }
-            let images = self.leadership.machines.cached_images(machine_id);
-            let coming = coming.get(&machine_id).map_or(&[][..], Vec::as_slice);
-            slots.push(Slot {
-                machine: machine_id,
-                machine_type: m.machine_type,
-                zone: m.zone,
-                spot: m.spot,
-                size,
-                used: self.used(m.queue.iter().chain(coming)),
-                load_s: self.known_load(machine_id, now),
-                fetch_gb_per_s: machine_type.fetch_gb_per_s,
-                cached_images: images.iter().copied().collect(),
-                expensive: is_dear(machine_type, m.spot, cheapest),
-                cordoned: closed,
-                ahead_of_turn: !regular,
-            });
-        }
-        slots
-    }
-
-    /// The least prices of a CPU and of a machine in the fleet, if a good part of it is cheap;
-    /// otherwise nothing counts as dear.
-    fn cheapest(&self) -> (f64, f64) {
-        let machines = || {
-            let all = self.replica.machines.values();
-            all.filter_map(|m| self.machine_types.get(&m.machine_type).map(|f| (f, m.spot)))
-        };
-        let least = |p: fn(&MachineType, bool) -> f64| {
-            let prices = machines().map(|(f, spot)| p(f, spot));
-            prices.fold(f64::INFINITY, f64::min)
-        };
-        let cheapest = (least(per_cpu), least(MachineType::price_of));
-        let (mut cheap, mut all) = (0.0, 0.0);
-        for (f, spot) in machines() {
-            all += f.cpus;
-            cheap += if is_dear(f, spot, cheapest) {
-                0.0
-            } else {
-                f.cpus
-            };
-        }
-        if cheap * 4.0 > all {
-            cheapest
-        } else {
-            (f64::INFINITY, f64::INFINITY)
-        }
-    }
-
-    /// Room that tasks take.
-    pub(crate) fn used<'a>(&self, entries: impl Iterator<Item = &'a Binding>) -> Room {
-        let mut used = Room::default();
-        for e in entries {
-            if let Some(job) = self.replica.jobs.get(&e.task.job) {
-                used.add(&job.room(), 1.0);
-            }
-        }
-        used
-    }
-
-    /// Room that a machine's bound tasks take.
-    pub(crate) fn used_on(&self, machine_id: MachineId) -> Room {
-        let queue = self
-            .replica
-            .machines
-            .get(&machine_id)
-            .map(|m| m.queue.iter());
-        self.used(queue.into_iter().flatten())
+            && silent_ms.is_some_and(|silent_ms| silent_ms > self.settings.worker_gone_ms())
     }
 
     /// Whether a machine is better returned than waited for: the answer to the return proves
     /// that it and everything on it are gone.
-    pub(crate) fn is_dead(&self, machine_id: MachineId, now: Timestamp) -> bool {
-        let Some(m) = self.replica.machines.get(&machine_id) else {
-            return false;
-        };
-        let Some(machine_type) = self.machine_types.get(&m.machine_type) else {
+    pub(super) fn is_dead(&self, machine_id: MachineId, now: Timestamp) -> bool {
+        let Some(machine) = self.replica.machines.get(&machine_id) else {
             return false;
         };
-        if !self.grace_over(now) {
+        if !self.machine_types.contains_key(&machine.machine_type) || !self.grace_over(now) {
             return false;
         }
         let listed = self.leadership.inventory.listed(machine_id);
         if listed.is_some_and(|listed| listed.failed) {
             return true;
         }
+        if self.machine_info(machine_id, now).is_none() {
+            return false;
+        }
+        let evidence = self.death_evidence(machine_id, machine, now);
+        match self.leadership.machines.silent_for(machine_id, now) {
+            Some(silent_ms) => self.is_dead_after_silence(machine_id, silent_ms, evidence, now),
+            None => self.is_dead_before_start(machine_id, machine, evidence, now),
+        }
+    }
+
+    fn death_evidence(
+        &self,
+        machine_id: MachineId,
+        machine: &Machine,
+        now: Timestamp,
+    ) -> DeathEvidence {
         // A list may be twice as late as it should be, so a machine counts as missing only after
         // it has been known here for longer than that. It need not have been listed to this
         // leader: it may have gone while another led, or nobody.
-        let lag = (self.settings.platform.settings.cloud.list_lag_s * 2000.0) as u64 + 2000;
+        let lag_s = self.settings.platform.settings.cloud.list_lag_s;
+        let lag_ms = (lag_s * 1000.0 * LIST_LAG_FACTOR) as u64 + LIST_LAG_MARGIN_MS;
         let absent = self.leadership.inventory.is_absent(machine_id);
-        let observed = &self.leadership.machines;
-        let seen = observed.known_for(machine_id, now);
-        let missing = absent && seen > lag;
-        let presumed_dead = self.settings.worker_gone_ms() + 8000;
-        if self.machine_info(machine_id, now).is_none() {
-            return false;
-        }
-        // A new holder has not heard any of its machines at first. That says nothing of them:
-        // what earlier holders heard counts on, and the new one gets its time.
-        let held_for = self.leadership.grants.held_for(m.block, now);
-        match observed.silent_for(machine_id, now) {
-            Some(age) => {
-                // An earlier holder that is cut off from all but its workers may still be
-                // answering this machine, for as long as its authority lasts.
-                let mut patience = self.settings.unfenced_gone_ms() + 2000;
-                if self.cut_off(machine_id, now) {
-                    // With its warm cache it is worth more than what could be rented into a zone
-                    // that cannot be reached.
-                    patience = patience.max((self.settings.options.fleet_cut_s * 1000.0) as u64);
-                    return age > patience || missing;
-                }
-                (age > presumed_dead && held_for > patience)
-                    || (missing && age > self.settings.worker_gone_ms())
-            }
-            None => {
-                let held = listed.map_or(seen, |l| now.since(l.rented_at));
-                let patience =
-                    (observed.start_overdue_s(m.machine_type, machine_type.boot_s) * 1000.0) as u64;
-                missing || (held > patience && seen > presumed_dead && held_for > presumed_dead)
-            }
+        let known_ms = self.leadership.machines.known_for(machine_id, now);
+        DeathEvidence {
+            known_ms,
+            // A new holder has not heard any of its machines at first. That says nothing of them:
+            // what earlier holders heard counts on, and the new one gets its time.
+            held_ms: self.leadership.grants.held_for(machine.block, now),
+            missing: absent && known_ms > lag_ms,
+            presumed_dead_ms: self.settings.worker_gone_ms() + DEAD_AFTER_LEASE_MS,
         }
     }
 
-    pub(crate) fn give_up_machines(&mut self, now: Timestamp) {
-        let quarantined: Vec<MachineId> = self
-            .replica
-            .machines
-            .keys()
-            .copied()
-            .filter(|&machine_id| {
-                self.machine_info(machine_id, now)
-                    .is_some_and(|i| i.quarantined)
-            })
-            .collect();
-        for machine_id in quarantined {
-            self.leadership.scale_in.drain(machine_id);
+    /// Whether a machine that was heard once is dead after so long a silence.
+    fn is_dead_after_silence(
+        &self,
+        machine_id: MachineId,
+        silent_ms: u64,
+        evidence: DeathEvidence,
+        now: Timestamp,
+    ) -> bool {
+        // An earlier holder that is cut off from all but its workers may still be answering this
+        // machine, for as long as its authority lasts.
+        let unfenced_ms = self.settings.unfenced_gone_ms() + DEAD_AFTER_UNFENCED_MS;
+        if self.cut_off(machine_id, now) {
+            // With its warm cache it is worth more than what could be rented into a zone that
+            // cannot be reached.
+            let cut_ms = (self.settings.options.fleet_cut_s * 1000.0) as u64;
+            return silent_ms > unfenced_ms.max(cut_ms) || evidence.missing;
         }
+        (silent_ms > evidence.presumed_dead_ms && evidence.held_ms > unfenced_ms)
+            || (evidence.missing && silent_ms > self.settings.worker_gone_ms())
     }
 
-    /// Keeps the machine types where a controller finds them that starts while the cloud is
-    /// away. Prices move all the time and are not worth a write.
-    pub(crate) fn plan_catalog(&mut self) -> Option<Transaction> {
-        let mut machine_types: Vec<MachineType> = self.machine_types.values().cloned().collect();
-        machine_types.sort_by(|a, b| a.label.cmp(&b.label));
-        let same = |a: &MachineType, b: &MachineType| {
-            let b = MachineType {
-                price: a.price,
-                market_price: a.market_price,
-                ..b.clone()
-            };
-            *a == b
+    /// Whether a machine that was never heard is dead: it takes far longer to start than others.
+    fn is_dead_before_start(
+        &self,
+        machine_id: MachineId,
+        machine: &Machine,
+        evidence: DeathEvidence,
+        now: Timestamp,
+    ) -> bool {
+        let Some(catalog_entry) = self.machine_types.get(&machine.machine_type) else {
+            return false;
         };
-        let kept = self.replica.catalog.as_ref().is_some_and(|kept| {
-            kept.len() == machine_types.len()
-                && kept.iter().zip(&machine_types).all(|(a, b)| same(a, b))
+        let observed = &self.leadership.machines;
+        let overdue_s = observed.start_overdue_s(machine.machine_type, catalog_entry.boot_s);
+        let overdue_ms = (overdue_s * 1000.0) as u64;
+        evidence.missing
+            || (self.rented_for(machine_id, now) > overdue_ms
+                && evidence.known_ms > evidence.presumed_dead_ms
+                && evidence.held_ms > evidence.presumed_dead_ms)
+    }
+
+    /// Drains machines that fail what they start.
+    pub(super) fn drain_quarantined(&mut self, now: Timestamp) {
+        let machines = self.replica.machines.keys().copied();
+        let quarantined = machines.filter(|&machine_id| {
+            let info = self.machine_info(machine_id, now);
+            info.is_some_and(|info| info.quarantined)
         });
-        if kept {
-            return None;
+        let quarantined: Vec<MachineId> = quarantined.collect();
+        for machine_id in quarantined {
+            self.leadership.scale_in.drain(machine_id);
         }
-        let fits = serde_json::to_string(&machine_types)
-            .is_ok_and(|s| s.len() <= self.settings.value_bytes());
-        fits.then(|| Transaction {
-            preconditions: Vec::new(),
-            mutations: vec![put(CATALOG, &machine_types, None)],
-        })
     }
 }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,4 +1,8 @@
-//! The leader's duties: grants, machines in and out, bindings, renting.
+//! The leader's duties: grants, machines in and out of blocks, bindings, scaling.
+//!
+//! [`LeaderState`] is what a leader remembers of its term, one part for each duty. Whatever a
+//! leader writes carries the precondition that it still leads; nothing here may act on what an
+//! earlier term remembered.
 
 mod archiving;
 mod binding;
@@ -6,6 +10,8 @@
 mod block_edits;
 mod block_sizes;
 mod boot_times;
+mod capacity;
+mod catalog;
 mod cloud_inventory;
 mod grants;
 mod grants_seen;
@@ -18,29 +24,24 @@
 mod rent_requests;
 mod renting;
 mod scale_in;
+mod slots;
+mod unreachable_holders;
 
 use crate::clock::Timestamp;
-use crate::collections::{HashMap, HashSet};
+use crate::collections::HashSet;
 use crate::controller::writes::WriteIntent;
-use crate::controller::{Controller, Effect, WriteKind, needs_of, put};
-use crate::names::{HostId, Index, JobId, MachineId};
-use crate::placement::{Room, Slot};
-use crate::protocol::{CloudMachine, JobStatus, MachineType, RentRequest, Transaction};
-use crate::records::HolderRecord;
-use crate::replica::{Binding, BlockId, CATALOG, Job, LEAD, Term, grant_key};
-use crate::scaling::{self, BusyMachine, CapacityPool, Demand, Offer, Rented, Rules};
+use crate::controller::{Controller, Effect, WriteKind};
+use crate::names::{JobId, MachineId};
+use crate::protocol::Transaction;
+use crate::replica::{LEAD, Term};
 use binding_turns::BindingTurns;
-use cloud_inventory::{CloudInventory, NewMachine};
+use cloud_inventory::CloudInventory;
 use grants_seen::GrantsSeen;
-use observations::{LastHeard, MachineObservations};
-use rand::Rng;
+use observations::MachineObservations;
 use rent_requests::RentRequests;
 use scale_in::ScaleIn;
-use std::collections::BTreeMap;
 use tracing::info;
 
-/// Shortest time that the cloud charges a machine for (PROTOCOL, catalog).
-const LEAST_CHARGE_S: f64 = 60.0;
 /// Interval at which the leader takes stock of machines and grants, ms.
 const OBSERVATION_INTERVAL_MS: u64 = 400;
 
@@ -66,7 +67,16 @@
 }
 
 impl LeaderState {
-    /// Forgets jobs whose indices may come back as other jobs.
+    /// The state at the beginning of a term.
+    fn new(term: Term, now: Timestamp) -> Self {
+        Self {
+            term: Some(term),
+            since: now,
+            ..Self::default()
+        }
+    }
+
+    /// Forgets jobs whose indices may be given to other jobs.
     pub(crate) fn forget_jobs(&mut self, released: &HashSet<JobId>) {
         self.turns.forget_jobs(released);
     }
@@ -84,48 +94,58 @@
 impl Controller {
     /// Does what the leader has to do, one transaction at a time.
     pub(crate) fn tick_leader(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        let Some(term) = self.leads().map(|l| Term(l.mod_revision)) else {
-            if self.leadership.term.is_some() {
-                info!("no longer leading");
-                self.leadership = LeaderState::default();
-            }
+        let Some(term) = self.follow_term(now) else {
             return;
         };
-        if self.leadership.term != Some(term) {
-            info!(term = term.0, "leading");
-            self.leadership = LeaderState {
-                term: Some(term),
-                since: now,
-                ..LeaderState::default()
-            };
-        }
         if now >= self.leadership.next_observation {
             self.leadership.next_observation = now.plus(OBSERVATION_INTERVAL_MS);
             self.observe_machines(now);
         }
         self.tick_cloud(now, term, out);
-        if self.may_plan(WriteKind::Leader, now) {
-            let alone = |transaction| (transaction, WriteIntent::default());
-            let planned = self
-                .plan_grants(now)
-                .or_else(|| self.plan_ready())
-                .map(alone)
-                .or_else(|| self.plan_transfers(now))
-                .or_else(|| self.plan_finish().map(alone))
-                .or_else(|| self.plan_format(now).map(alone))
-                .or_else(|| self.plan_abandoned().map(alone))
-                .or_else(|| self.plan_archive(now).map(alone))
-                .or_else(|| self.plan_catalog().map(alone));
-            if let Some((mut transaction, intent)) = planned {
-                transaction.preconditions.push(self.precondition(LEAD));
-                self.writes
-                    .submit(WriteKind::Leader, transaction, intent, out);
-            }
+        if self.may_plan(WriteKind::Leader, now)
+            && let Some((mut transaction, intent)) = self.plan_leader_write(now)
+        {
+            // Guards against a write of a leader that another one has replaced.
+            transaction.preconditions.push(self.precondition(LEAD));
+            self.writes
+                .submit(WriteKind::Leader, transaction, intent, out);
         }
         self.plan_edits(now, out);
     }
 
-    /// Number of tasks on a machine as its last report to this controller shows.
+    /// The term in which this controller leads; none if it does not. What was remembered of an
+    /// earlier term is forgotten.
+    fn follow_term(&mut self, now: Timestamp) -> Option<Term> {
+        let term = self.leads().map(|leader| Term(leader.mod_revision));
+        match term {
+            None if self.leadership.term.is_some() => {
+                info!("leader term ended");
+                self.leadership = LeaderState::default();
+            }
+            Some(term) if self.leadership.term != Some(term) => {
+                info!(term = term.0, "leader term begins");
+                self.leadership = LeaderState::new(term, now);
+            }
+            _ => {}
+        }
+        term
+    }
+
+    /// The most pressing of the writes that only a leader may make.
+    fn plan_leader_write(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
+        let alone = |transaction| (transaction, WriteIntent::default());
+        self.plan_grants(now)
+            .or_else(|| self.plan_ready())
+            .map(alone)
+            .or_else(|| self.plan_transfers(now))
+            .or_else(|| self.plan_finish().map(alone))
+            .or_else(|| self.plan_format(now).map(alone))
+            .or_else(|| self.plan_abandoned().map(alone))
+            .or_else(|| self.plan_archive(now).map(alone))
+            .or_else(|| self.plan_catalog().map(alone))
+    }
+
+    /// Number of tasks on a machine as its last heartbeat to this controller shows.
     pub fn tasks_seen(&self, machine_id: MachineId) -> usize {
         let runtime = self.held.get(machine_id);
         runtime.map_or(0, |runtime| runtime.task_count())
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -1,339 +1,248 @@
-//! What is rented from the cloud and what is returned.
+//! The leader's requests to the cloud: lists, rentals and returns, and their answers.
+//!
+//! A machine is returned only when nothing is bound to it any more or when it is dead; what runs
+//! on it afterwards counts as stopped once the cloud has answered the return.
 
-use super::*;
+use super::cloud_inventory::NewMachine;
+use crate::clock::Timestamp;
+use crate::collections::HashSet;
+use crate::controller::{Controller, Effect};
+use crate::names::MachineId;
+use crate::protocol::{CloudMachine, RentRequest};
+use crate::replica::Term;
+use crate::scaling::{
+    self, BusyMachine, CapacityPool, Demand, MAX_MACHINES_PER_REQUEST, RentOrder, Rented, Rules,
+};
+use rand::Rng;
+use tracing::info;
+
+/// Shortest time that the cloud charges a machine for (PROTOCOL, catalog).
+const MIN_CHARGE_S: f64 = 60.0;
+/// Interval at which demand and machines are compared, ms.
+const REVIEW_INTERVAL_MS: u64 = 500;
+/// Pause before that after a return without an answer, ms.
+const REVIEW_AFTER_FAILED_RETURN_MS: u64 = 1000;
+/// Bounds of the interval of lists, seconds: they need not be more frequent than they are late.
+const MIN_LIST_INTERVAL_S: f64 = 2.0;
+const MAX_LIST_INTERVAL_S: f64 = 10.0;
+/// Most rentals that are requested in one review.
+const MAX_RENTALS_PER_REVIEW: usize = 6;
+/// Most machines that are returned in one request.
+const MAX_RETURNED_PER_REQUEST: usize = 100;
+/// A machine with tasks is emptied only if they take at most this part of it.
+const CONSOLIDATION_MAX_USE: f64 = 0.5;
+/// And at most this part of what is free on the machines that stay.
+const CONSOLIDATION_MAX_FREE_USE: f64 = 0.8;
+/// And only while they take longer than this, seconds: else it is empty soon by itself.
+const CONSOLIDATION_MIN_LEFT_S: f64 = 30.0;
+/// Fewest used CPUs that a machine's load is divided by.
+const MIN_USED_CPUS: f64 = 0.1;
 
 impl Controller {
-    pub(crate) fn tick_cloud(&mut self, now: Timestamp, term: Term, out: &mut Vec<Effect>) {
+    /// Asks the cloud for lists, repeats rentals without an answer, and scales out and in.
+    pub(super) fn tick_cloud(&mut self, now: Timestamp, term: Term, out: &mut Vec<Effect>) {
         if !self.catalog_known() {
             return;
         }
         let lag_s = self.settings.platform.settings.cloud.list_lag_s;
-        let list_interval_ms = (lag_s.clamp(2.0, 10.0) * 1000.0) as u64;
-        if self.leadership.inventory.begin_list(list_interval_ms, now) {
+        let interval_s = lag_s.clamp(MIN_LIST_INTERVAL_S, MAX_LIST_INTERVAL_S);
+        let inventory = &mut self.leadership.inventory;
+        if inventory.begin_list((interval_s * 1000.0) as u64, now) {
             out.push(Effect::List);
         }
         let overdue = self.leadership.rent.take_overdue(now);
         out.extend(overdue.into_iter().map(Effect::Rent));
-        if !self.leadership.rent.review_due(now) {
-            return;
+        if self.leadership.rent.review_due(now) {
+            let next = now.plus(REVIEW_INTERVAL_MS);
+            self.leadership.rent.review_at(next);
+            self.review_capacity(now, term, out);
         }
-        self.leadership.rent.review_at(now.plus(500));
-        self.give_up_machines(now);
-        let (demand, fleet) = (self.demand(now), self.fleet(now));
+    }
+
+    /// Compares demand and machines, and rents and returns what follows from it.
+    fn review_capacity(&mut self, now: Timestamp, term: Term, out: &mut Vec<Effect>) {
+        self.drain_quarantined(now);
+        let demand = self.demand(now);
+        let fleet = self.fleet(now);
         let rules = Rules {
             horizon_s: self.settings.options.fleet_horizon_s,
             idle_s: self.settings.options.fleet_idle_s,
             most: self.settings.options.fleet_most as usize,
-            charge_s: LEAST_CHARGE_S,
+            charge_s: MIN_CHARGE_S,
         };
         // The replica must show what is bound before idleness means anything.
         if self.grace_over(now) {
-            self.close_machines(&demand, &fleet, &rules, now);
+            self.cordon_machines(&demand, &fleet, &rules, now);
             for machine_id in scaling::machines_to_return(&demand, &fleet, &rules) {
                 self.leadership.scale_in.drain(machine_id);
             }
         }
-        self.rent_machines(&demand, fleet, &rules, term, now, out);
-        if self.leadership.rent.may_return() {
-            let names: Vec<String> = self
-                .replica
-                .machines
-                .iter()
-                .filter(|(machine_id, m)| {
-                    !self.leadership.inventory.returned().contains(machine_id)
-                        && ((m.leaving && m.queue.is_empty()) || self.is_dead(**machine_id, now))
-                })
-                .map(|(&machine_id, _)| self.replica.names.machines.name(machine_id).to_owned())
-                .take(100)
-                .collect();
-            if !names.is_empty() {
-                info!(machines = names.join(" "), "returning");
-                self.leadership.rent.begin_return();
-                out.push(Effect::Return(names));
-            }
+        let orders = self.plan_rentals(&demand, fleet, &rules, now);
+        for order in orders.into_iter().take(MAX_RENTALS_PER_REVIEW) {
+            self.send_rental(order, term, now, out);
         }
+        self.return_machines(now, out);
     }
 
-    /// Asks for what is missing, counting what is on its way.
-    pub(crate) fn rent_machines(
-        &mut self,
+    /// Decides what is missing, counting what is on its way.
+    fn plan_rentals(
+        &self,
         demand: &[Demand],
         fleet: Vec<Rented>,
         rules: &Rules,
-        term: Term,
         now: Timestamp,
-        out: &mut Vec<Effect>,
-    ) {
+    ) -> Vec<RentOrder> {
         let offers = self.offers();
         let fleet = self.with_coming(fleet);
-        let names = &self.replica.names;
         let leadership = &self.leadership;
-        let asked: HashSet<CapacityPool> = leadership
+        let pending: HashSet<CapacityPool> = leadership
             .rent
             .pending()
-            .filter_map(|request| {
-                Some(CapacityPool {
-                    machine_type: names.machine_types.get(&request.machine_type)?,
-                    zone: names.zones.get(&request.zone)?,
-                    spot: request.spot,
-                })
-            })
+            .filter_map(|request| self.pool_of(request))
             .collect();
-        let orders = scaling::plan_rentals(demand, &fleet, &offers, rules, |pool| {
+        scaling::plan_rentals(demand, &fleet, &offers, rules, |pool| {
             leadership.rent.may_ask(pool, now)
-                && !asked.contains(&pool)
+                && !pending.contains(&pool)
                 && !leadership.machines.is_partitioned(pool.zone)
+        })
+    }
+
+    /// The pool that a rental asks for; none if its names are not known here.
+    fn pool_of(&self, request: &RentRequest) -> Option<CapacityPool> {
+        let names = &self.replica.names;
+        Some(CapacityPool {
+            machine_type: names.machine_types.get(&request.machine_type)?,
+            zone: names.zones.get(&request.zone)?,
+            spot: request.spot,
+        })
+    }
+
+    fn send_rental(&mut self, order: RentOrder, term: Term, now: Timestamp, out: &mut Vec<Effect>) {
+        let names = &self.replica.names;
+        let request = RentRequest {
+            request_id: self.leadership.rent.next_request_id(term),
+            machine_type: names.machine_types.name(order.pool.machine_type).to_owned(),
+            zone: names.zones.name(order.pool.zone).to_owned(),
+            spot: order.pool.spot,
+            number: order.number.min(MAX_MACHINES_PER_REQUEST),
+        };
+        info!(
+            request_id = request.request_id,
+            machine_type = request.machine_type,
+            zone = request.zone,
+            spot = request.spot,
+            number = request.number,
+            "renting machines"
+        );
+        self.leadership.rent.begin_rent(request.clone(), now);
+        out.push(Effect::Rent(request));
+    }
+
+    /// Returns machines that are drained or dead, one request at a time.
+    fn return_machines(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        if !self.leadership.rent.may_return() {
+            return;
+        }
+        let returned = self.leadership.inventory.returned();
+        let machines = self.replica.machines.iter();
+        let to_return = machines.filter(|(machine_id, machine)| {
+            let drained = machine.leaving && machine.queue.is_empty();
+            !returned.contains(machine_id) && (drained || self.is_dead(**machine_id, now))
         });
-        for o in orders.into_iter().take(6) {
-            let rental = RentRequest {
-                request_id: self.leadership.rent.next_request_id(term),
-                machine_type: self
-                    .replica
-                    .names
-                    .machine_types
-                    .name(o.pool.machine_type)
-                    .to_owned(),
-                zone: self.replica.names.zones.name(o.pool.zone).to_owned(),
-                spot: o.pool.spot,
-                number: o.number.min(scaling::MAX_MACHINES_PER_REQUEST),
-            };
-            info!(
-                request_id = rental.request_id,
-                machine_type = rental.machine_type,
-                zone = rental.zone,
-                spot = o.pool.spot,
-                number = rental.number,
-                "renting"
-            );
-            self.leadership.rent.begin_rent(rental.clone(), now);
-            out.push(Effect::Rent(rental));
+        let names = to_return.map(|(&machine_id, _)| {
+            let name = self.replica.names.machines.name(machine_id);
+            name.to_owned()
+        });
+        let names: Vec<String> = names.take(MAX_RETURNED_PER_REQUEST).collect();
+        if !names.is_empty() {
+            info!(machines = names.join(" "), "returning machines");
+            self.leadership.rent.begin_return();
+            out.push(Effect::Return(names));
         }
     }
 
-    /// Closes machines that are not needed, and empties one whose tasks can all save when the
-    /// others have room for them.
-    pub(crate) fn close_machines(
+    /// Cordons machines that are not needed, and empties one whose tasks can all be resumed from
+    /// checkpoints when the others have room for them.
+    fn cordon_machines(
         &mut self,
         demand: &[Demand],
         fleet: &[Rented],
         rules: &Rules,
         now: Timestamp,
     ) {
-        let up: Vec<BusyMachine> = fleet
+        let available = fleet
             .iter()
-            .filter(|m| self.available(m.machine, now))
-            .map(|m| BusyMachine {
-                machine: m.clone(),
-                used_cpus: self.used_on(m.machine).cpus,
-            })
-            .collect();
-        let cordoned = scaling::machines_to_cordon(demand, &up, rules);
+            .filter(|rented| self.available(rented.machine, now));
+        let busy = available.map(|rented| BusyMachine {
+            machine: rented.clone(),
+            used_cpus: self.used_on(rented.machine).cpus,
+        });
+        let machines: Vec<BusyMachine> = busy.collect();
+        let cordoned = scaling::machines_to_cordon(demand, &machines, rules);
         self.leadership.scale_in.set_cordoned(cordoned);
         if !self.leadership.scale_in.consolidation_due(now) {
             return;
         }
-        let free: f64 = up
-            .iter()
-            .filter(|busy| !self.leadership.scale_in.is_cordoned(busy.machine.machine))
-            .map(|busy| (busy.machine.size.cpus - busy.used_cpus).max(0.0))
-            .sum();
-        let worth = up.iter().filter(|busy| {
-            let BusyMachine {
-                machine: m,
-                used_cpus: used,
-            } = *busy;
-            let Some(machine) = self.replica.machines.get(&m.machine) else {
-                return false;
-            };
-            let saves = |e: &Binding| {
-                let job = self.replica.jobs.get(&e.task.job);
-                job.is_some_and(|j| j.spec.checkpoint_s > 0.0)
-            };
-            let load = self.known_load(m.machine, now);
-            let left_s = load * m.size.cpus / used.max(0.1);
-            self.leadership.scale_in.is_cordoned(m.machine)
-                && *used > 0.0
-                && *used <= m.size.cpus * 0.5
-                && *used <= free * 0.8
-                && left_s > 30.0
-                && machine.queue.iter().all(saves)
-        });
-        let dearest = worth.max_by(|a, b| a.machine.price.total_cmp(&b.machine.price));
-        if let Some(busy) = dearest {
-            let machine_id = busy.machine.machine;
+        if let Some(machine_id) = self.machine_to_consolidate(&machines, now) {
             self.leadership.scale_in.consolidate(machine_id, now);
         }
     }
 
-    /// The fleet together with what is on its way: asked for, or rented and not yet in a block.
-    /// Asking for all zones at once must not ask for the same need again and again.
-    pub(crate) fn with_coming(&self, mut fleet: Vec<Rented>) -> Vec<Rented> {
-        let placed = self
-            .leadership
-            .inventory
-            .to_place()
-            .values()
-            .map(|r| (&r.machine_type, &r.zone, r.spot, 1));
-        let asked = self
-            .leadership
-            .rent
-            .pending()
-            .map(|r| (&r.machine_type, &r.zone, r.spot, r.number));
-        for (machine_type, zone, spot, number) in placed.chain(asked) {
-            let names = &self.replica.names;
-            let (Some(machine_type), Some(zone)) =
-                (names.machine_types.get(machine_type), names.zones.get(zone))
-            else {
-                continue;
-            };
-            let Some(f) = self.machine_types.get(&machine_type) else {
-                continue;
-            };
-            for _ in 0..number {
-                fleet.push(Rented {
-                    machine: MachineId::from_raw(u32::MAX),
-                    machine_type,
-                    zone,
-                    spot,
-                    size: Room::from(f),
-                    price: f.price,
-                    idle_s: None,
-                    held_s: 0.0,
-                });
-            }
-        }
-        fleet
-    }
-
-    pub(crate) fn offers(&self) -> Vec<Offer> {
-        let mut offers: Vec<Offer> = self
-            .machine_types
+    /// The dearest cordoned machine whose tasks the others can take over.
+    fn machine_to_consolidate(
+        &self,
+        machines: &[BusyMachine],
+        now: Timestamp,
+    ) -> Option<MachineId> {
+        let scale_in = &self.leadership.scale_in;
+        let open = machines
             .iter()
-            .map(|(&machine_type, f)| Offer {
-                machine_type,
-                size: Room::from(f),
-                zones: f
-                    .zones
-                    .iter()
-                    .filter_map(|y| self.replica.names.zones.get(y))
-                    .collect(),
-                price: f.price,
-                spot_price: f.market_price,
-                boot_s: f.boot_s,
-            })
-            .collect();
-        offers.sort_by_key(|o| o.machine_type);
-        offers
-    }
-
-    /// Seconds until a machine of the quickest type that can be rented now would be up; none while
-    /// the cloud refuses all of them.
-    pub(crate) fn rentable_start_s(&self, now: Timestamp) -> Option<f64> {
-        let open = |machine_type, zone, spot| {
-            let pool = CapacityPool {
-                machine_type,
-                zone,
-                spot,
-            };
-            self.leadership.rent.may_ask(pool, now)
-        };
-        let offers = self.offers().into_iter().filter(|o| {
-            let mut zones = o.zones.iter();
-            zones.any(|&zone| open(o.machine_type, zone, false) || open(o.machine_type, zone, true))
+            .filter(|busy| !scale_in.is_cordoned(busy.machine.machine));
+        let free: f64 = open
+            .map(|busy| (busy.machine.size.cpus - busy.used_cpus).max(0.0))
+            .sum();
+        let consolidable = machines.iter().filter(|busy| {
+            scale_in.is_cordoned(busy.machine.machine) && self.may_consolidate(busy, free, now)
         });
-        offers.map(|o| o.boot_s).min_by(f64::total_cmp)
+        let dearest = consolidable.max_by(|a, b| a.machine.price.total_cmp(&b.machine.price));
+        dearest.map(|busy| busy.machine.machine)
     }
 
-    pub(crate) fn demand(&self, now: Timestamp) -> Vec<Demand> {
-        let mut room: HashMap<_, f64> = self
-            .settings
-            .platform
-            .settings
-            .teams
-            .iter()
-            .filter_map(|t| Some((self.replica.names.teams.get(&t.name)?, t.cpus_max)))
-            .collect();
-        let mut jobs: Vec<(&JobId, &Job)> = self
-            .replica
-            .jobs
+    /// Whether emptying a machine saves something: its tasks take little of it, fit into the free
+    /// CPUs of the others, would run for a while, and all save checkpoints.
+    fn may_consolidate(&self, busy: &BusyMachine, free_cpus: f64, now: Timestamp) -> bool {
+        let used = busy.used_cpus;
+        let cpus = busy.machine.size.cpus;
+        let Some(machine) = self.replica.machines.get(&busy.machine.machine) else {
+            return false;
+        };
+        let load = self.known_load(busy.machine.machine, now);
+        let left_s = load * cpus / used.max(MIN_USED_CPUS);
+        let mut jobs = machine
+            .queue
             .iter()
-            .filter(|&(&job_id, j)| {
-                let name = self.replica.names.jobs.name(job_id);
-                j.status == JobStatus::Pending && self.may_bind(j, name, now)
-            })
-            .collect();
-        jobs.sort_by_key(|(job_id, j)| (self.priority_of(**job_id, j), **job_id));
-        let mut out = Vec::new();
-        for (_, job) in jobs {
-            let left = f64::from(job.spec.task_count.saturating_sub(job.done.len()));
-            let Some(room) = room.get_mut(&job.team) else {
-                continue;
-            };
-            let cpus = job.spec.cpus.max(1e-3);
-            let tasks = left.min((*room / cpus).floor().max(0.0));
-            *room -= tasks * cpus;
-            out.push(Demand {
-                needs: needs_of(job),
-                tasks,
-                work: left * cpus * self.run_s(job),
-            });
-        }
-        out
-    }
-
-    pub(crate) fn fleet(&self, now: Timestamp) -> Vec<Rented> {
-        let mut out = Vec::new();
-        for machine_id in self.replica.machines_sorted() {
-            let m = &self.replica.machines[&machine_id];
-            let (Some(size), Some(machine_type)) =
-                (self.size(m), self.machine_types.get(&m.machine_type))
-            else {
-                continue;
-            };
-            let info = self.machine_info(machine_id, now);
-            let going = info.as_ref().is_some_and(|i| i.recalled || i.quarantined);
-            if m.leaving
-                || going
-                || self.leadership.scale_in.is_draining(machine_id)
-                || self.cut_off(machine_id, now)
-                || self.is_dead(machine_id, now)
-            {
-                continue;
-            }
-            let up = info.is_some_and(|i| i.age_ms.is_some());
-            let observed = &self.leadership.machines;
-            let idle = observed.idle_for(machine_id, now);
-            let listed = self.leadership.inventory.listed(machine_id);
-            let held = match listed {
-                Some(listed) => now.since(listed.rented_at),
-                None => observed.known_for(machine_id, now),
-            };
-            out.push(Rented {
-                machine: machine_id,
-                machine_type: m.machine_type,
-                zone: m.zone,
-                spot: m.spot,
-                size,
-                price: machine_type.price_of(m.spot),
-                idle_s: idle.filter(|_| up).map(|i| i as f64 / 1000.0),
-                held_s: held as f64 / 1000.0,
-            });
-        }
-        out
+            .map(|binding| self.replica.jobs.get(&binding.task.job));
+        used > 0.0
+            && used <= cpus * CONSOLIDATION_MAX_USE
+            && used <= free_cpus * CONSOLIDATION_MAX_FREE_USE
+            && left_s > CONSOLIDATION_MIN_LEFT_S
+            && jobs.all(|job| job.is_some_and(|job| job.spec.checkpoint_s > 0.0))
     }
 
     /// The cloud's list arrived, or did not.
     pub fn on_list(&mut self, list: Option<Vec<CloudMachine>>, now: Timestamp) {
-        self.leadership.inventory.end_list();
-        let Some(list) = list else { return };
-        if self.leads().is_none() {
-            return;
-        }
+        let leads = self.leads().is_some();
         let inventory = &mut self.leadership.inventory;
-        inventory.note_list(list, &self.replica, now);
+        inventory.end_list();
+        if let Some(list) = list
+            && leads
+        {
+            inventory.note_list(list, &self.replica, now);
+        }
     }
 
-    /// A rental was answered: the machines, or none if it was refused, or no answer.
+    /// A rental was answered: with the machines, none if it was refused. Unless the answer is
+    /// `sure`, it is open whether machines were rented.
     pub fn on_rented(
         &mut self,
         rental: &RentRequest,
@@ -350,35 +259,34 @@
             return;
         }
         rent.end_rent(&rental.request_id);
-        let got = answer.unwrap_or_default();
+        let machines = answer.unwrap_or_default();
         info!(
             request_id = rental.request_id,
             asked = rental.number,
-            got = got.len(),
-            "rented"
+            rented = machines.len(),
+            "rent request answered"
         );
-        if (got.len() as u32) < rental.number {
-            let machine_type = self.replica.names.machine_types.get(&rental.machine_type);
-            let zone = self.replica.names.zones.get(&rental.zone);
-            if let (Some(machine_type), Some(zone)) = (machine_type, zone) {
-                let wait = (self.settings.options.fleet_refused_s * 1000.0) as u64;
-                let until = now.plus(wait + self.rng.random_range(0..wait / 2 + 1));
-                let pool = CapacityPool {
-                    machine_type,
-                    zone,
-                    spot: rental.spot,
-                };
-                self.leadership.rent.note_refused(pool, until);
-            }
+        if (machines.len() as u32) < rental.number {
+            self.note_refusal(rental, now);
         }
         self.leadership.rent.review_at(now);
-        for name in got {
-            let record = NewMachine {
+        for machine in machines {
+            let new = NewMachine {
                 machine_type: rental.machine_type.clone(),
                 zone: rental.zone.clone(),
                 spot: rental.spot,
             };
-            self.leadership.inventory.place_rented(name, record);
+            self.leadership.inventory.place_rented(machine, new);
+        }
+    }
+
+    /// The cloud gave fewer machines than were asked for: the pool is left alone for a while, by
+    /// chance a little longer, so that not all pools are asked again at once.
+    fn note_refusal(&mut self, rental: &RentRequest, now: Timestamp) {
+        if let Some(pool) = self.pool_of(rental) {
+            let wait_ms = (self.settings.options.fleet_refused_s * 1000.0) as u64;
+            let until = now.plus(wait_ms + self.rng.random_range(0..wait_ms / 2 + 1));
+            self.leadership.rent.note_refused(pool, until);
         }
     }
 
@@ -388,14 +296,15 @@
         if self.leads().is_none() {
             return;
         }
-        if ok {
-            for machine in machines {
-                if let Some(machine_id) = self.replica.names.machines.get(machine) {
-                    self.leadership.inventory.note_returned(machine_id);
-                }
+        if !ok {
+            let next = now.plus(REVIEW_AFTER_FAILED_RETURN_MS);
+            self.leadership.rent.review_at(next);
+            return;
+        }
+        for machine in machines {
+            if let Some(machine_id) = self.replica.names.machines.get(machine) {
+                self.leadership.inventory.note_returned(machine_id);
             }
-        } else {
-            self.leadership.rent.review_at(now.plus(1000));
         }
     }
 }
