--- a/src/stealing/messages.rs
+++ b/src/stealing/messages.rs
@@ -2,7 +2,7 @@
 //!
 //! Nothing here may fail when a message is lost, late or repeated: the next round asks again.
 
-use super::pack_steal;
+use super::pack_steal::{Selection, choose_target};
 use crate::clock::Timestamp;
 use crate::controller::Controller;
 use crate::names::MachineId;
@@ -39,9 +39,13 @@
         }
         let factors = self.stealing_factors();
         let round = self.work_stealing.round()?;
-        let far = f64::from(hops) > round.machine_count() as f64 * factors.hops;
-        let candidates = round.candidates(far);
-        let to = pack_steal::choose_target(candidates, far, thief, route, &factors, &mut self.rng)?;
+        let cutoff = round.machine_count() as f64 * factors.hops;
+        let selection = match f64::from(hops) > cutoff {
+            true => Selection::Random,
+            false => Selection::Constrained,
+        };
+        let known = round.candidates(selection);
+        let to = choose_target(known, selection, thief, route, &factors, &mut self.rng)?;
         Some(StealMessage::Steal {
             to: self.machine_name(to),
             thief: self.machine_name(thief),
--- a/src/stealing/pack_steal.rs
+++ b/src/stealing/pack_steal.rs
@@ -137,12 +137,20 @@
     pub(super) load: f64,
 }
 
-/// Picks where a steal goes next: among the most loaded of `known`, which has the heaviest first,
-/// or anywhere in it if `far`, after too many hops; never to the thief, nor to machines on the
-/// route, which proved to be no victims.
+/// Among which machines a steal chooses its next target.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Selection {
+    /// Among the most loaded ones.
+    Constrained,
+    /// Among all, after too many hops (vsthreshold).
+    Random,
+}
+
+/// Picks where a steal goes next among `known`, which has the heaviest first; never to the thief,
+/// nor to machines on the route, which proved to be no victims.
 pub(super) fn choose_target(
     known: &[MachineLoad],
-    far: bool,
+    selection: Selection,
     thief: MachineId,
     route: &[MachineId],
     factors: &Factors,
@@ -151,7 +159,10 @@
     let may_ask = |machine: &&MachineLoad| {
         machine.machine_id != thief && !route.contains(&machine.machine_id)
     };
-    let most = if far { known.len() } else { factors.targets };
+    let most = match selection {
+        Selection::Constrained => factors.targets,
+        Selection::Random => known.len(),
+    };
     let targets: Vec<&MachineLoad> = known.iter().filter(may_ask).take(most).collect();
     targets.choose(rng).map(|machine| machine.machine_id)
 }
--- a/src/stealing/pack_steal/tests.rs
+++ b/src/stealing/pack_steal/tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of PackStealLB.
 
-use super::{Factors, Levels, MachineLoad, Role, choose_target};
+use super::{Factors, Levels, MachineLoad, Role, Selection, choose_target};
 use crate::names::{Index, MachineId};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -55,15 +55,18 @@
         .collect();
     let me = MachineId::from_raw(0);
     let mut rng = SmallRng::seed_from_u64(3);
-    let mut pick = |far, route: &[MachineId]| {
+    let mut pick = |selection, route: &[MachineId]| {
         (0..200)
-            .filter_map(|_| choose_target(&all, far, me, route, &FACTORS, &mut rng))
+            .filter_map(|_| choose_target(&all, selection, me, route, &FACTORS, &mut rng))
             .map(|m| m.raw())
             .collect::<std::collections::BTreeSet<_>>()
     };
-    assert_eq!(pick(false, &[]), [1, 2, 3, 4].into());
-    assert_eq!(pick(true, &[]), [1, 2, 3, 4, 5, 6, 7].into());
-    assert_eq!(pick(false, &[MachineId::from_raw(1)]), [2, 3, 4, 5].into());
+    assert_eq!(pick(Selection::Constrained, &[]), [1, 2, 3, 4].into());
+    assert_eq!(pick(Selection::Random, &[]), [1, 2, 3, 4, 5, 6, 7].into());
+    assert_eq!(
+        pick(Selection::Constrained, &[MachineId::from_raw(1)]),
+        [2, 3, 4, 5].into()
+    );
     let everyone: Vec<_> = all.iter().map(|machine| machine.machine_id).collect();
-    assert!(pick(true, &everyone).is_empty());
+    assert!(pick(Selection::Random, &everyone).is_empty());
 }
--- a/src/stealing/rounds.rs
+++ b/src/stealing/rounds.rs
@@ -1,6 +1,6 @@
 //! Rounds of work stealing: when one begins, and what this controller knows in it.
 
-use super::pack_steal::{Factors, Levels, MachineLoad, Pack, Role};
+use super::pack_steal::{Factors, Levels, MachineLoad, Pack, Role, Selection};
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
 use crate::controller::{Controller, Effect};
@@ -13,7 +13,8 @@
 /// Most steals that one machine sends at the beginning of a round.
 const MAX_STEALS_PER_THIEF: u32 = 16;
 
-/// The part of work stealing that a controller plays: its round, and messages on their way.
+/// The part that a controller plays in work stealing: its round, and messages on their way. It
+/// outlives the terms of leaders, for holders need none.
 #[derive(Debug, Default)]
 pub(crate) struct WorkStealing {
     round: Option<Round>,
@@ -90,8 +91,11 @@
     }
 
     /// Where steals may go: to known victims, or anywhere.
-    pub(super) fn candidates(&self, far: bool) -> &[MachineLoad] {
-        if far { &self.all } else { &self.victims }
+    pub(super) fn candidates(&self, selection: Selection) -> &[MachineLoad] {
+        match selection {
+            Selection::Constrained => &self.victims,
+            Selection::Random => &self.all,
+        }
     }
 
     /// Machines of the round.
