--- a/src/http/chained_submission.rs
+++ b/src/http/chained_submission.rs
@@ -99,7 +99,7 @@
     /// preconditions for all unfinished jobs that it names, a step of a gradual one.
     fn plan(
         &self,
-        named: Vec<(String, Predecessor)>,
+        named: &[(String, Predecessor)],
         controller: &Controller,
     ) -> Result<Plan, ChainError> {
         let step = |stored: Option<Stored>, named: &[(String, Predecessor)]| {
@@ -117,12 +117,12 @@
                 record: &begun.record,
                 mod_revision: begun.mod_revision,
             };
-            return step(Some(stored), &named);
+            return step(Some(stored), named);
         }
         let record = self.record.clone();
-        match plan_acceptance(&self.name, record, named.clone(), &controller.settings) {
+        match plan_acceptance(&self.name, record, named.to_vec(), &controller.settings) {
             Err(ChainError::TooMany { .. }) if controller.replica.encoding() == Encoding::Dense => {
-                step(None, &named)
+                step(None, named)
             }
             planned => planned.map(Plan::from),
         }
@@ -140,7 +140,7 @@
                 Ok(named) => named,
                 Err(store_error) => return read_failed(&store_error),
             };
-            let plan = match self.plan_chained(&job, named) {
+            let plan = match self.plan_chained(&job, &named) {
                 Ok(plan) => plan,
                 Err(refusal) => return self.known_or(&job.name, refusal.into()).await,
             };
@@ -157,7 +157,7 @@
     fn plan_chained(
         &self,
         job: &NewJob,
-        named: Vec<(String, Predecessor)>,
+        named: &[(String, Predecessor)],
     ) -> Result<Plan, ChainRefusal> {
         let (planned, accepts_waiting) = {
             let controller = self.shared.controller.lock();
--- a/src/jobs/chained/tests.rs
+++ b/src/jobs/chained/tests.rs
@@ -1,8 +1,11 @@
 //! Unit tests of `chained`.
 
-use super::*;
+use super::{Acceptance, ChainError, Predecessor, most_open, plan_acceptance};
 use crate::jobs::tests::GOOD;
 use crate::jobs::{Read, new_record, read};
+use crate::protocol::{JobStatus, Mutation, Precondition};
+use crate::records::{JobRecord, WaitingRecord};
+use crate::replica::job_key;
 use crate::settings::tests::small;
 
 fn with_awaits(awaits: &str) -> Read {
--- a/src/jobs/gradual.rs
+++ b/src/jobs/gradual.rs
@@ -50,27 +50,12 @@
     if names_cancelled(named)? {
         return Ok(Step::Cancelled(cancelled(name, record, stored)));
     }
-    let held = stored.map_or(&[][..], |stored| stored.record.predecessors.names());
-    let mut missing = named
-        .iter()
-        .filter_map(|(name, predecessor)| match predecessor {
-            Predecessor::Open(precondition) if !held.contains(name) => {
-                Some((name.clone(), precondition.clone()))
-            }
-            _ => None,
-        });
-    let mut preconditions = own_preconditions(name, stored);
-    let max_preconditions = settings.platform.settings.state.txn_ops * PRECONDITIONS_PER_MUTATION;
-    let mut predecessors = held.to_vec();
-    for (predecessor, precondition) in missing
-        .by_ref()
-        .take(max_preconditions.saturating_sub(preconditions.len()))
-    {
-        predecessors.push(predecessor);
-        preconditions.push(precondition);
-    }
-    let added_or_held = predecessors.len();
-    let still_missing = missing.count();
+    let HeldPredecessors {
+        predecessors,
+        preconditions,
+        still_missing,
+    } = hold_more(name, named, stored, settings);
+    let found = predecessors.len() + still_missing;
     let first = new_waiting_record(record.clone(), NameList::default());
     let record = WaitingRecord {
         predecessors: NameList::from_iter(predecessors),
@@ -79,7 +64,6 @@
     };
     let mutation = put(&waiting_key(name), &record, None);
     if mutation.value_bytes() > settings.value_bytes() {
-        let found = added_or_held + still_missing;
         return Err(ChainError::TooLong { found });
     }
     let transaction = Transaction {
@@ -92,6 +76,47 @@
     })
 }
 
+/// What one write holds on to.
+struct HeldPredecessors {
+    /// The predecessors in the value: those of earlier writes, then the new ones.
+    predecessors: Vec<String>,
+    /// That the job is as it was read, and that the new predecessors are.
+    preconditions: Vec<Precondition>,
+    /// Unfinished predecessors that are left to later writes.
+    still_missing: usize,
+}
+
+/// Adds as many unfinished predecessors as one transaction has preconditions for.
+fn hold_more(
+    name: &str,
+    named: &[(String, Predecessor)],
+    stored: Option<Stored>,
+    settings: &Settings,
+) -> HeldPredecessors {
+    let held = stored.map_or(&[][..], |stored| stored.record.predecessors.names());
+    let mut missing = named
+        .iter()
+        .filter_map(|(name, predecessor)| match predecessor {
+            Predecessor::Open(precondition) if !held.contains(name) => {
+                Some((name.clone(), precondition.clone()))
+            }
+            _ => None,
+        });
+    let mut preconditions = own_preconditions(name, stored);
+    let max_preconditions = settings.platform.settings.state.txn_ops * PRECONDITIONS_PER_MUTATION;
+    let room = max_preconditions.saturating_sub(preconditions.len());
+    let mut predecessors = held.to_vec();
+    for (predecessor, precondition) in missing.by_ref().take(room) {
+        predecessors.push(predecessor);
+        preconditions.push(precondition);
+    }
+    HeldPredecessors {
+        predecessors,
+        preconditions,
+        still_missing: missing.count(),
+    }
+}
+
 /// Preconditions that the job is as it was read: absent, or incomplete at a revision.
 fn own_preconditions(name: &str, stored: Option<Stored>) -> Vec<Precondition> {
     let Some(stored) = stored else {
--- a/src/jobs/gradual/tests.rs
+++ b/src/jobs/gradual/tests.rs
@@ -1,9 +1,13 @@
 //! Unit tests of `gradual`.
 
-use super::*;
+use super::{Step, Stored, plan_step};
+use crate::jobs::chained::{ChainError, Predecessor};
 use crate::jobs::tests::GOOD;
 use crate::jobs::{Read, new_record, read};
-use crate::replica::job_key;
+use crate::protocol::{Mutation, Precondition};
+use crate::records::{JobRecord, WaitingRecord};
+use crate::replica::{job_key, waiting_key};
+use crate::settings::Settings;
 use crate::settings::tests::small;
 
 const NAME: &str = "wk-000412";
