--- a/benches/costs.rs
+++ b/benches/costs.rs
@@ -13,12 +13,21 @@
 use std::time::Instant;
 use support::World;
 
+/// Sizes of the fleet that are measured, machines.
+const FLEETS: [usize; 5] = [50, 200, 700, 1850, 4000];
+/// Steps of the world, of a tenth of a second each, in which the costs of a fleet are measured.
+const STEPS: usize = 100;
+/// Submissions that are read and judged.
+const SUBMISSIONS: usize = 2000;
+/// The longest duration that a histogram can show, nanoseconds.
+const MAX_NANOS: u64 = 10_000_000_000;
+
 /// Durations of one kind of work, in nanoseconds.
 struct Cost(&'static str, Histogram<u64>);
 
 impl Cost {
     fn new(what: &'static str) -> Cost {
-        let bounds = Histogram::<u64>::new_with_bounds(1, 10_000_000_000, 3);
+        let bounds = Histogram::<u64>::new_with_bounds(1, MAX_NANOS, 3);
         Cost(what, bounds.expect("good bounds"))
     }
 
@@ -40,52 +49,53 @@
     }
 }
 
-fn world(machines: usize) -> World {
-    let mut w = World::sized(1, 3, machines);
-    for team in &mut w.settings.platform.settings.teams {
+/// A cell with three controllers, and a job of 20 tasks for each machine.
+fn loaded_world(machines: usize) -> World {
+    let mut world = World::sized(1, 3, machines);
+    for team in &mut world.settings.platform.settings.teams {
         team.cpus_max = machines as f64 * 4.0;
     }
-    w.settings.platform.settings.state.write_rps = 40.0;
-    w.settings.platform.settings.state.value_kb = 32.0;
-    w.settings.platform.settings.state.txn_ops = 24;
-    (0..3).for_each(|i| w.crash(i));
-    (0..3).for_each(|i| w.start(i));
-    w.until(20_000, "a leader", |w| w.leader().is_some());
-    w.cloud_up = false;
+    world.settings.platform.settings.state.write_rps = 40.0;
+    world.settings.platform.settings.state.value_kb = 32.0;
+    world.settings.platform.settings.state.txn_ops = 24;
+    (0..3).for_each(|at| world.crash(at));
+    (0..3).for_each(|at| world.start(at));
+    world.until(20_000, "a leader", |world| world.leader().is_some());
+    world.cloud_up = false;
     for n in 1..=(machines as u32) {
-        let spec = w.spec(20);
-        w.submit(n, spec);
+        let spec = world.spec(20);
+        world.submit(n, spec);
     }
-    w.run(20_000);
-    w
+    world.run(20_000);
+    world
 }
 
 fn costs(machines: usize) {
-    let mut w = world(machines);
+    let mut world = loaded_world(machines);
     let mut heartbeat = Cost::new("a worker's heartbeat");
     let mut due = Cost::new("a look at what is due, leader");
     let mut long = Cost::new("a peer's long message");
     let mut short = Cost::new("a peer's short message");
     let mut poll = Cost::new("a poll, once the replica is there");
     let mut message = Cost::new("a tenth of a second of changes");
-    for _ in 0..100 {
-        let before = w.state.revision();
-        w.step();
-        let now = Timestamp(w.now);
-        let leader = w.leader().unwrap_or(0);
-        for at in (0..w.workers.len()).step_by(machines / 50) {
-            w.workers[at].sequence += 1;
-            let r = w.workers[at].heartbeat();
-            let Some(holder) = w.holder(&r.machine) else {
+    for _ in 0..STEPS {
+        let before = world.state.revision();
+        world.step();
+        let now = Timestamp(world.now);
+        let leader = world.leader().unwrap_or(0);
+        for at in (0..world.workers.len()).step_by(machines / 50) {
+            world.workers[at].sequence += 1;
+            let beat = world.workers[at].heartbeat();
+            let Some(holder) = world.holder(&beat.machine) else {
                 continue;
             };
-            if let Some(node) = w.controllers[holder].as_mut() {
-                heartbeat.measure(|| node.controller.on_heartbeat(r, now));
+            if let Some(node) = world.controllers[holder].as_mut() {
+                heartbeat.measure(|| node.controller.on_heartbeat(beat, now));
             }
         }
-        let list = w.state.events("qb/", before);
-        let day = w.now;
-        let Some(node) = w.controllers[leader].as_mut() else {
+        let list = world.state.events("qb/", before);
+        let day = world.now;
+        let Some(node) = world.controllers[leader].as_mut() else {
             continue;
         };
         // The same changes once more, as another controller would take them in.
@@ -107,26 +117,25 @@
             ))
         });
     }
-    println!("{machines} machines, {} tasks running", w.running());
+    println!("{machines} machines, {} tasks running", world.running());
     for cost in [&heartbeat, &due, &long, &short, &poll, &message] {
         cost.show();
     }
 }
 
 fn main() {
-    for machines in [50, 200, 700, 1850, 4000] {
+    for machines in FLEETS {
         costs(machines);
     }
     let mut submission = Cost::new("reading and judging a submission");
-    let w = World::new(1, 3);
-    let spec = serde_json::to_value(w.spec(100_000)).expect("plain data");
-    let mut body = spec;
+    let world = World::new(1, 3);
+    let mut body = serde_json::to_value(world.spec(100_000)).expect("plain data");
     body["ref"] = "wk-000412".into();
     let body = body.to_string();
-    let controller = w.controller(0);
-    for _ in 0..2000 {
+    let controller = world.controller(0);
+    for _ in 0..SUBMISSIONS {
         submission.measure(|| match jobs::read(body.as_bytes()) {
-            jobs::Read::Good(s) => controller.never_runs(&s.spec),
+            jobs::Read::Good(read) => controller.never_runs(&read.spec),
             jobs::Read::Bad(..) => unreachable!("the submission is good"),
         });
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,9 @@
 //! quillbend: a cluster scheduler whose machines steal packs of work from one another.
 //!
-//! Decisions are plain functions over plain data in [`controller`] and the modules it uses; actors in
-//! [`runtime`] do all input and output. See `docs/design.md` for the safety argument.
+//! Decisions are plain functions over plain data: the state machine in [`controller`] takes events and gives
+//! effects, and what it uses does no input or output and reads no clock. [`runtime`] carries the effects out,
+//! [`http`] serves users, workers, peers and operators, and [`store`] is the client of the state service. See
+//! `docs/design.md` for the safety argument.
 #![warn(missing_docs)]
 
 pub mod clock;
