--- a/src/controller/blocks/merging.rs
+++ b/src/controller/blocks/merging.rs
@@ -109,8 +109,8 @@
     /// on them, into another one. Its conditions are those of every write of a holder, on both blocks
     /// and both grants.
     fn plan_merge(&self, kept: BlockId, emptied: BlockId) -> Option<(Transaction, WriteIntent)> {
-        let (mut edit, mut intent) = self.draft_without_ended(kept);
-        let (other, other_intent) = self.draft_without_ended(emptied);
+        let (mut edit, mut intent) = self.edit_without_completed(kept);
+        let (other, other_intent) = self.edit_without_completed(emptied);
         edit.machines.extend(other.machines);
         for (job, tasks) in &other.done {
             edit.absorb_done(*job, tasks);
--- /dev/null
+++ b/src/controller/completions/presumed_dead.rs
@@ -0,0 +1,90 @@
+//! Machines whose tasks are surely gone, and the bindings that are freed with them.
+//!
+//! Guards against a task that runs twice: a binding is freed only when no worker can still run it, that is when
+//! its worker's lease has expired since the last answer that any holder may have given.
+
+use super::Completion;
+use crate::clock::Timestamp;
+use crate::controller::Controller;
+use crate::controller::held_machines::MachineRuntime;
+use crate::names::MachineId;
+use tracing::warn;
+
+impl Controller {
+    /// Gives up machines that were silent for longer than their lease, and frees what is bound to them.
+    pub(crate) fn find_presumed_dead(&mut self, now: Timestamp) {
+        let gone: Vec<MachineId> = self
+            .held
+            .iter()
+            .filter(|&(machine_id, runtime)| self.is_newly_gone(machine_id, runtime, now))
+            .map(|(machine_id, _)| machine_id)
+            .collect();
+        for machine_id in gone {
+            self.presume_dead(machine_id);
+        }
+        let dead: Vec<MachineId> = self
+            .held
+            .iter()
+            .filter(|(_, runtime)| runtime.presumed_dead)
+            .map(|(machine_id, _)| machine_id)
+            .collect();
+        for machine_id in dead {
+            self.free_queue(machine_id);
+        }
+    }
+
+    /// Whether the tasks of a machine that is not presumed dead yet are surely gone.
+    fn is_newly_gone(
+        &self,
+        machine_id: MachineId,
+        runtime: &MachineRuntime,
+        now: Timestamp,
+    ) -> bool {
+        if runtime.presumed_dead || !self.lease_has_expired(runtime, now) {
+            return false;
+        }
+        // There is nothing to give up at one that never sent a heartbeat and to which nothing is bound.
+        let machine = self.replica.machines.get(&machine_id);
+        machine.is_some_and(|machine| runtime.heard_at.is_some() || !machine.queue.is_empty())
+    }
+
+    fn lease_has_expired(&self, runtime: &MachineRuntime, now: Timestamp) -> bool {
+        let lease_ms = self.settings.worker_gone_ms();
+        let unanswered = |at: Timestamp| now.since(at) > lease_ms;
+        match (runtime.fenced, runtime.answered_at) {
+            (true, Some(answered_at)) => unanswered(answered_at),
+            // Before the machine obeys our token an earlier holder may still be answering it.
+            (_, answered_at) => {
+                now.since(runtime.held_since) > self.settings.unfenced_gone_ms()
+                    && answered_at.is_none_or(unanswered)
+            }
+        }
+    }
+
+    fn presume_dead(&mut self, machine_id: MachineId) {
+        let machine = self.replica.machines.get(&machine_id);
+        warn!(
+            machine = self.replica.names.machines.name(machine_id),
+            tasks = machine.map_or(0, |machine| machine.queue.len()),
+            "machine presumed dead"
+        );
+        self.counters.machines_presumed_dead += 1;
+        self.held.presume_dead(machine_id);
+    }
+
+    /// Frees all bindings of a machine that do not take part in a move.
+    fn free_queue(&mut self, machine_id: MachineId) {
+        let Some(machine) = self.replica.machines.get(&machine_id) else {
+            return;
+        };
+        for binding in &machine.queue {
+            // What moves away at this moment keeps its attempt: it is freed here only if the move
+            // fails and the task is still listed here.
+            if !self.completions.is_reserved(binding)
+                && !self.completions.is_pending(machine_id, binding)
+            {
+                self.completions.add(machine_id, Completion::free(*binding));
+            }
+        }
+    }
+}
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -45,19 +45,15 @@
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
 use crate::leadership::LeaderState;
-use crate::names::{HostId, JobId, MachineId, MachineTypeId, TeamId, ZoneId};
-use crate::placement::Room;
-use crate::protocol::{JobStatus, Json, MachineType, Mutation, Transaction};
-use crate::ranges::RangeSet;
+use crate::names::{HostId, MachineTypeId};
+use crate::protocol::MachineType;
 use crate::records::{CURRENT_FORMAT, SPILLOVER_FORMAT};
-use crate::replica::{Binding, BlockId, Replica, block_key, grant_key, job_key};
+use crate::replica::Replica;
 use crate::settings::Settings;
 use crate::spillover::Spillover;
 use crate::stealing::WorkStealing;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
-use std::collections::BTreeMap;
-use tracing::warn;
 
 /// The state of one controller.
 pub struct Controller {
@@ -213,7 +209,7 @@
     fn tick_with_authority(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         self.tick_leadership(now, out);
         self.find_presumed_dead(now);
-        self.tick_holder(now, out);
+        self.tick_completions(now, out);
         // Others act in place of one that alone is refused; its machines go over to them,
         // and would seem dead to it.
         if !self.alone_without_store(now) {
