--- a/src/dependencies/tests.rs
+++ b/src/dependencies/tests.rs
@@ -1,7 +1,8 @@
 //! Unit tests of `dependencies`.
 
-use super::*;
-use crate::names::Index;
+use super::{DependencyGraph, OwnDemand};
+use crate::names::{Index, JobId};
+use crate::protocol::Priority;
 
 fn job(n: u32) -> JobId {
     JobId::from_raw(n)
--- a/src/leadership/binding/open_jobs.rs
+++ b/src/leadership/binding/open_jobs.rs
@@ -6,7 +6,7 @@
 use crate::controller::Controller;
 use crate::leadership::job_order::Rank;
 use crate::names::{JobId, TeamId};
-use crate::placement::Room;
+use crate::placement::{ROOM_TOLERANCE, Room};
 use crate::protocol::JobStatus;
 use crate::replica::Job;
 use std::cmp::Ordering;
@@ -14,8 +14,12 @@
 /// After waiting for so long a job goes to any machine that fits, cordoned and expensive ones
 /// included: what saves money must not keep it waiting while there is room, seconds.
 const OVERDUE_S: f64 = 45.0;
-/// Amounts of CPUs that differ by no more than this count as equal.
-const CPU_TOLERANCE: f64 = 1e-6;
+/// Failures in a row after which a job must wait before it is tried again.
+const FAILURES_BEFORE_BACKOFF: u32 = 3;
+/// First wait, ms; each further failure doubles it.
+const FIRST_BACKOFF_MS: u64 = 2000;
+/// Times that the wait is doubled at most.
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 /// A job with unbound tasks that may be bound now.
 pub(super) struct OpenJob {
@@ -97,7 +101,7 @@
             // Whoever waits for the team's limit has nothing to gain from a machine.
             let within_limit = team_room
                 .get(&job.team)
-                .is_some_and(|room| job.room().cpus <= room.cpus + CPU_TOLERANCE);
+                .is_some_and(|room| job.room().cpus <= room.cpus + ROOM_TOLERANCE);
             let waited_s = self.waited_s(job_id, job, now);
             if within_limit && waited_s > self.settings.options.queue_floor_s {
                 let this = StarvedJob {
@@ -111,7 +115,7 @@
             }
             let beyond_guarantee = guarantees
                 .get(&job.team)
-                .is_none_or(|left| job.spec.cpus > left + CPU_TOLERANCE);
+                .is_none_or(|left| job.spec.cpus > left + ROOM_TOLERANCE);
             jobs.push(OpenJob {
                 job: job_id,
                 rank: self.rank(job_id, job),
@@ -136,8 +140,8 @@
             && !self.replica.is_unreadable(name)
     }
 
-    /// Whether a job must wait before it is tried again: the more of its tasks failed in a row, the
-    /// longer.
+    /// Whether a job must wait before it is tried again: the more of its tasks failed in a row, as
+    /// this controller and its peers know it, the longer.
     fn backs_off(&self, job: JobId, now: Timestamp) -> bool {
         let (mut failures, mut last) = (0, Timestamp(0));
         for streak in self.peers.failure_streaks() {
@@ -150,11 +154,10 @@
             failures += streak.count;
             last = last.max(streak.last);
         }
-        let wait_ms = match failures {
-            0..=2 => 0,
-            many => 1000u64 << (many - 2).min(6),
+        let Some(further) = failures.checked_sub(FAILURES_BEFORE_BACKOFF) else {
+            return false;
         };
-        now.since(last) < wait_ms
+        now.since(last) < FIRST_BACKOFF_MS << further.min(MAX_BACKOFF_DOUBLINGS)
     }
 
     /// Seconds for which nothing of a job was begun, or nothing more.
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -8,7 +8,7 @@
 use crate::collections::HashMap;
 use crate::controller::Controller;
 use crate::names::{JobId, MachineId, TeamId};
-use crate::placement::{Candidate, Needs, Room};
+use crate::placement::{Candidate, Needs, ROOM_TOLERANCE, Room};
 use crate::protocol::Priority;
 use crate::replica::{Binding, Machine};
 use std::cmp::Ordering;
@@ -24,8 +24,6 @@
 const MAX_VICTIM_RUN_S: f64 = 60.0;
 /// By how much a stopped task's job must have more slack, seconds, besides half of its run time.
 const SLACK_MARGIN_S: f64 = 30.0;
-/// Amounts of CPUs that differ by no more than this count as equal.
-const CPU_TOLERANCE: f64 = 1e-6;
 /// What a task that asks for next to no CPU counts for.
 const MIN_TASK_CPUS: f64 = 1e-3;
 
@@ -154,7 +152,7 @@
             }
             let team = job.candidate.team;
             let team_cpus = team_room.get(&team).map_or(0.0, |room| room.cpus);
-            let shortage = match team_cpus + CPU_TOLERANCE < job.task_cpus() {
+            let shortage = match team_cpus + ROOM_TOLERANCE < job.task_cpus() {
                 true => Shortage::TeamLimit,
                 // Where the whole fleet is full, only urgent work may push others out: otherwise the
                 // same lack moves from class to class, with stops and fetches on top.
@@ -163,7 +161,7 @@
             };
             let mut missing_cpus = incoming.missing(&job, team_cpus, shortage);
             victims.retain(|victim| {
-                let evicted = missing_cpus > CPU_TOLERANCE
+                let evicted = missing_cpus > ROOM_TOLERANCE
                     && budget_cpus > 0.0
                     && job.outranks(victim)
                     && match shortage {
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -9,7 +9,7 @@
 
 pub use candidates::{Candidate, Slot};
 pub use planner::{Limits, PlannedBinding, plan};
-pub use room::{Needs, Room};
+pub use room::{Needs, ROOM_TOLERANCE, Room};
 
 #[cfg(test)]
 pub(crate) mod tests;
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -1,7 +1,7 @@
 //! The two sides of a placement: machines that may take tasks, and jobs whose tasks wait for one.
 
 use super::planner::Limits;
-use super::room::{Needs, Room, TOLERANCE};
+use super::room::{Needs, ROOM_TOLERANCE, Room};
 use crate::collections::{HashMap, HashSet};
 use crate::names::{ImageId, JobId, MachineId, MachineTypeId, TeamId, ZoneId};
 
@@ -43,8 +43,9 @@
         if need.fits(&self.size.minus(&self.used)) {
             return 0.0;
         }
-        let missing_part =
-            |need: f64, size: f64, used: f64| ((used + need - size) / used.max(TOLERANCE)).max(0.0);
+        let missing_part = |need: f64, size: f64, used: f64| {
+            ((used + need - size) / used.max(ROOM_TOLERANCE)).max(0.0)
+        };
         let part = missing_part(need.cpus, self.size.cpus, self.used.cpus)
             .max(missing_part(need.gpus, self.size.gpus, self.used.gpus))
             .max(missing_part(
@@ -54,7 +55,7 @@
             ));
         // What is left of a task is half its run time on average, so the part of the bound work
         // that ends within a time grows twice as fast as the average suggests.
-        let left_s = self.load_s * self.size.cpus / self.used.cpus.max(TOLERANCE);
+        let left_s = self.load_s * self.size.cpus / self.used.cpus.max(ROOM_TOLERANCE);
         2.0 * left_s * part
     }
 
@@ -79,7 +80,7 @@
     /// Counts one more task of a job as bound here.
     pub(super) fn take(&mut self, job: &Candidate) {
         self.used.add(&job.needs.room, 1.0);
-        self.load_s += job.run_s * job.needs.room.cpus / self.size.cpus.max(TOLERANCE);
+        self.load_s += job.run_s * job.needs.room.cpus / self.size.cpus.max(ROOM_TOLERANCE);
         self.cached_images.insert(job.image);
     }
 }
--- a/src/placement/room.rs
+++ b/src/placement/room.rs
@@ -5,7 +5,7 @@
 use crate::protocol::MachineType;
 
 /// Amounts that differ by no more than this count as equal: sums of decimal amounts are inexact.
-pub(super) const TOLERANCE: f64 = 1e-6;
+pub const ROOM_TOLERANCE: f64 = 1e-6;
 
 /// CPUs, GPUs and memory.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -21,12 +21,12 @@
 impl Room {
     /// Whether `self` fits into `room`.
     pub fn fits(&self, room: &Room) -> bool {
-        self.fits_quota(room) && self.memory_gb <= room.memory_gb + TOLERANCE
+        self.fits_quota(room) && self.memory_gb <= room.memory_gb + ROOM_TOLERANCE
     }
 
     /// Whether `self` fits into what is left of a team's quota, which does not limit memory.
     pub(super) fn fits_quota(&self, left: &Room) -> bool {
-        self.cpus <= left.cpus + TOLERANCE && self.gpus <= left.gpus + TOLERANCE
+        self.cpus <= left.cpus + ROOM_TOLERANCE && self.gpus <= left.gpus + ROOM_TOLERANCE
     }
 
     /// Room of so many CPUs, and of nothing else.
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -126,7 +126,7 @@
 
 #[test]
 fn long_tasks_avoid_expensive_machines_when_little_waits() {
-    // A large dear machine was held to the end of the day for the longest of its tasks.
+    // A large expensive machine was held to the end of the day for the longest of its tasks.
     let mut slots = [slot(0, 0, 2.0), slot(1, 0, 8.0)];
     slots[1].expensive = true;
     let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Room::from_cpus(99.0))]);
@@ -146,14 +146,14 @@
 
 #[test]
 fn what_has_waited_for_long_goes_to_any_machine_that_fits() {
-    // A machine closed to save money, or too dear for long tasks, kept its room for nobody.
+    // A machine cordoned to save money, or too expensive for long tasks, kept its room for nobody.
     let limits = Limits {
         longest_on_expensive_s: 9.0,
         ..LIMITS
     };
-    let bound = |overdue, dear, closed| {
+    let bound = |overdue, expensive, cordoned| {
         let mut slots = [slot(0, 0, 8.0)];
-        (slots[0].expensive, slots[0].cordoned) = (dear, closed);
+        (slots[0].expensive, slots[0].cordoned) = (expensive, cordoned);
         let mut waiting = job(3, needs());
         waiting.overdue = overdue;
         let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Room::from_cpus(99.0))]);
