--- a/src/controller/heartbeat/launch.rs
+++ b/src/controller/heartbeat/launch.rs
@@ -106,7 +106,10 @@
             return QueueDecision::Keep;
         }
         let given_up = queue_use == QueueUse::Drain || machine.evict.contains(binding);
-        match self.permission(job, self.replica.names.jobs.name(job_id), now) {
+        match self
+            .spillover
+            .permission(job, self.replica.names.jobs.name(job_id), now)
+        {
             Permission::Wait => QueueDecision::Keep,
             Permission::Stop => QueueDecision::Free,
             Permission::Run if given_up => QueueDecision::Free,
--- a/src/controller/heartbeat/stops.rs
+++ b/src/controller/heartbeat/stops.rs
@@ -53,7 +53,7 @@
         let job_id = binding.task.job;
         let job = self.replica.jobs.get(&job_id)?;
         let name = self.replica.names.jobs.name(job_id);
-        let loan_over = self.permission(job, name, now) == Permission::Stop;
+        let loan_over = self.spillover.permission(job, name, now) == Permission::Stop;
         if loan_over || self.is_over(job_id, job) {
             return Some(NO_GRACE_S);
         }
--- a/src/controller/peers/messages.rs
+++ b/src/controller/peers/messages.rs
@@ -124,7 +124,7 @@
             cancelled: Vec::new(),
             grants: Vec::new(),
             format: self.formats.own(),
-            loans: self.heard_loans(now),
+            loans: self.spillover.heard_loans(now),
         }
     }
 
@@ -202,7 +202,7 @@
         self.accept_cancellations(&message.cancelled);
         self.accept_grants(message.grants);
         self.adopt_run_time_ratios(message.ratios);
-        self.on_heard_loans(message.loans, now);
+        self.spillover.on_heard_loans(message.loans, now);
         for steal_message in message.steal_messages {
             self.on_steal_message(steal_message, now);
         }
--- a/src/leadership/binding/open_jobs.rs
+++ b/src/leadership/binding/open_jobs.rs
@@ -133,7 +133,7 @@
         let name = self.replica.names.jobs.name(job_id);
         let begun = self.replica.bound_len(job_id) + in_flight + job.done.len();
         job.status == JobStatus::Pending
-            && self.may_bind(job, name, now)
+            && self.spillover.may_bind(job, name, now)
             && begun < job.spec.task_count
             && !self.backs_off(job_id, now)
             // It may have been cancelled.
--- a/src/leadership/capacity.rs
+++ b/src/leadership/capacity.rs
@@ -24,7 +24,7 @@
         let mut jobs: Vec<(&JobId, &Job)> = jobs
             .filter(|&(&job_id, job)| {
                 let name = names.jobs.name(job_id);
-                job.status == JobStatus::Pending && self.may_bind(job, name, now)
+                job.status == JobStatus::Pending && self.spillover.may_bind(job, name, now)
             })
             .collect();
         jobs.sort_by_key(|(job_id, job)| (self.priority_of(**job_id, job), **job_id));
--- a/src/spillover/borrowers.rs
+++ b/src/spillover/borrowers.rs
@@ -1,6 +1,6 @@
 //! The lender's questions to other cells: how they are doing, and whether they take the loans offered.
 
-use super::{CellCall, Controller};
+use super::{CellCall, Controller, Spillover};
 use crate::clock::Timestamp;
 use crate::controller::Effect;
 use crate::protocol::{JobSpec, JobStatus};
@@ -18,22 +18,6 @@
 const STATUS_MAX_AGE_MS: u64 = 10_000;
 
 impl Controller {
-    /// The cells that sent their status lately, with their places in the settings.
-    pub(super) fn known_borrowers(&self, now: Timestamp) -> Vec<(usize, Borrower)> {
-        let cells = self.spillover.cells.iter().enumerate();
-        let known = cells.filter_map(|(place, link)| {
-            let (status, at) = link.status.as_ref()?;
-            let recent = now.since(*at) < STATUS_MAX_AGE_MS;
-            let borrower = Borrower {
-                cell: self.spillover.settings.cells[place].name.clone(),
-                status: status.clone(),
-                promised_cpus: link.promised_cpus,
-            };
-            recent.then_some((place, borrower))
-        });
-        known.collect()
-    }
-
     /// Offers the loans that no borrower has confirmed, and asks the others how they are doing while
     /// the waits are long.
     pub(super) fn ask_borrowers(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
@@ -52,7 +36,7 @@
             if let Some(address) = contact.ask(now.0, period_ms) {
                 out.push(Effect::Cell(Box::new(CellCall {
                     address,
-                    request: self.cell_request(body),
+                    request: self.spillover.cell_request(body),
                     cell,
                     relayed: false,
                 })));
@@ -83,6 +67,24 @@
         });
         offers.take(MAX_OFFERS).collect()
     }
+}
+
+impl Spillover {
+    /// The cells that sent their status lately, with their places in the settings.
+    pub(super) fn known_borrowers(&self, now: Timestamp) -> Vec<(usize, Borrower)> {
+        let cells = self.cells.iter().enumerate();
+        let known = cells.filter_map(|(place, link)| {
+            let (status, at) = link.status.as_ref()?;
+            let recent = now.since(*at) < STATUS_MAX_AGE_MS;
+            let borrower = Borrower {
+                cell: self.settings.cells[place].name.clone(),
+                status: status.clone(),
+                promised_cpus: link.promised_cpus,
+            };
+            recent.then_some((place, borrower))
+        });
+        known.collect()
+    }
 
     /// A cell answered how it is doing, or did not.
     pub(super) fn on_borrower_status(
@@ -92,7 +94,7 @@
         sent: Timestamp,
         now: Timestamp,
     ) {
-        let link = &mut self.spillover.cells[cell];
+        let link = &mut self.cells[cell];
         match answer {
             Some(CellAnswer::Status(status)) => {
                 link.borrower.on_answer(sent.0);
@@ -112,7 +114,7 @@
         sent: Timestamp,
         now: Timestamp,
     ) {
-        let link = &mut self.spillover.cells[cell];
+        let link = &mut self.cells[cell];
         let Some(CellAnswer::Offers(answers)) = answer else {
             link.borrower.on_failure(now.0, NEXT_CONTROLLER_MS);
             return;
@@ -120,7 +122,7 @@
         link.borrower.on_answer(sent.0);
         for OfferAnswer { loan: id, decision } in answers {
             let offered = offers.iter().any(|offer| offer.loan == id);
-            let Some(loan) = self.spillover.lent.get_mut(&id.job) else {
+            let Some(loan) = self.lent.get_mut(&id.job) else {
                 continue;
             };
             if !offered || loan.id != id {
--- a/src/spillover/borrowing.rs
+++ b/src/spillover/borrowing.rs
@@ -2,7 +2,7 @@
 //!
 //! Must never start a task of a loan, or answer a machine that runs one, without the lender's confirmation.
 
-use super::{CellCall, Controller};
+use super::{CellCall, Controller, Spillover};
 use crate::clock::Timestamp;
 use crate::controller::{Effect, put};
 use crate::names::JobId;
@@ -64,7 +64,7 @@
                 asked.push((address, true));
             }
             for (address, relayed) in asked {
-                let request = self.cell_request(RequestBody::Confirm {
+                let request = self.spillover.cell_request(RequestBody::Confirm {
                     origin: name.clone(),
                     loans: loans.clone(),
                 });
@@ -88,7 +88,7 @@
                     job: name.to_owned(),
                     token: mark.token,
                 },
-                confirmed: self.permission(job, name, now) == Permission::Run,
+                confirmed: self.spillover.permission(job, name, now) == Permission::Run,
                 progress: self.progress(job_id, job),
             })
         });
@@ -114,41 +114,6 @@
         }
     }
 
-    /// A lender, or a relay, answered whether loans stand. `reported` is what the question said of them.
-    pub(super) fn on_standings(
-        &mut self,
-        call: &CellCall,
-        reported: &[LoanReport],
-        answer: Option<CellAnswer>,
-        sent: Timestamp,
-        now: Timestamp,
-    ) {
-        let link = &mut self.spillover.cells[call.cell];
-        let contact = match call.relayed {
-            true => &mut link.relay,
-            false => &mut link.origin,
-        };
-        let Some(CellAnswer::Standings(standings)) = answer else {
-            let pause_ms = if reported.is_empty() {
-                IDLE_RETRY_MS
-            } else {
-                RETRY_MS
-            };
-            contact.on_failure(now.0, pause_ms);
-            return;
-        };
-        contact.on_answer(sent.0);
-        for standing in standings {
-            let reported_end = !call.relayed
-                && reported.iter().any(|report| {
-                    let over = !matches!(report.progress, Progress::Pending { .. });
-                    report.loan == standing.loan && over
-                });
-            let confirmations = &mut self.spillover.confirmations;
-            confirmations.on_answer(&standing, sent.0, reported_end);
-        }
-    }
-
     /// Plans the write that cancels loans of which the lender says that they no longer stand. Their tasks are
     /// then stopped as those of any job that is over.
     pub(crate) fn plan_ended_loans(&self) -> Option<Transaction> {
@@ -198,8 +163,45 @@
                 && job.is_some_and(|(job_id, job)| {
                     let name = self.replica.names.jobs.name(job_id);
                     job.status == JobStatus::Pending
-                        && self.permission(job, name, now) == Permission::Wait
+                        && self.spillover.permission(job, name, now) == Permission::Wait
                 })
         })
     }
 }
+
+impl Spillover {
+    /// A lender, or a relay, answered whether loans stand. `reported` is what the question said of them.
+    pub(super) fn on_standings(
+        &mut self,
+        call: &CellCall,
+        reported: &[LoanReport],
+        answer: Option<CellAnswer>,
+        sent: Timestamp,
+        now: Timestamp,
+    ) {
+        let link = &mut self.cells[call.cell];
+        let contact = match call.relayed {
+            true => &mut link.relay,
+            false => &mut link.origin,
+        };
+        let Some(CellAnswer::Standings(standings)) = answer else {
+            let pause_ms = if reported.is_empty() {
+                IDLE_RETRY_MS
+            } else {
+                RETRY_MS
+            };
+            contact.on_failure(now.0, pause_ms);
+            return;
+        };
+        contact.on_answer(sent.0);
+        for standing in standings {
+            let reported_end = !call.relayed
+                && reported.iter().any(|report| {
+                    let over = !matches!(report.progress, Progress::Pending { .. });
+                    report.loan == standing.loan && over
+                });
+            let confirmations = &mut self.confirmations;
+            confirmations.on_answer(&standing, sent.0, reported_end);
+        }
+    }
+}
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -182,7 +182,9 @@
             room_cpus -= cpus;
         }
         let transaction = batch.finish();
-        let recalled = transaction.as_ref().map_or(0, |t| t.mutations.len());
+        let recalled = transaction
+            .as_ref()
+            .map_or(0, |write| write.mutations.len());
         self.spillover.counters.recalled += recalled as u64;
         transaction
     }
@@ -232,7 +234,7 @@
     ) -> Option<(Transaction, WriteIntent)> {
         let WaitForecast { jobs, waits_s, .. } = forecast;
         let (places, borrowers): (Vec<usize>, Vec<Borrower>) =
-            self.known_borrowers(now).into_iter().unzip();
+            self.spillover.known_borrowers(now).into_iter().unzip();
         let barred = |job: &str, cell: &str| {
             let key = (job.to_owned(), cell.to_owned());
             self.spillover.barred.contains_key(&key)
--- a/src/spillover/load.rs
+++ b/src/spillover/load.rs
@@ -76,7 +76,7 @@
         let mut order = Vec::new();
         for (&job_id, job) in &self.replica.jobs {
             let name = self.replica.names.jobs.name(job_id);
-            if job.status != JobStatus::Pending || !self.may_bind(job, name, now) {
+            if job.status != JobStatus::Pending || !self.spillover.may_bind(job, name, now) {
                 continue;
             }
             let begun = job.done.len() + self.replica.bound_len(job_id);
@@ -92,11 +92,11 @@
                 job: self.waiting_job(name, job, left, lendable),
             });
         }
-        order.sort_by(|a, b| {
-            let by_tier = a.rank.tier.cmp(&b.rank.tier);
+        order.sort_by(|one, other| {
+            let by_tier = one.rank.tier.cmp(&other.rank.tier);
             by_tier
-                .then(a.rank.order_s.total_cmp(&b.rank.order_s))
-                .then(a.job_id.cmp(&b.job_id))
+                .then(one.rank.order_s.total_cmp(&other.rank.order_s))
+                .then(one.job_id.cmp(&other.job_id))
         });
         order.into_iter().map(|ranked| ranked.job).collect()
     }
@@ -221,7 +221,7 @@
                 zones: machine_type.zones.clone(),
             })
             .collect();
-        machine_types.sort_by(|a, b| a.name.cmp(&b.name));
+        machine_types.sort_by(|one, other| one.name.cmp(&other.name));
         CellStatus {
             wait_s: spare.wait_s,
             room_cpus: self.room_for_loans(&spare),
--- a/src/spillover/mod.rs
+++ b/src/spillover/mod.rs
@@ -180,6 +180,62 @@
     pub(crate) fn is_on(&self) -> bool {
         !self.settings.cell.is_empty()
     }
+
+    /// What this controller has heard of the loans of its cell, for its peers.
+    pub(crate) fn heard_loans(&self, now: Timestamp) -> Vec<HeardLoan> {
+        let loans = self.lent.values();
+        let heard = loans.filter_map(|loan| {
+            Some(HeardLoan {
+                job: loan.id.job.clone(),
+                token: loan.id.token.0,
+                age_ms: now.since(loan.heard_at?),
+                bound: loan.busy_at.is_some() && loan.busy_at == loan.heard_at,
+            })
+        });
+        heard.collect()
+    }
+
+    /// A peer has heard of loans of this cell.
+    pub(crate) fn on_heard_loans(&mut self, heard: Vec<HeardLoan>, now: Timestamp) {
+        for report in heard {
+            let Some(loan) = self.lent.get_mut(&report.job) else {
+                continue;
+            };
+            if loan.id.token.0 == report.token {
+                let at = Timestamp(now.0.saturating_sub(report.age_ms));
+                loan.heard_at = loan.heard_at.max(Some(at));
+                if report.bound {
+                    loan.busy_at = loan.busy_at.max(Some(at));
+                }
+                loan.accepted = true;
+            }
+        }
+    }
+
+    /// A request of this cell.
+    fn cell_request(&self, body: RequestBody<JobSpec>) -> CellRequest {
+        CellRequest {
+            version: VERSION,
+            from: self.settings.cell.clone(),
+            body,
+        }
+    }
+
+    /// What may be done with the tasks of a job now, as far as transfers go.
+    pub(crate) fn permission(&self, job: &Job, name: &str, now: Timestamp) -> Permission {
+        if job.transfer.is_none() {
+            return Permission::Run;
+        }
+        match job.borrowed() {
+            Some(mark) => self.confirmations.permission(name, mark.token, now.0),
+            None => Permission::Stop,
+        }
+    }
+
+    /// Whether tasks of a job may be bound to machines, as far as transfers go.
+    pub(crate) fn may_bind(&self, job: &Job, name: &str, now: Timestamp) -> bool {
+        self.permission(job, name, now) == Permission::Run
+    }
 }
 
 impl Controller {
@@ -208,40 +264,12 @@
         }
     }
 
-    /// What may be done with the tasks of a job now, as far as transfers go.
-    pub(crate) fn permission(&self, job: &Job, name: &str, now: Timestamp) -> Permission {
-        if job.transfer.is_none() {
-            return Permission::Run;
-        }
-        match job.borrowed() {
-            Some(mark) => self
-                .spillover
-                .confirmations
-                .permission(name, mark.token, now.0),
-            None => Permission::Stop,
-        }
-    }
-
     /// Whether a job was borrowed from another cell.
     pub(crate) fn is_loan(&self, job_id: JobId) -> bool {
         let job = self.replica.jobs.get(&job_id);
         job.is_some_and(|job| job.borrowed().is_some())
     }
 
-    /// Whether tasks of a job may be bound to machines, as far as transfers go.
-    pub(crate) fn may_bind(&self, job: &Job, name: &str, now: Timestamp) -> bool {
-        self.permission(job, name, now) == Permission::Run
-    }
-
-    /// A request of this cell.
-    fn cell_request(&self, body: RequestBody<JobSpec>) -> CellRequest {
-        CellRequest {
-            version: VERSION,
-            from: self.spillover.settings.cell.clone(),
-            body,
-        }
-    }
-
     /// A call to another cell was answered, or was not; it was sent at `sent`.
     pub fn on_cell_answer(
         &mut self,
@@ -252,42 +280,14 @@
     ) {
         match &call.request.body {
             RequestBody::Confirm { loans, .. } => {
-                self.on_standings(call, loans, answer, sent, now);
+                self.spillover.on_standings(call, loans, answer, sent, now);
             }
-            RequestBody::Status => self.on_borrower_status(call.cell, answer, sent, now),
+            RequestBody::Status => self
+                .spillover
+                .on_borrower_status(call.cell, answer, sent, now),
             RequestBody::Offer(offers) => {
-                self.on_offer_answers(call.cell, offers, answer, sent, now);
-            }
-        }
-    }
-
-    /// What this controller has heard of the loans of its cell, for its peers.
-    pub(crate) fn heard_loans(&self, now: Timestamp) -> Vec<HeardLoan> {
-        let loans = self.spillover.lent.values();
-        let heard = loans.filter_map(|loan| {
-            Some(HeardLoan {
-                job: loan.id.job.clone(),
-                token: loan.id.token.0,
-                age_ms: now.since(loan.heard_at?),
-                bound: loan.busy_at.is_some() && loan.busy_at == loan.heard_at,
-            })
-        });
-        heard.collect()
-    }
-
-    /// A peer has heard of loans of this cell.
-    pub(crate) fn on_heard_loans(&mut self, heard: Vec<HeardLoan>, now: Timestamp) {
-        for report in heard {
-            let Some(loan) = self.spillover.lent.get_mut(&report.job) else {
-                continue;
-            };
-            if loan.id.token.0 == report.token {
-                let at = Timestamp(now.0.saturating_sub(report.age_ms));
-                loan.heard_at = loan.heard_at.max(Some(at));
-                if report.bound {
-                    loan.busy_at = loan.busy_at.max(Some(at));
-                }
-                loan.accepted = true;
+                self.spillover
+                    .on_offer_answers(call.cell, offers, answer, sent, now);
             }
         }
     }
--- a/src/spillover/serving.rs
+++ b/src/spillover/serving.rs
@@ -3,7 +3,7 @@
 //!
 //! Must never say that a loan stands unless the replica shows it, nor how old that is too low.
 
-use super::{CellRequest, Controller};
+use super::{CellRequest, Controller, Spillover};
 use crate::clock::Timestamp;
 use crate::controller::put;
 use crate::names::JobId;
@@ -59,7 +59,7 @@
             let Some(job_id) = self.job_lent_as(from, &report.loan) else {
                 continue;
             };
-            self.note_report(report, now);
+            self.spillover.note_report(report, now);
             let mutation = match &report.progress {
                 Progress::Pending { .. } => continue,
                 Progress::Done => self.finished_loan(job_id),
@@ -112,25 +112,6 @@
         (same && job.status == JobStatus::Pending).then_some(job_id)
     }
 
-    /// Records when a borrower last reported on a loan.
-    fn note_report(&mut self, report: &LoanReport, now: Timestamp) {
-        let Some(loan) = self.spillover.lent.get_mut(&report.loan.job) else {
-            return;
-        };
-        if loan.id != report.loan {
-            return;
-        }
-        loan.accepted = true;
-        // Guards against a cut of one direction: a borrower that is heard but hears nothing can do
-        // nothing with the loan.
-        if report.confirmed {
-            loan.heard_at = Some(now);
-        }
-        if matches!(report.progress, Progress::Pending { bound, .. } if bound > 0) {
-            loan.busy_at = Some(now);
-        }
-    }
-
     /// The answer to a request, after what it made this cell write. Offers are answered by the HTTP handler,
     /// one decision after the other.
     pub fn answer_cell(&mut self, request: &CellRequest, now: Timestamp) -> CellAnswer {
@@ -191,3 +172,24 @@
         }
     }
 }
+
+impl Spillover {
+    /// Records when a borrower last reported on a loan.
+    fn note_report(&mut self, report: &LoanReport, now: Timestamp) {
+        let Some(loan) = self.lent.get_mut(&report.loan.job) else {
+            return;
+        };
+        if loan.id != report.loan {
+            return;
+        }
+        loan.accepted = true;
+        // Guards against a cut of one direction: a borrower that is heard but hears nothing can do
+        // nothing with the loan.
+        if report.confirmed {
+            loan.heard_at = Some(now);
+        }
+        if matches!(report.progress, Progress::Pending { bound, .. } if bound > 0) {
+            loan.busy_at = Some(now);
+        }
+    }
+}
--- a/src/spillover/status_page.rs
+++ b/src/spillover/status_page.rs
@@ -36,7 +36,7 @@
                 });
                 lent.insert(name, page);
             } else if let Some(mark) = job.borrowed() {
-                let permission = format!("{:?}", self.permission(job, name, now));
+                let permission = format!("{:?}", self.spillover.permission(job, name, now));
                 let page = json!({
                     "cell": mark.cell, "token": mark.token, "permission": permission,
                 });
