--- a/src/controller/blocks/merging.rs
+++ b/src/controller/blocks/merging.rs
@@ -57,7 +57,7 @@
         };
         if let Some((transaction, intent)) = self.plan_merge(kept, emptied) {
             self.writes
-                .submit(WriteKind::Ends(kept), transaction, intent, out);
+                .submit(WriteKind::Completions(kept), transaction, intent, out);
         }
     }
 
@@ -90,7 +90,7 @@
             let Some(grant) = grant.filter(|grant| self.holds(grant)) else {
                 continue;
             };
-            let quiet = self.may_plan_early(WriteKind::Ends(id), now)
+            let quiet = self.may_plan_early(WriteKind::Completions(id), now)
                 && !self.writes.writes_block(id)
                 && !self.block_upkeep.is_oversized(id);
             let expected_bytes = self.expected_block_bytes(block);
--- a/src/controller/candidacy.rs
+++ b/src/controller/candidacy.rs
@@ -97,7 +97,7 @@
 
     /// Takes the leadership if nobody leads, or the leader is gone.
     pub(crate) fn tick_leadership(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if self.leads().is_some() || !self.may_plan(WriteKind::Lead, now) {
+        if self.leads().is_some() || !self.may_plan(WriteKind::TakeLeadership, now) {
             return;
         }
         let leader = self.leader_status(now);
@@ -150,8 +150,12 @@
         let hosts = &self.replica.names.hosts;
         let previous_leader = self.replica.leader.map(|l| hosts.name(l.host).to_owned());
         info!(?previous_leader, "campaigning for the leadership");
-        self.writes
-            .submit(WriteKind::Lead, transaction, WriteIntent::default(), out);
+        self.writes.submit(
+            WriteKind::TakeLeadership,
+            transaction,
+            WriteIntent::default(),
+            out,
+        );
     }
 }
 
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -35,7 +35,7 @@
             .chain(self.block_upkeep.oversized())
             .collect();
         for id in blocks {
-            let write_kind = WriteKind::Ends(id);
+            let write_kind = WriteKind::Completions(id);
             if !self.may_plan(write_kind, now) || self.writes.writes_block(id) {
                 continue;
             }
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -58,15 +58,15 @@
     /// Writes the controller's own key.
     Join,
     /// Takes the leadership.
-    Lead,
+    TakeLeadership,
     /// A write that only the leader may make: grants, finished jobs, the catalog.
-    Leader,
+    LeaderWrite,
     /// The leader's changes of a block: machines in and out, new tasks.
-    Edit(BlockId),
+    BlockEdit(BlockId),
     /// Completions in a block that this controller holds, and moves out of it.
-    Ends(BlockId),
+    Completions(BlockId),
     /// Queue totals for work stealing.
-    Load,
+    QueueTotals,
 }
 
 /// Answer to a worker's heartbeat.
--- a/src/controller/queue_load.rs
+++ b/src/controller/queue_load.rs
@@ -77,7 +77,7 @@
 
     /// Publishes this controller's queue totals, for the mean of the next round of work stealing.
     pub(crate) fn publish_loads(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if !self.may_plan(WriteKind::Load, now) {
+        if !self.may_plan(WriteKind::QueueTotals, now) {
             return;
         }
         let mut loads: Vec<(f64, MachineId)> = self
@@ -97,8 +97,12 @@
             preconditions: Vec::new(),
             mutations: vec![put(&key, &record, self.membership.lease_id())],
         };
-        self.writes
-            .submit(WriteKind::Load, transaction, WriteIntent::default(), out);
+        self.writes.submit(
+            WriteKind::QueueTotals,
+            transaction,
+            WriteIntent::default(),
+            out,
+        );
     }
 
     /// The value that publishes these loads, which are sorted.
--- a/src/controller/writes/commits.rs
+++ b/src/controller/writes/commits.rs
@@ -60,10 +60,10 @@
         self.pace(write_kind, write.transaction.mutations.len(), now);
         match write_kind {
             WriteKind::Join => self.membership.on_joined(),
-            WriteKind::Lead => info!(term = revision, "became leader"),
-            WriteKind::Ends(_) => self.on_completions_committed(&write.intent, revision),
-            WriteKind::Edit(id) => self.on_block_edit_committed(id, &write.intent),
-            WriteKind::Leader | WriteKind::Load => {}
+            WriteKind::TakeLeadership => info!(term = revision, "became leader"),
+            WriteKind::Completions(_) => self.on_completions_committed(&write.intent, revision),
+            WriteKind::BlockEdit(id) => self.on_block_edit_committed(id, &write.intent),
+            WriteKind::LeaderWrite | WriteKind::QueueTotals => {}
         }
         self.after_replica_change(now);
     }
--- a/src/controller/writes/pacing.rs
+++ b/src/controller/writes/pacing.rs
@@ -142,8 +142,8 @@
     /// it.
     pub(super) fn pace(&mut self, write_kind: WriteKind, changes: usize, now: Timestamp) {
         let share = match write_kind {
-            WriteKind::Ends(_) => COMPLETION_SHARE,
-            WriteKind::Edit(_) => EDIT_SHARE,
+            WriteKind::Completions(_) => COMPLETION_SHARE,
+            WriteKind::BlockEdit(_) => EDIT_SHARE,
             _ => return,
         };
         let least_ms = self.settings.options.flush_ms as u64;
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -67,12 +67,12 @@
 impl Controller {
     /// Whether the leader may write a block now.
     fn is_writable(&self, id: BlockId, now: Timestamp) -> bool {
-        self.may_plan(WriteKind::Edit(id), now) && !self.writes.writes_block(id)
+        self.may_plan(WriteKind::BlockEdit(id), now) && !self.writes.writes_block(id)
     }
 
     /// Whether the leader may write a block ahead of its turn, for what others wait for.
     fn is_writable_ahead_of_turn(&self, id: BlockId, now: Timestamp) -> bool {
-        self.may_plan_early(WriteKind::Edit(id), now) && !self.writes.writes_block(id)
+        self.may_plan_early(WriteKind::BlockEdit(id), now) && !self.writes.writes_block(id)
     }
 
     /// Blocks whose key the leader may write now.
@@ -129,7 +129,7 @@
             mutations: vec![mutation],
         };
         self.writes
-            .submit(WriteKind::Edit(id), transaction, intent, out);
+            .submit(WriteKind::BlockEdit(id), transaction, intent, out);
         BlockWrite::Submitted
     }
 
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -102,13 +102,13 @@
             self.observe_machines(now);
         }
         self.tick_cloud(now, term, out);
-        if self.may_plan(WriteKind::Leader, now)
+        if self.may_plan(WriteKind::LeaderWrite, now)
             && let Some((mut transaction, intent)) = self.plan_leader_write(now)
         {
             // Guards against a write of a leader that another one has replaced.
             transaction.preconditions.push(self.precondition(LEAD));
             self.writes
-                .submit(WriteKind::Leader, transaction, intent, out);
+                .submit(WriteKind::LeaderWrite, transaction, intent, out);
         }
         self.plan_edits(now, out);
     }
