--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,18 +1,21 @@
-//! Time as the decisions see it: a steady clock and a time of day, both replaceable in tests.
+//! Time as the decisions see it: a monotonic clock and a time of day, both replaceable in tests.
+//!
+//! Decisions never read a clock: the moment of each event is passed to them. Times that other controllers
+//! see are differences, or times of day: a [`Timestamp`] means nothing outside its process.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Milliseconds on a process's own steady clock.
+/// A moment on a process's own monotonic clock, milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// This moment and `ms` milliseconds more.
+    /// The moment `ms` milliseconds later.
     pub fn plus(self, ms: u64) -> Timestamp {
         Timestamp(self.0.saturating_add(ms))
     }
 
-    /// Milliseconds since `earlier`, zero if it lies ahead.
+    /// Milliseconds since `earlier`; 0 if that lies ahead.
     pub fn since(self, earlier: Timestamp) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
@@ -20,13 +23,17 @@
 
 /// Where the time comes from.
 pub trait Clock {
-    /// The steady clock.
+    /// The monotonic clock.
     fn now(&self) -> Timestamp;
     /// Time of day, milliseconds since the epoch.
     fn day_ms(&self) -> u64;
 }
 
-/// The clocks of the machine.
+/// What the monotonic clock shows at the start, milliseconds: moments of up to an hour before the start can
+/// be expressed.
+const START_MS: u64 = 3_600_000;
+
+/// The clocks of the operating system.
 #[derive(Debug)]
 pub struct SystemClock {
     start: Instant,
@@ -34,7 +41,6 @@
 
 impl Default for SystemClock {
     fn default() -> Self {
-        // An hour of headroom: "long ago" stays expressible just after the start.
         let start = Instant::now();
         Self { start }
     }
@@ -42,7 +48,7 @@
 
 impl Clock for SystemClock {
     fn now(&self) -> Timestamp {
-        Timestamp(3_600_000 + self.start.elapsed().as_millis() as u64)
+        Timestamp(START_MS + self.start.elapsed().as_millis() as u64)
     }
 
     fn day_ms(&self) -> u64 {
--- a/src/names.rs
+++ b/src/names.rs
@@ -1,4 +1,7 @@
-//! Names become dense indices at the door; inside, everything is an index.
+//! Names and their indices: names of the wire and of stored values are mapped to dense indices once, and
+//! decisions compare and count indices only.
+//!
+//! An index means nothing to another process, and nothing after its release: it must not be stored or sent.
 
 use std::collections::HashMap;
 use std::marker::PhantomData;
@@ -42,11 +45,13 @@
     HostId;
 }
 
-/// Maps names to indices; freed slots are used again, so memory follows what is alive.
+/// Maps names to indices. Released indices are given out again, so memory is bounded by the names in use.
 #[derive(Debug)]
 pub struct Interner<I> {
     by_name: HashMap<Box<str>, u32>,
+    /// By index; none for a released one.
     names: Vec<Option<Box<str>>>,
+    /// Released indices, of which the latest is given out next.
     free: Vec<u32>,
     kind: PhantomData<I>,
 }
@@ -63,7 +68,7 @@
 }
 
 impl<I: Index> Interner<I> {
-    /// The index of `name`, made if it has none.
+    /// The index of `name`, which is given one if it has none.
     pub fn intern(&mut self, name: &str) -> I {
         if let Some(&raw) = self.by_name.get(name) {
             return I::from_raw(raw);
@@ -82,15 +87,15 @@
         self.by_name.get(name).map(|&raw| I::from_raw(raw))
     }
 
-    /// The name behind an index; empty for one that was released.
+    /// The name of an index; empty for a released one.
     pub fn name(&self, id: I) -> &str {
         self.names
             .get(id.raw())
-            .and_then(|n| n.as_deref())
+            .and_then(|name| name.as_deref())
             .unwrap_or("")
     }
 
-    /// Gives the slot back. The caller holds no copy of the index any more.
+    /// Releases an index. No copy of it may be used any more: it may become the index of another name.
     pub fn release(&mut self, id: I) {
         if let Some(name) = self.names.get_mut(id.raw()).and_then(Option::take) {
             self.by_name.remove(&name);
@@ -98,7 +103,7 @@
         }
     }
 
-    /// Number of slots ever made at one time; indices are below it.
+    /// Most indices that were ever in use at one time; all are below it.
     pub fn slots(&self) -> usize {
         self.names.len()
     }
--- a/src/ranges/bitmap.rs
+++ b/src/ranges/bitmap.rs
@@ -4,7 +4,7 @@
 //! and a bitmap a sixth of a character for each task. The text is `b12:` and, in base64, one bit for
 //! each task from number 12 on; all tasks below it are in the set, and none after the last bit.
 
-use super::{BadRanges, RangeSet};
+use super::{MalformedRanges, RangeSet};
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 
@@ -14,6 +14,7 @@
 const PREFIX_BYTES: usize = 12;
 /// Tasks whose bits fill whole characters: three bytes are four characters.
 const GROUP_TASKS: usize = 24;
+/// Characters of such a group.
 const GROUP_CHARACTERS: usize = 4;
 
 /// Number of tasks, from the first missing one on, whose bits surely fit into so many bytes of text,
@@ -40,17 +41,17 @@
 }
 
 /// Reads what [`write()`] wrote.
-pub(super) fn read(text: &str) -> Result<RangeSet, BadRanges> {
-    let bad = || BadRanges::of(text);
+pub(super) fn read(text: &str) -> Result<RangeSet, MalformedRanges> {
+    let malformed = || MalformedRanges::of(text);
     let (first, bits) = text
         .strip_prefix(MARK)
         .and_then(|rest| rest.split_once(':'))
-        .ok_or_else(bad)?;
-    let first: u32 = first.parse().map_err(|_| bad())?;
-    let bits = URL_SAFE_NO_PAD.decode(bits).map_err(|_| bad())?;
-    let fits = u32::try_from(bits.len() * 8).is_ok_and(|n| first.checked_add(n).is_some());
+        .ok_or_else(malformed)?;
+    let first: u32 = first.parse().map_err(|_| malformed())?;
+    let bits = URL_SAFE_NO_PAD.decode(bits).map_err(|_| malformed())?;
+    let fits = u32::try_from(bits.len() * 8).is_ok_and(|tasks| first.checked_add(tasks).is_some());
     if !fits {
-        return Err(bad());
+        return Err(malformed());
     }
     let mut set = RangeSet::all(first);
     for (at, byte) in (0u32..).zip(&bits) {
--- a/src/ranges/mod.rs
+++ b/src/ranges/mod.rs
@@ -1,38 +1,31 @@
 //! Sets of task numbers kept as sorted, disjoint ranges, written as `0-3,7,9-12` or as a bitmap.
-
-use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
-use std::fmt;
-use std::str::FromStr;
+//!
+//! Most of a job's tasks are done in runs, so a set of 100,000 tasks is mostly a few ranges. The texts are
+//! stored and sent, and every version reads them: they must not change.
 
 pub mod bitmap;
+mod text;
+
+pub use text::MalformedRanges;
+pub(crate) use text::write_number;
 
 /// A set of task numbers. Ranges are half-open in memory and inclusive in text.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RangeSet {
+    /// Half-open, ascending, and with a gap between any two.
     parts: Vec<(u32, u32)>,
 }
 
-/// Text that is not a list of ranges.
-#[derive(Debug, thiserror::Error, PartialEq, Eq)]
-#[error("not a list of task ranges: {0:?}")]
-pub struct BadRanges(String);
-
-impl BadRanges {
-    fn of(text: &str) -> Self {
-        Self(text.chars().take(40).collect())
-    }
-}
-
 impl RangeSet {
     /// The empty set.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The set `0..n`.
-    pub fn all(n: u32) -> Self {
+    /// The set `0..end`.
+    pub fn all(end: u32) -> Self {
         let mut set = Self::new();
-        set.insert_range(0, n);
+        set.insert_range(0, end);
         set
     }
 
@@ -56,16 +49,6 @@
         self.parts.iter().map(|&(lo, hi)| (lo, hi - 1)).collect()
     }
 
-    /// About how many bytes its text has.
-    pub fn text_len(&self) -> usize {
-        let digits = |n: u32| n.checked_ilog10().unwrap_or(0) as usize + 1;
-        let part = |&(lo, hi): &(u32, u32)| match hi - lo {
-            1 => digits(lo) + 1,
-            _ => digits(lo) + digits(hi) + 2,
-        };
-        self.parts.iter().map(part).sum()
-    }
-
     /// The lowest task that is absent.
     pub fn first_missing(&self) -> u32 {
         match self.parts.first() {
@@ -76,22 +59,7 @@
 
     /// One more than the highest task.
     pub fn end(&self) -> u32 {
-        self.parts.last().map_or(0, |p| p.1)
-    }
-
-    /// The text as ranges or as a bitmap, whichever is shorter.
-    pub fn shortest_text(&self) -> String {
-        let bits = self.end().saturating_sub(self.first_missing()) as usize;
-        // Most sets are a few ranges: for these no bitmap is made.
-        if bits.div_ceil(6) >= self.text_len() {
-            return self.to_string();
-        }
-        let (ranges, bitmap) = (self.to_string(), bitmap::write(self));
-        if bitmap.len() < ranges.len() {
-            bitmap
-        } else {
-            ranges
-        }
+        self.parts.last().map_or(0, |&(_, hi)| hi)
     }
 
     /// Whether `task` belongs to the set.
@@ -110,8 +78,8 @@
         if lo >= hi {
             return;
         }
-        let first = self.parts.partition_point(|&(_, h)| h < lo);
-        let last = self.parts.partition_point(|&(l, _)| l <= hi);
+        let first = self.parts.partition_point(|&(_, end)| end < lo);
+        let last = self.parts.partition_point(|&(start, _)| start <= hi);
         let (mut lo, mut hi) = (lo, hi);
         if first < last {
             lo = lo.min(self.parts[first].0);
@@ -131,7 +99,7 @@
         }
         let rest = [(lo, task), (task + 1, hi)];
         self.parts
-            .splice(at..=at, rest.into_iter().filter(|(l, h)| l < h));
+            .splice(at..=at, rest.into_iter().filter(|(start, end)| start < end));
     }
 
     /// Adds every task of `other`.
@@ -155,11 +123,11 @@
             let mut next = at;
             while lo < hi {
                 match other.parts.get(next) {
-                    Some(&(l, h)) if l < hi => {
-                        if lo < l {
-                            parts.push((lo, l));
+                    Some(&(start, end)) if start < hi => {
+                        if lo < start {
+                            parts.push((lo, start));
                         }
-                        lo = h;
+                        lo = end;
                         next += 1;
                     }
                     _ => {
@@ -177,86 +145,17 @@
         self.parts.iter().flat_map(|&(lo, hi)| lo..hi)
     }
 
-    /// The tasks of `0..n` that are absent from the set, in ascending order.
-    pub fn gaps(&self, n: u32) -> impl Iterator<Item = u32> + '_ {
-        let starts = std::iter::once(0).chain(self.parts.iter().map(|p| p.1));
-        let ends = self.parts.iter().map(|p| p.0).chain(std::iter::once(n));
+    /// The tasks of `0..end` that are absent from the set, in ascending order.
+    pub fn gaps(&self, end: u32) -> impl Iterator<Item = u32> + '_ {
+        let starts = std::iter::once(0).chain(self.parts.iter().map(|&(_, hi)| hi));
+        let ends = self
+            .parts
+            .iter()
+            .map(|&(lo, _)| lo)
+            .chain(std::iter::once(end));
         starts
             .zip(ends)
-            .flat_map(move |(lo, hi)| lo.min(n)..hi.min(n))
-    }
-}
-
-/// Writes a number in a base of up to 36.
-pub(crate) fn write_number(n: u64, base: u32, out: &mut String) {
-    let base64 = u64::from(base);
-    if n >= base64 {
-        write_number(n / base64, base, out);
-    }
-    out.extend(char::from_digit((n % base64) as u32, base));
-}
-
-impl RangeSet {
-    /// Writes the ranges with numbers in a base of up to 36.
-    pub(crate) fn write(&self, base: u32, out: &mut String) {
-        for (i, &(lo, hi)) in self.parts.iter().enumerate() {
-            if i > 0 {
-                out.push(',');
-            }
-            write_number(lo.into(), base, out);
-            if hi - lo > 1 {
-                out.push('-');
-                write_number((hi - 1).into(), base, out);
-            }
-        }
-    }
-
-    /// Reads ranges with numbers in a base of up to 36.
-    pub(crate) fn read(text: &str, base: u32) -> Result<Self, BadRanges> {
-        let bad = || BadRanges::of(text);
-        let mut set = RangeSet::new();
-        for part in text.split(',').filter(|p| !p.is_empty()) {
-            let (lo, hi) = part.split_once('-').unwrap_or((part, part));
-            let lo = u32::from_str_radix(lo, base).map_err(|_| bad())?;
-            let hi = u32::from_str_radix(hi, base).map_err(|_| bad())?;
-            if hi < lo || hi == u32::MAX {
-                return Err(bad());
-            }
-            set.insert_range(lo, hi + 1);
-        }
-        Ok(set)
-    }
-}
-
-impl fmt::Display for RangeSet {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut text = String::new();
-        self.write(10, &mut text);
-        f.write_str(&text)
-    }
-}
-
-impl FromStr for RangeSet {
-    type Err = BadRanges;
-
-    fn from_str(text: &str) -> Result<Self, BadRanges> {
-        match bitmap::is_bitmap(text) {
-            true => bitmap::read(text),
-            false => Self::read(text, 10),
-        }
-    }
-}
-
-impl Serialize for RangeSet {
-    fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-        s.collect_str(self)
-    }
-}
-
-impl<'de> Deserialize<'de> for RangeSet {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        let text = std::borrow::Cow::<str>::deserialize(d)?;
-        text.parse().map_err(D::Error::custom)
+            .flat_map(move |(lo, hi)| lo.min(end)..hi.min(end))
     }
 }
 
