--- a/src/controller/heartbeat/delayed.rs
+++ b/src/controller/heartbeat/delayed.rs
@@ -99,7 +99,7 @@
         }
         HeartbeatResponse::HeartbeatAck(HeartbeatAck {
             token: runtime.fencing_token,
-            orders: launches.commands,
+            commands: launches.commands,
         })
     }
 }
--- a/src/controller/heartbeat/mod.rs
+++ b/src/controller/heartbeat/mod.rs
@@ -87,7 +87,7 @@
         self.counters.heartbeats += 1;
         HeartbeatResponse::HeartbeatAck(HeartbeatAck {
             token: held.fencing_token.0,
-            orders,
+            commands: orders,
         })
     }
 
@@ -118,7 +118,7 @@
         };
         HeartbeatResponse::HeartbeatAck(HeartbeatAck {
             token,
-            orders: Vec::new(),
+            commands: Vec::new(),
         })
     }
 }
--- a/src/controller/heartbeat/reconcile.rs
+++ b/src/controller/heartbeat/reconcile.rs
@@ -138,7 +138,7 @@
     if status.status != TaskPhase::Ended {
         return None;
     }
-    let outcome = match status.cause {
+    let outcome = match status.exit_reason {
         Some(ExitReason::Done) => TaskOutcome::Done,
         Some(ExitReason::Error) => TaskOutcome::Failed,
         _ => TaskOutcome::Free,
@@ -180,7 +180,7 @@
             attempt = status.attempt,
             machine = heartbeat.machine,
             status = ?status.status,
-            cause = ?status.cause,
+            exit_reason = ?status.exit_reason,
             "task status changed"
         );
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -243,7 +243,7 @@
                 self.replica.names.zones.intern(zone);
             }
             let names = &mut self.replica.names.machine_types;
-            let id = names.intern(&machine_type.label);
+            let id = names.intern(&machine_type.name);
             if self.machine_types.insert(id, machine_type).is_none() {
                 // How much the machines of a block may come to list is known only now.
                 self.replica.mark_all_changed();
--- a/src/http/workers.rs
+++ b/src/http/workers.rs
@@ -83,7 +83,7 @@
         let HeartbeatResponse::HeartbeatAck(ack) = response else {
             return None;
         };
-        if !ack.orders.is_empty() {
+        if !ack.commands.is_empty() {
             return None;
         }
         let now = self.shared.now();
--- a/src/jobs/submission.rs
+++ b/src/jobs/submission.rs
@@ -133,7 +133,7 @@
         };
         let fits = self.machine_types.values().any(|machine_type| {
             let allowed = spec.machine_types.as_ref();
-            allowed.is_none_or(|labels| labels.contains(&machine_type.label))
+            allowed.is_none_or(|labels| labels.contains(&machine_type.name))
                 && spec
                     .zone
                     .as_ref()
--- a/src/leadership/catalog.rs
+++ b/src/leadership/catalog.rs
@@ -20,7 +20,7 @@
     /// away.
     pub(super) fn plan_catalog(&mut self) -> Option<Transaction> {
         let mut machine_types: Vec<MachineType> = self.machine_types.values().cloned().collect();
-        machine_types.sort_by(|a, b| a.label.cmp(&b.label));
+        machine_types.sort_by(|a, b| a.name.cmp(&b.name));
         let stored = self.replica.catalog.as_ref();
         let up_to_date = stored.is_some_and(|stored| {
             let mut pairs = stored.iter().zip(&machine_types);
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -7,7 +7,8 @@
 #[serde(rename_all = "camelCase")]
 pub struct MachineType {
     /// Name.
-    pub label: String,
+    #[serde(rename = "label")]
+    pub name: String,
     /// CPUs.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -13,7 +13,8 @@
     #[serde(rename = "crew")]
     pub team: String,
     /// Kind of job.
-    pub shape: JobKind,
+    #[serde(rename = "shape")]
+    pub kind: JobKind,
     /// Priority, which decides about preemption.
     #[serde(rename = "urgency")]
     pub priority: Priority,
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -14,7 +14,7 @@
     Running,
     /// Was told to stop, and is saving a checkpoint.
     Flushing,
-    /// Ended; [`TaskStatus::cause`] says why.
+    /// Ended; [`TaskStatus::exit_reason`] says why.
     Ended,
     /// A state that this version does not know; the task counts as being on the machine.
     #[serde(other)]
@@ -52,8 +52,8 @@
     /// State.
     pub status: TaskPhase,
     /// Why it ended; absent until then.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<ExitReason>,
+    #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
+    pub exit_reason: Option<ExitReason>,
     /// Whether a task that was stopped has saved its progress.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -140,5 +140,6 @@
     #[serde(rename = "baton")]
     pub token: u64,
     /// Commands, in the order in which they are to be executed.
-    pub orders: Vec<Command>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
--- a/src/spillover/load.rs
+++ b/src/spillover/load.rs
@@ -213,7 +213,7 @@
             .machine_types
             .values()
             .map(|machine_type| MachineType {
-                name: machine_type.label.clone(),
+                name: machine_type.name.clone(),
                 cpus: machine_type.cpus,
                 gpus: machine_type.gpus,
                 memory_gb: machine_type.memory_gb,
--- a/tests/duplicate_execution.rs
+++ b/tests/duplicate_execution.rs
@@ -110,7 +110,7 @@
     // The tasks end, and the worker's lease with them: only a copy of its heartbeat arrives.
     let mut copy = w.workers[at].heartbeat();
     for task in &mut copy.tasks {
-        (task.status, task.cause) = (TaskPhase::Ended, Some(ExitReason::Done));
+        (task.status, task.exit_reason) = (TaskPhase::Ended, Some(ExitReason::Done));
     }
     copy.sequence += 1;
     let worker = &mut w.workers[at];
@@ -211,7 +211,7 @@
         let mut late = w.workers[at].heartbeat();
         late.sequence += 1;
         late.tasks[0].status = TaskPhase::Ended;
-        late.tasks[0].cause = Some(ExitReason::Error);
+        late.tasks[0].exit_reason = Some(ExitReason::Error);
         let task = late.tasks[0].task.clone();
         // All controllers are away until its epoch is over.
         (0..3).for_each(|i| w.crash(i));
@@ -328,7 +328,7 @@
     heartbeat.sequence += 1;
     let listed = heartbeat.tasks[0].clone();
     heartbeat.tasks[0].status = TaskPhase::Ended;
-    heartbeat.tasks[0].cause = Some(ExitReason::InUse);
+    heartbeat.tasks[0].exit_reason = Some(ExitReason::InUse);
     let attempt = listed.attempt - 1;
     heartbeat.tasks.push(TaskStatus { attempt, ..listed });
     let clock = w.clock(holder);
--- a/tests/missed_messages.rs
+++ b/tests/missed_messages.rs
@@ -534,7 +534,7 @@
     let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
     assert_eq!(controller.woken_machines(), std::slice::from_ref(&machine));
     let orders = |reply| match reply {
-        quillbend::controller::HeartbeatResponse::HeartbeatAck(o) => o.orders.len(),
+        quillbend::controller::HeartbeatResponse::HeartbeatAck(o) => o.commands.len(),
         _ => 0,
     };
     assert_eq!(
--- a/tests/processes/mod.rs
+++ b/tests/processes/mod.rs
@@ -411,7 +411,7 @@
         for task in &mut self.tasks {
             if task.task.status == TaskPhase::Running && now >= task.ends_ms {
                 task.task.status = TaskPhase::Ended;
-                task.task.cause = Some(ExitReason::Done);
+                task.task.exit_reason = Some(ExitReason::Done);
                 log.note_end(&task.task.task, &self.machine.name, true);
             }
         }
@@ -434,7 +434,7 @@
         self.token = orders.token;
         self.answered_ms = sent;
         let mut log = log.lock().expect("lock");
-        for order in orders.orders {
+        for order in orders.commands {
             match order {
                 Command::Launch { task, attempt } => self.launch(task, attempt, &mut log),
                 Command::Stop { task, attempt, .. } => self.stop(&task, attempt, &mut log),
@@ -479,7 +479,7 @@
                 task,
                 attempt,
                 status,
-                cause,
+                exit_reason: cause,
                 saved: None,
             },
             ends_ms: elapsed_ms() + left,
@@ -491,7 +491,7 @@
             let meant = task.task.task == name && task.task.attempt == attempt;
             if meant && task.task.status != TaskPhase::Ended {
                 task.task.status = TaskPhase::Ended;
-                task.task.cause = Some(ExitReason::Halted);
+                task.task.exit_reason = Some(ExitReason::Halted);
                 log.note_end(name, &self.machine.name, false);
             }
         }
--- a/tests/support/machines.rs
+++ b/tests/support/machines.rs
@@ -208,7 +208,7 @@
                     reply => reply,
                 };
                 let nothing =
-                    matches!(&reply, HeartbeatResponse::HeartbeatAck(o) if o.orders.is_empty());
+                    matches!(&reply, HeartbeatResponse::HeartbeatAck(o) if o.commands.is_empty());
                 let patience = nothing.then(|| n.controller.may_wait(&machine, number, clock));
                 if let Some(ms) = patience.flatten()
                     && !self.workers[at].unreachable
@@ -249,7 +249,7 @@
                 }
                 w.token = o.token;
                 w.answered = sent;
-                self.execute(at, o.orders);
+                self.execute(at, o.commands);
             }
             HeartbeatResponse::HeartbeatAck(_) => {}
             HeartbeatResponse::Elsewhere(Some(to)) => {
@@ -347,7 +347,7 @@
         let machine_types = catalog().machine_types;
         let machine_type = machine_types
             .iter()
-            .find(|f| f.label == w.machine.machine_type);
+            .find(|f| f.name == w.machine.machine_type);
         machine_type.is_none_or(|f| used + cpus(task) <= f.cpus + 1e-6)
     }
 
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -39,7 +39,7 @@
         JobSpec {
             class: "nightly".into(),
             team: "blue".into(),
-            shape: JobKind::Batch,
+            kind: JobKind::Batch,
             priority: Priority::Normal,
             task_count,
             cpus: 1.0,
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -80,7 +80,7 @@
             task: t.task.clone(),
             attempt: t.attempt,
             status: t.status(),
-            cause: t.ended,
+            exit_reason: t.ended,
             saved: None,
         };
         Heartbeat {
