--- a/src/replica/job.rs
+++ b/src/replica/job.rs
@@ -7,8 +7,8 @@
 use crate::records::{BorrowedMark, DoneTasks, Encoding, JobRecord, LentMark, Transfer};
 use std::sync::Arc;
 
-/// So many tasks of a job may be open in any case.
-const LEAST_OPEN: usize = 16;
+/// Number of tasks of a job that may be open, that is bound and not done, in any case.
+const MIN_OPEN: usize = 16;
 
 /// A job, with its names mapped to indices.
 #[derive(Debug, Clone)]
@@ -17,27 +17,28 @@
     pub mod_revision: u64,
     /// Specification.
     pub spec: Arc<JobSpec>,
-    /// Team.
+    /// Its team.
     pub team: TeamId,
-    /// Class.
+    /// Its class.
     pub class: ClassId,
-    /// Image.
+    /// Its image.
     pub image: ImageId,
-    /// Allowed types.
+    /// Allowed machine types; any if absent.
     pub machine_types: Option<Vec<MachineTypeId>>,
-    /// The only zone.
+    /// The only allowed zone; any if absent.
     pub zone: Option<ZoneId>,
-    /// State.
+    /// State, as its key shows it.
     pub status: JobStatus,
     /// Tasks done, as the job's key or any block shows them.
     pub done: RangeSet,
     /// Tasks done as the job's own key shows them.
     pub stored: RangeSet,
-    /// Time of day of the submission.
+    /// Time of day of the submission, milliseconds since the epoch.
     pub submitted_ms: u64,
-    /// Time of day at which the last job that this one needed was done, if it waited for any.
+    /// Time of day at which the last job that this one depended on was done, milliseconds since the epoch; none
+    /// if it waited for no job.
     pub ready_ms: Option<u64>,
-    /// Its transfer between cells.
+    /// Its transfer between cells, if it is lent or borrowed.
     pub transfer: Option<Box<Transfer>>,
     /// Size of its value while nothing is done, bytes.
     pub bytes: usize,
@@ -45,7 +46,7 @@
 
 impl Job {
     /// Most of its tasks that may be open below the highest bound one, so that what is done always
-    /// fits into a value of so many bytes as ranges, in whatever order they end.
+    /// fits into a value of `value_bytes` as ranges, in whatever order they end.
     ///
     /// A gap between done tasks costs one more range in the text, at worst two numbers and two
     /// signs. One bound for all jobs, by the longest numbers, held jobs of several hundred tasks
@@ -59,12 +60,12 @@
         match range * task_count.div_ceil(3) <= room {
             true => task_count,
             // One range more than there are gaps.
-            false => (room / range).saturating_sub(1).max(LEAST_OPEN),
+            false => (room / range).saturating_sub(1).max(MIN_OPEN),
         }
     }
 
     /// Number of the first task that may not be open yet, so that what is done always fits into a
-    /// value of so many bytes, in whatever order tasks end.
+    /// value of `value_bytes`, in whatever order tasks end.
     ///
     /// Tasks are bound in the order of their numbers, so a bitmap has to reach from the first one that
     /// is not done to the highest that is open.
@@ -74,7 +75,7 @@
             Encoding::Compatible => tasks,
             Encoding::Dense => {
                 let room = value_bytes.saturating_sub(self.bytes);
-                let window = bitmap::tasks_within(room).max(LEAST_OPEN);
+                let window = bitmap::tasks_within(room).max(MIN_OPEN);
                 let window = u32::try_from(window).unwrap_or(u32::MAX);
                 let end = self.done.first_missing().saturating_add(window);
                 end.min(tasks)
@@ -93,14 +94,14 @@
         let open = (taken.len() - self.done.len()) as usize + taken.fragments();
         let most_open = self.most_open(value_bytes);
         let bounded = encoding == Encoding::Compatible && most_open < self.spec.task_count as usize;
-        let most = match bounded {
+        let limit = match bounded {
             true => most_open.saturating_sub(open),
             false => usize::MAX,
         };
-        taken.gaps(self.open_end(value_bytes, encoding)).take(most)
+        taken.gaps(self.open_end(value_bytes, encoding)).take(limit)
     }
 
-    /// Room of one task.
+    /// What one task takes of its machine.
     pub fn room(&self) -> crate::placement::Room {
         crate::placement::Room {
             cpus: self.spec.cpus,
--- a/src/replica/waiting.rs
+++ b/src/replica/waiting.rs
@@ -1,7 +1,7 @@
-//! The part of the replica that shows jobs which wait for others.
+//! Jobs of the replica that wait for others.
 //!
-//! They stand under a prefix of their own. What schedules looks at ordinary jobs only, so a job that
-//! waits takes no room, no turn and no part of a limit, whatever version leads.
+//! They stand under a prefix of their own. Scheduling looks at ordinary jobs only, so a job that waits takes
+//! no capacity, no place in the order and no part of a limit, whatever version leads.
 
 use super::Replica;
 use crate::collections::HashMap;
@@ -16,9 +16,9 @@
 pub struct WaitingJob {
     /// Revision of its key.
     pub mod_revision: u64,
-    /// Its value.
+    /// Its value. That the job was cancelled with one that it depends on need not be in it.
     pub record: Arc<WaitingRecord>,
-    /// Whether it, or a job that it needs, was cancelled.
+    /// Whether it, or a job that it depends on, was cancelled.
     pub cancelled: bool,
 }
 
@@ -32,13 +32,13 @@
     }
 }
 
-/// The jobs that wait, and what is known of the jobs they wait for.
+/// The jobs that wait, and what is known of archived jobs that they depend on.
 #[derive(Debug, Default)]
 pub struct WaitingJobs {
     /// By index.
     pub jobs: HashMap<JobId, WaitingJob>,
-    /// Final states of needed jobs that left the watched keys too early: only a version that knows
-    /// nothing of waiting jobs archives one that is still needed.
+    /// Final states of jobs that were archived although a waiting job depends on them: only a version that
+    /// knows nothing of waiting jobs does that.
     pub archived: HashMap<JobId, JobStatus>,
 }
 
@@ -52,17 +52,21 @@
 }
 
 impl Replica {
-    /// Takes the value of a job that waits.
+    /// Applies the value of a job that waits.
     pub(super) fn put_waiting(&mut self, name: &str, record: WaitingRecord, mod_revision: u64) {
         let job = self.names.jobs.intern(name);
         self.job_index.note_present(job);
         let own = own_demand(&record.spec, record.submitted_ms);
         let names = record.predecessors.names().iter();
-        let predecessors: Vec<JobId> = names.map(|n| self.names.jobs.intern(n)).collect();
+        let predecessors: Vec<JobId> = names.map(|name| self.names.jobs.intern(name)).collect();
         let cancelled_by_user = record.status == JobStatus::Cancelled;
-        let before = self.waiting.jobs.get(&job).is_some_and(|w| w.cancelled);
+        let before = self
+            .waiting
+            .jobs
+            .get(&job)
+            .is_some_and(|waiting| waiting.cancelled);
         let cancelled =
-            before || cancelled_by_user || predecessors.iter().any(|&p| self.is_cancelled(p));
+            before || cancelled_by_user || predecessors.iter().any(|&job| self.is_cancelled(job));
         if self.dependencies.predecessors(job) != predecessors {
             // An incomplete job has more of them now.
             self.dependencies.remove(job);
@@ -79,79 +83,85 @@
         }
     }
 
-    /// A job waits no longer: it is ready, or over.
+    /// Applies the deletion of the key of a job that waited: it is ready, or over.
     pub(super) fn remove_waiting(&mut self, job: JobId) {
         if self.waiting.jobs.remove(&job).is_none() {
             return;
         }
         let predecessors = self.dependencies.remove(job);
-        for p in predecessors.into_iter().chain([job]) {
-            if !self.dependencies.is_needed(p) {
-                self.waiting.archived.remove(&p);
+        for job in predecessors.into_iter().chain([job]) {
+            if !self.dependencies.is_needed(job) {
+                self.waiting.archived.remove(&job);
             }
-            if !self.holds(p) {
-                self.job_index.note_departed(p);
+            if !self.holds(job) {
+                self.job_index.note_departed(job);
             }
         }
     }
 
-    /// Whether a job stands under a key of its own.
+    /// Whether a job stands under a watched key.
     fn holds(&self, job: JobId) -> bool {
         self.jobs.contains_key(&job) || self.waiting.jobs.contains_key(&job)
     }
 
-    /// Whether a job, or one that it needs, was cancelled.
+    /// Whether a job, or one that it depends on, was cancelled.
     fn is_cancelled(&self, job: JobId) -> bool {
-        let ordinary = self.jobs.get(&job).map(|j| j.status);
+        let ordinary = self.jobs.get(&job).map(|job| job.status);
         let archived = || self.waiting.archived.get(&job).copied();
         let waits = self.waiting.jobs.get(&job);
-        waits.is_some_and(|w| w.cancelled)
+        waits.is_some_and(|waiting| waiting.cancelled)
             || ordinary.or_else(archived) == Some(JobStatus::Cancelled)
     }
 
-    /// Whether a job is finally done: its own key says so, which nothing changes any more. That all
-    /// of its tasks have ended is not enough, for a cancellation may still come first at that key.
+    /// Whether a job is finally done: its own key says so, which nothing changes any more. That all of its
+    /// tasks are done is not enough, for a cancellation may still be the first to change that key.
     fn is_finally_done(&self, job: JobId) -> bool {
-        let ordinary = self.jobs.get(&job).map(|j| j.status);
+        let ordinary = self.jobs.get(&job).map(|job| job.status);
         let archived = || self.waiting.archived.get(&job).copied();
         ordinary.or_else(archived) == Some(JobStatus::Done)
     }
 
-    /// A job was cancelled: so are all that need it. That is not written before it counts: whoever
-    /// sees the cancellation sees this as well.
+    /// Marks as cancelled all jobs that depend on one that was. That is not written before it counts:
+    /// whoever sees the cancellation sees this as well.
     pub(super) fn cancel_descendants(&mut self, job: JobId) {
-        for d in self.dependencies.descendants(job) {
-            if let Some(waiting) = self.waiting.jobs.get_mut(&d) {
+        for descendant in self.dependencies.descendants(job) {
+            if let Some(waiting) = self.waiting.jobs.get_mut(&descendant) {
                 waiting.cancelled = true;
             }
         }
     }
 
-    /// Whether all jobs that a waiting job needs are finally done.
+    /// Whether all jobs that a waiting job depends on are finally done.
     pub fn is_ready(&self, job: JobId) -> bool {
         let waits = self.waiting.jobs.get(&job);
-        waits.is_some_and(|w| !w.cancelled && !w.record.incomplete)
+        waits.is_some_and(|waiting| !waiting.cancelled && !waiting.record.incomplete)
             && self.open_predecessors(job).next().is_none()
     }
 
-    /// The jobs that a waiting job needs and that are not finally done.
+    /// The jobs that a waiting job depends on and that are not finally done.
     pub fn open_predecessors(&self, job: JobId) -> impl Iterator<Item = JobId> + '_ {
         let predecessors = self.dependencies.predecessors(job).iter().copied();
-        predecessors.filter(|&p| !self.is_finally_done(p))
+        predecessors.filter(|&job| !self.is_finally_done(job))
     }
 
-    /// Needed jobs that stand under no watched key, and of which no final state is known either.
+    /// Jobs that a waiting job depends on, that stand under no watched key, and of which no final state is
+    /// known either; in the order of their indices.
     pub fn missing_predecessors(&self) -> Vec<JobId> {
-        let waiting = self.waiting.jobs.iter().filter(|(_, w)| !w.cancelled);
+        let waiting = self
+            .waiting
+            .jobs
+            .iter()
+            .filter(|(_, waiting)| !waiting.cancelled);
         let needed = waiting.flat_map(|(&job, _)| self.dependencies.predecessors(job));
-        let missing = needed.filter(|&p| !self.holds(*p) && !self.waiting.archived.contains_key(p));
+        let missing =
+            needed.filter(|&job| !self.holds(*job) && !self.waiting.archived.contains_key(job));
         let mut missing: Vec<JobId> = missing.copied().collect();
         missing.sort_unstable();
         missing.dedup();
         missing
     }
 
-    /// Takes the final state of a needed job from the archive.
+    /// Applies the final state, read from the archive, of a job that a waiting job depends on.
     pub fn note_archived(&mut self, job: JobId, status: JobStatus) {
         if !self.dependencies.is_needed(job) || self.holds(job) {
             return;
@@ -166,21 +176,21 @@
     /// A job's state as users see it; none if it stands under no watched key, or is incomplete.
     pub fn status_of(&self, job: JobId) -> Option<JobStatus> {
         // Loans of other cells are no jobs of this cell's users.
-        let ordinary = self.jobs.get(&job).filter(|j| j.borrowed().is_none());
-        let ordinary = ordinary.map(|j| j.status);
+        let ordinary = self.jobs.get(&job).filter(|job| job.borrowed().is_none());
+        let ordinary = ordinary.map(|job| job.status);
         ordinary.or_else(|| self.accepted_waiting(job).map(WaitingJob::status))
     }
 
     /// A job that waits for others and was accepted.
     pub fn accepted_waiting(&self, job: JobId) -> Option<&WaitingJob> {
         let waiting = self.waiting.jobs.get(&job);
-        waiting.filter(|w| !w.record.incomplete)
+        waiting.filter(|waiting| !waiting.record.incomplete)
     }
 
     /// A job that waits for others and is not accepted yet.
     pub fn incomplete_waiting(&self, name: &str) -> Option<&WaitingJob> {
         let job = self.names.jobs.get(name)?;
         let waiting = self.waiting.jobs.get(&job);
-        waiting.filter(|w| w.record.incomplete)
+        waiting.filter(|waiting| waiting.record.incomplete)
     }
 }
