--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -15,7 +15,7 @@
     /// [`Controller::on_lease`]: super::Controller::on_lease
     NewLease {
         /// Its length, ms.
-        life_ms: u64,
+        lease_ms: u64,
     },
     /// Renew the lease; the answer goes to [`Controller::on_renewed`].
     ///
--- a/src/controller/formats.rs
+++ b/src/controller/formats.rs
@@ -1,7 +1,7 @@
 //! Rolling upgrades: which formats of stored values the controllers read, and what may be written
 //! when.
 //!
-//! Each controller tells its peers which format of stored values it reads. The leader records the
+//! Each controller's messages and key say which format of stored values it reads. The leader records the
 //! format that all of them read, and from then on every controller may write it, whatever version
 //! comes back.
 //!
--- a/src/controller/machine_status.rs
+++ b/src/controller/machine_status.rs
@@ -37,7 +37,7 @@
         })
     }
 
-    /// What peers are told of a machine that this controller holds.
+    /// What messages to peers say of a machine that this controller holds.
     pub(crate) fn machine_summary(
         &self,
         machine_id: MachineId,
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -144,7 +144,7 @@
         Some(match (self.lease_id, self.renewed_at) {
             (Some(lease_id), Some(_)) => Effect::Renew { lease_id },
             _ => Effect::NewLease {
-                life_ms: self.lease_ms,
+                lease_ms: self.lease_ms,
             },
         })
     }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -21,6 +21,7 @@
 mod peers;
 mod queue_load;
 mod replica_changes;
+mod status_page;
 mod usage;
 pub(crate) mod writes;
 
@@ -31,8 +32,7 @@
 pub use effects::{Effect, HeartbeatResponse, WriteKind};
 pub(crate) use formats::FormatTracker;
 pub(crate) use heartbeat::NO_TOKEN;
-pub(crate) use held_machines::HeldMachines;
-pub(crate) use held_machines::{MachineRuntime, TaskRuntime};
+pub(crate) use held_machines::{HeldMachines, MachineRuntime, TaskRuntime};
 pub(crate) use membership::Membership;
 pub use metrics::Counters;
 pub use outcomes::{Move, TaskOutcome};
@@ -57,7 +57,7 @@
 
 /// The state of one controller.
 pub struct Controller {
-    /// Settings.
+    /// Platform and options files; fixed while the process runs.
     pub settings: Settings,
     /// Replica of the shared keys.
     pub replica: Replica,
@@ -71,9 +71,9 @@
     pub(crate) pauses: PauseDetector,
     /// Which format of stored values each controller reads.
     pub(crate) formats: FormatTracker,
-    /// What the other controllers said, and what they are told next.
+    /// What the other controllers said, and which messages to them are due.
     pub(crate) peers: Peers,
-    /// Machines that this controller holds or hears of.
+    /// Machines that this controller holds, or that report to it.
     pub(crate) held: HeldMachines,
     /// Completions and moves that are still to be recorded.
     pub(crate) completions: Completions,
--- a/src/controller/peers/messages.rs
+++ b/src/controller/peers/messages.rs
@@ -14,7 +14,7 @@
 /// Peers hear for so long that users were refused for the budget of changes, ms.
 const SHORT_MS: u64 = 1000;
 
-/// How much of its machines a controller tells.
+/// How much a message says of the sender's machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageLength {
     /// Nothing of them.
@@ -70,7 +70,7 @@
     }
 
     /// Whether this controller sends the request to a peer, and not the peer to it. The answer
-    /// tells as much as the request, so one of the two suffices, unless the peer is overdue.
+    /// says as much as the request, so one of the two suffices, unless the peer is overdue.
     fn speaks_first_to(&self, host: HostId, now: Timestamp) -> bool {
         self.my_name() < self.replica.names.hosts.name(host) || self.peers.is_overdue(host, now)
     }
@@ -88,7 +88,7 @@
         }
     }
 
-    /// What this controller tells its peers.
+    /// A message from this controller.
     pub fn peer_message(&mut self, length: MessageLength, now: Timestamp) -> PeerMessage {
         self.held.unowned.forget_silent(now);
         let fleet = (length == MessageLength::Long).then(|| self.fleet_summary(now));
@@ -151,12 +151,12 @@
         }
     }
 
-    /// Tells a peer what the state service does not tell it.
+    /// Adds, for a peer that the state service does not answer, what it would read there.
     ///
     /// A controller that alone is refused goes on answering its machines while its authority
     /// lasts. Its end is soon enough for every cancellation, but stops all tasks at once; a
-    /// controller that hears of a cancellation stops the tasks of that job alone, and right away.
-    /// And one that hears that its block was granted again sends the machines to the new holder,
+    /// controller that learns of a cancellation stops the tasks of that job alone, and right away.
+    /// And one that learns that its block was granted again sends the machines to the new holder,
     /// without their waiting for the end of the old authority.
     fn add_facts_for_refused_peer(
         &mut self,
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -1,4 +1,4 @@
-//! The other controllers: what each said and when, who is suspected, and what they are told next.
+//! The other controllers: what each said and when, who is suspected, and which messages are due.
 //!
 //! Owns what is known at second hand. Must never make it count as proof: a write that rests on
 //! hearsay carries preconditions that the state service checks.
@@ -20,7 +20,7 @@
 use crate::settings::Settings;
 use std::collections::VecDeque;
 
-/// Least time between two messages that tell the leader of machines that came up, ms.
+/// Least time between two messages to the leader about machines that came up, ms.
 const URGENT_UPDATE_INTERVAL_MS: u64 = 250;
 /// Most cancellations that are listed for a peer without the state service.
 const MAX_RECENT_CANCELLATIONS: usize = 500;
@@ -30,7 +30,7 @@
 const HEARD_AGE_SLACK_MS: u64 = 300;
 /// Peers heard within this time decide whether a controller without the state service is cut off, ms.
 const HEARD_FOR_READINESS_MS: u64 = 3000;
-/// Every so many periodic messages, all peers are told of all machines.
+/// One in so many periodic messages lists all machines to all peers.
 const LONG_MESSAGE_EVERY: u32 = 4;
 
 /// Times between messages and until silence counts, from the settings.
@@ -65,7 +65,7 @@
     }
 }
 
-/// What the other controllers said, and what they are told next.
+/// What the other controllers said, and which messages to them are due.
 #[derive(Debug)]
 pub(crate) struct Peers {
     /// This controller.
@@ -89,7 +89,7 @@
     message_count: u32,
     /// Whether machines can be used that the leader does not know of yet.
     urgent_update: bool,
-    /// When the leader may be told of them at the earliest.
+    /// When the next message about them may be sent to the leader at the earliest.
     next_urgent_update: Timestamp,
 }
 
@@ -293,7 +293,7 @@
         self.reported_grants.get(&block).map(|grant| grant.holder)
     }
 
-    /// Machines came up that the leader is to be told of soon.
+    /// Machines came up: the leader gets a message out of turn.
     pub(crate) fn request_urgent_update(&mut self) {
         self.urgent_update = true;
     }
--- a/src/controller/peers/state.rs
+++ b/src/controller/peers/state.rs
@@ -28,7 +28,8 @@
     pub(super) incarnation: Option<Incarnation>,
     /// Whether the state service answers it.
     pub(super) state_ok: bool,
-    /// Since when it says that the state service does not answer it, while it answers us.
+    /// Since when it says that the state service does not answer it, while that answers this
+    /// controller.
     pub(super) refused_since: Option<Timestamp>,
     /// When it last said that it had to refuse users for the budget of changes.
     pub(super) short_at: Option<Timestamp>,
--- /dev/null
+++ b/src/controller/status_page.rs
@@ -0,0 +1,88 @@
+//! The status page of one controller, for operators. Reads only.
+//!
+//! The names of its fields are part of the interface and stay as they are.
+
+use super::{Controller, MachineRuntime};
+use crate::clock::Timestamp;
+use crate::names::MachineId;
+use serde_json::json;
+use std::collections::BTreeMap;
+
+impl Controller {
+    /// The status page, as JSON.
+    pub fn status_page(&self, now: Timestamp) -> serde_json::Value {
+        let names = &self.replica.names;
+        let machines: BTreeMap<&str, serde_json::Value> = self
+            .held
+            .iter()
+            .map(|(machine, runtime)| {
+                let name = names.machines.name(machine);
+                (name, self.machine_on_page(machine, runtime, now))
+            })
+            .collect();
+        let leader = self.replica.leader;
+        let mut page = json!({
+            "host": self.my_name(),
+            "boot": self.membership.incarnation().0,
+            "ready": self.ready(now),
+            "authority": self.has_authority(now),
+            "leads": self.leads().map(|term| term.mod_revision),
+            "leader": leader.map(|holder| names.hosts.name(holder.host)),
+            "ledger": self.replica.revision,
+            "jobs": self.replica.jobs.len(),
+            "machines": machines,
+            "counters": self.counters,
+            "waiting": self.waiting_jobs(),
+            "versions": self.versions(),
+            "format": self.replica.format,
+            "outdated": self.is_outdated(),
+            "unreadable": self.replica.unreadable().collect::<Vec<_>>(),
+        });
+        if let Some(spillover) = self.spillover_page(now) {
+            page["spillover"] = spillover;
+        }
+        page
+    }
+
+    /// A machine that this controller holds.
+    fn machine_on_page(
+        &self,
+        machine_id: MachineId,
+        runtime: &MachineRuntime,
+        now: Timestamp,
+    ) -> serde_json::Value {
+        let machine = self.replica.machines.get(&machine_id);
+        json!({
+            "token": runtime.fencing_token,
+            "fenced": runtime.fenced,
+            "lost": runtime.presumed_dead,
+            "sick": runtime.quarantined,
+            "silentMs": runtime.heard_at.map(|heard| now.since(heard)),
+            "tasks": runtime.task_count(),
+            "queue": machine.map_or(0, |machine| machine.queue.len()),
+            "load": self.queue_load(machine_id, now),
+        })
+    }
+
+    /// Each job that waits for others, with those that it needs and that are not finally done.
+    fn waiting_jobs(&self) -> BTreeMap<&str, Vec<&str>> {
+        let names = &self.replica.names.jobs;
+        let waiting = self.replica.waiting.jobs.keys();
+        waiting
+            .map(|&job| {
+                let open = self.replica.open_predecessors(job);
+                let open = open.map(|predecessor| names.name(predecessor));
+                (names.name(job), open.collect())
+            })
+            .collect()
+    }
+
+    /// The format that each controller was last seen to write.
+    fn versions(&self) -> BTreeMap<&str, u32> {
+        let hosts = &self.replica.names.hosts;
+        let controllers = self.replica.live_controllers.iter();
+        let shown = controllers.map(|(&host, controller)| (hosts.name(host), controller.format));
+        let own = (self.my_name(), self.formats.own());
+        shown.chain([own]).collect()
+    }
+}
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -27,7 +27,7 @@
     /// Starts what the controller asks for.
     pub(super) fn carry_out(&mut self, effect: Effect, ctx: &mut Context<Self>) {
         match effect {
-            Effect::NewLease { life_ms } => self.request_lease(life_ms, ctx),
+            Effect::NewLease { lease_ms } => self.request_lease(lease_ms, ctx),
             Effect::Renew { lease_id } => self.renew_lease(lease_id, ctx),
             Effect::Commit {
                 write_kind,
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -204,8 +204,8 @@
         let (now, fault) = (self.clock(i), self.link(i).state);
         let reachable = fault != StoreFault::Refuses;
         match effect {
-            Effect::NewLease { life_ms } if reachable => {
-                controller.on_lease(self.state.lease(life_ms, self.now), now);
+            Effect::NewLease { lease_ms } if reachable => {
+                controller.on_lease(self.state.lease(lease_ms, self.now), now);
             }
             Effect::Renew { lease_id } if reachable => match self.state.leases.get_mut(&lease_id) {
                 Some(l) => {
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -152,7 +152,7 @@
         return;
     }
     let (kind, message) = match effect {
-        Effect::NewLease { life_ms } => (Kind::LeaseRequest, json(life_ms)),
+        Effect::NewLease { lease_ms } => (Kind::LeaseRequest, json(lease_ms)),
         Effect::Renew { lease_id } => (Kind::LeaseRenewal, json(lease_id)),
         Effect::Commit { transaction, .. } => (Kind::Transaction, json(transaction)),
         Effect::Peer { host, message } => {
