--- a/src/controller/completions/moves.rs
+++ b/src/controller/completions/moves.rs
@@ -60,7 +60,7 @@
             .get(&id)
             .and_then(|edit| edit.machines.get(&task_move.victim));
         let is_whole = from.is_some_and(|from| {
-            let mut bindings = task_move.entries.iter();
+            let mut bindings = task_move.bindings.iter();
             bindings.all(|b| from.queue.contains(b) && self.unstarted(task_move.victim, b))
         });
         if !is_whole {
@@ -93,10 +93,10 @@
     if let Some(victim) = from.and_then(|edit| edit.machines.get_mut(&task_move.victim)) {
         victim
             .queue
-            .retain(|binding| !task_move.entries.contains(binding));
+            .retain(|binding| !task_move.bindings.contains(binding));
     }
     let to = edits.get_mut(&to);
     if let Some(thief) = to.and_then(|edit| edit.machines.get_mut(&task_move.thief)) {
-        thief.queue.extend(&task_move.entries);
+        thief.queue.extend(&task_move.bindings);
     }
 }
--- a/src/controller/completions/pending.rs
+++ b/src/controller/completions/pending.rs
@@ -90,7 +90,7 @@
         self.pending.remove(&machine_id);
         let moves_away = |task_move: &mut Move| task_move.victim == machine_id;
         for task_move in self.planned_moves.extract_if(.., moves_away) {
-            for binding in &task_move.entries {
+            for binding in &task_move.bindings {
                 self.reserved.remove(binding);
             }
         }
@@ -123,7 +123,7 @@
 
     /// Plans a move; its bindings are reserved until it is settled.
     pub(crate) fn plan_move(&mut self, task_move: Move) {
-        self.reserved.extend(&task_move.entries);
+        self.reserved.extend(&task_move.bindings);
         self.planned_moves.push(task_move);
     }
 
@@ -131,7 +131,7 @@
     pub(crate) fn moving_to(&self, machine_id: MachineId) -> impl Iterator<Item = &Binding> {
         let coming = self.planned_moves.iter();
         let coming = coming.filter(move |task_move| task_move.thief == machine_id);
-        coming.flat_map(|task_move| &task_move.entries)
+        coming.flat_map(|task_move| &task_move.bindings)
     }
 
     /// Takes the planned moves out, to be written or kept with [`Self::keep_planned`].
@@ -151,7 +151,7 @@
 
     /// Moves are settled, carried out or not: their bindings may be started or moved again.
     pub(crate) fn release<'a>(&mut self, moves: impl IntoIterator<Item = &'a Move>) {
-        for binding in moves.into_iter().flat_map(|task_move| &task_move.entries) {
+        for binding in moves.into_iter().flat_map(|task_move| &task_move.bindings) {
             self.reserved.remove(binding);
         }
     }
--- a/src/controller/outcomes.rs
+++ b/src/controller/outcomes.rs
@@ -22,5 +22,5 @@
     /// The machine whose queue they enter.
     pub thief: MachineId,
     /// Their bindings in the queue that they leave.
-    pub entries: Vec<Binding>,
+    pub bindings: Vec<Binding>,
 }
--- a/src/controller/writes/commits.rs
+++ b/src/controller/writes/commits.rs
@@ -160,11 +160,11 @@
         self.completions.release(&intent.moves);
         for task_move in &intent.moves {
             self.counters.packs += 1;
-            self.counters.stolen_tasks += task_move.entries.len() as u64;
+            self.counters.stolen_tasks += task_move.bindings.len() as u64;
             debug!(
                 victim = self.replica.names.machines.name(task_move.victim),
                 thief = self.replica.names.machines.name(task_move.thief),
-                tasks = task_move.entries.len(),
+                tasks = task_move.bindings.len(),
                 "stolen tasks moved"
             );
         }
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -82,7 +82,7 @@
         self.completions.plan_move(Move {
             victim,
             thief,
-            entries: pack.tasks,
+            bindings: pack.tasks,
         });
         true
     }
