--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -103,22 +103,21 @@
 
     /// Jobs that are over and that nothing mentions any more.
     fn archivable_jobs(&self) -> Vec<ArchivableJob> {
-        let binding: HashSet<JobId> = self
-            .writes
-            .pending_bindings()
-            .map(|(_, b)| b.task.job)
-            .collect();
+        let bindings = self.writes.pending_bindings();
+        let being_bound: HashSet<JobId> = bindings.map(|(_, binding)| binding.task.job).collect();
         let jobs = self.replica.jobs.iter();
-        jobs.filter(|&(&job_id, job)| self.is_archivable(job_id, job) && !binding.contains(&job_id))
-            .map(|(&job_id, job)| {
-                let done = self.replica.done_tasks(job.stored.clone());
-                ArchivableJob {
-                    job: job_id,
-                    key: job_key(self.replica.names.jobs.name(job_id)),
-                    record: job.record(done, job.status),
-                }
-            })
-            .collect()
+        jobs.filter(|&(&job_id, job)| {
+            self.is_archivable(job_id, job) && !being_bound.contains(&job_id)
+        })
+        .map(|(&job_id, job)| {
+            let done = self.replica.done_tasks(job.stored.clone());
+            ArchivableJob {
+                job: job_id,
+                key: job_key(self.replica.names.jobs.name(job_id)),
+                record: job.record(done, job.status),
+            }
+        })
+        .collect()
     }
 
     fn is_archivable(&self, job_id: JobId, job: &Job) -> bool {
--- a/src/leadership/block_sizes.rs
+++ b/src/leadership/block_sizes.rs
@@ -107,3 +107,6 @@
         emptied.next().or_else(|| free.next())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -228,8 +228,8 @@
     fn victims(&self) -> Vec<Victim> {
         let mut by_job: HashMap<JobId, Option<Victim>> = HashMap::default();
         let mut victims: Vec<Victim> = Vec::new();
-        let staying = self.replica.machines.iter().filter(|(_, m)| !m.leaving);
-        for (&machine_id, machine) in staying {
+        let machines = self.replica.machines.iter();
+        for (&machine_id, machine) in machines.filter(|(_, machine)| !machine.leaving) {
             for binding in unmarked_bindings(machine) {
                 let job_id = binding.task.job;
                 let of_job = by_job
