--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -1,6 +1,9 @@
 //! Several worlds as cells that lend each other jobs, with the network between them.
 
-use super::*;
+use super::{
+    BTreeSet, CommitOutcome, Controller, JobRecord, JobSpec, Mutation, Rng, State, StoreFault,
+    Timestamp, Transaction, Transfer, World, digest, occupancy, past_key,
+};
 use quillbend::spillover::{Archived, CellCall, CellRequest, OfferPlan};
 use quillbend_spillover::message::{CellAnswer, Decision, OfferAnswer, Reason, RequestBody};
 use quillbend_spillover::settings::SpilloverSettings;
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -1,6 +1,6 @@
 //! The cloud's lists of machines.
 
-use super::*;
+use super::{CloudMachine, Rng, World};
 
 impl World {
     /// The cloud's list, which lags, and may be older than the one before it.
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -1,6 +1,10 @@
 //! The controllers: their lives, and what they ask of the state service, of each other and of the cloud.
 
-use super::*;
+use super::{
+    BEGIN, CommitOutcome, Controller, Effect, JobRecord, Link, Mutation, Node, Rng, SmallRng,
+    StoreFault, Timestamp, Transaction, World, WriteKind, catalog, cells, digest, past_key,
+    position,
+};
 
 impl World {
     /// One of six faults of a controller.
--- a/tests/support/days.rs
+++ b/tests/support/days.rs
@@ -1,6 +1,6 @@
 //! Days of several controllers and many machines on which faults come at random and overlap.
 
-use super::*;
+use super::{PLATFORM, Priority, Rng, SeedableRng, SmallRng, StoreFault, World};
 
 /// Limits of a deployment.
 struct Limits {
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -5,7 +5,10 @@
 //! outside [`record`] there is none, and nothing is serialised. Messages are recorded as they go
 //! over the wire, and kinds of message as numbers, so that no name in the sources is part of a digest.
 
-use super::*;
+use super::{
+    BTreeSet, Controller, Effect, HeartbeatResponse, MachineNames, PeerMessage, Transaction, World,
+    jobs,
+};
 use quillbend_spillover::message::CellAnswer;
 use serde::Serialize;
 use sha2::{Digest, Sha256};
--- a/tests/support/machines.rs
+++ b/tests/support/machines.rs
@@ -1,6 +1,9 @@
 //! The machines: their workers' reports, the commands they execute, and what goes wrong with them.
 
-use super::*;
+use super::{
+    CloudMachine, Command, ExitReason, HeartbeatResponse, JobStatus, Rng, StoreFault, Task, Worker,
+    World, catalog, digest, job_of, position,
+};
 
 impl World {
     /// Tasks of a job that run now.
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -6,8 +6,11 @@
 use quillbend::controller::{CommitOutcome, Controller, Effect, HeartbeatResponse, WriteKind};
 use quillbend::jobs;
 use quillbend::jobs::chained::{self, Acceptance, Predecessor, plan_acceptance};
-use quillbend::protocol::*;
-use quillbend::records::*;
+use quillbend::protocol::{
+    Catalog, CloudMachine, Command, ExitReason, Heartbeat, JobKind, JobSpec, JobStatus,
+    MachineNames, Mutation, PeerMessage, Priority, Transaction,
+};
+use quillbend::records::{BlockRecord, JobRecord, Transfer, WaitingRecord};
 use quillbend::replica::{job_key, past_key, waiting_key};
 use quillbend::settings::{Options, Platform, Settings};
 use rand::rngs::SmallRng;
--- a/tests/support/rules.rs
+++ b/tests/support/rules.rs
@@ -1,6 +1,6 @@
 //! The rules, judged from the machines, the state service and what users were told.
 
-use super::*;
+use super::{HashMap, Task, World, job_key, job_of, occupancy};
 
 impl World {
     /// Milliseconds that a cancellation has.
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -1,6 +1,10 @@
 //! What users do, and what they are told.
 
-use super::*;
+use super::{
+    Acceptance, BlockRecord, CommitOutcome, JobKind, JobRecord, JobSpec, JobStatus, Predecessor,
+    Priority, StoreFault, Transaction, WaitingRecord, World, chained, digest, job_key, jobs,
+    past_key, plan_acceptance, waiting_key,
+};
 
 impl World {
     /// Plays on while more urgent work comes, eight tasks a second, than a team may run.
