--- a/crates/spillover/src/lib.rs
+++ b/crates/spillover/src/lib.rs
@@ -5,7 +5,6 @@
 //! package holds what can be decided without knowing how a controller works: the settings, the
 //! messages, the lender's policy, and the time for which a borrower may act on a confirmation. It does
 //! no input or output and reads no clock. See `docs/spillover.md` for the safety argument.
-#![warn(missing_docs)]
 
 pub mod confirmation;
 pub mod contact;
--- a/crates/spillover/tests/decisions.rs
+++ b/crates/spillover/tests/decisions.rs
@@ -306,6 +306,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of bad files")]
 fn a_bad_file_is_refused_with_one_line_that_names_the_field() {
     for (from, to, named) in [
         (
--- a/src/controller/heartbeat/mod.rs
+++ b/src/controller/heartbeat/mod.rs
@@ -37,11 +37,19 @@
 
 impl Controller {
     /// Takes in a worker's heartbeat.
+    #[expect(
+        clippy::needless_pass_by_value,
+        reason = "the caller hands the heartbeat over, as it came from the wire"
+    )]
     pub fn on_heartbeat(&mut self, heartbeat: Heartbeat, now: Timestamp) -> HeartbeatResponse {
         self.take_heartbeat(&heartbeat, Confirmation::Outstanding, now)
     }
 
     /// Takes in a heartbeat since whose arrival the replica has caught up with the state service.
+    #[expect(
+        clippy::needless_pass_by_value,
+        reason = "the caller hands the heartbeat over, as it came from the wire"
+    )]
     pub fn on_confirmed_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,6 @@
 //! effects, and what it uses does no input or output and reads no clock. [`runtime`] carries the effects out,
 //! [`http`] serves users, workers, peers and operators, and [`store`] is the client of the state service. See
 //! `docs/design.md` for the safety argument.
-#![warn(missing_docs)]
 
 pub mod clock;
 pub mod collections;
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -144,6 +144,7 @@
     ));
 }
 
+#[expect(clippy::too_many_lines, reason = "one literal with every field")]
 fn peer_message() -> PeerMessage {
     let machine = MachineSummary {
         machine: "m-1".into(),
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -252,6 +252,10 @@
     serde_json::from_slice(body).map_err(invalid)
 }
 
+#[expect(
+    clippy::needless_pass_by_value,
+    reason = "passed to `map_err`, which gives the error by value"
+)]
 fn invalid(error: impl ToString) -> StoreError {
     StoreError::InvalidResponse(error.to_string())
 }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -223,6 +223,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "literal values of every kind")]
 fn every_value_of_format_0_is_read_whole() {
     let stored = stored(include_str!("fixtures/format_0_stored.json"));
     let mut kinds: Vec<&str> = stored
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -18,6 +18,10 @@
 
 /// What users must be told of submissions that are malformed or can never run, and of a job that
 /// is done: `known` is one.
+#[expect(
+    clippy::too_many_lines,
+    reason = "a list of requests with their answers"
+)]
 async fn odd_requests(base: &str, known: &Value) {
     let jobs = format!("{base}/api/jobs");
     let mut new = known.clone();
@@ -102,6 +106,10 @@
 
 /// What users are told of submissions that name other jobs: `known` is done, and wk-000101 is open,
 /// for the only worker reports no more.
+#[expect(
+    clippy::too_many_lines,
+    reason = "a list of requests with their answers"
+)]
 async fn chained_requests(base: &str, known: &Value) {
     let jobs = format!("{base}/api/jobs");
     let submit = |name: &str, awaits: Value| {
@@ -200,6 +208,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in its order")]
 fn the_program_starts_and_does_a_job() {
     actix_web::rt::System::new().block_on(async move {
         let machine = running_machine("m-000001");
--- a/tests/loopback_cells.rs
+++ b/tests/loopback_cells.rs
@@ -155,6 +155,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in its order")]
 fn three_cells_one_starved_and_one_killed_do_every_job() {
     actix_web::rt::System::new().block_on(async {
         let all_places: Vec<Vec<Place>> = CELLS.iter().map(|_| places(CONTROLLERS)).collect();
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -641,6 +641,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in its order")]
 fn random_overlapping_faults_keep_the_rules() {
     for seed in 0..16 {
         let controllers = [3, 5][seed as usize % 2];
--- a/tests/spillover.rs
+++ b/tests/spillover.rs
@@ -482,6 +482,7 @@
 }
 
 /// Faults of all kinds at random, on every side.
+#[expect(clippy::too_many_lines, reason = "one scenario, told in its order")]
 fn day_of_chance(seed: u64) -> Result<(), Vec<String>> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut c = Cells::new(seed, &[2, 5, 4]);
@@ -608,6 +609,7 @@
 
 /// Plays a stream of jobs in the east, and a lighter one in the north; how both were served, changes
 /// of both state services, and requests between the cells.
+#[expect(clippy::too_many_lines, reason = "one scenario, told in its order")]
 fn play_stream(seed: u64, lend: bool) -> (Service, Service, u64, u64) {
     const DUE_MS: u64 = 45_000;
     let mut c = Cells::new(seed, &[4, 6]);
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -238,6 +238,10 @@
         self.check();
     }
 
+    #[expect(
+        clippy::needless_pass_by_value,
+        reason = "a call is handed over, as to a network"
+    )]
     fn send(&mut self, from: usize, node: usize, call: CellCall) {
         let to = place(&call.address).expect("an address of ours");
         self.requests += u64::from(to.0 != from);
@@ -275,6 +279,10 @@
         self.requests_under_way.extend(late);
     }
 
+    #[expect(
+        clippy::needless_pass_by_value,
+        reason = "a request is handed over, as by a network"
+    )]
     fn deliver(&mut self, request: Request) {
         let (cell, node) = request.to;
         let world = &mut self.cells[cell];
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -198,6 +198,10 @@
         self.controllers[i] = Some(node);
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one match with an arm for each effect"
+    )]
     pub(super) fn carry_out(
         &mut self,
         i: usize,
--- a/tests/support/machines.rs
+++ b/tests/support/machines.rs
@@ -70,6 +70,10 @@
         w.next_heartbeat = self.now + 200;
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "a worker's step as PROTOCOL lays it out, in its order"
+    )]
     pub(super) fn play_worker(&mut self, at: usize) {
         // Its clock is as slow as it may be.
         let workers = &self.settings.platform.settings.workers;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -177,6 +177,10 @@
         World::of_platform(seed, controllers, machines, platform, false)
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one literal with every field of the world"
+    )]
     fn of_platform(
         seed: u64,
         controllers: usize,
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -131,6 +131,10 @@
     }
 
     /// Submits a job that names others through any controller that takes it.
+    #[expect(
+        clippy::needless_pass_by_value,
+        reason = "takes the job as `submit` does"
+    )]
     pub fn submit_dependent(&mut self, n: u32, spec: JobSpec, awaits: &[&String]) -> String {
         let awaits: Vec<String> = awaits.iter().map(|a| (*a).clone()).collect();
         let end = self.now + 20_000;
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -433,6 +433,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in its order")]
 fn random_faults_during_an_upgrade_with_dependent_jobs_keep_the_rules() {
     for seed in 20..28 {
         let controllers = [3, 5][seed as usize % 2];
