--- a/crates/spillover/src/settings.rs
+++ b/crates/spillover/src/settings.rs
@@ -148,7 +148,7 @@
     /// Most jobs lent in an interval.
     #[serde(rename = "@jobs-per-period")]
     pub jobs_per_period: usize,
-    /// Seconds after which a loan of which nothing is bound may be called back.
+    /// Seconds after which a loan of which nothing is bound may be recalled.
     #[serde(rename = "@idle-s")]
     pub idle_s: f64,
     /// Most CPUs of unfinished loans that a cell holds.
--- a/crates/spillover/src/terms.rs
+++ b/crates/spillover/src/terms.rs
@@ -18,7 +18,7 @@
 
 impl LoanTerms {
     /// Time after which nothing of a loan is on any machine of the borrower, counted from when the
-    /// lender recorded that the loan stands no more.
+    /// lender recorded that the loan no longer stands.
     ///
     /// Whatever was confirmed was confirmed from a replica older than that record. The borrower's
     /// holders act on it for the lease at most; the workers that they answered until then drop their
--- a/crates/spillover/tests/decisions.rs
+++ b/crates/spillover/tests/decisions.rs
@@ -2,9 +2,14 @@
 
 use quillbend_spillover::confirmation::{Confirmations, Permission};
 use quillbend_spillover::contact::Contact;
-use quillbend_spillover::message::*;
-use quillbend_spillover::policy::*;
-use quillbend_spillover::settings::*;
+use quillbend_spillover::message::{
+    CellStatus, LoanId, MachineType, Standing, StandingAnswer, TeamLimit, TransferToken,
+};
+use quillbend_spillover::policy::{
+    Borrower, HomeLoad, Hysteresis, LoanState, RecallReason, TaskNeeds, TeamLoad, WaitingJob,
+    choose, predict_waits, recall,
+};
+use quillbend_spillover::settings::{PolicySettings, SpilloverSettings};
 use std::collections::BTreeMap;
 
 const LEASE_MS: u64 = 10_000;
@@ -24,53 +29,53 @@
     }
 }
 
-fn permission(c: &Confirmations, token: u64, now: u64) -> Permission {
-    c.permission("wk-000001", TransferToken(token), now)
+fn permission(confirmations: &Confirmations, token: u64, now: u64) -> Permission {
+    confirmations.permission("wk-000001", TransferToken(token), now)
 }
 
 #[test]
 fn a_confirmation_counts_from_the_request_less_the_age_of_the_answer() {
-    let mut c = Confirmations::default();
-    c.note(&loan(7), LEASE_MS, 1000);
-    assert_eq!(permission(&c, 7, 1500), Permission::Wait);
-    c.on_answer(&stands(7, 400), 2000, false);
-    assert_eq!(permission(&c, 7, 11_599), Permission::Run);
-    assert_eq!(permission(&c, 7, 11_600), Permission::Stop);
+    let mut confirmations = Confirmations::default();
+    confirmations.note(&loan(7), LEASE_MS, 1000);
+    assert_eq!(permission(&confirmations, 7, 1500), Permission::Wait);
+    confirmations.on_answer(&stands(7, 400), 2000, false);
+    assert_eq!(permission(&confirmations, 7, 11_599), Permission::Run);
+    assert_eq!(permission(&confirmations, 7, 11_600), Permission::Stop);
     // An older answer that arrives later takes nothing back and adds nothing.
-    c.on_answer(&stands(7, 0), 1000, false);
-    assert_eq!(permission(&c, 7, 11_599), Permission::Run);
-    assert_eq!(permission(&c, 7, 11_600), Permission::Stop);
+    confirmations.on_answer(&stands(7, 0), 1000, false);
+    assert_eq!(permission(&confirmations, 7, 11_599), Permission::Run);
+    assert_eq!(permission(&confirmations, 7, 11_600), Permission::Stop);
 }
 
 #[test]
 fn without_a_first_answer_a_controller_waits_for_a_moment_and_then_stops() {
-    let mut c = Confirmations::default();
-    c.note(&loan(7), LEASE_MS, 1000);
-    assert_eq!(permission(&c, 7, 3999), Permission::Wait);
-    assert_eq!(permission(&c, 7, 4000), Permission::Stop);
+    let mut confirmations = Confirmations::default();
+    confirmations.note(&loan(7), LEASE_MS, 1000);
+    assert_eq!(permission(&confirmations, 7, 3999), Permission::Wait);
+    assert_eq!(permission(&confirmations, 7, 4000), Permission::Stop);
 }
 
 #[test]
 fn an_end_is_final_for_its_transfer_and_says_nothing_of_the_next() {
-    let mut c = Confirmations::default();
-    c.note(&loan(7), LEASE_MS, 0);
-    c.on_answer(&stands(7, 0), 0, false);
+    let mut confirmations = Confirmations::default();
+    confirmations.note(&loan(7), LEASE_MS, 0);
+    confirmations.on_answer(&stands(7, 0), 0, false);
     let over = StandingAnswer {
         standing: Standing::Over,
         ..stands(7, 0)
     };
-    c.on_answer(&over, 100, false);
-    c.on_answer(&stands(7, 0), 200, false);
-    assert_eq!(permission(&c, 7, 300), Permission::Stop);
-    assert!(!c.is_acknowledged("wk-000001", TransferToken(7)));
-    c.on_answer(&over, 400, true);
-    assert!(c.is_acknowledged("wk-000001", TransferToken(7)));
-    c.note(&loan(9), LEASE_MS, 500);
-    c.on_answer(&over, 600, true);
-    assert_eq!(permission(&c, 9, 600), Permission::Wait);
-    c.on_answer(&stands(9, 0), 600, false);
-    assert_eq!(permission(&c, 9, 700), Permission::Run);
-    assert_eq!(permission(&c, 7, 700), Permission::Wait);
+    confirmations.on_answer(&over, 100, false);
+    confirmations.on_answer(&stands(7, 0), 200, false);
+    assert_eq!(permission(&confirmations, 7, 300), Permission::Stop);
+    assert!(!confirmations.is_acknowledged("wk-000001", TransferToken(7)));
+    confirmations.on_answer(&over, 400, true);
+    assert!(confirmations.is_acknowledged("wk-000001", TransferToken(7)));
+    confirmations.note(&loan(9), LEASE_MS, 500);
+    confirmations.on_answer(&over, 600, true);
+    assert_eq!(permission(&confirmations, 9, 600), Permission::Wait);
+    confirmations.on_answer(&stands(9, 0), 600, false);
+    assert_eq!(permission(&confirmations, 9, 700), Permission::Run);
+    assert_eq!(permission(&confirmations, 7, 700), Permission::Wait);
 }
 
 #[test]
@@ -181,7 +186,10 @@
         &PolicySettings::default(),
         |_, _| false,
     );
-    choices.iter().map(|c| (c.position, c.borrower)).collect()
+    choices
+        .iter()
+        .map(|choice| (choice.position, choice.borrower))
+        .collect()
 }
 
 #[test]
@@ -208,13 +216,13 @@
         chosen(&[job], &[100.0], std::slice::from_ref(&there))
     };
     assert_eq!(one(|_| {}), vec![(0, 0)]);
-    assert_eq!(one(|j| j.lendable = false), vec![]);
-    assert_eq!(one(|j| j.team = "red".into()), vec![]);
-    assert_eq!(one(|j| j.task.cpus = 5.0), vec![]);
-    assert_eq!(one(|j| j.task.memory_gb = 17.0), vec![]);
-    assert_eq!(one(|j| j.zone = Some("south".into())), vec![]);
+    assert_eq!(one(|job| job.lendable = false), vec![]);
+    assert_eq!(one(|job| job.team = "red".into()), vec![]);
+    assert_eq!(one(|job| job.task.cpus = 5.0), vec![]);
+    assert_eq!(one(|job| job.task.memory_gb = 17.0), vec![]);
+    assert_eq!(one(|job| job.zone = Some("south".into())), vec![]);
     assert_eq!(
-        one(|j| j.machine_types = Some(vec!["large".into()])),
+        one(|job| job.machine_types = Some(vec!["large".into()])),
         vec![]
     );
     let mut used = there.clone();
@@ -233,21 +241,24 @@
 #[test]
 fn lending_begins_after_a_while_and_ends_well_below() {
     let policy = PolicySettings::default();
-    let mut h = Hysteresis::default();
-    assert!(!h.update(25.0, &policy, 0));
-    assert!(!h.update(19.0, &policy, 3000), "the wait was short again");
-    assert!(!h.update(25.0, &policy, 3500));
-    assert!(h.update(25.0, &policy, 7500));
+    let mut hysteresis = Hysteresis::default();
+    assert!(!hysteresis.update(25.0, &policy, 0));
     assert!(
-        h.update(6.0, &policy, 8000),
+        !hysteresis.update(19.0, &policy, 3000),
+        "the wait was short again"
+    );
+    assert!(!hysteresis.update(25.0, &policy, 3500));
+    assert!(hysteresis.update(25.0, &policy, 7500));
+    assert!(
+        hysteresis.update(6.0, &policy, 8000),
         "between the two bounds it goes on"
     );
-    assert!(!h.update(5.0, &policy, 9000));
-    assert!(!h.update(19.0, &policy, 20_000));
+    assert!(!hysteresis.update(5.0, &policy, 9000));
+    assert!(!hysteresis.update(19.0, &policy, 20_000));
 }
 
 #[test]
-fn a_loan_is_called_back_when_nothing_is_heard_or_it_waits_in_vain() {
+fn a_loan_is_recalled_when_nothing_is_heard_or_it_waits_in_vain() {
     let policy = PolicySettings::default();
     let idle = LoanState {
         silent_ms: 1000,
@@ -257,12 +268,12 @@
     let recall = |loan: LoanState, room: bool| recall(&loan, room, 15_000, &policy);
     assert_eq!(recall(idle, false), None);
     assert_eq!(recall(idle, true), Some(RecallReason::RoomAtHome));
-    let missed_acks = LoanState {
+    let never_heard = LoanState {
         heard: false,
         ..idle
     };
     assert_eq!(
-        recall(missed_acks, true),
+        recall(never_heard, true),
         None,
         "it may not have arrived yet"
     );
--- a/src/controller/writes/pacing.rs
+++ b/src/controller/writes/pacing.rs
@@ -58,7 +58,7 @@
 /// How fast turns follow one another, by the part of the budget that is really used.
 ///
 /// A turn is as long as it has to be if every block were written in each. Most are not, and half of
-/// the budget lay idle while endings and bindings waited for their turn.
+/// the budget lay idle while completions and bindings waited for their turn.
 #[derive(Debug, Clone)]
 pub(crate) struct WritePace {
     /// When the interval that is being measured began.
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -64,7 +64,7 @@
 
     /// The next write about transfers, of the leader.
     pub(crate) fn plan_transfers(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
-        if !self.spillover_concerns_us() {
+        if !self.uses_spillover() {
             return None;
         }
         self.plan_returns(now)
--- a/src/spillover/mod.rs
+++ b/src/spillover/mod.rs
@@ -244,14 +244,14 @@
         self.spillover.is_on() && self.replica.synced && self.replica.format >= SPILLOVER_FORMAT
     }
 
-    /// Whether there is anything to do: spillover is turned on, or loans of a time when it was are left.
-    fn spillover_concerns_us(&self) -> bool {
+    /// Whether spillover is turned on, or loans are left of a time when it was.
+    fn uses_spillover(&self) -> bool {
         self.spillover.is_on() || self.replica.has_transfers()
     }
 
     /// Records the loans that the replica shows, and asks other cells what is due.
     pub(crate) fn tick_spillover(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if !self.spillover_concerns_us() {
+        if !self.uses_spillover() {
             return;
         }
         self.note_borrowed(now);
--- a/src/spillover/status_page.rs
+++ b/src/spillover/status_page.rs
@@ -8,7 +8,7 @@
 impl Controller {
     /// What operators see of transfers; none while there is nothing to see.
     pub(crate) fn spillover_page(&self, now: Timestamp) -> Option<Value> {
-        if !self.spillover_concerns_us() {
+        if !self.uses_spillover() {
             return None;
         }
         let spillover = &self.spillover;
