--- a/src/controller/candidacy.rs
+++ b/src/controller/candidacy.rs
@@ -102,7 +102,7 @@
         }
         let leader = self.leader_status(now);
         let suspect_ms = match leader {
-            LeaderStatus::Peer(peer) => self.leadership.lead_lost_for(peer.is_suspect(), now),
+            LeaderStatus::Peer(peer) => self.leadership.leader_gone_for(peer.is_suspect(), now),
             _ => None,
         };
         if candidacy(leader, suspect_ms) == Candidacy::Campaign {
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -4,7 +4,6 @@
 //! must not grant a block on suspicion alone while it has just started, nor on its own word: a
 //! silent holder must be silent to others too.
 
-use super::grants_seen::GrantsSeen;
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
 use crate::controller::{Controller, put};
@@ -190,7 +189,7 @@
         let restarted =
             grants.filter(|grant| self.peers.restarted(grant.host, grant.incarnation, now));
         let restarted: HashSet<HostId> = restarted.map(|grant| grant.host).collect();
-        let seen: &mut GrantsSeen = &mut self.leadership.grants;
+        let seen = &mut self.leadership.grants;
         HolderFaults {
             restarted: seen.note_restarted(&restarted, now),
             unreachable,
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -27,6 +27,8 @@
 mod slots;
 mod unreachable_holders;
 
+pub use renting::RentOutcome;
+
 use crate::clock::Timestamp;
 use crate::collections::HashSet;
 use crate::controller::writes::WriteIntent;
@@ -82,7 +84,7 @@
     }
 
     /// For how long the leader has been `gone` without a break, ms.
-    pub(crate) fn lead_lost_for(&mut self, gone: bool, now: Timestamp) -> Option<u64> {
+    pub(crate) fn leader_gone_for(&mut self, gone: bool, now: Timestamp) -> Option<u64> {
         if !gone {
             self.leader_gone_since = None;
             return None;
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -38,6 +38,17 @@
 /// Fewest used CPUs that a machine's load is divided by.
 const MIN_USED_CPUS: f64 = 0.1;
 
+/// What became of a request for machines.
+#[derive(Debug)]
+pub enum RentOutcome {
+    /// These machines were rented, fewer than were asked for if the cloud has no more.
+    Rented(Vec<String>),
+    /// Certainly nothing was rented.
+    Refused,
+    /// In doubt: machines may have been rented.
+    Unknown,
+}
+
 impl Controller {
     /// Asks the cloud for lists, repeats rentals without an answer, and scales out and in.
     pub(super) fn tick_cloud(&mut self, now: Timestamp, term: Term, out: &mut Vec<Effect>) {
@@ -241,25 +252,21 @@
         }
     }
 
-    /// A rental was answered: with the machines, none if it was refused. Unless the answer is
-    /// `sure`, it is open whether machines were rented.
-    pub fn on_rented(
-        &mut self,
-        rental: &RentRequest,
-        answer: Option<Vec<String>>,
-        sure: bool,
-        now: Timestamp,
-    ) {
+    /// A rental was answered, or not.
+    pub fn on_rented(&mut self, rental: &RentRequest, outcome: RentOutcome, now: Timestamp) {
         let rent = &mut self.leadership.rent;
         if !rent.is_pending(&rental.request_id) {
             return;
         }
-        if !sure {
-            rent.retry_soon(&rental.request_id, now);
-            return;
-        }
+        let machines = match outcome {
+            RentOutcome::Unknown => {
+                rent.retry_soon(&rental.request_id, now);
+                return;
+            }
+            RentOutcome::Rented(machines) => machines,
+            RentOutcome::Refused => Vec::new(),
+        };
         rent.end_rent(&rental.request_id);
-        let machines = answer.unwrap_or_default();
         info!(
             request_id = rental.request_id,
             asked = rental.number,
@@ -290,13 +297,13 @@
         }
     }
 
-    /// A return was answered, or not.
-    pub fn on_returned(&mut self, machines: &[String], ok: bool, now: Timestamp) {
+    /// A return was answered, or not: only if the cloud has `confirmed` it are the machines gone.
+    pub fn on_returned(&mut self, machines: &[String], confirmed: bool, now: Timestamp) {
         self.leadership.rent.end_return();
         if self.leads().is_none() {
             return;
         }
-        if !ok {
+        if !confirmed {
             let next = now.plus(REVIEW_AFTER_FAILED_RETURN_MS);
             self.leadership.rent.review_at(next);
             return;
--- a/src/runtime/cloud_client.rs
+++ b/src/runtime/cloud_client.rs
@@ -3,6 +3,7 @@
 //! Owns the cloud's address and the bounds on its answers. It must never call a request refused whose
 //! outcome is in doubt: a machine may have been rented although no answer came.
 
+use crate::leadership::RentOutcome;
 use crate::protocol::{Catalog, CloudMachine, MachineNames, MachinePage, RentRequest};
 use awc::Client;
 use awc::http::StatusCode;
@@ -20,29 +21,6 @@
 /// Text of the 503 by which the cloud says that nothing was rented. Any other 503 leaves it open.
 const NO_CAPACITY: &str = "no capacity";
 
-/// What became of a request for machines.
-#[derive(Debug)]
-pub(super) enum RentOutcome {
-    /// These machines were rented.
-    Rented(Vec<String>),
-    /// Certainly nothing was rented.
-    Refused,
-    /// In doubt: machines may have been rented.
-    Unknown,
-}
-
-impl RentOutcome {
-    /// The names of the rented machines, and whether the outcome is certain, as
-    /// [`Controller::on_rented`](crate::controller::Controller::on_rented) takes them.
-    pub(super) fn into_names_and_certainty(self) -> (Option<Vec<String>>, bool) {
-        match self {
-            Self::Rented(names) => (Some(names), true),
-            Self::Refused => (None, true),
-            Self::Unknown => (None, false),
-        }
-    }
-}
-
 /// The client. Cheap to clone; connections are kept and shared.
 #[derive(Clone)]
 pub(super) struct CloudClient {
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -169,12 +169,11 @@
         let call = self.cloud.clone().rent(request.clone());
         ctx.spawn(call.into_actor(self).map(move |outcome, actor, ctx| {
             let now = actor.now();
-            let (names, certain) = outcome.into_names_and_certainty();
             actor
                 .shared
                 .controller
                 .lock()
-                .on_rented(&request, names, certain, now);
+                .on_rented(&request, outcome, now);
             actor.tick(ctx);
         }));
     }
