--- a/src/controller/pauses.rs
+++ b/src/controller/pauses.rs
@@ -68,3 +68,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
