--- a/src/controller/held_machines/unowned.rs
+++ b/src/controller/held_machines/unowned.rs
@@ -1,6 +1,6 @@
 //! Machines whose workers send heartbeats here although this controller does not hold them.
 //!
-//! Owns for how long each has come here in vain: the leader gives such machines a block, or grants theirs anew.
+//! Owns for how long each has come here in vain: the leader gives such machines a block, or grants theirs again.
 //! Must never keep a machine for longer than a few heartbeats after its last one.
 
 use super::HeartbeatNumber;
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -3,7 +3,7 @@
 use super::durations::DRIFT;
 use super::{Options, Platform, Settings, SettingsError, StateLimits, Workers};
 
-/// A small deployment used by stories.
+/// A small deployment used by the tests.
 pub(crate) const PLATFORM: &str = include_str!("../../tests/support/platform.toml");
 
 pub(crate) fn small() -> Settings {
@@ -52,7 +52,7 @@
         // workers after it before a cancellation is due.
         assert!(slow(s.authority_ms()) < s.block_lease_ms());
         assert!(s.block_lease_ms() + slow(lease) + 1000 < cancel);
-        // Who counts a worker's lease, or a stranger's and then the worker's, counts enough.
+        // Who counts a worker's lease, or an unfenced machine's and then the worker's, counts enough.
         assert!(s.worker_gone_ms() > slow(lease));
         assert!(s.unfenced_gone_ms() > slow(s.block_lease_ms()) + slow(lease));
         // An answer that waits reaches a worker before it gives up, and several reports fit
--- a/tests/support/machines.rs
+++ b/tests/support/machines.rs
@@ -62,7 +62,7 @@
     /// A machine that is off for a moment: its worker starts again, and everything on it is gone.
     pub fn restart_machine(&mut self, at: usize) {
         let w = &mut self.workers[at];
-        tracing::debug!(now = self.now, machine = w.machine.name, "begins anew");
+        tracing::debug!(now = self.now, machine = w.machine.name, "worker restarts");
         (w.worker_epoch, w.sequence, w.token) = (1, 0, 0);
         w.tasks.clear();
         w.held = None;
