--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -10,7 +10,7 @@
 use crate::names::HostId;
 use crate::protocol::Transaction;
 use crate::records::ControllerRecord;
-use crate::replica::{Holder, Incarnation, Replica, node_key};
+use crate::replica::{Holder, Incarnation, Replica, controller_key};
 use crate::settings::Settings;
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -329,7 +329,7 @@
         if !self.may_plan(WriteKind::Join, now) {
             return;
         }
-        let key = node_key(self.my_name());
+        let key = controller_key(self.my_name());
         let record = ControllerRecord {
             incarnation: self.membership.incarnation().0,
             lease: lease_id,
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -144,6 +144,19 @@
     ));
 }
 
+#[test]
+fn leases_and_commits_have_the_names_of_the_protocol() {
+    let request = serde_json::to_string(&LeaseRequest { ttl_ms: 5000 });
+    assert_eq!(request.expect("written"), r#"{"lifeMs":5000}"#);
+    let granted: GrantedLease = serde_json::from_str(r#"{"permit":7}"#).expect("read");
+    assert_eq!(granted.lease_id, 7);
+    let committed: CommitResponse = serde_json::from_str(r#"{"ledger":432}"#).expect("read");
+    assert_eq!(committed.revision, 432);
+    let conflict = r#"{"failed":["a/b"],"ledger":431}"#;
+    let conflict: CommitResponse = serde_json::from_str(conflict).expect("read");
+    assert_eq!(conflict.revision, 431);
+}
+
 #[expect(clippy::too_many_lines, reason = "one literal with every field")]
 fn peer_message() -> PeerMessage {
     let machine = MachineSummary {
--- a/src/replica/apply.rs
+++ b/src/replica/apply.rs
@@ -2,8 +2,8 @@
 
 use super::keys::WatchedKey;
 use super::{
-    Holder, Incarnation, LEAD, LiveController, Loads, Replica, block_key, grant_key, job_key,
-    node_key, waiting_key,
+    Holder, Incarnation, LEAD, LiveController, Loads, Replica, block_key, controller_key,
+    grant_key, job_key, waiting_key,
 };
 use crate::collections::HashSet;
 use crate::protocol::{Json, KeyValue, Mutation, Transaction, WatchEvent};
@@ -42,7 +42,7 @@
         let mut held: Vec<String> = Vec::new();
         held.extend(self.leader.iter().map(|_| LEAD.to_owned()));
         let live = self.live_controllers.keys();
-        held.extend(live.map(|&host| node_key(hosts.name(host))));
+        held.extend(live.map(|&host| controller_key(hosts.name(host))));
         held.extend(self.grants.keys().map(|&block| grant_key(block)));
         held.extend(self.blocks.keys().map(|&block| block_key(block)));
         held.extend(self.jobs.keys().map(|&job| job_key(jobs.name(job))));
@@ -56,7 +56,8 @@
         // Everything up to here is applied: events that come twice, or after newer ones, bring back
         // nothing that was deleted since.
         let applied = self.revision;
-        for event in events.into_iter().filter(|e| e.mod_revision > applied) {
+        let unapplied = |event: &WatchEvent| event.mod_revision > applied;
+        for event in events.into_iter().filter(unapplied) {
             // Own commits may be applied already; a repeat of them must not undo what followed.
             if let Some(key) = event.put {
                 if event.mod_revision > self.mod_revision(&key) {
--- a/src/replica/keys.rs
+++ b/src/replica/keys.rs
@@ -71,7 +71,7 @@
 }
 
 /// Key of a controller.
-pub fn node_key(host: &str) -> String {
+pub fn controller_key(host: &str) -> String {
     format!("{CONTROLLERS}{host}")
 }
 /// Key of the grant of a block: who holds it.
--- a/src/replica/mod.rs
+++ b/src/replica/mod.rs
@@ -26,7 +26,7 @@
 pub use ids::{Binding, BlockId, FencingToken, Incarnation, TaskId, Term};
 pub use job::Job;
 pub use keys::{
-    CATALOG, FORMAT, LEAD, ROOT, block_key, grant_key, job_key, load_key, node_key, past_key,
+    CATALOG, FORMAT, LEAD, ROOT, block_key, controller_key, grant_key, job_key, load_key, past_key,
     waiting_key,
 };
 pub use model::{Block, ChangeSet, Holder, LiveController, Loads, Machine};
