--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -21,7 +21,7 @@
 
 /// Most bytes of values in one transaction: the service takes 64 KiB altogether (PROTOCOL, commit),
 /// keys and conditions included.
-pub(crate) const TXN_BYTES: usize = 56 * 1024;
+pub(crate) const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
 
 impl Controller {
     /// Records completions and moves of the blocks held, one write a block.
--- a/src/controller/completions/moves.rs
+++ b/src/controller/completions/moves.rs
@@ -61,7 +61,9 @@
             .and_then(|edit| edit.machines.get(&task_move.victim));
         let is_whole = from.is_some_and(|from| {
             let mut bindings = task_move.bindings.iter();
-            bindings.all(|b| from.queue.contains(b) && self.unstarted(task_move.victim, b))
+            bindings.all(|binding| {
+                from.queue.contains(binding) && self.unstarted(task_move.victim, binding)
+            })
         });
         if !is_whole {
             return MoveDecision::Cancel;
@@ -74,7 +76,7 @@
         MoveDecision::Write(to)
     }
 
-    /// Whether a machine that obeys our token surely has not been told to start a task.
+    /// Whether a task is surely not on a machine: it obeys our token, and no answer has launched the task.
     pub(crate) fn unstarted(&self, machine_id: MachineId, binding: &Binding) -> bool {
         let runtime = self.held.get(machine_id);
         runtime
--- a/src/controller/completions/pending.rs
+++ b/src/controller/completions/pending.rs
@@ -108,7 +108,10 @@
     pub(crate) fn unrecorded_done(&self) -> BTreeMap<JobId, RangeSet> {
         let completions = self.pending.values().flatten();
         let mut done: BTreeMap<JobId, RangeSet> = BTreeMap::new();
-        for Completion { binding, .. } in completions.filter(|c| c.outcome == TaskOutcome::Done) {
+        for Completion { binding, outcome } in completions {
+            if *outcome != TaskOutcome::Done {
+                continue;
+            }
             let tasks = done.entry(binding.task.job).or_default();
             tasks.insert(binding.task.number);
         }
@@ -117,7 +120,7 @@
 
     /// Machines whose block is to be written: for a completion, or for a move away from them.
     pub(crate) fn machines_to_record(&self) -> impl Iterator<Item = MachineId> {
-        let victims = self.planned_moves.iter().map(|m| m.victim);
+        let victims = self.planned_moves.iter().map(|task_move| task_move.victim);
         self.pending.keys().copied().chain(victims)
     }
 
--- a/src/controller/completions/plan.rs
+++ b/src/controller/completions/plan.rs
@@ -1,6 +1,6 @@
 //! The write that records the completions and moves of one block.
 
-use super::TXN_BYTES;
+use super::MAX_TRANSACTION_BYTES;
 use super::done_lists::ListBudget;
 use crate::controller::Controller;
 use crate::controller::writes::WriteIntent;
@@ -62,7 +62,7 @@
     /// Whether blocks have no room for what moves between them: in one value, or in the transaction.
     fn is_too_large(&self, blocks: &[SealedBlock]) -> bool {
         let nearly_full = self.settings.value_bytes() * 9 / 10;
-        total_bytes(blocks) > TXN_BYTES
+        total_bytes(blocks) > MAX_TRANSACTION_BYTES
             || blocks.iter().any(|block| block.value.size() > nearly_full)
     }
 
@@ -74,7 +74,7 @@
     ) -> Vec<(JobId, Mutation)> {
         let max_writes = self.settings.platform.settings.state.txn_ops;
         let budget = ListBudget {
-            bytes: TXN_BYTES.saturating_sub(total_bytes(blocks)),
+            bytes: MAX_TRANSACTION_BYTES.saturating_sub(total_bytes(blocks)),
             writes: max_writes.saturating_sub(blocks.len()),
         };
         let Some(block) = blocks.iter_mut().find(|block| block.id == id) else {
--- a/src/controller/heartbeat/delayed.rs
+++ b/src/controller/heartbeat/delayed.rs
@@ -1,6 +1,6 @@
 //! Answers that wait a while for a first task.
 //!
-//! A machine without tasks has nothing to report for a whole interval, and a task bound to it just after its
+//! A machine without tasks sends no heartbeat for a whole interval, and a task bound to it just after its
 //! heartbeat would wait for the next one. Its answer waits for a part of that time, as it may (PROTOCOL: workers
 //! wait 4 s); it is a full answer all the same, and the worker's lease counts from when it sent the heartbeat.
 
--- a/src/controller/heartbeat/launch.rs
+++ b/src/controller/heartbeat/launch.rs
@@ -22,7 +22,9 @@
 /// What is started, and what is given up instead.
 #[derive(Debug, Default)]
 pub(super) struct Launches {
+    /// One for each task that is started.
     pub(super) commands: Vec<Command>,
+    /// Bindings that are given up.
     pub(super) freed: Vec<Completion>,
 }
 
--- a/src/controller/heartbeat/mod.rs
+++ b/src/controller/heartbeat/mod.rs
@@ -19,7 +19,7 @@
 use crate::controller::held_machines::{HeartbeatNumber, MachineRuntime};
 use crate::controller::{Controller, HeartbeatResponse};
 use crate::names::MachineId;
-use crate::protocol::{Heartbeat, HeartbeatAck, TaskPhase};
+use crate::protocol::{Heartbeat, HeartbeatAck, TaskPhase, TaskStatus};
 use crate::replica::FencingToken;
 use classify::{Confirmation, HeartbeatVerdict};
 use tracing::info;
@@ -108,7 +108,7 @@
         heartbeat: &Heartbeat,
         now: Timestamp,
     ) -> HeartbeatResponse {
-        let live = |task: &crate::protocol::TaskStatus| task.status != TaskPhase::Ended;
+        let live = |task: &TaskStatus| task.status != TaskPhase::Ended;
         if self.replica.has_queued_tasks(held.machine_id) || heartbeat.tasks.iter().any(live) {
             return HeartbeatResponse::Unavailable;
         }
--- a/src/controller/heartbeat/reachability.rs
+++ b/src/controller/heartbeat/reachability.rs
@@ -10,15 +10,15 @@
 use crate::protocol::Heartbeat;
 use tracing::{info, warn};
 
-/// A worker that has waited this long for an answer gives up (PROTOCOL, reports).
+/// A worker that has waited this long for an answer goes to the next controller (PROTOCOL, reports), ms.
 const ANSWER_WAIT_MS: u64 = 4000;
 /// Answers in a row that must be missed, or received, before a machine counts as unreachable, or reachable again.
 const ACKS_IN_A_ROW: u32 = 3;
 /// So long after a stall of this controller its answers may have been late, ms.
 const LATE_AFTER_STALL_MS: u64 = 15_000;
-/// Answers seem to miss their machines through this controller's fault if more than one in so many does...
+/// If more than one machine in so many misses answers, this controller is taken to be the cause.
 const LATE_FRACTION: usize = 10;
-/// ... and more than so many.
+/// So many machines may miss answers in any fleet without this controller being the cause.
 const LATE_MACHINES: usize = 2;
 
 /// What a heartbeat says of the answer to the one before.
@@ -28,7 +28,7 @@
     Received,
     /// It did not; how much that counts.
     Missed(u32),
-    /// It cannot be told.
+    /// Either is possible.
     Unclear,
 }
 
--- a/src/controller/held_machines.rs
+++ b/src/controller/held_machines.rs
@@ -1,4 +1,4 @@
-//! The machines that this controller holds: what their workers report under its fencing token.
+//! The machines that this controller holds: what their heartbeats show under its fencing token.
 //!
 //! Owns one [`MachineRuntime`] for each machine of a block granted to this controller, and what is learned from
 //! their heartbeats: running tasks, failures, run times. Must never keep what was learned of a machine under
@@ -30,7 +30,7 @@
     running_tasks: HashMap<JobId, u32>,
     /// Machines whose answers wait and that have been given tasks.
     woken: Vec<MachineId>,
-    /// Machines that report here and are held by another controller or by none.
+    /// Machines whose heartbeats come here and that are held by another controller or by none.
     pub(crate) unowned: UnownedMachines,
     /// Failures of jobs one after the other.
     failure_streaks: HashMap<JobId, FailureStreak>,
--- a/src/controller/held_machines/runtime.rs
+++ b/src/controller/held_machines/runtime.rs
@@ -169,9 +169,9 @@
     pub(crate) age_ms: Option<u64>,
     /// Whether it obeys its holder's token and answers reach it.
     pub(crate) obeys: bool,
-    /// Under notice of the cloud.
-    pub(crate) recalled: bool,
-    /// Fails what it starts.
+    /// The cloud has said that it takes the machine back.
+    pub(crate) being_reclaimed: bool,
+    /// Its tasks fail, or answers have not reached it for a whole lease.
     pub(crate) quarantined: bool,
     /// Its worker has restarted.
     pub(crate) restarted: bool,
--- a/src/controller/held_machines/unowned.rs
+++ b/src/controller/held_machines/unowned.rs
@@ -1,6 +1,7 @@
 //! Machines whose workers send heartbeats here although this controller does not hold them.
 //!
-//! Owns for how long each has come here in vain: the leader gives such machines a block, or grants theirs again.
+//! Owns for how long each has come here without an answer: the leader puts such machines into a block, or grants
+//! the block that lists them to another holder.
 //! Must never keep a machine for longer than a few heartbeats after its last one.
 
 use super::HeartbeatNumber;
@@ -8,8 +9,8 @@
 use crate::collections::HashMap;
 use crate::protocol::{Heartbeat, UnownedMachine};
 
-/// Machines remembered that report here and are held elsewhere or by nobody. It guards the memory only:
-/// after an end of all controllers every machine of a fleet may come to one of them.
+/// Machines remembered at most. It guards the memory only: after a restart of all controllers every machine of a
+/// fleet may come to one of them.
 const MAX_UNOWNED_MACHINES: usize = 20_000;
 /// After a gap this long the time for which a machine has come here counts from zero, and it is forgotten with
 /// the next message to a peer, ms.
@@ -85,7 +86,7 @@
             .retain(|_, state| now.since(state.last_seen) < FORGET_AFTER_MS);
     }
 
-    /// The machines heard from lately, as the leader is told of them.
+    /// The machines heard from lately, as the leader receives them.
     pub(crate) fn to_report(&self, now: Timestamp) -> Vec<UnownedMachine> {
         self.by_name
             .iter()
--- a/src/controller/machine_status.rs
+++ b/src/controller/machine_status.rs
@@ -21,7 +21,7 @@
             return Some(MachineInfo {
                 age_ms: runtime.heard_at.map(|heard| now.since(heard)),
                 obeys: runtime.obeys(),
-                recalled: runtime.reclaim_at.is_some(),
+                being_reclaimed: runtime.reclaim_at.is_some(),
                 quarantined: self.unfit(runtime, now),
                 restarted: runtime.restarted,
             });
@@ -31,7 +31,7 @@
         Some(MachineInfo {
             age_ms: summary.age_ms.map(|age| age + message_age),
             obeys: summary.obeys,
-            recalled: summary.recalled,
+            being_reclaimed: summary.recalled,
             quarantined: summary.quarantined,
             restarted: summary.restarted,
         })
--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Timestamp;
 use crate::collections::HashSet;
-use crate::controller::completions::TXN_BYTES;
+use crate::controller::completions::MAX_TRANSACTION_BYTES;
 use crate::controller::{Controller, put};
 use crate::names::JobId;
 use crate::protocol::{JobStatus, Mutation, Transaction};
@@ -62,7 +62,7 @@
             };
             if let Mutation::Put { key, value, .. } = &mutation {
                 bytes += value.size() + MUTATION_BYTES;
-                if bytes > TXN_BYTES {
+                if bytes > MAX_TRANSACTION_BYTES {
                     break;
                 }
                 transaction.preconditions.push(self.precondition(key));
@@ -145,7 +145,7 @@
                 continue;
             }
             bytes += mutation.value_bytes();
-            if bytes > TXN_BYTES && !transaction.mutations.is_empty() {
+            if bytes > MAX_TRANSACTION_BYTES && !transaction.mutations.is_empty() {
                 break;
             }
             let key = archivable.key;
--- a/src/leadership/capacity.rs
+++ b/src/leadership/capacity.rs
@@ -61,7 +61,7 @@
         let info = self.machine_info(machine_id, now);
         let unfit = info
             .as_ref()
-            .is_some_and(|info| info.recalled || info.quarantined);
+            .is_some_and(|info| info.being_reclaimed || info.quarantined);
         if machine.leaving
             || unfit
             || self.leadership.scale_in.is_draining(machine_id)
--- a/src/leadership/job_dependencies.rs
+++ b/src/leadership/job_dependencies.rs
@@ -3,7 +3,7 @@
 //! Only plans transactions. Whether a job is ready or cancelled is the replica's to say.
 
 use super::archiving::ArchivableJob;
-use crate::controller::completions::TXN_BYTES;
+use crate::controller::completions::MAX_TRANSACTION_BYTES;
 use crate::controller::{Controller, put};
 use crate::names::JobId;
 use crate::protocol::{JobStatus, Mutation, Priority, Transaction};
@@ -57,7 +57,7 @@
             let (from, to) = (waiting_key(name), job_key(name));
             let mutation = put(&to, &record, None);
             bytes += mutation.value_bytes();
-            if bytes > TXN_BYTES {
+            if bytes > MAX_TRANSACTION_BYTES {
                 break;
             }
             debug!(job = name, "job ready: all jobs that it needs are done");
--- a/src/leadership/slots.rs
+++ b/src/leadership/slots.rs
@@ -64,7 +64,7 @@
             && !leadership.scale_in.is_draining(machine_id)
             && self.machine_info(machine_id, now).is_some_and(|info| {
                 let recent = info.age_ms.is_some_and(|age_ms| age_ms < recent_ms);
-                info.obeys && recent && !info.recalled && !info.quarantined
+                info.obeys && recent && !info.being_reclaimed && !info.quarantined
             })
     }
 
--- a/src/spillover/batch.rs
+++ b/src/spillover/batch.rs
@@ -1,6 +1,6 @@
 //! A transaction of several jobs' keys that the store takes.
 
-use crate::controller::completions::TXN_BYTES;
+use crate::controller::completions::MAX_TRANSACTION_BYTES;
 use crate::protocol::{Mutation, Precondition, Transaction};
 
 /// Bytes that a mutation and its precondition take besides the value.
@@ -28,7 +28,7 @@
     /// Guards against a transaction that is called malformed and planned again for ever.
     pub(super) fn add(&mut self, precondition: Precondition, mutation: Mutation) -> bool {
         let bytes = self.bytes + mutation.value_bytes() + OVERHEAD_BYTES;
-        let fits = self.transaction.mutations.is_empty() || bytes <= TXN_BYTES;
+        let fits = self.transaction.mutations.is_empty() || bytes <= MAX_TRANSACTION_BYTES;
         if !fits || self.transaction.mutations.len() >= self.max_mutations {
             return false;
         }
