--- a/src/http/cells.rs
+++ b/src/http/cells.rs
@@ -1,7 +1,7 @@
 //! Requests of controllers of other cells: offers of loans and reports about them (spillover).
 //!
 //! Owns the order of things for a request that writes: it is decided by the controller, written, and only then
-//! answered. A decision must never be told before it is recorded.
+//! answered. A decision must never be answered before it is recorded.
 
 use super::peers::message_pack;
 use super::responses::refuse;
@@ -73,7 +73,7 @@
         controller.leads().is_some() && controller.has_authority(now)
     }
 
-    /// Records the ends of loans that a borrower reports. What fails is reported again.
+    /// Records the outcomes of loans that a borrower reports. What fails is reported again.
     async fn end_loans(&self, from: &str, reports: &[LoanReport]) {
         let now = self.shared.now();
         let transactions = self
--- a/src/http/lookup.rs
+++ b/src/http/lookup.rs
@@ -100,7 +100,7 @@
         }))
     }
 
-    /// What a user is told of a job in this state; a final state is remembered.
+    /// The answer to a user about a job in this state; a final state is remembered.
     pub(super) fn answer(&self, name: &str, status: JobStatus, done: u32) -> JobAnswer {
         let running = {
             let controller = self.shared.controller.lock();
--- a/src/http/shared.rs
+++ b/src/http/shared.rs
@@ -91,7 +91,7 @@
 }
 
 impl ApiState {
-    /// Whether the state service is likely to answer: otherwise a user is better told at once.
+    /// Whether the state service is likely to answer: otherwise a user is better answered at once.
     pub(super) fn state_up(&self) -> bool {
         let now = self.shared.now();
         self.shared.controller.lock().state_ok(now)
--- a/src/jobs/final_states.rs
+++ b/src/jobs/final_states.rs
@@ -1,4 +1,4 @@
-//! Final states of jobs that were told before.
+//! Final states of jobs that users were answered with before.
 //!
 //! Owns a bounded cache of answers that can never change, so that repeated polls of jobs that are over cost
 //! the state service nothing. It must never keep an answer that is not final.
--- a/src/jobs/gradual.rs
+++ b/src/jobs/gradual.rs
@@ -3,7 +3,7 @@
 //! The value of the waiting job is written several times. Each write adds predecessors and holds on to
 //! them by preconditions on their keys, and none of them is archived from then on, so every replica that
 //! shows the value shows all predecessors in it. Until the last write the job is *incomplete*: its user
-//! has not been told that it is accepted, nobody knows it, and it never becomes ready. One that its user
+//! has not been answered that it is accepted, nobody knows it, and it never becomes ready. One that its user
 //! has given up is dropped by the leader.
 //!
 //! Pure. It must never plan a write that completes the job while a predecessor is not held on to.
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! What users may submit, how a job is accepted and cancelled, and what users are told of it.
+//! What users may submit, how a job is accepted and cancelled, and what users are answered about it.
 //!
 //! Pure: plans transactions and answers from what it is given, and sends nothing. A transaction planned here
 //! must always carry the preconditions that make it a compare-and-swap of what was read.
@@ -72,7 +72,7 @@
     }
 }
 
-/// What a user is told of a job whose key shows `status`, with so many tasks done and running.
+/// The answer to a user about a job whose key shows `status`, with so many tasks done and running.
 pub fn answer(name: &str, status: JobStatus, done: u32, running: u32) -> JobAnswer {
     let is_over = status != JobStatus::Pending;
     let running = if is_over { 0 } else { running };
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,6 +1,6 @@
 //! Settings: the platform's file (TOML), the operators' file (XML), and the times derived from both.
 //!
-//! Owns what a controller is told at its start, checked and complete. Settings never change while the process
+//! Owns what a controller is given at its start, checked and complete. Settings never change while the process
 //! runs. What the derived times must keep to for safety stands in `durations`.
 
 use quillbend_spillover::settings::SpilloverSettings;
