--- a/benches/costs.rs
+++ b/benches/costs.rs
@@ -108,7 +108,7 @@
             let replica = &node.controller.replica;
             let job_id = replica.names.jobs.get("wk-000007")?;
             let job = replica.jobs.get(&job_id)?;
-            let running = node.controller.running(job_id);
+            let running = node.controller.running_task_count(job_id);
             Some(jobs::answer(
                 "wk-000007",
                 job.status,
--- a/src/controller/completions/done_lists.rs
+++ b/src/controller/completions/done_lists.rs
@@ -9,13 +9,13 @@
 use std::cmp::Reverse;
 
 /// A block is large above this part of the largest value: its lists of done tasks are moved to the jobs' keys.
-const LARGE: f64 = 0.6;
+const LARGE_BLOCK_FRACTION: f64 = 0.6;
 /// The lists of a large block are left if they take less than this part of the largest value.
-const LISTS_WORTH_MOVING: f64 = 0.15;
+const MIN_MOVED_LISTS_FRACTION: f64 = 0.15;
 /// Above this part of the largest value, as many are moved as one transaction takes.
-const VERY_LARGE: f64 = 0.9;
+const VERY_LARGE_BLOCK_FRACTION: f64 = 0.9;
 /// Jobs whose list is moved at a time: each costs a write, and frees the list in every block.
-const JOBS_AT_A_TIME: usize = 3;
+const MAX_JOBS_PER_TRANSACTION: usize = 3;
 /// Bytes of a list in a value besides its ranges.
 const LIST_OVERHEAD_BYTES: usize = 8;
 
@@ -37,7 +37,7 @@
         size: usize,
         mut budget: ListBudget,
     ) -> Vec<(JobId, Mutation)> {
-        let max_writes = self.lists_to_move(record, size).min(budget.writes);
+        let max_writes = self.max_lists_to_move(record, size).min(budget.writes);
         if max_writes == 0 {
             return Vec::new();
         }
@@ -51,7 +51,7 @@
             let job = name.and_then(|name| self.replica.names.jobs.get(name));
             let write = job
                 .filter(|_| job_writes.len() < max_writes)
-                .and_then(|job| Some((job, self.job_change(job, &tasks)?)))
+                .and_then(|job| Some((job, self.done_tasks_mutation(job, &tasks)?)))
                 .filter(|(_, write)| write.value_bytes() <= budget.bytes);
             match write {
                 Some((job, write)) => {
@@ -66,17 +66,18 @@
     }
 
     /// How many lists a block of this size is to be rid of.
-    fn lists_to_move(&self, record: &BlockRecord, size: usize) -> usize {
+    fn max_lists_to_move(&self, record: &BlockRecord, size: usize) -> usize {
         let max_bytes = self.settings.value_bytes() as f64;
         let lists = record.done.iter();
         let listed: usize = lists
             .map(|(_, tasks)| tasks.text_len() + LIST_OVERHEAD_BYTES)
             .sum();
-        if size as f64 > max_bytes * VERY_LARGE {
+        if size as f64 > max_bytes * VERY_LARGE_BLOCK_FRACTION {
             self.settings.platform.settings.state.txn_ops / 2
-        } else if size as f64 > max_bytes * LARGE && listed as f64 > max_bytes * LISTS_WORTH_MOVING
+        } else if size as f64 > max_bytes * LARGE_BLOCK_FRACTION
+            && listed as f64 > max_bytes * MIN_MOVED_LISTS_FRACTION
         {
-            JOBS_AT_A_TIME
+            MAX_JOBS_PER_TRANSACTION
         } else {
             0
         }
@@ -85,7 +86,7 @@
     /// A write of a job's own key that shows every task known to be done, and `more`; none if its
     /// present value cannot be read, or the new one would be too large: then the blocks go on listing
     /// what is done.
-    pub(crate) fn job_change(&self, job_id: JobId, more: &RangeSet) -> Option<Mutation> {
+    pub(crate) fn done_tasks_mutation(&self, job_id: JobId, more: &RangeSet) -> Option<Mutation> {
         let job = self.replica.jobs.get(&job_id)?;
         let name = self.replica.names.jobs.name(job_id);
         // Its precondition would fail for ever, and with it all that shares the transaction.
--- a/src/controller/completions/moves.rs
+++ b/src/controller/completions/moves.rs
@@ -9,7 +9,7 @@
 /// What becomes of a planned move now.
 enum MoveDecision {
     /// It leaves another block, or the block that it enters cannot be written now.
-    Later,
+    Defer,
     /// Its machines or its bindings are no longer what they were: it is given up.
     Cancel,
     /// It is written, into this block.
@@ -27,7 +27,7 @@
         let mut later = Vec::new();
         for task_move in self.completions.take_planned() {
             match self.decide_move(id, edits, &task_move) {
-                MoveDecision::Later => later.push(task_move),
+                MoveDecision::Defer => later.push(task_move),
                 MoveDecision::Cancel => self.completions.release([&task_move]),
                 MoveDecision::Write(to) => {
                     if to != id && !intent.blocks.contains(&to) {
@@ -50,7 +50,7 @@
     ) -> MoveDecision {
         let victim = self.replica.machines.get(&task_move.victim);
         if victim.is_some_and(|machine| machine.block != id) {
-            return MoveDecision::Later;
+            return MoveDecision::Defer;
         }
         let thief = self.replica.machines.get(&task_move.thief);
         let Some(thief) = thief.filter(|machine| !machine.leaving) else {
@@ -59,28 +59,29 @@
         let from = edits
             .get(&id)
             .and_then(|edit| edit.machines.get(&task_move.victim));
-        let is_whole = from.is_some_and(|from| {
+        let is_movable = from.is_some_and(|from| {
             let mut bindings = task_move.bindings.iter();
             bindings.all(|binding| {
-                from.queue.contains(binding) && self.unstarted(task_move.victim, binding)
+                from.queue.contains(binding) && self.is_unstarted(task_move.victim, binding)
             })
         });
-        if !is_whole {
+        if !is_movable {
             return MoveDecision::Cancel;
         }
         let to = thief.block;
         let max_blocks = self.settings.platform.settings.state.txn_ops / 2;
         if !edits.contains_key(&to) && (edits.len() >= max_blocks || self.writes.writes_block(to)) {
-            return MoveDecision::Later;
+            return MoveDecision::Defer;
         }
         MoveDecision::Write(to)
     }
 
     /// Whether a task is surely not on a machine: it obeys our token, and no answer has launched the task.
-    pub(crate) fn unstarted(&self, machine_id: MachineId, binding: &Binding) -> bool {
+    pub(crate) fn is_unstarted(&self, machine_id: MachineId, binding: &Binding) -> bool {
         let runtime = self.held.get(machine_id);
-        runtime
-            .is_some_and(|runtime| runtime.is_fenced_and_alive() && !runtime.may_have(binding.task))
+        runtime.is_some_and(|runtime| {
+            runtime.is_fenced_and_alive() && !runtime.may_have_task(binding.task)
+        })
     }
 }
 
--- a/src/controller/completions/pending.rs
+++ b/src/controller/completions/pending.rs
@@ -58,12 +58,12 @@
     }
 
     /// A completion was recorded.
-    pub(crate) fn note_recorded(&mut self, machine_id: MachineId, binding: &Binding) {
+    pub(crate) fn remove_recorded(&mut self, machine_id: MachineId, binding: &Binding) {
         self.retain_on(machine_id, |completion| completion.binding != *binding);
     }
 
     /// Keeps those completions of a machine that its queue still lists.
-    pub(crate) fn keep_listed(&mut self, machine_id: MachineId, queue: Option<&Vec<Binding>>) {
+    pub(crate) fn retain_listed(&mut self, machine_id: MachineId, queue: Option<&Vec<Binding>>) {
         self.retain_on(machine_id, |completion| {
             queue.is_some_and(|queue| queue.contains(&completion.binding))
         });
@@ -97,11 +97,11 @@
     }
 
     /// Forgets the jobs for which `stays` is false: their indices may come back as other jobs.
-    pub(crate) fn forget_jobs(&mut self, stays: impl Fn(&JobId) -> bool) {
+    pub(crate) fn forget_jobs(&mut self, keep: impl Fn(&JobId) -> bool) {
         for completions in self.pending.values_mut() {
-            completions.retain(|completion| stays(&completion.binding.task.job));
+            completions.retain(|completion| keep(&completion.binding.task.job));
         }
-        self.reserved.retain(|binding| stays(&binding.task.job));
+        self.reserved.retain(|binding| keep(&binding.task.job));
     }
 
     /// Tasks that were done on the machines held here and that are not recorded yet.
--- a/src/controller/completions/plan.rs
+++ b/src/controller/completions/plan.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 /// A block as it is to be written.
-struct SealedBlock {
+struct FinalizedBlock {
     id: BlockId,
     record: BlockRecord,
     value: Json,
@@ -31,7 +31,7 @@
         if intent.outcomes.is_empty() && intent.moves.is_empty() {
             return None;
         }
-        let mut blocks = self.seal_blocks(&edits);
+        let mut blocks = self.finalize_blocks(&edits);
         if blocks.len() > 1 && self.is_too_large(&blocks) {
             // The thief's block, or the transaction, has no room for more: the completions go without
             // the moves.
@@ -50,17 +50,17 @@
         Some((self.completions_transaction(blocks, job_writes), intent))
     }
 
-    fn seal_blocks(&self, edits: &BTreeMap<BlockId, BlockEdit>) -> Vec<SealedBlock> {
-        let seal = |(&id, edit)| {
+    fn finalize_blocks(&self, edits: &BTreeMap<BlockId, BlockEdit>) -> Vec<FinalizedBlock> {
+        let finalize = |(&id, edit)| {
             let record = self.replica.seal(edit);
             let value = Json::of(&record);
-            SealedBlock { id, record, value }
+            FinalizedBlock { id, record, value }
         };
-        edits.iter().map(seal).collect()
+        edits.iter().map(finalize).collect()
     }
 
     /// Whether blocks have no room for what moves between them: in one value, or in the transaction.
-    fn is_too_large(&self, blocks: &[SealedBlock]) -> bool {
+    fn is_too_large(&self, blocks: &[FinalizedBlock]) -> bool {
         let nearly_full = self.settings.value_bytes() * 9 / 10;
         total_bytes(blocks) > MAX_TRANSACTION_BYTES
             || blocks.iter().any(|block| block.value.size() > nearly_full)
@@ -70,7 +70,7 @@
     fn shorten_done_lists(
         &self,
         id: BlockId,
-        blocks: &mut [SealedBlock],
+        blocks: &mut [FinalizedBlock],
     ) -> Vec<(JobId, Mutation)> {
         let max_writes = self.settings.platform.settings.state.txn_ops;
         let budget = ListBudget {
@@ -90,11 +90,11 @@
 
     fn completions_transaction(
         &self,
-        blocks: Vec<SealedBlock>,
+        blocks: Vec<FinalizedBlock>,
         job_writes: Vec<(JobId, Mutation)>,
     ) -> Transaction {
         let mut transaction = Transaction::default();
-        for SealedBlock { id, value, .. } in blocks {
+        for FinalizedBlock { id, value, .. } in blocks {
             // Whoever holds the thief's block must hold it still, as must we the victim's.
             let grant_unchanged = self.precondition(&grant_key(id));
             transaction.preconditions.push(grant_unchanged);
@@ -115,6 +115,6 @@
     }
 }
 
-fn total_bytes(blocks: &[SealedBlock]) -> usize {
+fn total_bytes(blocks: &[FinalizedBlock]) -> usize {
     blocks.iter().map(|block| block.value.size()).sum()
 }
--- a/src/controller/completions/presumed_dead.rs
+++ b/src/controller/completions/presumed_dead.rs
@@ -12,14 +12,14 @@
 
 impl Controller {
     /// Gives up machines that were silent for longer than their lease, and frees what is bound to them.
-    pub(crate) fn find_presumed_dead(&mut self, now: Timestamp) {
-        let gone: Vec<MachineId> = self
+    pub(crate) fn handle_presumed_dead(&mut self, now: Timestamp) {
+        let newly_dead: Vec<MachineId> = self
             .held
             .iter()
-            .filter(|&(machine_id, runtime)| self.is_newly_gone(machine_id, runtime, now))
+            .filter(|&(machine_id, runtime)| self.is_newly_dead(machine_id, runtime, now))
             .map(|(machine_id, _)| machine_id)
             .collect();
-        for machine_id in gone {
+        for machine_id in newly_dead {
             self.presume_dead(machine_id);
         }
         let dead: Vec<MachineId> = self
@@ -34,7 +34,7 @@
     }
 
     /// Whether the tasks of a machine that is not presumed dead yet are surely gone.
-    fn is_newly_gone(
+    fn is_newly_dead(
         &self,
         machine_id: MachineId,
         runtime: &MachineRuntime,
@@ -45,7 +45,8 @@
         }
         // There is nothing to give up at one that never sent a heartbeat and to which nothing is bound.
         let machine = self.replica.machines.get(&machine_id);
-        machine.is_some_and(|machine| runtime.heard_at.is_some() || !machine.queue.is_empty())
+        machine
+            .is_some_and(|machine| runtime.last_heartbeat_at.is_some() || !machine.queue.is_empty())
     }
 
     fn lease_has_expired(&self, runtime: &MachineRuntime, now: Timestamp) -> bool {
@@ -69,7 +70,7 @@
             "machine presumed dead"
         );
         self.counters.machines_presumed_dead += 1;
-        self.held.presume_dead(machine_id);
+        self.held.mark_presumed_dead(machine_id);
     }
 
     /// Frees all bindings of a machine that do not take part in a move.
--- a/src/controller/heartbeat/admission.rs
+++ b/src/controller/heartbeat/admission.rs
@@ -57,9 +57,9 @@
 
     /// Nobody holds the machine: the leader is to hear of it.
     fn redirect_to_leader(&mut self, heartbeat: &Heartbeat, now: Timestamp) -> HeartbeatResponse {
-        self.held.unowned.note(heartbeat, 0, now);
+        self.held.unowned.record_heartbeat(heartbeat, 0, now);
         let leader = self.replica.leader.map(|leader| leader.host);
-        match leader.filter(|&host| self.is_heard_peer(host, now)) {
+        match leader.filter(|&host| self.is_reachable_peer(host, now)) {
             Some(leader) => self.redirect(Some(leader)),
             None => {
                 self.counters.redirects += 1;
@@ -74,13 +74,15 @@
         grant: &Holder,
         now: Timestamp,
     ) -> HeartbeatResponse {
-        self.held.unowned.note(heartbeat, grant.mod_revision, now);
+        self.held
+            .unowned
+            .record_heartbeat(heartbeat, grant.mod_revision, now);
         // A holder that is silent to us is not named: the worker would wait for it in vain.
-        let holder = Some(grant.host).filter(|&host| self.is_heard_peer(host, now));
+        let holder = Some(grant.host).filter(|&host| self.is_reachable_peer(host, now));
         self.redirect(holder)
     }
 
-    fn is_heard_peer(&self, host: HostId, now: Timestamp) -> bool {
+    fn is_reachable_peer(&self, host: HostId, now: Timestamp) -> bool {
         host != self.me && self.peers.hears(host, now)
     }
 
--- a/src/controller/heartbeat/answer.rs
+++ b/src/controller/heartbeat/answer.rs
@@ -1,6 +1,6 @@
 //! The commands that answer a heartbeat of a machine held here, step by step.
 
-use super::launch::{Launches, QueueUse};
+use super::launch::{Launches, QueueMode};
 use super::reconcile::{Reconciliation, ReportedTask};
 use super::{HeldMachine, NO_TOKEN};
 use crate::clock::Timestamp;
@@ -12,13 +12,13 @@
 use tracing::{info, warn};
 
 /// Longest time that an ended task waits to be cleared for the sake of fewer heartbeats, ms.
-const CLEAR_WAIT_MS: u64 = 5000;
+const MAX_CLEAR_DELAY_MS: u64 = 5000;
 /// Ended tasks that wait at most.
-const MAX_WAITING_CLEARS: usize = 8;
+const MAX_PENDING_CLEARS: usize = 8;
 
 impl Controller {
     /// Takes in what a heartbeat shows, and decides what its machine is to do.
-    pub(super) fn answer(
+    pub(super) fn plan_commands(
         &mut self,
         held: HeldMachine,
         runtime: &mut MachineRuntime,
@@ -28,14 +28,16 @@
         let Some(machine) = self.replica.machines.get(&held.machine_id) else {
             return Vec::new();
         };
-        self.note_reachability(runtime, heartbeat, now);
+        self.observe_reachability(runtime, heartbeat, now);
         log_first_contact(runtime, heartbeat, held.fencing_token);
-        if note_arrival(runtime, heartbeat, held.fencing_token, now) == Fencing::Begins {
+        if record_heartbeat(runtime, heartbeat, held.fencing_token, now)
+            == FencingChange::Established
+        {
             self.peers.request_urgent_update();
         }
-        note_reclaim(runtime, heartbeat, now);
+        record_reclaim_notice(runtime, heartbeat, now);
         runtime.launched.clear();
-        runtime.answer_waits = false;
+        runtime.ack_delayed = false;
         let reconciliation = self.reconcile(held.machine_id, machine, runtime, heartbeat, now);
         let mut commands = self.decide_stops(machine, runtime, &reconciliation.tasks, now);
         // A worker that has seen no token yet is only given ours: what it is to start comes once it
@@ -43,18 +45,18 @@
         let launches = match heartbeat.token {
             NO_TOKEN => Launches::default(),
             _ => {
-                let queue_use = match machine.leaving || runtime.is_draining() {
-                    true => QueueUse::Drain,
-                    false => QueueUse::Start,
+                let queue_mode = match machine.leaving || runtime.is_draining() {
+                    true => QueueMode::Drain,
+                    false => QueueMode::Start,
                 };
                 let used = reconciliation.used;
-                self.plan_launches(held.machine_id, runtime, used, queue_use, now)
+                self.plan_launches(held.machine_id, runtime, used, queue_mode, now)
             }
         };
         self.counters.launches += launches.commands.len() as u64;
         commands.extend(launches.commands);
-        if clears_are_due(runtime, &reconciliation.tasks, &commands, now) {
-            commands.extend(clears(&reconciliation.tasks));
+        if should_send_clears(runtime, &reconciliation.tasks, &commands, now) {
+            commands.extend(clear_commands(&reconciliation.tasks));
         }
         let freed = launches.freed;
         self.record_reconciliation(held.machine_id, runtime, reconciliation, freed, now);
@@ -76,13 +78,13 @@
             self.held.observe_run_time(class, ratio);
         }
         for completion in reconciliation.completions.into_iter().chain(freed) {
-            self.note_outcome(machine_id, runtime, completion, now);
+            self.record_completion(machine_id, runtime, completion, now);
         }
     }
 }
 
 fn log_first_contact(runtime: &MachineRuntime, heartbeat: &Heartbeat, token: FencingToken) {
-    if runtime.heard_at.is_none() {
+    if runtime.last_heartbeat_at.is_none() {
         info!(
             machine = heartbeat.machine,
             fencing_token = token.0,
@@ -90,7 +92,8 @@
             "first heartbeat under this fencing token"
         );
     }
-    if heartbeat.worker_epoch > runtime.newest.epoch && runtime.newest.epoch > 0 {
+    if heartbeat.worker_epoch > runtime.newest_heartbeat.epoch && runtime.newest_heartbeat.epoch > 0
+    {
         warn!(
             machine = heartbeat.machine,
             epoch = heartbeat.worker_epoch,
@@ -101,41 +104,41 @@
 
 /// What a heartbeat changes in whom the machine obeys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fencing {
+enum FencingChange {
     /// From now on no earlier holder is obeyed.
-    Begins,
+    Established,
     /// Nothing.
     Unchanged,
 }
 
 /// Notes the number of a heartbeat, and whether it shows our token.
-fn note_arrival(
+fn record_heartbeat(
     runtime: &mut MachineRuntime,
     heartbeat: &Heartbeat,
     token: FencingToken,
     now: Timestamp,
-) -> Fencing {
+) -> FencingChange {
     let number = HeartbeatNumber::of(heartbeat);
     if heartbeat.token == token.0 {
-        runtime.newest = number;
-        runtime.heard_at = Some(now);
+        runtime.newest_heartbeat = number;
+        runtime.last_heartbeat_at = Some(now);
         let before = std::mem::replace(&mut runtime.fenced, true);
         return if before {
-            Fencing::Unchanged
+            FencingChange::Unchanged
         } else {
-            Fencing::Begins
+            FencingChange::Established
         };
     }
     if number > runtime.newest_without_token {
         // A copy does not make a machine seem alive.
         runtime.newest_without_token = number;
-        runtime.heard_at = Some(now);
+        runtime.last_heartbeat_at = Some(now);
     }
-    Fencing::Unchanged
+    FencingChange::Unchanged
 }
 
 /// Notes when the cloud takes the machine back, if its worker says so.
-fn note_reclaim(runtime: &mut MachineRuntime, heartbeat: &Heartbeat, now: Timestamp) {
+fn record_reclaim_notice(runtime: &mut MachineRuntime, heartbeat: &Heartbeat, now: Timestamp) {
     let seconds = heartbeat.reclaim_s.filter(|seconds| seconds.is_finite());
     runtime.reclaim_at = seconds.map(|seconds| now.plus((seconds.max(0.0) * 1000.0) as u64));
 }
@@ -144,25 +147,25 @@
 ///
 /// A cleared task is a change, and every change is one more heartbeat: it waits for a command that changes the
 /// machine's tasks anyway, but not for long.
-fn clears_are_due(
+fn should_send_clears(
     runtime: &mut MachineRuntime,
     tasks: &[ReportedTask],
     commands: &[Command],
     now: Timestamp,
 ) -> bool {
-    let waiting = tasks.iter().filter(|task| task.is_to_be_cleared()).count();
+    let waiting = tasks.iter().filter(|task| task.can_be_cleared()).count();
     let due = waiting == 0
         || !commands.is_empty()
-        || waiting >= MAX_WAITING_CLEARS
-        || now.since(*runtime.clears_wait_since.get_or_insert(now)) > CLEAR_WAIT_MS;
+        || waiting >= MAX_PENDING_CLEARS
+        || now.since(*runtime.clears_pending_since.get_or_insert(now)) > MAX_CLEAR_DELAY_MS;
     if due {
-        runtime.clears_wait_since = None;
+        runtime.clears_pending_since = None;
     }
     due
 }
 
-fn clears(tasks: &[ReportedTask]) -> impl Iterator<Item = Command> {
-    let to_clear = tasks.iter().filter(|task| task.is_to_be_cleared());
+fn clear_commands(tasks: &[ReportedTask]) -> impl Iterator<Item = Command> {
+    let to_clear = tasks.iter().filter(|task| task.can_be_cleared());
     to_clear.map(|task| Command::Clear {
         task: task.status.task.clone(),
         attempt: task.status.attempt,
--- a/src/controller/heartbeat/delayed.rs
+++ b/src/controller/heartbeat/delayed.rs
@@ -4,7 +4,7 @@
 //! heartbeat would wait for the next one. Its answer waits for a part of that time, as it may (PROTOCOL: workers
 //! wait 4 s); it is a full answer all the same, and the worker's lease counts from when it sent the heartbeat.
 
-use super::launch::QueueUse;
+use super::launch::QueueMode;
 use crate::clock::Timestamp;
 use crate::controller::held_machines::{HeartbeatNumber, MachineRuntime};
 use crate::controller::{Controller, HeartbeatResponse};
@@ -15,7 +15,7 @@
 impl Controller {
     /// For how long the answer to a heartbeat of this number (epoch, sequence) may wait for the first task, ms;
     /// none if it goes out at once.
-    pub fn may_wait(&mut self, machine: &str, number: (u64, u64), now: Timestamp) -> Option<u64> {
+    pub fn delay_ack(&mut self, machine: &str, number: (u64, u64), now: Timestamp) -> Option<u64> {
         let machine_id = self.replica.names.machines.get(machine)?;
         let runtime = self.held.get(machine_id)?;
         let machine = self.replica.machines.get(&machine_id)?;
@@ -23,19 +23,19 @@
             .tasks
             .values()
             .all(|task| task.status == TaskPhase::Ended);
-        let usable = runtime.obeys()
+        let usable = runtime.is_controllable()
             && !machine.leaving
             && !runtime.quarantined
             && runtime.reclaim_at.is_none();
         if !idle
             || !usable
             || !runtime.launched.is_empty()
-            || runtime.newest != HeartbeatNumber::from(number)
+            || runtime.newest_heartbeat != HeartbeatNumber::from(number)
             || self.answers_are_late(now)
         {
             return None;
         }
-        self.held.get_mut(machine_id)?.answer_waits = true;
+        self.held.get_mut(machine_id)?.ack_delayed = true;
         Some(self.settings.answer_wait_ms())
     }
 
@@ -49,7 +49,7 @@
 
     /// The answer to a heartbeat that was taken in earlier and whose answer has waited since. Between
     /// the two this controller may have lost the block, its authority or the worker's patience.
-    pub fn answer_late(
+    pub fn delayed_ack(
         &mut self,
         machine: &str,
         number: (u64, u64),
@@ -66,23 +66,23 @@
         };
         // Under another token, or after another heartbeat, nobody waits for this answer any more.
         let awaited = runtime.fencing_token == grant.mod_revision
-            && runtime.newest == HeartbeatNumber::from(number)
-            && runtime.obeys();
+            && runtime.newest_heartbeat == HeartbeatNumber::from(number)
+            && runtime.is_controllable();
         let response = match awaited {
-            true => self.finish_waiting(machine_id, &mut runtime, now),
+            true => self.launch_delayed(machine_id, &mut runtime, now),
             false => HeartbeatResponse::Unavailable,
         };
         self.held.insert(machine_id, runtime);
         response
     }
 
-    fn finish_waiting(
+    fn launch_delayed(
         &mut self,
         machine_id: MachineId,
         runtime: &mut MachineRuntime,
         now: Timestamp,
     ) -> HeartbeatResponse {
-        runtime.answer_waits = false;
+        runtime.ack_delayed = false;
         let machine = self.replica.machines.get(&machine_id);
         if machine.is_none_or(|machine| machine.leaving) || runtime.quarantined {
             return HeartbeatResponse::Unavailable;
@@ -92,10 +92,10 @@
         for job in launched.filter_map(|task| self.replica.jobs.get(&task.job)) {
             used.add(&job.room(), 1.0);
         }
-        let launches = self.plan_launches(machine_id, runtime, used, QueueUse::Start, now);
+        let launches = self.plan_launches(machine_id, runtime, used, QueueMode::Start, now);
         self.counters.launches += launches.commands.len() as u64;
         for completion in launches.freed {
-            self.note_outcome(machine_id, runtime, completion, now);
+            self.record_completion(machine_id, runtime, completion, now);
         }
         HeartbeatResponse::HeartbeatAck(HeartbeatAck {
             token: runtime.fencing_token,
--- a/src/controller/heartbeat/launch.rs
+++ b/src/controller/heartbeat/launch.rs
@@ -12,7 +12,7 @@
 
 /// What is done with the bindings that are not started yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum QueueUse {
+pub(super) enum QueueMode {
     /// They are started while there is room.
     Start,
     /// They are given up: the machine is leaving, being reclaimed, quarantined or unreachable.
@@ -46,7 +46,7 @@
         machine_id: MachineId,
         runtime: &mut MachineRuntime,
         mut used: Room,
-        queue_use: QueueUse,
+        queue_mode: QueueMode,
         now: Timestamp,
     ) -> Launches {
         let mut launches = Launches::default();
@@ -55,8 +55,8 @@
         };
         let size = self.size(machine);
         let mut full = false;
-        for binding in self.by_priority(machine) {
-            match self.decide_binding(machine_id, machine, runtime, binding, queue_use, now) {
+        for binding in self.bindings_by_priority(machine) {
+            match self.decide_binding(machine_id, machine, runtime, binding, queue_mode, now) {
                 QueueDecision::Keep => {}
                 // Before the machine obeys our token an earlier holder may still start it.
                 QueueDecision::Free if !runtime.fenced => {}
@@ -78,7 +78,7 @@
     }
 
     /// The bindings of a machine, those of the highest priority first, otherwise in the order of the queue.
-    fn by_priority<'a>(&self, machine: &'a Machine) -> Vec<&'a Binding> {
+    fn bindings_by_priority<'a>(&self, machine: &'a Machine) -> Vec<&'a Binding> {
         let mut bindings: Vec<&Binding> = machine.queue.iter().collect();
         bindings.sort_by_key(|binding| {
             let job = self.replica.jobs.get(&binding.task.job);
@@ -93,28 +93,28 @@
         machine: &Machine,
         runtime: &MachineRuntime,
         binding: &Binding,
-        queue_use: QueueUse,
+        queue_mode: QueueMode,
         now: Timestamp,
     ) -> QueueDecision {
         let job_id = binding.task.job;
-        if runtime.may_have(binding.task) || self.completions.is_pending(machine_id, binding) {
+        if runtime.may_have_task(binding.task) || self.completions.is_pending(machine_id, binding) {
             return QueueDecision::Keep;
         }
         let job = self.replica.jobs.get(&job_id);
-        let Some(job) = job.filter(|job| !self.is_over(job_id, job)) else {
+        let Some(job) = job.filter(|job| !self.is_job_final(job_id, job)) else {
             return QueueDecision::Free;
         };
         if self.completions.is_reserved(binding) {
             return QueueDecision::Keep;
         }
-        let given_up = queue_use == QueueUse::Drain || machine.evict.contains(binding);
+        let draining = queue_mode == QueueMode::Drain || machine.evict.contains(binding);
         match self
             .spillover
             .permission(job, self.replica.names.jobs.name(job_id), now)
         {
             Permission::Wait => QueueDecision::Keep,
             Permission::Stop => QueueDecision::Free,
-            Permission::Run if given_up => QueueDecision::Free,
+            Permission::Run if draining => QueueDecision::Free,
             Permission::Run => QueueDecision::Start(job.room()),
         }
     }
--- a/src/controller/heartbeat/mod.rs
+++ b/src/controller/heartbeat/mod.rs
@@ -21,7 +21,7 @@
 use crate::names::MachineId;
 use crate::protocol::{Heartbeat, HeartbeatAck, TaskPhase, TaskStatus};
 use crate::replica::FencingToken;
-use classify::{Confirmation, HeartbeatVerdict};
+use classify::{Confirmation, HeartbeatAction};
 use tracing::info;
 
 /// The token of a worker that has seen none since it began (PROTOCOL, tokens).
@@ -42,7 +42,7 @@
         reason = "the caller hands the heartbeat over, as it came from the wire"
     )]
     pub fn on_heartbeat(&mut self, heartbeat: Heartbeat, now: Timestamp) -> HeartbeatResponse {
-        self.take_heartbeat(&heartbeat, Confirmation::Outstanding, now)
+        self.process_heartbeat(&heartbeat, Confirmation::Outstanding, now)
     }
 
     /// Takes in a heartbeat since whose arrival the replica has caught up with the state service.
@@ -55,10 +55,10 @@
         heartbeat: Heartbeat,
         now: Timestamp,
     ) -> HeartbeatResponse {
-        self.take_heartbeat(&heartbeat, Confirmation::Done, now)
+        self.process_heartbeat(&heartbeat, Confirmation::Done, now)
     }
 
-    fn take_heartbeat(
+    fn process_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
         confirmation: Confirmation,
@@ -70,13 +70,13 @@
         };
         let machine_id = held.machine_id;
         let mut runtime = self.held.take(machine_id).unwrap_or_default();
-        let verdict =
+        let action =
             self.classify_heartbeat(machine_id, &mut runtime, heartbeat, confirmation, now);
-        let response = match verdict {
-            HeartbeatVerdict::Ignore => HeartbeatResponse::Unavailable,
-            HeartbeatVerdict::Unconfirmed => HeartbeatResponse::Unconfirmed,
-            HeartbeatVerdict::Revival => self.revive(held, &mut runtime, heartbeat, now),
-            HeartbeatVerdict::Answer => self.acknowledge(held, &mut runtime, heartbeat, now),
+        let response = match action {
+            HeartbeatAction::Ignore => HeartbeatResponse::Unavailable,
+            HeartbeatAction::ConfirmFirst => HeartbeatResponse::Unconfirmed,
+            HeartbeatAction::Readmit => self.readmit(held, &mut runtime, heartbeat, now),
+            HeartbeatAction::Answer => self.acknowledge(held, &mut runtime, heartbeat, now),
         };
         self.held.insert(machine_id, runtime);
         response
@@ -90,18 +90,18 @@
         now: Timestamp,
     ) -> HeartbeatResponse {
         self.held.unowned.remove(&heartbeat.machine);
-        let orders = self.answer(held, runtime, heartbeat, now);
+        let planned_commands = self.plan_commands(held, runtime, heartbeat, now);
         runtime.answered_at = Some(now);
         self.counters.heartbeats += 1;
         HeartbeatResponse::HeartbeatAck(HeartbeatAck {
             token: held.fencing_token.0,
-            commands: orders,
+            commands: planned_commands,
         })
     }
 
     /// A machine that was presumed dead comes back. Its tasks may be bound elsewhere by now, so it is answered
     /// again only once its queue is empty and it shows an epoch without tasks.
-    fn revive(
+    fn readmit(
         &self,
         held: HeldMachine,
         runtime: &mut MachineRuntime,
@@ -114,13 +114,13 @@
         }
         info!(machine = heartbeat.machine, "machine presumed dead is back");
         let token = held.fencing_token.0;
-        let newest = match heartbeat.token == token {
+        let newest_heartbeat = match heartbeat.token == token {
             true => HeartbeatNumber::of(heartbeat),
-            false => runtime.newest,
+            false => runtime.newest_heartbeat,
         };
         *runtime = MachineRuntime {
-            newest,
-            heard_at: Some(now),
+            newest_heartbeat,
+            last_heartbeat_at: Some(now),
             answered_at: Some(now),
             ..MachineRuntime::new(token, now)
         };
--- a/src/controller/heartbeat/outcomes.rs
+++ b/src/controller/heartbeat/outcomes.rs
@@ -8,7 +8,7 @@
 
 impl Controller {
     /// Notes a completion, which is recorded with the next write of its block.
-    pub(super) fn note_outcome(
+    pub(super) fn record_completion(
         &mut self,
         machine_id: MachineId,
         runtime: &mut MachineRuntime,
@@ -20,28 +20,28 @@
         match completion.outcome {
             TaskOutcome::Done => {
                 runtime.failed_jobs.clear();
-                self.held.note_success(job);
+                self.held.record_success(job);
                 // Others wait for it: the leader hears of its last completions soon.
                 if self.replica.dependencies.is_needed(job) {
                     self.peers.request_urgent_update();
                 }
             }
-            TaskOutcome::Failed => self.note_failure(machine_id, runtime, job, now),
+            TaskOutcome::Failed => self.record_failure(machine_id, runtime, job, now),
             TaskOutcome::Free => {}
         }
     }
 
-    fn note_failure(
+    fn record_failure(
         &mut self,
         machine_id: MachineId,
         runtime: &mut MachineRuntime,
         job: JobId,
         now: Timestamp,
     ) {
-        self.held.note_failure(job, now);
+        self.held.record_failure(job, now);
         let known = self.replica.jobs.get(&job);
-        let proven = known.is_some_and(|job| !job.done.is_empty());
-        if runtime.note_failure(job, proven) {
+        let job_has_succeeded = known.is_some_and(|job| !job.done.is_empty());
+        if runtime.record_failure(job, job_has_succeeded) {
             warn!(
                 machine = self.replica.names.machines.name(machine_id),
                 failures = runtime.failed_jobs.len(),
--- a/src/controller/heartbeat/reachability.rs
+++ b/src/controller/heartbeat/reachability.rs
@@ -13,13 +13,13 @@
 /// A worker that has waited this long for an answer goes to the next controller (PROTOCOL, reports), ms.
 const ANSWER_WAIT_MS: u64 = 4000;
 /// Answers in a row that must be missed, or received, before a machine counts as unreachable, or reachable again.
-const ACKS_IN_A_ROW: u32 = 3;
+const CONSECUTIVE_ACK_THRESHOLD: u32 = 3;
 /// So long after a stall of this controller its answers may have been late, ms.
-const LATE_AFTER_STALL_MS: u64 = 15_000;
+const ANSWERS_LATE_AFTER_STALL_MS: u64 = 15_000;
 /// If more than one machine in so many misses answers, this controller is taken to be the cause.
-const LATE_FRACTION: usize = 10;
+const LATE_MACHINES_DIVISOR: usize = 10;
 /// So many machines may miss answers in any fleet without this controller being the cause.
-const LATE_MACHINES: usize = 2;
+const LATE_MACHINES_ALLOWANCE: usize = 2;
 
 /// What a heartbeat says of the answer to the one before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,20 +34,20 @@
 
 impl Controller {
     /// Finds out from a heartbeat whether the machine had the answer to the one before.
-    pub(super) fn note_reachability(
+    pub(super) fn observe_reachability(
         &self,
         runtime: &mut MachineRuntime,
         heartbeat: &Heartbeat,
         now: Timestamp,
     ) {
-        let Some(heard_at) = runtime.heard_at else {
+        let Some(last_heartbeat_at) = runtime.last_heartbeat_at else {
             return;
         };
-        match self.ack_evidence(runtime, heartbeat, heard_at, now) {
+        match self.ack_evidence(runtime, heartbeat, last_heartbeat_at, now) {
             AckEvidence::Received => {
                 runtime.missed_acks = 0;
                 runtime.received_acks += 1;
-                if runtime.received_acks >= ACKS_IN_A_ROW
+                if runtime.received_acks >= CONSECUTIVE_ACK_THRESHOLD
                     && runtime.unreachable_since.take().is_some()
                 {
                     info!(machine = heartbeat.machine, "machine reachable again");
@@ -58,7 +58,7 @@
             AckEvidence::Unclear => {}
         }
         runtime.received_acks = 0;
-        if runtime.missed_acks >= ACKS_IN_A_ROW
+        if runtime.missed_acks >= CONSECUTIVE_ACK_THRESHOLD
             && runtime.unreachable_since.is_none()
             && !self.answers_are_late(now)
         {
@@ -74,12 +74,13 @@
         &self,
         runtime: &MachineRuntime,
         heartbeat: &Heartbeat,
-        heard_at: Timestamp,
+        last_heartbeat_at: Timestamp,
         now: Timestamp,
     ) -> AckEvidence {
-        let is_next = heartbeat.worker_epoch == runtime.newest.epoch
-            && heartbeat.sequence == runtime.newest.sequence + 1;
-        let in_time = now.since(heard_at) < self.settings.heartbeat_due_ms().max(ANSWER_WAIT_MS);
+        let is_next = heartbeat.worker_epoch == runtime.newest_heartbeat.epoch
+            && heartbeat.sequence == runtime.newest_heartbeat.sequence + 1;
+        let in_time =
+            now.since(last_heartbeat_at) < self.settings.heartbeat_due_ms().max(ANSWER_WAIT_MS);
         let shows_launches = runtime.launched.iter().all(|task| {
             let name = self.replica.names.task_name(*task);
             heartbeat.tasks.iter().any(|reported| reported.task == name)
@@ -89,7 +90,7 @@
             return AckEvidence::Received;
         }
         let answered_within = |ms| runtime.answered_at.is_some_and(|at| now.since(at) < ms);
-        let lost_its_lease = heartbeat.worker_epoch > runtime.newest.epoch;
+        let lost_its_lease = heartbeat.worker_epoch > runtime.newest_heartbeat.epoch;
         let answered_under_token = runtime
             .answered_at
             .is_some_and(|at| at > runtime.held_since);
@@ -109,7 +110,7 @@
         let missing = missing
             .filter(|(_, runtime)| runtime.missed_acks > 0)
             .count();
-        self.pauses.stalled_within(LATE_AFTER_STALL_MS, now)
-            || missing > (self.held.len() / LATE_FRACTION).max(LATE_MACHINES)
+        self.pauses.stalled_within(ANSWERS_LATE_AFTER_STALL_MS, now)
+            || missing > (self.held.len() / LATE_MACHINES_DIVISOR).max(LATE_MACHINES_ALLOWANCE)
     }
 }
--- a/src/controller/heartbeat/reconcile.rs
+++ b/src/controller/heartbeat/reconcile.rs
@@ -32,7 +32,7 @@
     }
 
     /// Whether the worker may forget it: it has ended, and that is recorded.
-    pub(super) fn is_to_be_cleared(&self) -> bool {
+    pub(super) fn can_be_cleared(&self) -> bool {
         self.has_ended() && self.binding.is_none()
     }
 }
@@ -86,7 +86,7 @@
             }
             if let Some(binding) = reported.binding {
                 log_status_change(heartbeat, status, previous);
-                let completion = believed_completion(binding, status, heartbeat, runtime);
+                let completion = confirmed_completion(binding, status, heartbeat, runtime);
                 let unknown = !self.completions.is_pending(machine_id, &binding);
                 if let Some(completion) = completion.filter(|_| unknown) {
                     let ratio =
@@ -129,7 +129,7 @@
 ///
 /// Anything but success is believed only if it was reported under our token and no other attempt is there.
 /// Guards against a copy from an earlier epoch, which may show an attempt that has been started again since.
-fn believed_completion(
+fn confirmed_completion(
     binding: Binding,
     status: &TaskStatus,
     heartbeat: &Heartbeat,
@@ -143,9 +143,9 @@
         Some(ExitReason::Error) => TaskOutcome::Failed,
         _ => TaskOutcome::Free,
     };
-    let proven = runtime.fenced && !shows_another_live_attempt(heartbeat, status);
-    let believed = outcome == TaskOutcome::Done || proven;
-    believed.then_some(Completion { binding, outcome })
+    let is_authoritative = runtime.fenced && !shows_another_live_attempt(heartbeat, status);
+    let is_confirmed = outcome == TaskOutcome::Done || is_authoritative;
+    is_confirmed.then_some(Completion { binding, outcome })
 }
 
 /// Whether a heartbeat shows another attempt of a task that has not ended.
--- a/src/controller/heartbeat/stops.rs
+++ b/src/controller/heartbeat/stops.rs
@@ -13,9 +13,9 @@
 /// Added to the time that a job needs for a checkpoint when a task is preempted.
 const GRACE_MARGIN_S: f64 = 5.0;
 /// A task that needs less than this part of the time left before its machine is reclaimed runs on.
-const SURELY_IN_TIME: f64 = 0.5;
+const RECLAIM_IN_TIME_FRACTION: f64 = 0.5;
 /// A task without checkpoints that needs more than this many times the time left is stopped at once.
-const SURELY_TOO_LATE: f64 = 1.5;
+const RECLAIM_TOO_LATE_FACTOR: f64 = 1.5;
 
 impl Controller {
     /// The commands that stop tasks, in the order of the heartbeat.
@@ -53,35 +53,35 @@
         let job_id = binding.task.job;
         let job = self.replica.jobs.get(&job_id)?;
         let name = self.replica.names.jobs.name(job_id);
-        let loan_over = self.spillover.permission(job, name, now) == Permission::Stop;
-        if loan_over || self.is_over(job_id, job) {
+        let loan_ended = self.spillover.permission(job, name, now) == Permission::Stop;
+        if loan_ended || self.is_job_final(job_id, job) {
             return Some(NO_GRACE_S);
         }
         let is_saving = task.status.status == TaskPhase::Flushing;
-        let saves = job.spec.checkpoint_s > 0.0;
+        let saves_checkpoints = job.spec.checkpoint_s > 0.0;
         let grace_to_save_s = job.spec.save_s + GRACE_MARGIN_S;
         if let Some(reclaim_at) = runtime.reclaim_at {
-            let left_s = reclaim_at.since(now) as f64 / 1000.0;
-            let rest_s = self.rest_s(job, task, now);
-            if is_saving || rest_s < left_s * SURELY_IN_TIME {
+            let until_reclaim_s = reclaim_at.since(now) as f64 / 1000.0;
+            let remaining_s = self.remaining_run_time_s(job, task, now);
+            if is_saving || remaining_s < until_reclaim_s * RECLAIM_IN_TIME_FRACTION {
                 None
-            } else if saves {
-                Some(job.spec.save_s.max(left_s))
+            } else if saves_checkpoints {
+                Some(job.spec.save_s.max(until_reclaim_s))
             } else {
                 // It cannot be done in time: better started again elsewhere at once.
-                (rest_s > left_s * SURELY_TOO_LATE).then_some(NO_GRACE_S)
+                (remaining_s > until_reclaim_s * RECLAIM_TOO_LATE_FACTOR).then_some(NO_GRACE_S)
             }
         } else if machine.evict.contains(&binding) {
             (!is_saving).then_some(grace_to_save_s)
         } else if machine.leaving || runtime.quarantined {
-            (!is_saving && saves).then_some(grace_to_save_s)
+            (!is_saving && saves_checkpoints).then_some(grace_to_save_s)
         } else {
             None
         }
     }
 
     /// Expected seconds until a task is done, at least 1.
-    fn rest_s(&self, job: &Job, task: &ReportedTask, now: Timestamp) -> f64 {
+    fn remaining_run_time_s(&self, job: &Job, task: &ReportedTask, now: Timestamp) -> f64 {
         let ran_ms = task.running_since.map_or(0, |since| now.since(since));
         (self.run_s(job) - ran_ms as f64 / 1000.0).max(1.0)
     }
--- a/src/controller/held_machines.rs
+++ b/src/controller/held_machines.rs
@@ -7,7 +7,7 @@
 mod runtime;
 mod unowned;
 
-pub(crate) use runtime::{HeartbeatNumber, MachineInfo, MachineRuntime, TaskRuntime};
+pub(crate) use runtime::{HeartbeatNumber, MachineHealth, MachineRuntime, TaskRuntime};
 pub(crate) use unowned::UnownedMachines;
 
 use crate::clock::Timestamp;
@@ -88,16 +88,16 @@
     }
 
     /// Forgets the jobs for which `stays` is false: their indices may come back as other jobs.
-    pub(crate) fn forget_jobs(&mut self, stays: impl Fn(&JobId) -> bool) {
+    pub(crate) fn forget_jobs(&mut self, keep: impl Fn(&JobId) -> bool) {
         for runtime in self.machines.values_mut() {
-            runtime.forget_jobs(&stays);
+            runtime.forget_jobs(&keep);
         }
-        self.running_tasks.retain(|job, _| stays(job));
-        self.failure_streaks.retain(|job, _| stays(job));
+        self.running_tasks.retain(|job, _| keep(job));
+        self.failure_streaks.retain(|job, _| keep(job));
     }
 
     /// Gives up a machine whose tasks are surely gone.
-    pub(crate) fn presume_dead(&mut self, machine_id: MachineId) {
+    pub(crate) fn mark_presumed_dead(&mut self, machine_id: MachineId) {
         let Some(runtime) = self.machines.get_mut(&machine_id) else {
             return;
         };
@@ -126,21 +126,21 @@
     }
 
     /// Tasks of a job that run on the machines held.
-    pub(crate) fn running(&self, job: JobId) -> u32 {
+    pub(crate) fn running_task_count(&self, job: JobId) -> u32 {
         self.running_tasks.get(&job).copied().unwrap_or(0)
     }
 
     /// Tasks that run on the machines held, by job.
-    pub(crate) fn running_by_job(&self) -> impl Iterator<Item = (JobId, u32)> {
+    pub(crate) fn running_tasks_by_job(&self) -> impl Iterator<Item = (JobId, u32)> {
         self.running_tasks.iter().map(|(&job, &count)| (job, count))
     }
 
     /// A machine was given tasks: if the answer to its heartbeat waits, it is sent now.
     pub(crate) fn wake(&mut self, machine_id: MachineId) {
         if let Some(runtime) = self.machines.get_mut(&machine_id)
-            && runtime.answer_waits
+            && runtime.ack_delayed
         {
-            runtime.answer_waits = false;
+            runtime.ack_delayed = false;
             self.woken.push(machine_id);
         }
     }
@@ -163,7 +163,7 @@
     }
 
     /// Notes that a task of a job failed.
-    pub(crate) fn note_failure(&mut self, job: JobId, now: Timestamp) {
+    pub(crate) fn record_failure(&mut self, job: JobId, now: Timestamp) {
         let streak = self.failure_streaks.entry(job).or_insert(FailureStreak {
             count: 0,
             last: now,
@@ -173,7 +173,7 @@
     }
 
     /// Notes that a task of a job was done.
-    pub(crate) fn note_success(&mut self, job: JobId) {
+    pub(crate) fn record_success(&mut self, job: JobId) {
         self.failure_streaks.remove(&job);
     }
 
@@ -191,8 +191,8 @@
 
     /// Takes in one observed run time over its estimate: a moving average.
     pub(crate) fn observe_run_time(&mut self, class: ClassId, ratio: f64) {
-        let (least, most) = RUN_TIME_RATIO_BOUNDS;
-        let ratio = ratio.clamp(least, most);
+        let (min, max) = RUN_TIME_RATIO_BOUNDS;
+        let ratio = ratio.clamp(min, max);
         let average = self.run_time_ratios.entry(class).or_insert(ratio);
         *average += (ratio - *average) * RUN_TIME_RATIO_WEIGHT;
     }
--- a/src/controller/held_machines/runtime.rs
+++ b/src/controller/held_machines/runtime.rs
@@ -64,13 +64,13 @@
     /// When the grant became known.
     pub(in crate::controller) held_since: Timestamp,
     /// Number of the newest heartbeat that showed this token.
-    pub(in crate::controller) newest: HeartbeatNumber,
+    pub(in crate::controller) newest_heartbeat: HeartbeatNumber,
     /// Number of the newest one that did not.
     pub(in crate::controller) newest_without_token: HeartbeatNumber,
     /// A heartbeat under this token came: no earlier holder is obeyed any more.
     pub(in crate::controller) fenced: bool,
     /// When the last heartbeat came that was no copy.
-    pub(in crate::controller) heard_at: Option<Timestamp>,
+    pub(in crate::controller) last_heartbeat_at: Option<Timestamp>,
     /// When one was last answered: the worker's lease may run from then on.
     pub(in crate::controller) answered_at: Option<Timestamp>,
     /// When the cloud takes a spot machine back, once it has said so.
@@ -93,13 +93,13 @@
     pub(in crate::controller) unreachable_since: Option<Timestamp>,
     /// The latest heartbeat without our token after one that showed it: a late copy, or a worker that has
     /// restarted.
-    pub(in crate::controller) last_without_token: Option<(HeartbeatNumber, Timestamp)>,
+    pub(in crate::controller) restart_baseline: Option<(HeartbeatNumber, Timestamp)>,
     /// The answer to its newest heartbeat waits for a task.
-    pub(in crate::controller) answer_waits: bool,
+    pub(in crate::controller) ack_delayed: bool,
     /// Since when ended tasks wait to be cleared.
-    pub(in crate::controller) clears_wait_since: Option<Timestamp>,
+    pub(in crate::controller) clears_pending_since: Option<Timestamp>,
     /// Its worker has restarted: only under a new token do its heartbeats prove anything.
-    pub(in crate::controller) restarted: bool,
+    pub(in crate::controller) worker_restarted: bool,
 }
 
 impl MachineRuntime {
@@ -115,7 +115,7 @@
     /// Whether the machine executes what its holder tells it. Only such a machine is given tasks:
     /// one that sends heartbeats but receives no answer, or of which only old copies of heartbeats come,
     /// never shows our token, or shows launches that do not appear.
-    pub(crate) fn obeys(&self) -> bool {
+    pub(crate) fn is_controllable(&self) -> bool {
         self.is_fenced_and_alive() && self.unreachable_since.is_none()
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Whether a task is, or may be, on the machine: its last heartbeat shows it, or the answer launched it.
-    pub(crate) fn may_have(&self, task: TaskId) -> bool {
+    pub(crate) fn may_have_task(&self, task: TaskId) -> bool {
         self.tasks.contains_key(&task) || self.launched.contains(&task)
     }
 
@@ -142,37 +142,41 @@
     }
 
     /// Forgets the jobs for which `stays` is false.
-    pub(super) fn forget_jobs(&mut self, stays: impl Fn(&JobId) -> bool) {
-        self.tasks.retain(|task, _| stays(&task.job));
-        self.launched.retain(|task| stays(&task.job));
-        self.failed_jobs.retain(stays);
+    pub(super) fn forget_jobs(&mut self, keep: impl Fn(&JobId) -> bool) {
+        self.tasks.retain(|task, _| keep(&task.job));
+        self.launched.retain(|task| keep(&task.job));
+        self.failed_jobs.retain(keep);
     }
 
     /// Notes that a task failed here; whether the machine is quarantined for it now.
     ///
-    /// A machine is to blame when different jobs fail on it, or one that succeeds elsewhere (`job_proven`); a
+    /// A machine is to blame when different jobs fail on it, or one that succeeds elsewhere (`job_has_succeeded`); a
     /// job that has never succeeded may be broken itself.
-    pub(in crate::controller) fn note_failure(&mut self, job: JobId, job_proven: bool) -> bool {
+    pub(in crate::controller) fn record_failure(
+        &mut self,
+        job: JobId,
+        job_has_succeeded: bool,
+    ) -> bool {
         self.failed_jobs.push(job);
         let several_jobs = self.failed_jobs.iter().any(|&other| other != job);
-        let to_blame = self.failed_jobs.len() >= 2 && (several_jobs || job_proven);
-        let newly_quarantined = to_blame && !self.quarantined;
-        self.quarantined |= to_blame;
+        let machine_at_fault = self.failed_jobs.len() >= 2 && (several_jobs || job_has_succeeded);
+        let newly_quarantined = machine_at_fault && !self.quarantined;
+        self.quarantined |= machine_at_fault;
         newly_quarantined
     }
 }
 
 /// What decides whether a machine can be used.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct MachineInfo {
+pub(crate) struct MachineHealth {
     /// Milliseconds since its last heartbeat to its present holder.
-    pub(crate) age_ms: Option<u64>,
+    pub(crate) since_last_heartbeat_ms: Option<u64>,
     /// Whether it obeys its holder's token and answers reach it.
-    pub(crate) obeys: bool,
+    pub(crate) is_controllable: bool,
     /// The cloud has said that it takes the machine back.
     pub(crate) being_reclaimed: bool,
     /// Its tasks fail, or answers have not reached it for a whole lease.
     pub(crate) quarantined: bool,
     /// Its worker has restarted.
-    pub(crate) restarted: bool,
+    pub(crate) worker_restarted: bool,
 }
--- a/src/controller/held_machines/unowned.rs
+++ b/src/controller/held_machines/unowned.rs
@@ -14,11 +14,11 @@
 const MAX_UNOWNED_MACHINES: usize = 20_000;
 /// After a gap this long the time for which a machine has come here counts from zero, and it is forgotten with
 /// the next message to a peer, ms.
-const FORGET_AFTER_MS: u64 = 7000;
+const UNOWNED_EXPIRY_MS: u64 = 7000;
 /// Machines heard from within this time are reported to the leader, ms.
-const REPORT_WITHIN_MS: u64 = 6000;
+const UNOWNED_REPORT_WINDOW_MS: u64 = 6000;
 /// After this time the numbers of a machine's heartbeats may begin again from below, ms.
-const NUMBERS_VALID_MS: u64 = 60_000;
+const HEARTBEAT_NUMBER_VALIDITY_MS: u64 = 60_000;
 
 /// What is known of a machine that is not held here.
 #[derive(Debug, Clone)]
@@ -28,7 +28,7 @@
     /// Last heartbeat that was no copy.
     last_seen: Timestamp,
     /// Number of its newest heartbeat: copies of older ones do not count.
-    newest: HeartbeatNumber,
+    newest_heartbeat: HeartbeatNumber,
     /// Revision of the grant of its block at that time, 0 without one; under another one the time counts
     /// from zero.
     grant_revision: u64,
@@ -45,7 +45,12 @@
 
 impl UnownedMachines {
     /// Notes a heartbeat of a machine whose block has a grant of this revision, 0 for none.
-    pub(crate) fn note(&mut self, heartbeat: &Heartbeat, grant_revision: u64, now: Timestamp) {
+    pub(crate) fn record_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        grant_revision: u64,
+        now: Timestamp,
+    ) {
         if self.by_name.len() >= MAX_UNOWNED_MACHINES
             && !self.by_name.contains_key(&heartbeat.machine)
         {
@@ -57,18 +62,21 @@
             .or_insert_with(|| UnownedMachineState {
                 first_seen: now,
                 last_seen: now,
-                newest: HeartbeatNumber::default(),
+                newest_heartbeat: HeartbeatNumber::default(),
                 grant_revision,
                 machine_type: heartbeat.machine_type.clone(),
                 zone: heartbeat.zone.clone(),
                 spot: heartbeat.spot,
             });
         let number = HeartbeatNumber::of(heartbeat);
-        if number <= state.newest && now.since(state.last_seen) < NUMBERS_VALID_MS {
+        if number <= state.newest_heartbeat
+            && now.since(state.last_seen) < HEARTBEAT_NUMBER_VALIDITY_MS
+        {
             return;
         }
-        state.newest = number;
-        if now.since(state.last_seen) > FORGET_AFTER_MS || state.grant_revision != grant_revision {
+        state.newest_heartbeat = number;
+        if now.since(state.last_seen) > UNOWNED_EXPIRY_MS || state.grant_revision != grant_revision
+        {
             state.first_seen = now;
             state.grant_revision = grant_revision;
         }
@@ -83,14 +91,14 @@
     /// Forgets the machines that no longer come here.
     pub(crate) fn forget_silent(&mut self, now: Timestamp) {
         self.by_name
-            .retain(|_, state| now.since(state.last_seen) < FORGET_AFTER_MS);
+            .retain(|_, state| now.since(state.last_seen) < UNOWNED_EXPIRY_MS);
     }
 
     /// The machines heard from lately, as the leader receives them.
     pub(crate) fn to_report(&self, now: Timestamp) -> Vec<UnownedMachine> {
         self.by_name
             .iter()
-            .filter(|(_, state)| now.since(state.last_seen) < REPORT_WITHIN_MS)
+            .filter(|(_, state)| now.since(state.last_seen) < UNOWNED_REPORT_WINDOW_MS)
             .map(|(machine, state)| UnownedMachine {
                 machine: machine.clone(),
                 machine_type: state.machine_type.clone(),
--- a/src/controller/machine_status.rs
+++ b/src/controller/machine_status.rs
@@ -2,7 +2,7 @@
 //! own heartbeats, or from what the holder said. Reads only.
 
 use super::Controller;
-use super::held_machines::{MachineInfo, MachineRuntime};
+use super::held_machines::{MachineHealth, MachineRuntime};
 use crate::clock::Timestamp;
 use crate::names::{JobId, MachineId};
 use crate::protocol::{JobStatus, MachineSummary};
@@ -10,30 +10,30 @@
 
 impl Controller {
     /// What is known of a machine now, from its holder.
-    pub(crate) fn machine_info(
+    pub(crate) fn machine_health(
         &self,
         machine_id: MachineId,
         now: Timestamp,
-    ) -> Option<MachineInfo> {
+    ) -> Option<MachineHealth> {
         let (_, grant) = self.replica.holder(machine_id)?;
         if grant.host == self.me {
             let runtime = self.held.get(machine_id)?;
-            return Some(MachineInfo {
-                age_ms: runtime.heard_at.map(|heard| now.since(heard)),
-                obeys: runtime.obeys(),
+            return Some(MachineHealth {
+                since_last_heartbeat_ms: runtime.last_heartbeat_at.map(|at| now.since(at)),
+                is_controllable: runtime.is_controllable(),
                 being_reclaimed: runtime.reclaim_at.is_some(),
-                quarantined: self.unfit(runtime, now),
-                restarted: runtime.restarted,
+                quarantined: self.needs_replacement(runtime, now),
+                worker_restarted: runtime.worker_restarted,
             });
         }
         let (summary, received_at) = self.peers.machine(grant.host, machine_id)?;
         let message_age = now.since(received_at);
-        Some(MachineInfo {
-            age_ms: summary.age_ms.map(|age| age + message_age),
-            obeys: summary.obeys,
+        Some(MachineHealth {
+            since_last_heartbeat_ms: summary.age_ms.map(|age| age + message_age),
+            is_controllable: summary.obeys,
             being_reclaimed: summary.recalled,
             quarantined: summary.quarantined,
-            restarted: summary.restarted,
+            worker_restarted: summary.restarted,
         })
     }
 
@@ -46,18 +46,18 @@
     ) -> MachineSummary {
         MachineSummary {
             machine: self.replica.names.machines.name(machine_id).to_owned(),
-            age_ms: runtime.heard_at.map(|heard| now.since(heard)),
-            obeys: runtime.obeys(),
+            age_ms: runtime.last_heartbeat_at.map(|at| now.since(at)),
+            obeys: runtime.is_controllable(),
             recalled: runtime.reclaim_at.is_some(),
-            quarantined: self.unfit(runtime, now),
-            restarted: runtime.restarted,
+            quarantined: self.needs_replacement(runtime, now),
+            restarted: runtime.worker_restarted,
             load: self.queue_load(machine_id, now),
         }
     }
 
     /// Whether a machine is to be replaced: it is quarantined, or no answer has reached it for a
     /// whole worker lease.
-    pub(crate) fn unfit(&self, runtime: &MachineRuntime, now: Timestamp) -> bool {
+    pub(crate) fn needs_replacement(&self, runtime: &MachineRuntime, now: Timestamp) -> bool {
         let lease = self.settings.worker_gone_ms();
         runtime.quarantined
             || runtime
@@ -66,13 +66,13 @@
     }
 
     /// Running tasks of a job as far as this controller has heard, for display.
-    pub fn running(&self, job: JobId) -> u32 {
-        let mine = self.held.running(job);
-        mine + self.peers.running(job)
+    pub fn running_task_count(&self, job: JobId) -> u32 {
+        let own = self.held.running_task_count(job);
+        own + self.peers.running(job)
     }
 
     /// Whether no task of a job may run any more, as far as this controller knows.
-    pub(crate) fn is_over(&self, job_id: JobId, job: &Job) -> bool {
+    pub(crate) fn is_job_final(&self, job_id: JobId, job: &Job) -> bool {
         job.status != JobStatus::Pending || self.peers.reports_cancelled(job_id)
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -208,7 +208,7 @@
     /// Does what only a controller with authority may do.
     fn tick_with_authority(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         self.tick_leadership(now, out);
-        self.find_presumed_dead(now);
+        self.handle_presumed_dead(now);
         self.tick_completions(now, out);
         // Others act in place of one that alone is refused; its machines go over to them,
         // and would seem dead to it.
--- a/src/controller/peers/messages.rs
+++ b/src/controller/peers/messages.rs
@@ -139,7 +139,7 @@
                 .collect(),
             running: self
                 .held
-                .running_by_job()
+                .running_tasks_by_job()
                 .map(|(job, count)| (jobs.name(job).to_owned(), count))
                 .collect(),
             done: self
--- a/src/controller/replica_changes.rs
+++ b/src/controller/replica_changes.rs
@@ -146,7 +146,7 @@
         } else {
             let machine = self.replica.machines.get(&machine_id);
             let queue = machine.map(|machine| &machine.queue);
-            self.completions.keep_listed(machine_id, queue);
+            self.completions.retain_listed(machine_id, queue);
         }
     }
 
--- a/src/controller/status_page.rs
+++ b/src/controller/status_page.rs
@@ -57,7 +57,7 @@
             "fenced": runtime.fenced,
             "lost": runtime.presumed_dead,
             "sick": runtime.quarantined,
-            "silentMs": runtime.heard_at.map(|heard| now.since(heard)),
+            "silentMs": runtime.last_heartbeat_at.map(|heard| now.since(heard)),
             "tasks": runtime.task_count(),
             "queue": machine.map_or(0, |machine| machine.queue.len()),
             "load": self.queue_load(machine_id, now),
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -26,7 +26,10 @@
     };
     for (sequence, at) in [(1, Timestamp(10_000)), (2, Timestamp(12_000))] {
         for n in 0..4500 {
-            controller.held.unowned.note(&heartbeat(n, sequence), 0, at);
+            controller
+                .held
+                .unowned
+                .record_heartbeat(&heartbeat(n, sequence), 0, at);
         }
     }
     let unowned_machines = controller.held.unowned.to_report(Timestamp(12_000));
--- a/src/controller/writes/commits.rs
+++ b/src/controller/writes/commits.rs
@@ -143,7 +143,7 @@
 
     fn on_completions_committed(&mut self, intent: &WriteIntent, revision: u64) {
         for (machine_id, binding, outcome) in &intent.outcomes {
-            self.completions.note_recorded(*machine_id, binding);
+            self.completions.remove_recorded(*machine_id, binding);
             match outcome {
                 TaskOutcome::Done => self.counters.done += 1,
                 TaskOutcome::Failed => self.counters.failed += 1,
--- a/src/http/lookup.rs
+++ b/src/http/lookup.rs
@@ -105,7 +105,7 @@
         let running = {
             let controller = self.shared.controller.lock();
             let job_id = controller.replica.names.jobs.get(name);
-            job_id.map_or(0, |job_id| controller.running(job_id))
+            job_id.map_or(0, |job_id| controller.running_task_count(job_id))
         };
         let answer = jobs::answer(name, status, done, running);
         self.shared.finals.lock().note(&answer);
--- a/src/http/workers.rs
+++ b/src/http/workers.rs
@@ -88,7 +88,7 @@
         }
         let now = self.shared.now();
         let mut controller = self.shared.controller.lock();
-        let wait_ms = controller.may_wait(machine, number, now)?;
+        let wait_ms = controller.delay_ack(machine, number, now)?;
         Some(Duration::from_millis(wait_ms))
     }
 
@@ -107,6 +107,6 @@
         self.shared
             .controller
             .lock()
-            .answer_late(machine, number, now)
+            .delayed_ack(machine, number, now)
     }
 }
--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -57,7 +57,7 @@
         let mut bytes = 0;
         for job_id in done.into_iter().take(most) {
             let tasks = reported.get(&job_id).unwrap_or(&nothing);
-            let Some(mutation) = self.job_change(job_id, tasks) else {
+            let Some(mutation) = self.done_tasks_mutation(job_id, tasks) else {
                 continue;
             };
             if let Mutation::Put { key, value, .. } = &mutation {
--- a/src/leadership/binding/limits.rs
+++ b/src/leadership/binding/limits.rs
@@ -40,8 +40,10 @@
         let ahead_s = self.settings.options.queue_ahead_s + (self.turns_s() - 1.0).max(0.0);
         let machines = self.replica.machines.len().max(1);
         let known = self.replica.machines.keys();
-        let infos = known.filter_map(|&machine_id| self.machine_info(machine_id, now));
-        let booting = infos.filter(|info| info.age_ms.is_none()).count();
+        let infos = known.filter_map(|&machine_id| self.machine_health(machine_id, now));
+        let booting = infos
+            .filter(|info| info.since_last_heartbeat_ms.is_none())
+            .count();
         ahead_s * (machines - booting) as f64 / machines as f64
     }
 
--- a/src/leadership/capacity.rs
+++ b/src/leadership/capacity.rs
@@ -58,7 +58,7 @@
     fn rented(&self, machine_id: MachineId, machine: &Machine, now: Timestamp) -> Option<Rented> {
         let size = self.size(machine)?;
         let machine_type = self.machine_types.get(&machine.machine_type)?;
-        let info = self.machine_info(machine_id, now);
+        let info = self.machine_health(machine_id, now);
         let unfit = info
             .as_ref()
             .is_some_and(|info| info.being_reclaimed || info.quarantined);
@@ -70,7 +70,7 @@
         {
             return None;
         }
-        let up = info.is_some_and(|info| info.age_ms.is_some());
+        let up = info.is_some_and(|info| info.since_last_heartbeat_ms.is_some());
         let idle_ms = self.leadership.machines.idle_for(machine_id, now);
         Some(Rented {
             machine: machine_id,
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -273,8 +273,8 @@
             return false;
         }
         let restarted = |&machine_id: &MachineId| {
-            let info = self.machine_info(machine_id, now);
-            info.is_some_and(|info| info.restarted)
+            let info = self.machine_health(machine_id, now);
+            info.is_some_and(|info| info.worker_restarted)
         };
         let block = self.replica.blocks.get(&block);
         block.is_some_and(|block| block.machines.iter().any(restarted))
--- a/src/leadership/machines.rs
+++ b/src/leadership/machines.rs
@@ -51,7 +51,9 @@
     fn last_heartbeats(&self, now: Timestamp) -> Vec<LastHeard> {
         let machines = self.replica.machines.keys();
         let heard = machines.filter_map(|&machine_id| {
-            let age_ms = self.machine_info(machine_id, now)?.age_ms?;
+            let age_ms = self
+                .machine_health(machine_id, now)?
+                .since_last_heartbeat_ms?;
             let at = Timestamp(now.0.saturating_sub(age_ms));
             Some(LastHeard { machine_id, at })
         });
@@ -109,7 +111,7 @@
         if listed.is_some_and(|listed| listed.failed) {
             return true;
         }
-        if self.machine_info(machine_id, now).is_none() {
+        if self.machine_health(machine_id, now).is_none() {
             return false;
         }
         let evidence = self.death_evidence(machine_id, machine, now);
@@ -187,7 +189,7 @@
     pub(super) fn drain_quarantined(&mut self, now: Timestamp) {
         let machines = self.replica.machines.keys().copied();
         let quarantined = machines.filter(|&machine_id| {
-            let info = self.machine_info(machine_id, now);
+            let info = self.machine_health(machine_id, now);
             info.is_some_and(|info| info.quarantined)
         });
         let quarantined: Vec<MachineId> = quarantined.collect();
--- a/src/leadership/slots.rs
+++ b/src/leadership/slots.rs
@@ -62,9 +62,11 @@
         machine.is_some_and(|machine| !machine.leaving)
             && !leadership.inventory.returned().contains(&machine_id)
             && !leadership.scale_in.is_draining(machine_id)
-            && self.machine_info(machine_id, now).is_some_and(|info| {
-                let recent = info.age_ms.is_some_and(|age_ms| age_ms < recent_ms);
-                info.obeys && recent && !info.being_reclaimed && !info.quarantined
+            && self.machine_health(machine_id, now).is_some_and(|info| {
+                let recent = info
+                    .since_last_heartbeat_ms
+                    .is_some_and(|age_ms| age_ms < recent_ms);
+                info.is_controllable && recent && !info.being_reclaimed && !info.quarantined
             })
     }
 
--- a/src/leadership/unreachable_holders.rs
+++ b/src/leadership/unreachable_holders.rs
@@ -85,8 +85,8 @@
         }
         let machine_id = self.replica.names.machines.get(&machine.machine)?;
         let (block, grant) = self.replica.holder(machine_id)?;
-        let info = self.machine_info(machine_id, now);
-        let heard_ms = info.and_then(|info| info.age_ms);
+        let info = self.machine_health(machine_id, now);
+        let heard_ms = info.and_then(|info| info.since_last_heartbeat_ms);
         let unheard = heard_ms.is_none_or(|age_ms| age_ms > UNANSWERED_MS);
         (grant.host != host && unheard).then_some((block, machine_id))
     }
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -197,7 +197,7 @@
             && job.done.is_empty()
             && job.mod_revision <= self.replica.revision
             && !self.replica.is_mentioned(job_id)
-            && !self.is_over(job_id, job)
+            && !self.is_job_final(job_id, job)
             && !self
                 .replica
                 .is_unreadable(self.replica.names.jobs.name(job_id))
--- a/src/spillover/serving.rs
+++ b/src/spillover/serving.rs
@@ -160,7 +160,7 @@
         }
         match job.lent() {
             Some(mark) if mark.token == loan.token && mark.cell == borrower => {
-                let stands = !mark.recalled && !self.is_over(job_id, job);
+                let stands = !mark.recalled && !self.is_job_final(job_id, job);
                 match stands {
                     true => Standing::Stands,
                     false => Standing::Over,
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -50,10 +50,10 @@
     fn may_move(&self, machine_id: MachineId, binding: &Binding) -> bool {
         let job = self.replica.jobs.get(&binding.task.job);
         let machine = self.replica.machines.get(&machine_id);
-        self.unstarted(machine_id, binding)
+        self.is_unstarted(machine_id, binding)
             && !self.completions.is_reserved(binding)
             && !self.completions.is_pending(machine_id, binding)
-            && job.is_some_and(|job| !self.is_over(binding.task.job, job))
+            && job.is_some_and(|job| !self.is_job_final(binding.task.job, job))
             && machine.is_some_and(|machine| machine.queue.contains(binding))
     }
 
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -242,7 +242,8 @@
                     continue;
                 };
                 let done = replica.jobs.get(&index).map_or(0, |job| job.done.len());
-                let answer = jobs::answer(job, status, done, node.controller.running(index));
+                let answer =
+                    jobs::answer(job, status, done, node.controller.running_task_count(index));
                 feed(self.origin(controller), Kind::UserAnswer, &json(&answer));
             }
         }
--- a/tests/support/machines.rs
+++ b/tests/support/machines.rs
@@ -154,7 +154,7 @@
                 return;
             }
             let _span = tracing::debug_span!("controller", node, now).entered();
-            let reply = controller.answer_late(&machine, number, clock);
+            let reply = controller.delayed_ack(&machine, number, clock);
             digest::heartbeat_answer(origin, &machine, &reply);
             match reached {
                 true => self.take_answer(at, reply, sent),
@@ -216,7 +216,7 @@
                 };
                 let nothing =
                     matches!(&reply, HeartbeatResponse::HeartbeatAck(o) if o.commands.is_empty());
-                let patience = nothing.then(|| n.controller.may_wait(&machine, number, clock));
+                let patience = nothing.then(|| n.controller.delay_ack(&machine, number, clock));
                 if let Some(ms) = patience.flatten()
                     && !self.workers[at].unreachable
                 {
