--- a/src/controller/completions/presumed_dead.rs
+++ b/src/controller/completions/presumed_dead.rs
@@ -51,13 +51,13 @@
 
     fn lease_has_expired(&self, runtime: &MachineRuntime, now: Timestamp) -> bool {
         let lease_ms = self.settings.worker_gone_ms();
-        let unanswered = |at: Timestamp| now.since(at) > lease_ms;
-        match (runtime.fenced, runtime.answered_at) {
-            (true, Some(answered_at)) => unanswered(answered_at),
+        let has_expired = |at: Timestamp| now.since(at) > lease_ms;
+        match (runtime.fenced, runtime.last_ack_at) {
+            (true, Some(last_ack_at)) => has_expired(last_ack_at),
             // Before the machine obeys our token an earlier holder may still be answering it.
-            (_, answered_at) => {
+            (_, last_ack_at) => {
                 now.since(runtime.held_since) > self.settings.unfenced_gone_ms()
-                    && answered_at.is_none_or(unanswered)
+                    && last_ack_at.is_none_or(has_expired)
             }
         }
     }
--- a/src/controller/heartbeat/admission.rs
+++ b/src/controller/heartbeat/admission.rs
@@ -1,4 +1,5 @@
-//! Whether this controller may take a heartbeat in, or which other controller should.
+//! Decides whether this controller may handle a heartbeat, and otherwise to which controller the worker is
+//! redirected.
 
 use super::HeldMachine;
 use crate::clock::Timestamp;
@@ -8,8 +9,8 @@
 use crate::replica::{FencingToken, Holder};
 
 impl Controller {
-    /// The machine that sent a heartbeat, if this controller holds it and may answer; otherwise the refusal
-    /// that is sent instead.
+    /// Returns the machine that sent a heartbeat if this controller holds it and may acknowledge the
+    /// heartbeat, otherwise the response that refuses it.
     pub(super) fn admit_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -28,8 +29,8 @@
             return Err(HeartbeatResponse::Unavailable);
         }
         if !self.has_authority(now) || heartbeat.token > grant.mod_revision {
-            // Without authority, or with a later holder about, an answer would only hold the
-            // worker here while its lease runs.
+            // Without authority, or if the worker's token shows a later grant, an ack would only keep the
+            // worker at this controller while its lease runs out.
             return Err(self.redirect(None));
         }
         if self.must_wait_for_confirmation(heartbeat, now) {
@@ -41,21 +42,22 @@
         })
     }
 
-    /// A machine by its name, with the grant of its block.
+    /// Looks up a machine by its name, with the grant of its block.
     pub(super) fn grant_of(&self, machine: &str) -> Option<(MachineId, Holder)> {
         let machine_id = self.replica.names.machines.get(machine)?;
         let (_, grant) = self.replica.holder(machine_id)?;
         Some((machine_id, grant))
     }
 
-    /// The controller to which a peer says that this machine's block was granted since.
+    /// The other controller to which the machine's block has been granted since, as reported by a peer.
     fn later_holder(&self, machine_id: MachineId) -> Option<HostId> {
         let block = self.replica.machines.get(&machine_id)?.block;
         let holder = self.peers.reported_holder(block)?;
         (holder != self.me).then_some(holder)
     }
 
-    /// Nobody holds the machine: the leader is to hear of it.
+    /// Redirects the worker of a machine that no controller holds to the leader, and keeps the machine for
+    /// the next report to the leader.
     fn redirect_to_leader(&mut self, heartbeat: &Heartbeat, now: Timestamp) -> HeartbeatResponse {
         self.held.unowned.record_heartbeat(heartbeat, 0, now);
         let leader = self.replica.leader.map(|leader| leader.host);
@@ -77,7 +79,7 @@
         self.held
             .unowned
             .record_heartbeat(heartbeat, grant.mod_revision, now);
-        // A holder that is silent to us is not named: the worker would wait for it in vain.
+        // An unreachable holder is not named, because the worker would wait for it in vain.
         let holder = Some(grant.host).filter(|&host| self.is_reachable_peer(host, now));
         self.redirect(holder)
     }
--- a/src/controller/heartbeat/answer.rs
+++ b/src/controller/heartbeat/answer.rs
@@ -1,4 +1,4 @@
-//! The commands that answer a heartbeat of a machine held here, step by step.
+//! Applies the heartbeat of a held machine to its runtime state and plans the commands of the ack.
 
 use super::launch::{Launches, QueueMode};
 use super::reconcile::{Reconciliation, ReportedTask};
@@ -11,13 +11,13 @@
 use crate::replica::FencingToken;
 use tracing::{info, warn};
 
-/// Longest time that an ended task waits to be cleared for the sake of fewer heartbeats, ms.
+/// Longest time for which clearing ended tasks is put off to save heartbeats, ms.
 const MAX_CLEAR_DELAY_MS: u64 = 5000;
-/// Ended tasks that wait at most.
+/// Number of pending clears that are sent without further delay.
 const MAX_PENDING_CLEARS: usize = 8;
 
 impl Controller {
-    /// Takes in what a heartbeat shows, and decides what its machine is to do.
+    /// Applies a heartbeat to the machine's runtime state and returns the commands for its worker.
     pub(super) fn plan_commands(
         &mut self,
         held: HeldMachine,
@@ -40,8 +40,8 @@
         runtime.ack_delayed = false;
         let reconciliation = self.reconcile(held.machine_id, machine, runtime, heartbeat, now);
         let mut commands = self.decide_stops(machine, runtime, &reconciliation.tasks, now);
-        // A worker that has seen no token yet is only given ours: what it is to start comes once it
-        // has shown that it obeys.
+        // A worker that has not seen a token yet only receives ours. Tasks are launched once its heartbeats
+        // show that it has adopted the token.
         let launches = match heartbeat.token {
             NO_TOKEN => Launches::default(),
             _ => {
@@ -63,7 +63,7 @@
         commands
     }
 
-    /// Keeps what a heartbeat taught: tasks that run, run times, completions.
+    /// Keeps the results of a reconciliation: running tasks, run times and completions.
     fn record_reconciliation(
         &mut self,
         machine_id: MachineId,
@@ -97,21 +97,21 @@
         warn!(
             machine = heartbeat.machine,
             epoch = heartbeat.worker_epoch,
-            "worker began a new epoch"
+            "worker started a new epoch"
         );
     }
 }
 
-/// What a heartbeat changes in whom the machine obeys.
+/// How a heartbeat changes the fencing of earlier holders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FencingChange {
-    /// From now on no earlier holder is obeyed.
+    /// From now on the worker rejects commands of earlier holders.
     Established,
-    /// Nothing.
+    /// Nothing has changed.
     Unchanged,
 }
 
-/// Notes the number of a heartbeat, and whether it shows our token.
+/// Records the number and the arrival time of a heartbeat, and whether it shows our fencing token.
 fn record_heartbeat(
     runtime: &mut MachineRuntime,
     heartbeat: &Heartbeat,
@@ -130,23 +130,23 @@
         };
     }
     if number > runtime.newest_without_token {
-        // A copy does not make a machine seem alive.
+        // Only a heartbeat that is no stale copy shows that the machine is alive.
         runtime.newest_without_token = number;
         runtime.last_heartbeat_at = Some(now);
     }
     FencingChange::Unchanged
 }
 
-/// Notes when the cloud takes the machine back, if its worker says so.
+/// Records when the cloud will reclaim the machine, if the worker has received a notice.
 fn record_reclaim_notice(runtime: &mut MachineRuntime, heartbeat: &Heartbeat, now: Timestamp) {
     let seconds = heartbeat.reclaim_s.filter(|seconds| seconds.is_finite());
     runtime.reclaim_at = seconds.map(|seconds| now.plus((seconds.max(0.0) * 1000.0) as u64));
 }
 
-/// Whether the ended tasks that no queue lists are to be cleared with this answer.
+/// Whether to clear with this ack the ended tasks that the queue no longer lists.
 ///
-/// A cleared task is a change, and every change is one more heartbeat: it waits for a command that changes the
-/// machine's tasks anyway, but not for long.
+/// Clearing a task changes the worker's state, and every change causes one more heartbeat. Clears therefore
+/// wait for a command that changes the machine's tasks anyway, but only for a short time.
 fn should_send_clears(
     runtime: &mut MachineRuntime,
     tasks: &[ReportedTask],
--- a/src/controller/heartbeat/classify.rs
+++ b/src/controller/heartbeat/classify.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat proves, judged by its token and its number.
+//! Classifies heartbeats by their fencing token and number, so that stale copies are ignored.
 
 use super::NO_TOKEN;
 use crate::clock::Timestamp;
@@ -8,36 +8,36 @@
 use crate::protocol::Heartbeat;
 use tracing::info;
 
-/// Heartbeats without our token whose numbers rise for so long come from a restarted worker, ms.
+/// If the numbers of heartbeats without our token rise over at least this time, the worker has restarted, ms.
 const RESTART_CONFIRMATION_MS: u64 = 400;
-/// Two heartbeats without our token further apart than this are not compared, ms.
+/// Two heartbeats without our token are compared only if they arrive within this time of each other, ms.
 const RESTART_COMPARISON_WINDOW_MS: u64 = 30_000;
 
-/// Whether the replica has caught up with the state service since a heartbeat arrived.
+/// Whether the replica has caught up with the key-value store since a heartbeat arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Confirmation {
-    /// It has.
+    /// It has caught up.
     Done,
-    /// It may not have.
+    /// It may still lag behind.
     Outstanding,
 }
 
-/// What a heartbeat is worth.
+/// How a heartbeat is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum HeartbeatAction {
-    /// It is a copy, or must not be answered.
+    /// It is a stale copy, or must not be acknowledged.
     Ignore,
-    /// It may show that a machine which was presumed dead is back.
+    /// It may show that a machine which was presumed dead has recovered.
     Readmit,
-    /// It counts only if this controller still holds the machine: the replica is to catch up first.
+    /// It counts only if this controller still holds the machine, so the replica must catch up first.
     ConfirmFirst,
-    /// It is answered with commands.
+    /// It is acknowledged, with commands.
     Answer,
 }
 
 impl Controller {
-    /// What a heartbeat is worth. Heartbeats may be copies from long ago, of this incarnation of the worker or
-    /// of an earlier one.
+    /// Decides how a heartbeat is handled. It may be an old copy, sent by this incarnation of the worker or
+    /// by an earlier one.
     pub(super) fn classify_heartbeat(
         &self,
         machine_id: MachineId,
@@ -54,17 +54,17 @@
             return HeartbeatAction::Ignore;
         }
         if heartbeat.token == NO_TOKEN && confirmation == Confirmation::Outstanding {
-            // Guards against a worker that restarts and would obey any controller that ever held it, also one
-            // whose block was granted to another long ago and whose copy of the queue lists what has moved
-            // since. An incarnation of a worker adopts a token only if that was the present one after the
-            // incarnation had begun; from then on the token protects it.
+            // A restarted worker would accept commands from any controller that ever held it, even from one
+            // whose block was granted to another controller long ago and whose copy of the queue lists tasks
+            // that have moved since. A worker incarnation must therefore only adopt a token that was current
+            // after the incarnation started. From then on the token protects it.
             return HeartbeatAction::ConfirmFirst;
         }
         if runtime.presumed_dead {
             return HeartbeatAction::Readmit;
         }
-        // Until the machine obeys, our answers may or may not reach it. When it still does not after all this
-        // time, they end, so that the lease of what it might run ends too.
+        // Until the machine shows our token, it is unknown whether our acks reach it. After this time we stop
+        // sending them, so that the lease of any task that it might run expires.
         if self.replica.has_queued_tasks(machine_id)
             && now.since(runtime.held_since) > self.settings.unfenced_gone_ms()
         {
@@ -74,8 +74,8 @@
     }
 }
 
-/// A heartbeat that was made under the present grant: the numbers tell which is the newest. A copy renews
-/// nothing and proves nothing, and nobody waits for its answer.
+/// Classifies a heartbeat with the current token, where the highest number is the newest. A stale copy renews
+/// no lease, confirms nothing, and no worker waits for its ack.
 fn classify_under_token(runtime: &MachineRuntime, heartbeat: &Heartbeat) -> HeartbeatAction {
     if HeartbeatNumber::of(heartbeat) <= runtime.newest_heartbeat {
         HeartbeatAction::Ignore
@@ -86,9 +86,9 @@
     }
 }
 
-/// Notes a heartbeat without our token after one that showed it. A worker never forgets a token, so this is a
-/// copy, or comes from a worker that has restarted. Numbers cannot tell the incarnations of a worker apart, only
-/// a new grant can.
+/// Records that the worker has restarted, if heartbeats without our token follow one that showed it. A worker
+/// never forgets a token, so such a heartbeat is a stale copy or comes from a restarted worker. The numbers
+/// do not distinguish the incarnations of a worker; only a new grant does.
 fn record_restart(runtime: &mut MachineRuntime, heartbeat: &Heartbeat, now: Timestamp) {
     if worker_restarted(runtime, heartbeat, now) && !runtime.worker_restarted {
         info!(machine = heartbeat.machine, "worker restarted");
@@ -96,8 +96,8 @@
     }
 }
 
-/// Whether a heartbeat without our token comes from a worker that has restarted: it is not the first one, and
-/// the numbers rise as time goes on.
+/// Whether a heartbeat without our token comes from a restarted worker: an earlier one was seen, and the
+/// numbers rise over time.
 fn worker_restarted(runtime: &mut MachineRuntime, heartbeat: &Heartbeat, now: Timestamp) -> bool {
     let number = HeartbeatNumber::of(heartbeat);
     match runtime.restart_baseline {
--- a/src/controller/heartbeat/delayed.rs
+++ b/src/controller/heartbeat/delayed.rs
@@ -1,8 +1,9 @@
-//! Answers that wait a while for a first task.
+//! Acks that are delayed until a task is bound to an idle machine.
 //!
-//! A machine without tasks sends no heartbeat for a whole interval, and a task bound to it just after its
-//! heartbeat would wait for the next one. Its answer waits for a part of that time, as it may (PROTOCOL: workers
-//! wait 4 s); it is a full answer all the same, and the worker's lease counts from when it sent the heartbeat.
+//! An idle machine sends its next heartbeat only after a whole interval, and a task bound just after a
+//! heartbeat would wait for the next one. Its ack is therefore delayed for part of the interval, which the
+//! protocol allows (workers wait 4 s). It is a full ack all the same; the worker's lease counts from when it
+//! sent the heartbeat.
 
 use super::launch::QueueMode;
 use crate::clock::Timestamp;
@@ -13,8 +14,8 @@
 use crate::protocol::{HeartbeatAck, TaskPhase};
 
 impl Controller {
-    /// For how long the answer to a heartbeat of this number (epoch, sequence) may wait for the first task, ms;
-    /// none if it goes out at once.
+    /// Delays the ack to the heartbeat of this number (epoch, sequence) until the machine has a task. Returns
+    /// the longest delay in ms, or `None` if the ack is sent at once.
     pub fn delay_ack(&mut self, machine: &str, number: (u64, u64), now: Timestamp) -> Option<u64> {
         let machine_id = self.replica.names.machines.get(machine)?;
         let runtime = self.held.get(machine_id)?;
@@ -31,7 +32,7 @@
             || !usable
             || !runtime.launched.is_empty()
             || runtime.newest_heartbeat != HeartbeatNumber::from(number)
-            || self.answers_are_late(now)
+            || self.are_acks_late(now)
         {
             return None;
         }
@@ -39,7 +40,7 @@
         Some(self.settings.answer_wait_ms())
     }
 
-    /// Machines whose answers wait and that have been given tasks since.
+    /// Machines whose delayed acks can be sent because tasks were bound to them.
     pub fn woken_machines(&mut self) -> Vec<String> {
         let woken = self.held.take_woken();
         let names = &self.replica.names.machines;
@@ -47,8 +48,8 @@
         woken.map(str::to_owned).collect()
     }
 
-    /// The answer to a heartbeat that was taken in earlier and whose answer has waited since. Between
-    /// the two this controller may have lost the block, its authority or the worker's patience.
+    /// The delayed ack to a heartbeat that was handled earlier. Since then this controller may have lost the
+    /// block or its authority, or the worker may have stopped waiting.
     pub fn delayed_ack(
         &mut self,
         machine: &str,
@@ -64,7 +65,7 @@
         let Some(mut runtime) = self.held.take(machine_id) else {
             return HeartbeatResponse::Unavailable;
         };
-        // Under another token, or after another heartbeat, nobody waits for this answer any more.
+        // Under another token, or after another heartbeat, the worker no longer waits for this ack.
         let awaited = runtime.fencing_token == grant.mod_revision
             && runtime.newest_heartbeat == HeartbeatNumber::from(number)
             && runtime.is_controllable();
--- a/src/controller/heartbeat/launch.rs
+++ b/src/controller/heartbeat/launch.rs
@@ -1,4 +1,4 @@
-//! Which bindings of a machine's queue are started, and which are given up.
+//! Decides which bindings in a machine's queue are started and which are freed.
 
 use crate::clock::Timestamp;
 use crate::controller::held_machines::MachineRuntime;
@@ -10,37 +10,38 @@
 use quillbend_spillover::confirmation::Permission;
 use tracing::debug;
 
-/// What is done with the bindings that are not started yet.
+/// How the bindings that are not started yet are handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum QueueMode {
-    /// They are started while there is room.
+    /// They are started while the machine has free resources.
     Start,
-    /// They are given up: the machine is leaving, being reclaimed, quarantined or unreachable.
+    /// They are freed, because the machine is cordoned, being reclaimed, quarantined or unreachable.
     Drain,
 }
 
-/// What is started, and what is given up instead.
+/// Launch commands, and the bindings that are freed instead.
 #[derive(Debug, Default)]
 pub(super) struct Launches {
-    /// One for each task that is started.
+    /// One command for each task that is started.
     pub(super) commands: Vec<Command>,
-    /// Bindings that are given up.
+    /// Bindings that are freed, so that their tasks can be bound again.
     pub(super) freed: Vec<Completion>,
 }
 
-/// What becomes of one binding.
+/// Decision on one binding.
 enum QueueDecision {
-    /// It stays as it is: it is on the machine, has ended, moves away, or may not be started yet.
+    /// It stays in the queue: its task is on the machine, has ended, is being moved, or may not be started
+    /// yet.
     Keep,
-    /// It is not to be started here any more.
+    /// It is freed and not started here.
     Free,
-    /// It is started if there is so much room.
+    /// It is started if the machine has these resources free.
     Start(Room),
 }
 
 impl Controller {
-    /// Launches the head of a machine's queue while there is room for it beside what is `used`; what is not to
-    /// be started here any more is freed.
+    /// Launches bindings from the head of a machine's queue while its resources suffice beside those `used`,
+    /// and frees bindings that should no longer start here.
     pub(super) fn plan_launches(
         &self,
         machine_id: MachineId,
@@ -58,11 +59,11 @@
         for binding in self.bindings_by_priority(machine) {
             match self.decide_binding(machine_id, machine, runtime, binding, queue_mode, now) {
                 QueueDecision::Keep => {}
-                // Before the machine obeys our token an earlier holder may still start it.
+                // Until the worker has adopted our token, an earlier holder may still start the task.
                 QueueDecision::Free if !runtime.fenced => {}
                 QueueDecision::Free => launches.freed.push(Completion::free(*binding)),
                 QueueDecision::Start(need) => {
-                    // What comes later in the queue does not overtake.
+                    // Later bindings do not overtake the first one that does not fit.
                     full |= !size.is_some_and(|size| need.fits(&size.minus(&used)));
                     if !full {
                         used.add(&need, 1.0);
@@ -77,7 +78,7 @@
         launches
     }
 
-    /// The bindings of a machine, those of the highest priority first, otherwise in the order of the queue.
+    /// Bindings of a machine by priority, highest first, and within a priority in queue order.
     fn bindings_by_priority<'a>(&self, machine: &'a Machine) -> Vec<&'a Binding> {
         let mut bindings: Vec<&Binding> = machine.queue.iter().collect();
         bindings.sort_by_key(|binding| {
--- a/src/controller/heartbeat/mod.rs
+++ b/src/controller/heartbeat/mod.rs
@@ -1,9 +1,10 @@
-//! Heartbeats of workers and the commands that answer them.
+//! Handles worker heartbeats and the commands that are returned in their acks.
 //!
-//! A heartbeat is taken in by these steps: [`admission`] (may this controller answer it?), [`classify`] (what
-//! does it prove?), then [`answer`], which lists the rest. Nothing is answered for a machine whose block is
-//! granted to another controller, or after this controller's authority has ended: each answer renews the
-//! worker's lease, and the tasks of a machine are bound elsewhere only once that lease has expired.
+//! Each heartbeat passes through [`admission`] (may this controller acknowledge it?), [`classify`] (is it
+//! current, stale or a sign of recovery?) and [`answer`], which applies the reported state and plans the
+//! commands. A heartbeat is never acknowledged if the machine's block is granted to another controller or
+//! this controller's authority has expired: an ack renews the worker's lease, and the machine's tasks are
+//! bound elsewhere only after that lease has expired.
 
 mod admission;
 mod answer;
@@ -24,31 +25,32 @@
 use classify::{Confirmation, HeartbeatAction};
 use tracing::info;
 
-/// The token of a worker that has seen none since it began (PROTOCOL, tokens).
+/// Fencing token reported by a worker that has not seen one since it started (PROTOCOL, tokens).
 pub(crate) const NO_TOKEN: u64 = 0;
 
-/// A machine that this controller holds, and the token under which it does.
+/// A machine held by this controller, with the fencing token of the grant.
 #[derive(Debug, Clone, Copy)]
 struct HeldMachine {
     machine_id: MachineId,
-    /// Revision of the grant of its block.
+    /// Revision of the grant of the machine's block.
     fencing_token: FencingToken,
 }
 
 impl Controller {
-    /// Takes in a worker's heartbeat.
+    /// Handles a heartbeat, without assuming that the replica is up to date.
     #[expect(
         clippy::needless_pass_by_value,
-        reason = "the caller hands the heartbeat over, as it came from the wire"
+        reason = "callers pass on the deserialized heartbeat by value"
     )]
     pub fn on_heartbeat(&mut self, heartbeat: Heartbeat, now: Timestamp) -> HeartbeatResponse {
         self.process_heartbeat(&heartbeat, Confirmation::Outstanding, now)
     }
 
-    /// Takes in a heartbeat since whose arrival the replica has caught up with the state service.
+    /// Handles a heartbeat after the replica has caught up with all writes made to the key-value store before
+    /// it arrived.
     #[expect(
         clippy::needless_pass_by_value,
-        reason = "the caller hands the heartbeat over, as it came from the wire"
+        reason = "callers pass on the deserialized heartbeat by value"
     )]
     pub fn on_confirmed_heartbeat(
         &mut self,
@@ -91,7 +93,7 @@
     ) -> HeartbeatResponse {
         self.held.unowned.remove(&heartbeat.machine);
         let planned_commands = self.plan_commands(held, runtime, heartbeat, now);
-        runtime.answered_at = Some(now);
+        runtime.last_ack_at = Some(now);
         self.counters.heartbeats += 1;
         HeartbeatResponse::HeartbeatAck(HeartbeatAck {
             token: held.fencing_token.0,
@@ -99,8 +101,8 @@
         })
     }
 
-    /// A machine that was presumed dead comes back. Its tasks may be bound elsewhere by now, so it is answered
-    /// again only once its queue is empty and it shows an epoch without tasks.
+    /// Readmits a machine that was presumed dead. Its tasks may already be bound elsewhere, so it is
+    /// acknowledged only once its queue is empty and it reports no task that has not ended.
     fn readmit(
         &self,
         held: HeldMachine,
@@ -112,7 +114,10 @@
         if self.replica.has_queued_tasks(held.machine_id) || heartbeat.tasks.iter().any(live) {
             return HeartbeatResponse::Unavailable;
         }
-        info!(machine = heartbeat.machine, "machine presumed dead is back");
+        info!(
+            machine = heartbeat.machine,
+            "readmitting machine that was presumed dead"
+        );
         let token = held.fencing_token.0;
         let newest_heartbeat = match heartbeat.token == token {
             true => HeartbeatNumber::of(heartbeat),
@@ -121,7 +126,7 @@
         *runtime = MachineRuntime {
             newest_heartbeat,
             last_heartbeat_at: Some(now),
-            answered_at: Some(now),
+            last_ack_at: Some(now),
             ..MachineRuntime::new(token, now)
         };
         HeartbeatResponse::HeartbeatAck(HeartbeatAck {
--- a/src/controller/heartbeat/outcomes.rs
+++ b/src/controller/heartbeat/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the completion of a bound task says of its job and of its machine.
+//! Updates the failure statistics of jobs and machines when a bound task completes.
 
 use crate::clock::Timestamp;
 use crate::controller::held_machines::MachineRuntime;
@@ -7,7 +7,7 @@
 use tracing::warn;
 
 impl Controller {
-    /// Notes a completion, which is recorded with the next write of its block.
+    /// Adds a completion, which is recorded with the next write of the machine's block.
     pub(super) fn record_completion(
         &mut self,
         machine_id: MachineId,
@@ -21,7 +21,7 @@
             TaskOutcome::Done => {
                 runtime.failed_jobs.clear();
                 self.held.record_success(job);
-                // Others wait for it: the leader hears of its last completions soon.
+                // Other jobs depend on this one, so the leader should learn of its last completions soon.
                 if self.replica.dependencies.is_needed(job) {
                     self.peers.request_urgent_update();
                 }
--- a/src/controller/heartbeat/reachability.rs
+++ b/src/controller/heartbeat/reachability.rs
@@ -1,8 +1,8 @@
-//! Whether answers reach the machines whose heartbeats arrive.
+//! Detects machines whose heartbeats arrive but which do not receive the acks.
 //!
-//! A worker that had our answer comes back to us with its very next heartbeat and without waiting for the answer's
-//! time to run out; one that had none goes round the controllers, shows no launch, and loses its lease although we
-//! answer.
+//! A worker that received the last ack sends its next heartbeat to the same controller, before the ack
+//! timeout has passed. A worker that did not receive it tries the other controllers, does not report the
+//! launched tasks, and loses its lease although this controller acknowledges its heartbeats.
 
 use crate::clock::Timestamp;
 use crate::controller::Controller;
@@ -10,30 +10,32 @@
 use crate::protocol::Heartbeat;
 use tracing::{info, warn};
 
-/// A worker that has waited this long for an answer goes to the next controller (PROTOCOL, reports), ms.
-const ANSWER_WAIT_MS: u64 = 4000;
-/// Answers in a row that must be missed, or received, before a machine counts as unreachable, or reachable again.
+/// Time after which a worker stops waiting for an ack and tries the next controller (PROTOCOL, reports), ms.
+const ACK_TIMEOUT_MS: u64 = 4000;
+/// Number of consecutive acks missed, or received, after which a machine counts as unreachable, or reachable
+/// again.
 const CONSECUTIVE_ACK_THRESHOLD: u32 = 3;
-/// So long after a stall of this controller its answers may have been late, ms.
-const ANSWERS_LATE_AFTER_STALL_MS: u64 = 15_000;
-/// If more than one machine in so many misses answers, this controller is taken to be the cause.
+/// Time after a stall of this controller during which its acks may have been late, ms.
+const ACKS_LATE_AFTER_STALL_MS: u64 = 15_000;
+/// This controller is assumed to be the cause if more than one in this many of its machines misses acks.
 const LATE_MACHINES_DIVISOR: usize = 10;
-/// So many machines may miss answers in any fleet without this controller being the cause.
+/// Number of machines that may miss acks, whatever the fleet size, before this controller is assumed to be
+/// the cause.
 const LATE_MACHINES_ALLOWANCE: usize = 2;
 
-/// What a heartbeat says of the answer to the one before.
+/// What a heartbeat shows about the ack to the previous heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AckEvidence {
-    /// It arrived.
+    /// The worker received it.
     Received,
-    /// It did not; how much that counts.
+    /// The worker did not receive it. The value is the number of missed acks that this counts as.
     Missed(u32),
-    /// Either is possible.
+    /// The heartbeat does not show whether the worker received it.
     Unclear,
 }
 
 impl Controller {
-    /// Finds out from a heartbeat whether the machine had the answer to the one before.
+    /// Updates the reachability of a machine by whether it received the ack to its previous heartbeat.
     pub(super) fn observe_reachability(
         &self,
         runtime: &mut MachineRuntime,
@@ -60,11 +62,11 @@
         runtime.received_acks = 0;
         if runtime.missed_acks >= CONSECUTIVE_ACK_THRESHOLD
             && runtime.unreachable_since.is_none()
-            && !self.answers_are_late(now)
+            && !self.are_acks_late(now)
         {
             warn!(
                 machine = heartbeat.machine,
-                "machine unreachable: heartbeats arrive, answers do not reach it"
+                "machine unreachable: its heartbeats arrive but acks do not reach it"
             );
             runtime.unreachable_since = Some(now);
         }
@@ -80,7 +82,7 @@
         let is_next = heartbeat.worker_epoch == runtime.newest_heartbeat.epoch
             && heartbeat.sequence == runtime.newest_heartbeat.sequence + 1;
         let in_time =
-            now.since(last_heartbeat_at) < self.settings.heartbeat_due_ms().max(ANSWER_WAIT_MS);
+            now.since(last_heartbeat_at) < self.settings.heartbeat_due_ms().max(ACK_TIMEOUT_MS);
         let shows_launches = runtime.launched.iter().all(|task| {
             let name = self.replica.names.task_name(*task);
             heartbeat.tasks.iter().any(|reported| reported.task == name)
@@ -89,28 +91,28 @@
         if is_next && in_time && shows_launches && shows_token {
             return AckEvidence::Received;
         }
-        let answered_within = |ms| runtime.answered_at.is_some_and(|at| now.since(at) < ms);
-        let lost_its_lease = heartbeat.worker_epoch > runtime.newest_heartbeat.epoch;
-        let answered_under_token = runtime
-            .answered_at
+        let acked_within = |ms| runtime.last_ack_at.is_some_and(|at| now.since(at) < ms);
+        let lost_lease = heartbeat.worker_epoch > runtime.newest_heartbeat.epoch;
+        let acked_under_token = runtime
+            .last_ack_at
             .is_some_and(|at| at > runtime.held_since);
-        if lost_its_lease && answered_within(self.settings.worker_gone_ms()) {
+        if lost_lease && acked_within(self.settings.worker_gone_ms()) {
             AckEvidence::Missed(2)
-        } else if !shows_launches || !in_time || (!shows_token && answered_under_token) {
+        } else if !shows_launches || !in_time || (!shows_token && acked_under_token) {
             AckEvidence::Missed(1)
         } else {
             AckEvidence::Unclear
         }
     }
 
-    /// Whether answers may well be late because this controller is: it was kept from its own
-    /// work, or a good part of its machines seem to miss answers at the same time.
-    pub(super) fn answers_are_late(&self, now: Timestamp) -> bool {
+    /// Whether missing acks are probably the fault of this controller: it stalled recently, or too many of
+    /// its machines miss acks at the same time.
+    pub(super) fn are_acks_late(&self, now: Timestamp) -> bool {
         let missing = self.held.iter();
         let missing = missing
             .filter(|(_, runtime)| runtime.missed_acks > 0)
             .count();
-        self.pauses.stalled_within(ANSWERS_LATE_AFTER_STALL_MS, now)
+        self.pauses.stalled_within(ACKS_LATE_AFTER_STALL_MS, now)
             || missing > (self.held.len() / LATE_MACHINES_DIVISOR).max(LATE_MACHINES_ALLOWANCE)
     }
 }
--- a/src/controller/heartbeat/reconcile.rs
+++ b/src/controller/heartbeat/reconcile.rs
@@ -1,7 +1,7 @@
-//! The tasks that a heartbeat shows, squared with the queue of their machine.
+//! Reconciles the tasks in a heartbeat with the queue of their machine.
 //!
-//! Everything the heartbeat shows is taken in, whether or not the machine's type is known: after a restart
-//! while the cloud is away, what seemed absent could be stolen and run twice.
+//! All reported tasks count, even if the machine's type is not known, as after a restart while the cloud API
+//! is unavailable. A task that seemed absent could be stolen and run twice.
 
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
@@ -13,47 +13,48 @@
 use crate::replica::{Binding, Job, Machine, TaskId};
 use tracing::debug;
 
-/// A task of a heartbeat, matched with the queue of its machine.
+/// A reported task, matched with the queue of its machine.
 #[derive(Debug)]
 pub(super) struct ReportedTask<'a> {
-    /// As the heartbeat shows it.
+    /// The task as reported.
     pub(super) status: &'a TaskStatus,
-    /// Its place in the queue. None if the queue does not list this attempt: its completion is recorded
-    /// already, or another attempt took its place. Either way nothing here depends on it any more.
+    /// Its binding in the queue. `None` if the queue does not list this attempt, because its completion is
+    /// recorded or it was replaced by another attempt. In both cases no decision here depends on it any more.
     pub(super) binding: Option<Binding>,
-    /// When it was first seen running, if the queue lists it.
+    /// When the task was first reported as running, if the queue lists it.
     pub(super) running_since: Option<Timestamp>,
 }
 
 impl ReportedTask<'_> {
-    /// Whether it has ended.
+    /// Whether the task has ended, with or without success.
     pub(super) fn has_ended(&self) -> bool {
         self.status.status == TaskPhase::Ended
     }
 
-    /// Whether the worker may forget it: it has ended, and that is recorded.
+    /// Whether the worker may forget the task: it has ended and the queue no longer lists it.
     pub(super) fn can_be_cleared(&self) -> bool {
         self.has_ended() && self.binding.is_none()
     }
 }
 
-/// What a heartbeat shows, squared with the queue.
+/// Result of comparing a heartbeat with the queue.
 #[derive(Debug, Default)]
 pub(super) struct Reconciliation<'a> {
-    /// Its tasks, in its order.
+    /// The reported tasks, in the order of the heartbeat.
     pub(super) tasks: Vec<ReportedTask<'a>>,
-    /// The tasks that the heartbeat before showed.
+    /// Tasks of the previous heartbeat.
     pub(super) previous_tasks: HashMap<TaskId, TaskRuntime>,
-    /// What the tasks take that have not ended.
+    /// Resources used by the tasks that have not ended.
     pub(super) used: Room,
-    /// Bindings that were found to have ended.
+    /// Completions that this heartbeat reports for the first time.
     pub(super) completions: Vec<Completion>,
-    /// Observed run times over their estimates.
+    /// Ratios of observed run times to their estimates.
     pub(super) run_time_ratios: Vec<(ClassId, f64)>,
 }
 
 impl Controller {
-    /// Takes the tasks of a heartbeat into the machine's runtime, and finds out which bindings have ended.
+    /// Updates the tasks in the machine's runtime state from a heartbeat and finds the bindings that have
+    /// ended.
     pub(super) fn reconcile<'a>(
         &self,
         machine_id: MachineId,
@@ -101,7 +102,7 @@
     }
 }
 
-/// Finds a task of a heartbeat in the queue, and when it was first seen running.
+/// Looks up a reported task in the queue and determines when it was first reported as running.
 fn match_task<'a>(
     status: &'a TaskStatus,
     task: Option<TaskId>,
@@ -125,10 +126,11 @@
     }
 }
 
-/// How a listed task has ended, if it has and the heartbeat is to be believed.
+/// Completion of a listed task, if it has ended and the heartbeat confirms how.
 ///
-/// Anything but success is believed only if it was reported under our token and no other attempt is there.
-/// Guards against a copy from an earlier epoch, which may show an attempt that has been started again since.
+/// Any outcome but success is accepted only if it was reported under our fencing token and the heartbeat
+/// lists no other live attempt of the task. Otherwise a stale copy from an earlier epoch could report an
+/// attempt that has been started again since.
 fn confirmed_completion(
     binding: Binding,
     status: &TaskStatus,
@@ -148,7 +150,7 @@
     is_confirmed.then_some(Completion { binding, outcome })
 }
 
-/// Whether a heartbeat shows another attempt of a task that has not ended.
+/// Whether a heartbeat lists another attempt of the task that has not ended.
 fn shows_another_live_attempt(heartbeat: &Heartbeat, status: &TaskStatus) -> bool {
     heartbeat.tasks.iter().any(|other| {
         other.task == status.task
@@ -157,7 +159,7 @@
     })
 }
 
-/// Run time of a task that is done over its owner's estimate, if it was seen running.
+/// Ratio of a successful task's run time to its owner's estimate, if it was seen running.
 fn run_time_ratio(
     job: &Job,
     completion: &Completion,
--- a/src/controller/heartbeat/stops.rs
+++ b/src/controller/heartbeat/stops.rs
@@ -1,4 +1,4 @@
-//! Which of the tasks on a machine are to be stopped, and how much time they have to save their progress.
+//! Decides which tasks on a machine are stopped, and how much time they get to save a checkpoint.
 
 use super::reconcile::ReportedTask;
 use crate::clock::Timestamp;
@@ -8,17 +8,18 @@
 use crate::replica::{Binding, Job, Machine};
 use quillbend_spillover::confirmation::Permission;
 
-/// Grace of a task that is stopped at once: it saves nothing.
+/// Grace period of a task that is stopped at once, without saving a checkpoint.
 const NO_GRACE_S: f64 = 0.0;
-/// Added to the time that a job needs for a checkpoint when a task is preempted.
+/// Added to a job's checkpoint time to give the grace period of a task that is stopped, seconds.
 const GRACE_MARGIN_S: f64 = 5.0;
-/// A task that needs less than this part of the time left before its machine is reclaimed runs on.
+/// A task runs on if it needs less than this fraction of the time until its machine is reclaimed.
 const RECLAIM_IN_TIME_FRACTION: f64 = 0.5;
-/// A task without checkpoints that needs more than this many times the time left is stopped at once.
+/// A task without checkpoints is stopped at once if it needs more than this multiple of the time until its
+/// machine is reclaimed.
 const RECLAIM_TOO_LATE_FACTOR: f64 = 1.5;
 
 impl Controller {
-    /// The commands that stop tasks, in the order of the heartbeat.
+    /// Commands that stop tasks, in the order in which the heartbeat lists the tasks.
     pub(super) fn decide_stops(
         &self,
         machine: &Machine,
@@ -41,7 +42,7 @@
         .collect()
     }
 
-    /// Seconds that a bound task has until it is stopped; none if it runs on.
+    /// Grace period of a bound task that is to be stopped, seconds; `None` if it runs on.
     fn stop_grace_s(
         &self,
         machine: &Machine,
@@ -68,7 +69,7 @@
             } else if saves_checkpoints {
                 Some(job.spec.save_s.max(until_reclaim_s))
             } else {
-                // It cannot be done in time: better started again elsewhere at once.
+                // It cannot finish in time, so it is stopped now and can be started elsewhere.
                 (remaining_s > until_reclaim_s * RECLAIM_TOO_LATE_FACTOR).then_some(NO_GRACE_S)
             }
         } else if machine.evict.contains(&binding) {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Expected seconds until a task is done, at least 1.
+    /// Expected time until a task finishes, at least 1 second.
     fn remaining_run_time_s(&self, job: &Job, task: &ReportedTask, now: Timestamp) -> f64 {
         let ran_ms = task.running_since.map_or(0, |since| now.since(since));
         (self.run_s(job) - ran_ms as f64 / 1000.0).max(1.0)
--- a/src/controller/held_machines.rs
+++ b/src/controller/held_machines.rs
@@ -1,8 +1,8 @@
-//! The machines that this controller holds: what their heartbeats show under its fencing token.
+//! Runtime state of the machines that this controller holds.
 //!
-//! Owns one [`MachineRuntime`] for each machine of a block granted to this controller, and what is learned from
-//! their heartbeats: running tasks, failures, run times. Must never keep what was learned of a machine under
-//! an earlier token, nor a job that the replica has released.
+//! Owns one [`MachineRuntime`] for each machine of a block granted to this controller, and the running tasks,
+//! failures and run times observed in their heartbeats. State learned under an earlier fencing token must
+//! never be kept, nor state of jobs that the replica has released.
 
 mod runtime;
 mod unowned;
@@ -16,78 +16,78 @@
 use crate::protocol::TaskPhase;
 use crate::replica::TaskId;
 
-/// Bounds of the ratio of a run time to its owner's estimate.
+/// Smallest and largest accepted ratio of a run time to its owner's estimate.
 const RUN_TIME_RATIO_BOUNDS: (f64, f64) = (0.2, 5.0);
-/// Weight of a new run time against all earlier ones of its class.
+/// Weight of a new ratio in the moving average of its class.
 const RUN_TIME_RATIO_WEIGHT: f64 = 0.05;
 
-/// Machines that this controller holds or hears of.
+/// Machines that this controller holds, and machines not held here whose heartbeats arrive here.
 #[derive(Debug, Default)]
 pub(crate) struct HeldMachines {
-    /// What is known of each machine held.
+    /// Runtime state of each held machine.
     machines: HashMap<MachineId, MachineRuntime>,
-    /// Tasks that run on the machines held, by job; no zeros.
+    /// Number of tasks running on held machines, by job. Holds no zeros.
     running_tasks: HashMap<JobId, u32>,
-    /// Machines whose answers wait and that have been given tasks.
+    /// Machines whose acks are delayed and to which tasks have been bound since.
     woken: Vec<MachineId>,
-    /// Machines whose heartbeats come here and that are held by another controller or by none.
+    /// Machines whose heartbeats arrive here although another controller, or none, holds them.
     pub(crate) unowned: UnownedMachines,
-    /// Failures of jobs one after the other.
+    /// Consecutive failures, by job.
     failure_streaks: HashMap<JobId, FailureStreak>,
-    /// Observed run times over the owners' estimates, by class.
+    /// Moving average of the ratio of run times to their owners' estimates, by class.
     run_time_ratios: HashMap<ClassId, f64>,
 }
 
 impl HeldMachines {
-    /// What is known of a machine; none if it is not held here.
+    /// Runtime state of a machine; `None` if it is not held here.
     pub(crate) fn get(&self, machine_id: MachineId) -> Option<&MachineRuntime> {
         self.machines.get(&machine_id)
     }
 
-    /// The same, to be changed.
+    /// Mutable runtime state of a machine; `None` if it is not held here.
     pub(crate) fn get_mut(&mut self, machine_id: MachineId) -> Option<&mut MachineRuntime> {
         self.machines.get_mut(&machine_id)
     }
 
-    /// Whether a machine is held here.
+    /// Whether this controller holds a machine.
     pub(crate) fn contains(&self, machine_id: MachineId) -> bool {
         self.machines.contains_key(&machine_id)
     }
 
-    /// Number of machines held.
+    /// Number of held machines.
     pub(crate) fn len(&self) -> usize {
         self.machines.len()
     }
 
-    /// The machines held.
+    /// Ids of the held machines, in no particular order.
     pub(crate) fn ids(&self) -> impl Iterator<Item = MachineId> {
         self.machines.keys().copied()
     }
 
-    /// The machines held and what is known of them.
+    /// The held machines with their runtime state.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (MachineId, &MachineRuntime)> {
         self.machines.iter().map(|(&id, runtime)| (id, runtime))
     }
 
-    /// Takes a machine's runtime out, for a step that needs it beside the rest of the controller; it is
-    /// put back with [`Self::insert`]. The running tasks go on counting.
+    /// Removes a machine's runtime state for a step that needs it together with the rest of the controller.
+    /// The caller puts it back with [`Self::insert`]. Its running tasks stay counted.
     pub(crate) fn take(&mut self, machine_id: MachineId) -> Option<MachineRuntime> {
         self.machines.remove(&machine_id)
     }
 
-    /// Puts in what is known of a machine.
+    /// Inserts the runtime state of a machine.
     pub(crate) fn insert(&mut self, machine_id: MachineId, runtime: MachineRuntime) {
         self.machines.insert(machine_id, runtime);
     }
 
-    /// Forgets a machine that is no longer held under the token it was held under.
+    /// Removes a machine that is no longer held under the token of its runtime state.
     pub(crate) fn drop_machine(&mut self, machine_id: MachineId) {
         if let Some(runtime) = self.machines.remove(&machine_id) {
             self.uncount_running(&runtime.tasks);
         }
     }
 
-    /// Forgets the jobs for which `stays` is false: their indices may come back as other jobs.
+    /// Removes the jobs for which `keep` returns false, because their indices may be reused for other jobs.
     pub(crate) fn forget_jobs(&mut self, keep: impl Fn(&JobId) -> bool) {
         for runtime in self.machines.values_mut() {
             runtime.forget_jobs(&keep);
@@ -96,7 +96,7 @@
         self.failure_streaks.retain(|job, _| keep(job));
     }
 
-    /// Gives up a machine whose tasks are surely gone.
+    /// Marks a machine as presumed dead and removes its tasks.
     pub(crate) fn mark_presumed_dead(&mut self, machine_id: MachineId) {
         let Some(runtime) = self.machines.get_mut(&machine_id) else {
             return;
@@ -107,14 +107,14 @@
         self.uncount_running(&tasks);
     }
 
-    /// Counts the tasks among these that run.
+    /// Adds the running tasks among `tasks` to the counts.
     pub(crate) fn count_running(&mut self, tasks: &HashMap<TaskId, TaskRuntime>) {
         for job in running_jobs(tasks) {
             *self.running_tasks.entry(job).or_default() += 1;
         }
     }
 
-    /// Counts them no longer.
+    /// Subtracts the running tasks among `tasks` from the counts.
     pub(crate) fn uncount_running(&mut self, tasks: &HashMap<TaskId, TaskRuntime>) {
         for job in running_jobs(tasks) {
             let count = self.running_tasks.entry(job).or_default();
@@ -125,17 +125,17 @@
         }
     }
 
-    /// Tasks of a job that run on the machines held.
+    /// Number of tasks of a job that run on held machines.
     pub(crate) fn running_task_count(&self, job: JobId) -> u32 {
         self.running_tasks.get(&job).copied().unwrap_or(0)
     }
 
-    /// Tasks that run on the machines held, by job.
+    /// Number of tasks that run on held machines, by job.
     pub(crate) fn running_tasks_by_job(&self) -> impl Iterator<Item = (JobId, u32)> {
         self.running_tasks.iter().map(|(&job, &count)| (job, count))
     }
 
-    /// A machine was given tasks: if the answer to its heartbeat waits, it is sent now.
+    /// Releases the delayed ack of a machine, if there is one, because tasks were bound to it.
     pub(crate) fn wake(&mut self, machine_id: MachineId) {
         if let Some(runtime) = self.machines.get_mut(&machine_id)
             && runtime.ack_delayed
@@ -145,24 +145,24 @@
         }
     }
 
-    /// The machines whose waiting answers are to be sent now, each once.
+    /// Removes and returns the machines whose delayed acks are to be sent now, each once.
     pub(crate) fn take_woken(&mut self) -> Vec<MachineId> {
         std::mem::take(&mut self.woken)
     }
 
-    /// The consecutive failures of a job; none since it last succeeded.
+    /// Consecutive failures of a job; `None` if none has occurred since its last success.
     pub(crate) fn failure_streak(&self, job: JobId) -> Option<FailureStreak> {
         self.failure_streaks.get(&job).copied()
     }
 
-    /// The consecutive failures of all jobs.
+    /// Consecutive failures of all jobs that have some.
     pub(crate) fn failure_streaks(&self) -> impl Iterator<Item = (JobId, FailureStreak)> {
         self.failure_streaks
             .iter()
             .map(|(&job, &streak)| (job, streak))
     }
 
-    /// Notes that a task of a job failed.
+    /// Records a failed task of a job.
     pub(crate) fn record_failure(&mut self, job: JobId, now: Timestamp) {
         let streak = self.failure_streaks.entry(job).or_insert(FailureStreak {
             count: 0,
@@ -172,24 +172,24 @@
         streak.last = now;
     }
 
-    /// Notes that a task of a job was done.
+    /// Records a successful task of a job, which ends its failure streak.
     pub(crate) fn record_success(&mut self, job: JobId) {
         self.failure_streaks.remove(&job);
     }
 
-    /// Observed run times of a class over the owners' estimates; 1 until there is one.
+    /// Average ratio of the run times of a class to their estimates; 1 until one was observed.
     pub(crate) fn run_time_ratio(&self, class: ClassId) -> f64 {
         self.run_time_ratios.get(&class).copied().unwrap_or(1.0)
     }
 
-    /// The same of all classes that are known.
+    /// Average ratios of all classes with an observation.
     pub(crate) fn run_time_ratios(&self) -> impl Iterator<Item = (ClassId, f64)> {
         self.run_time_ratios
             .iter()
             .map(|(&class, &ratio)| (class, ratio))
     }
 
-    /// Takes in one observed run time over its estimate: a moving average.
+    /// Adds an observed ratio of run time to estimate to the moving average of its class.
     pub(crate) fn observe_run_time(&mut self, class: ClassId, ratio: f64) {
         let (min, max) = RUN_TIME_RATIO_BOUNDS;
         let ratio = ratio.clamp(min, max);
@@ -197,13 +197,13 @@
         *average += (ratio - *average) * RUN_TIME_RATIO_WEIGHT;
     }
 
-    /// Takes over a peer's ratio, which counts until there is one of our own.
+    /// Adopts a peer's ratio as the initial average, unless there is one already.
     pub(crate) fn adopt_run_time_ratio(&mut self, class: ClassId, ratio: f64) {
         self.run_time_ratios.entry(class).or_insert(ratio);
     }
 }
 
-/// The jobs of the tasks that run, once for each task.
+/// Jobs of the running tasks, one item for each task.
 fn running_jobs(tasks: &HashMap<TaskId, TaskRuntime>) -> impl Iterator<Item = JobId> {
     tasks
         .iter()
@@ -211,11 +211,11 @@
         .map(|(task, _)| task.job)
 }
 
-/// Failures of a job one after the other, as seen by this holder.
+/// Consecutive failures of a job, as seen by this holder.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct FailureStreak {
-    /// How many.
+    /// Number of failures.
     pub(crate) count: u32,
-    /// The last one.
+    /// Time of the last failure.
     pub(crate) last: Timestamp,
 }
--- a/src/controller/held_machines/runtime.rs
+++ b/src/controller/held_machines/runtime.rs
@@ -1,7 +1,7 @@
-//! What the holder of a machine knows of it under one fencing token.
+//! Runtime state of a machine, as its holder knows it under one fencing token.
 //!
-//! Must never outlive its token: conclusions drawn under one grant are worth nothing under another, for in
-//! between another controller may have held the block.
+//! This state must never outlive its token: what was concluded under one grant does not hold under another,
+//! because another controller may have held the block in between.
 
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
@@ -9,17 +9,17 @@
 use crate::protocol::{Heartbeat, TaskPhase, TaskStatus};
 use crate::replica::TaskId;
 
-/// The number of a heartbeat: the newest of a worker has the highest (PROTOCOL, reports).
+/// Number of a heartbeat. A worker's newest heartbeat has the highest number (PROTOCOL, reports).
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct HeartbeatNumber {
-    /// The worker's epoch, which begins with its process and with each lease that it loses.
+    /// The worker's epoch. A new one begins when its process starts and whenever its lease expires.
     pub(crate) epoch: u64,
-    /// Counts the heartbeats of the epoch.
+    /// Number of the heartbeat within the epoch.
     pub(crate) sequence: u64,
 }
 
 impl HeartbeatNumber {
-    /// The number of a heartbeat.
+    /// The number that a heartbeat carries.
     pub(crate) fn of(heartbeat: &Heartbeat) -> Self {
         Self {
             epoch: heartbeat.worker_epoch,
@@ -34,19 +34,19 @@
     }
 }
 
-/// A task as the last heartbeat shows it.
+/// A task as reported by the last heartbeat.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TaskRuntime {
-    /// The attempt that is, or was, on the machine.
+    /// Attempt that is, or was, on the machine.
     pub(crate) attempt: u64,
-    /// Its phase.
+    /// Phase of the attempt, such as running or ended.
     pub(crate) status: TaskPhase,
-    /// When it was first seen running.
+    /// When the task was first reported as running; `None` if it never was.
     pub(crate) running_since: Option<Timestamp>,
 }
 
 impl TaskRuntime {
-    /// A task as a heartbeat shows it, seen running first at this time.
+    /// Builds the state of a reported task that was first reported as running at `running_since`.
     pub(crate) fn new(reported: &TaskStatus, running_since: Option<Timestamp>) -> Self {
         Self {
             attempt: reported.attempt,
@@ -56,54 +56,55 @@
     }
 }
 
-/// What a holder knows of a machine under one token.
+/// Runtime state of a machine under one fencing token.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct MachineRuntime {
-    /// Revision of the grant.
+    /// Revision of the grant, which is the fencing token.
     pub(in crate::controller) fencing_token: u64,
-    /// When the grant became known.
+    /// When this controller learned of the grant.
     pub(in crate::controller) held_since: Timestamp,
     /// Number of the newest heartbeat that showed this token.
     pub(in crate::controller) newest_heartbeat: HeartbeatNumber,
-    /// Number of the newest one that did not.
+    /// Number of the newest heartbeat that did not show this token.
     pub(in crate::controller) newest_without_token: HeartbeatNumber,
-    /// A heartbeat under this token came: no earlier holder is obeyed any more.
+    /// Whether a heartbeat has shown this token, so that the worker rejects earlier holders.
     pub(in crate::controller) fenced: bool,
-    /// When the last heartbeat came that was no copy.
+    /// Arrival of the last heartbeat that was not a stale copy.
     pub(in crate::controller) last_heartbeat_at: Option<Timestamp>,
-    /// When one was last answered: the worker's lease may run from then on.
-    pub(in crate::controller) answered_at: Option<Timestamp>,
-    /// When the cloud takes a spot machine back, once it has said so.
+    /// When a heartbeat was last acknowledged. The worker's lease may run from then on.
+    pub(in crate::controller) last_ack_at: Option<Timestamp>,
+    /// When the cloud will reclaim this spot machine; `None` without a notice.
     pub(in crate::controller) reclaim_at: Option<Timestamp>,
-    /// Tasks that the newest heartbeat shows.
+    /// Tasks reported by the newest heartbeat.
     pub(in crate::controller) tasks: HashMap<TaskId, TaskRuntime>,
-    /// Launched in the answer to the newest heartbeat.
+    /// Tasks launched by the ack to the newest heartbeat.
     pub(in crate::controller) launched: HashSet<TaskId>,
-    /// Jobs that failed here, one after the other, since a task was last done.
+    /// Jobs of the consecutive task failures on this machine since its last success.
     pub(in crate::controller) failed_jobs: Vec<JobId>,
-    /// It fails what it starts, and is to be replaced.
+    /// Whether the machine is quarantined because its tasks fail. It is to be replaced.
     pub(in crate::controller) quarantined: bool,
-    /// Its tasks are surely gone: it was silent for longer than its worker's lease.
+    /// Whether the machine is presumed dead: it was silent for longer than its worker's lease, so its tasks
+    /// can no longer run.
     pub(in crate::controller) presumed_dead: bool,
-    /// Answers in a row that did not reach it.
+    /// Number of consecutive acks that did not reach the machine.
     pub(in crate::controller) missed_acks: u32,
-    /// Answers in a row that did.
+    /// Number of consecutive acks that reached the machine.
     pub(in crate::controller) received_acks: u32,
-    /// Since when answers do not reach it although its heartbeats come.
+    /// Since when acks do not reach the machine although its heartbeats arrive.
     pub(in crate::controller) unreachable_since: Option<Timestamp>,
-    /// The latest heartbeat without our token after one that showed it: a late copy, or a worker that has
-    /// restarted.
+    /// Number and arrival of a heartbeat without our token after one that showed it, with which later ones
+    /// are compared. It is a late copy or comes from a restarted worker.
     pub(in crate::controller) restart_baseline: Option<(HeartbeatNumber, Timestamp)>,
-    /// The answer to its newest heartbeat waits for a task.
+    /// Whether the ack to the newest heartbeat is delayed until a task is bound.
     pub(in crate::controller) ack_delayed: bool,
-    /// Since when ended tasks wait to be cleared.
+    /// Since when ended tasks wait to be cleared; `None` if there are none.
     pub(in crate::controller) clears_pending_since: Option<Timestamp>,
-    /// Its worker has restarted: only under a new token do its heartbeats prove anything.
+    /// Whether the worker has restarted. Its heartbeats are conclusive only under a new token.
     pub(in crate::controller) worker_restarted: bool,
 }
 
 impl MachineRuntime {
-    /// A machine whose grant has just become known.
+    /// Initial state of a machine whose grant has just become known.
     pub(crate) fn new(fencing_token: u64, now: Timestamp) -> Self {
         Self {
             fencing_token,
@@ -112,46 +113,47 @@
         }
     }
 
-    /// Whether the machine executes what its holder tells it. Only such a machine is given tasks:
-    /// one that sends heartbeats but receives no answer, or of which only old copies of heartbeats come,
-    /// never shows our token, or shows launches that do not appear.
+    /// Whether the machine executes the commands of its holder. Only such a machine is given tasks. A machine
+    /// that does not receive the acks, or of which only stale copies of heartbeats arrive, never shows our
+    /// token, or the tasks launched on it never appear.
     pub(crate) fn is_controllable(&self) -> bool {
         self.is_fenced_and_alive() && self.unreachable_since.is_none()
     }
 
-    /// Whether the machine obeys this holder's token alone, and is not presumed dead: only then is it sure not
-    /// to start what leaves its queue.
+    /// Whether the worker accepts this holder's token only and is not presumed dead. Only then is it certain
+    /// not to start bindings that leave its queue.
     pub(crate) fn is_fenced_and_alive(&self) -> bool {
         self.fenced && !self.presumed_dead
     }
 
-    /// Whether the machine itself is no place for new tasks: it is being reclaimed, fails what it starts, or
-    /// receives no answers.
+    /// Whether the machine should take no new tasks: it is quarantined, being reclaimed, or does not receive
+    /// acks.
     pub(in crate::controller) fn is_draining(&self) -> bool {
         self.quarantined || self.reclaim_at.is_some() || self.unreachable_since.is_some()
     }
 
-    /// Whether a task is, or may be, on the machine: its last heartbeat shows it, or the answer launched it.
+    /// Whether a task is or may be on the machine: the last heartbeat reported it or the last ack launched
+    /// it.
     pub(crate) fn may_have_task(&self, task: TaskId) -> bool {
         self.tasks.contains_key(&task) || self.launched.contains(&task)
     }
 
-    /// Number of tasks that the last heartbeat shows, ended ones included.
+    /// Number of tasks reported by the last heartbeat, including ended ones.
     pub(crate) fn task_count(&self) -> usize {
         self.tasks.len()
     }
 
-    /// Forgets the jobs for which `stays` is false.
+    /// Removes the jobs for which `keep` returns false.
     pub(super) fn forget_jobs(&mut self, keep: impl Fn(&JobId) -> bool) {
         self.tasks.retain(|task, _| keep(&task.job));
         self.launched.retain(|task| keep(&task.job));
         self.failed_jobs.retain(keep);
     }
 
-    /// Notes that a task failed here; whether the machine is quarantined for it now.
+    /// Records a task failure. Returns whether it quarantines the machine.
     ///
-    /// A machine is to blame when different jobs fail on it, or one that succeeds elsewhere (`job_has_succeeded`); a
-    /// job that has never succeeded may be broken itself.
+    /// The machine is at fault if different jobs fail on it, or a job that has succeeded elsewhere
+    /// (`job_has_succeeded`). A job that has never succeeded may itself be broken.
     pub(in crate::controller) fn record_failure(
         &mut self,
         job: JobId,
@@ -166,17 +168,17 @@
     }
 }
 
-/// What decides whether a machine can be used.
+/// Health of a machine, as its holder sees it; decides whether it can be used.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MachineHealth {
-    /// Milliseconds since its last heartbeat to its present holder.
+    /// Time since its last heartbeat to its current holder, ms; `None` before the first one.
     pub(crate) since_last_heartbeat_ms: Option<u64>,
-    /// Whether it obeys its holder's token and answers reach it.
+    /// Whether the worker has adopted its holder's token and receives the acks.
     pub(crate) is_controllable: bool,
-    /// The cloud has said that it takes the machine back.
+    /// Whether the cloud has announced that it will reclaim the machine.
     pub(crate) being_reclaimed: bool,
-    /// Its tasks fail, or answers have not reached it for a whole lease.
+    /// Whether its tasks fail, or acks have not reached it for a whole lease.
     pub(crate) quarantined: bool,
-    /// Its worker has restarted.
+    /// Whether its worker has restarted under the current grant.
     pub(crate) worker_restarted: bool,
 }
--- a/src/controller/held_machines/unowned.rs
+++ b/src/controller/held_machines/unowned.rs
@@ -1,50 +1,50 @@
 //! Machines whose workers send heartbeats here although this controller does not hold them.
 //!
-//! Owns for how long each has come here without an answer: the leader puts such machines into a block, or grants
-//! the block that lists them to another holder.
-//! Must never keep a machine for longer than a few heartbeats after its last one.
+//! Owns for each such machine the time for which it has been sending heartbeats here without an ack. The
+//! leader adds these machines to a block, or grants the block that lists them to another holder. A machine
+//! must be forgotten within a few heartbeat intervals after its last heartbeat.
 
 use super::HeartbeatNumber;
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
 use crate::protocol::{Heartbeat, UnownedMachine};
 
-/// Machines remembered at most. It guards the memory only: after a restart of all controllers every machine of a
-/// fleet may come to one of them.
+/// Maximum number of machines kept. It only bounds memory: after a restart of all controllers, every machine
+/// of the fleet may contact a single one of them.
 const MAX_UNOWNED_MACHINES: usize = 20_000;
-/// After a gap this long the time for which a machine has come here counts from zero, and it is forgotten with
-/// the next message to a peer, ms.
+/// After a gap this long, the time for which a machine has been sending heartbeats restarts at zero, and the
+/// machine is forgotten with the next peer message, ms.
 const UNOWNED_EXPIRY_MS: u64 = 7000;
-/// Machines heard from within this time are reported to the leader, ms.
+/// Machines whose last heartbeat is more recent than this are reported to the leader, ms.
 const UNOWNED_REPORT_WINDOW_MS: u64 = 6000;
-/// After this time the numbers of a machine's heartbeats may begin again from below, ms.
+/// After this time without a heartbeat, a machine may continue with lower heartbeat numbers, ms.
 const HEARTBEAT_NUMBER_VALIDITY_MS: u64 = 60_000;
 
-/// What is known of a machine that is not held here.
+/// State of a machine that is not held here.
 #[derive(Debug, Clone)]
 struct UnownedMachineState {
-    /// First heartbeat of those that came without a gap.
+    /// Arrival of the first heartbeat in a series without gaps.
     first_seen: Timestamp,
-    /// Last heartbeat that was no copy.
+    /// Arrival of the last heartbeat that was not a stale copy.
     last_seen: Timestamp,
-    /// Number of its newest heartbeat: copies of older ones do not count.
+    /// Number of the newest heartbeat. Copies of older ones do not count.
     newest_heartbeat: HeartbeatNumber,
-    /// Revision of the grant of its block at that time, 0 without one; under another one the time counts
-    /// from zero.
+    /// Revision of the grant of its block at that time, 0 without a grant. The series restarts when it
+    /// changes.
     grant_revision: u64,
     machine_type: String,
     zone: String,
     spot: bool,
 }
 
-/// The machines that are not held here, by name.
+/// Machines that are not held here, by name.
 #[derive(Debug, Default)]
 pub(crate) struct UnownedMachines {
     by_name: HashMap<String, UnownedMachineState>,
 }
 
 impl UnownedMachines {
-    /// Notes a heartbeat of a machine whose block has a grant of this revision, 0 for none.
+    /// Records a heartbeat of a machine whose block has a grant of this revision, 0 without a grant.
     pub(crate) fn record_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -83,18 +83,18 @@
         state.last_seen = now;
     }
 
-    /// Forgets a machine, which is held here now.
+    /// Removes a machine that is held here now.
     pub(crate) fn remove(&mut self, machine: &str) {
         self.by_name.remove(machine);
     }
 
-    /// Forgets the machines that no longer come here.
+    /// Removes the machines whose heartbeats no longer arrive here.
     pub(crate) fn forget_silent(&mut self, now: Timestamp) {
         self.by_name
             .retain(|_, state| now.since(state.last_seen) < UNOWNED_EXPIRY_MS);
     }
 
-    /// The machines heard from lately, as the leader receives them.
+    /// Machines with a recent heartbeat, in the form in which they are reported to the leader.
     pub(crate) fn to_report(&self, now: Timestamp) -> Vec<UnownedMachine> {
         self.by_name
             .iter()
