--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -1,7 +1,8 @@
-//! Completions of bound tasks and moves between queues, recorded by the holder of a block with one write.
+//! Records completions of bound tasks and moves between queues; the holder of a block writes them in one
+//! transaction.
 //!
-//! Owns [`Completions`], what is found out and not recorded yet. Must never record that a task may be bound again
-//! while it may still run: see [`presumed_dead`].
+//! Owns [`Completions`], which holds what is not recorded yet. It must never record a task as free to be
+//! bound again while that task may still run: see [`presumed_dead`].
 
 mod done_lists;
 mod moves;
@@ -19,12 +20,12 @@
 use crate::replica::{BlockEdit, BlockId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most bytes of values in one transaction: the service takes 64 KiB altogether (PROTOCOL, commit),
-/// keys and conditions included.
+/// Maximum size of the values in one transaction, bytes. The key-value store accepts 64 KiB in total
+/// (PROTOCOL, commit), including keys and preconditions.
 pub(crate) const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
 
 impl Controller {
-    /// Records completions and moves of the blocks held, one write a block.
+    /// Records completions and moves of the held blocks, with one transaction for each block.
     pub(crate) fn tick_completions(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if self.block_upkeep.grants_first(now) {
             return;
@@ -46,11 +47,11 @@
         self.tick_merge(now, out);
     }
 
-    /// Tasks that were done and are not recorded yet, of all holders as far as they have said.
+    /// Tasks that are done but not recorded yet, including those reported by other holders.
     ///
-    /// A job's last completions need not wait for the turns of the blocks that list them: what is done
-    /// stays done, whoever holds the machine next, so a job may be recorded as done on the word of
-    /// the holders, and its blocks follow in their turns.
+    /// A done task stays done, whoever holds its machine next. A job's last completions therefore need not
+    /// wait for the scheduled writes of the blocks that list them: the job can be recorded as done from the
+    /// holders' reports, and its blocks follow later.
     pub(crate) fn reported_done(&self) -> BTreeMap<JobId, RangeSet> {
         let mut done = self.completions.unrecorded_done();
         for (job, tasks) in self.peers.unrecorded_done() {
@@ -59,7 +60,7 @@
         done
     }
 
-    /// A block's content without the bindings that are completed, and the intent to record these.
+    /// Content of a block without the completed bindings, and the intent to record these completions.
     pub(super) fn edit_without_completed(&self, id: BlockId) -> (BlockEdit, WriteIntent) {
         let mut intent = WriteIntent {
             blocks: vec![id],
--- a/src/controller/completions/done_lists.rs
+++ b/src/controller/completions/done_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of done tasks: from a block that has grown large they move to the jobs' own keys.
+//! Moves lists of done tasks out of blocks that have grown large, into the jobs' own keys.
 
 use crate::controller::{Controller, put};
 use crate::names::JobId;
@@ -8,29 +8,31 @@
 use crate::replica::job_key;
 use std::cmp::Reverse;
 
-/// A block is large above this part of the largest value: its lists of done tasks are moved to the jobs' keys.
+/// A block is large above this fraction of the maximum value size. Its lists of done tasks are then moved.
 const LARGE_BLOCK_FRACTION: f64 = 0.6;
-/// The lists of a large block are left if they take less than this part of the largest value.
+/// The lists of a large block are not moved if they take less than this fraction of the maximum value size.
 const MIN_MOVED_LISTS_FRACTION: f64 = 0.15;
-/// Above this part of the largest value, as many are moved as one transaction takes.
+/// Above this fraction of the maximum value size, as many lists are moved as fit into one transaction.
 const VERY_LARGE_BLOCK_FRACTION: f64 = 0.9;
-/// Jobs whose list is moved at a time: each costs a write, and frees the list in every block.
+/// Maximum number of jobs whose lists are moved at a time. Each job costs one write, and its list is removed
+/// from every block.
 const MAX_JOBS_PER_TRANSACTION: usize = 3;
-/// Bytes of a list in a value besides its ranges.
+/// Size of a list in a value apart from its ranges, bytes.
 const LIST_OVERHEAD_BYTES: usize = 8;
 
-/// What a transaction takes besides its blocks.
+/// Space left in a transaction beside its blocks.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ListBudget {
-    /// Bytes of values.
+    /// Remaining size of values, bytes.
     pub(super) bytes: usize,
-    /// Writes.
+    /// Remaining number of writes.
     pub(super) writes: usize,
 }
 
 impl Controller {
-    /// Chooses jobs whose own keys take over the done tasks that a block lists, the longest lists first, and
-    /// removes these from its record; `size` is that of the record's value in bytes.
+    /// Chooses the jobs with the longest lists of done tasks in a block, removes these lists from its record,
+    /// and returns the writes that store them under the jobs' own keys. `size` is the size of the record's
+    /// value in bytes.
     pub(super) fn move_done_lists(
         &self,
         record: &mut BlockRecord,
@@ -65,7 +67,7 @@
         job_writes
     }
 
-    /// How many lists a block of this size is to be rid of.
+    /// Maximum number of lists to move out of a block of this size.
     fn max_lists_to_move(&self, record: &BlockRecord, size: usize) -> usize {
         let max_bytes = self.settings.value_bytes() as f64;
         let lists = record.done.iter();
@@ -83,13 +85,13 @@
         }
     }
 
-    /// A write of a job's own key that shows every task known to be done, and `more`; none if its
-    /// present value cannot be read, or the new one would be too large: then the blocks go on listing
-    /// what is done.
+    /// Mutation of a job's own key that records all its known done tasks and `more`. Returns `None` if the
+    /// current value cannot be read or the new one would be too large. The blocks then keep listing the done
+    /// tasks.
     pub(crate) fn done_tasks_mutation(&self, job_id: JobId, more: &RangeSet) -> Option<Mutation> {
         let job = self.replica.jobs.get(&job_id)?;
         let name = self.replica.names.jobs.name(job_id);
-        // Its precondition would fail for ever, and with it all that shares the transaction.
+        // The precondition would always fail, and with it everything else in the transaction.
         if self.replica.is_unreadable(name) {
             return None;
         }
--- a/src/controller/completions/moves.rs
+++ b/src/controller/completions/moves.rs
@@ -1,4 +1,4 @@
-//! Moves of unstarted bindings between queues, which go with the write of the block that they leave.
+//! Moves unstarted bindings between queues, in the write of the block that they leave.
 
 use crate::controller::writes::WriteIntent;
 use crate::controller::{Controller, Move};
@@ -6,18 +6,20 @@
 use crate::replica::{Binding, BlockEdit, BlockId};
 use std::collections::BTreeMap;
 
-/// What becomes of a planned move now.
+/// Decision on a planned move.
 enum MoveDecision {
-    /// It leaves another block, or the block that it enters cannot be written now.
+    /// It waits for a later write, because it leaves another block or the block that it enters cannot be
+    /// written now.
     Defer,
-    /// Its machines or its bindings are no longer what they were: it is given up.
+    /// It is cancelled, because its machines or bindings have changed since it was planned.
     Cancel,
-    /// It is written, into this block.
+    /// It is written with this transaction, into this block.
     Write(BlockId),
 }
 
 impl Controller {
-    /// Adds the moves that leave a block, and keeps those for later that cannot go now.
+    /// Adds the moves that leave a block to the edits, and keeps the moves that cannot be written now for a
+    /// later write.
     pub(super) fn plan_moves(
         &mut self,
         id: BlockId,
@@ -76,7 +78,8 @@
         MoveDecision::Write(to)
     }
 
-    /// Whether a task is surely not on a machine: it obeys our token, and no answer has launched the task.
+    /// Whether a task is certain not to be on a machine: the worker accepts only our token, and no ack has
+    /// launched the task.
     pub(crate) fn is_unstarted(&self, machine_id: MachineId, binding: &Binding) -> bool {
         let runtime = self.held.get(machine_id);
         runtime.is_some_and(|runtime| {
@@ -85,7 +88,7 @@
     }
 }
 
-/// Takes the bindings of a move out of one queue and appends them to the other.
+/// Removes the bindings of a move from the victim's queue and appends them to the thief's.
 fn move_bindings(
     from: BlockId,
     to: BlockId,
--- a/src/controller/completions/plan.rs
+++ b/src/controller/completions/plan.rs
@@ -1,4 +1,4 @@
-//! The write that records the completions and moves of one block.
+//! Plans the transaction that records the completions and moves of one block.
 
 use super::MAX_TRANSACTION_BYTES;
 use super::done_lists::ListBudget;
@@ -10,7 +10,7 @@
 use crate::replica::{BlockEdit, BlockId, block_key, grant_key, job_key};
 use std::collections::BTreeMap;
 
-/// A block as it is to be written.
+/// A block in the final form in which it is written.
 struct FinalizedBlock {
     id: BlockId,
     record: BlockRecord,
@@ -18,7 +18,7 @@
 }
 
 impl Controller {
-    /// Plans the write of a block's completions and moves; none if there are none.
+    /// Plans the write of a block's completions and moves; `None` if there is nothing to write.
     pub(super) fn plan_completions(&mut self, id: BlockId) -> Option<(Transaction, WriteIntent)> {
         let (edit, mut intent) = self.edit_without_completed(id);
         if self.block_upkeep.is_oversized(id)
@@ -33,13 +33,13 @@
         }
         let mut blocks = self.finalize_blocks(&edits);
         if blocks.len() > 1 && self.is_too_large(&blocks) {
-            // The thief's block, or the transaction, has no room for more: the completions go without
+            // The thief's block or the transaction has no space left, so the completions are written without
             // the moves.
             self.completions.release(&intent.moves);
             return self.plan_completions(id);
         }
         let job_writes = self.shorten_done_lists(id, &mut blocks);
-        // A value that the service would refuse for ever is not sent: the block is split.
+        // The key-value store would always refuse a value of this size, so the block is split instead.
         let max_bytes = self.settings.value_bytes();
         if blocks
             .iter()
@@ -59,7 +59,7 @@
         edits.iter().map(finalize).collect()
     }
 
-    /// Whether blocks have no room for what moves between them: in one value, or in the transaction.
+    /// Whether the blocks leave no space for the moves between them, in one value or in the transaction.
     fn is_too_large(&self, blocks: &[FinalizedBlock]) -> bool {
         let nearly_full = self.settings.value_bytes() * 9 / 10;
         total_bytes(blocks) > MAX_TRANSACTION_BYTES
@@ -95,7 +95,8 @@
     ) -> Transaction {
         let mut transaction = Transaction::default();
         for FinalizedBlock { id, value, .. } in blocks {
-            // Whoever holds the thief's block must hold it still, as must we the victim's.
+            // The holder of the thief's block must still hold it, as this controller must still hold the
+            // victim's.
             let grant_unchanged = self.precondition(&grant_key(id));
             transaction.preconditions.push(grant_unchanged);
             let key = block_key(id);
--- a/src/controller/completions/presumed_dead.rs
+++ b/src/controller/completions/presumed_dead.rs
@@ -1,7 +1,7 @@
-//! Machines whose tasks are surely gone, and the bindings that are freed with them.
+//! Detects machines whose tasks can no longer run and frees their bindings.
 //!
-//! Guards against a task that runs twice: a binding is freed only when no worker can still run it, that is when
-//! its worker's lease has expired since the last answer that any holder may have given.
+//! To prevent a task from running twice, a binding is freed only once no worker can still run it: the
+//! worker's lease must have expired since the last ack that any holder may have sent.
 
 use super::Completion;
 use crate::clock::Timestamp;
@@ -11,7 +11,8 @@
 use tracing::warn;
 
 impl Controller {
-    /// Gives up machines that were silent for longer than their lease, and frees what is bound to them.
+    /// Marks machines as presumed dead that were silent for longer than their worker's lease, and frees the
+    /// bindings of all such machines.
     pub(crate) fn handle_presumed_dead(&mut self, now: Timestamp) {
         let newly_dead: Vec<MachineId> = self
             .held
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Whether the tasks of a machine that is not presumed dead yet are surely gone.
+    /// Whether the tasks of a machine that is not presumed dead yet can no longer run.
     fn is_newly_dead(
         &self,
         machine_id: MachineId,
@@ -43,7 +44,7 @@
         if runtime.presumed_dead || !self.lease_has_expired(runtime, now) {
             return false;
         }
-        // There is nothing to give up at one that never sent a heartbeat and to which nothing is bound.
+        // A machine that never sent a heartbeat and has no bindings has nothing to free.
         let machine = self.replica.machines.get(&machine_id);
         machine
             .is_some_and(|machine| runtime.last_heartbeat_at.is_some() || !machine.queue.is_empty())
@@ -54,7 +55,8 @@
         let has_expired = |at: Timestamp| now.since(at) > lease_ms;
         match (runtime.fenced, runtime.last_ack_at) {
             (true, Some(last_ack_at)) => has_expired(last_ack_at),
-            // Before the machine obeys our token an earlier holder may still be answering it.
+            // Until the worker has adopted our token, an earlier holder may still be acknowledging its
+            // heartbeats.
             (_, last_ack_at) => {
                 now.since(runtime.held_since) > self.settings.unfenced_gone_ms()
                     && last_ack_at.is_none_or(has_expired)
@@ -73,14 +75,14 @@
         self.held.mark_presumed_dead(machine_id);
     }
 
-    /// Frees all bindings of a machine that do not take part in a move.
+    /// Frees all bindings of a machine, except those that take part in a move or have completed.
     fn free_queue(&mut self, machine_id: MachineId) {
         let Some(machine) = self.replica.machines.get(&machine_id) else {
             return;
         };
         for binding in &machine.queue {
-            // What moves away at this moment keeps its attempt: it is freed here only if the move
-            // fails and the task is still listed here.
+            // A binding that is being moved keeps its attempt. It is freed here only if the move fails and
+            // the queue still lists it.
             if !self.completions.is_reserved(binding)
                 && !self.completions.is_pending(machine_id, binding)
             {
--- a/src/controller/machine_status.rs
+++ b/src/controller/machine_status.rs
@@ -1,5 +1,5 @@
-//! What is known of machines and of running tasks wherever they are held: from this controller's
-//! own heartbeats, or from what the holder said. Reads only.
+//! Read-only view of machines and running tasks, whichever controller holds them: from this controller's
+//! heartbeats or from the reports of the holder.
 
 use super::Controller;
 use super::held_machines::{MachineHealth, MachineRuntime};
@@ -9,7 +9,8 @@
 use crate::replica::Job;
 
 impl Controller {
-    /// What is known of a machine now, from its holder.
+    /// Current health of a machine, as its holder sees it; `None` if it has no holder or nothing is known of
+    /// it.
     pub(crate) fn machine_health(
         &self,
         machine_id: MachineId,
@@ -37,7 +38,7 @@
         })
     }
 
-    /// What messages to peers say of a machine that this controller holds.
+    /// Summary of a held machine for peer messages.
     pub(crate) fn machine_summary(
         &self,
         machine_id: MachineId,
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Whether a machine is to be replaced: it is quarantined, or no answer has reached it for a
-    /// whole worker lease.
+    /// Whether a machine should be replaced: it is quarantined, or no ack has reached it for a whole worker
+    /// lease.
     pub(crate) fn needs_replacement(&self, runtime: &MachineRuntime, now: Timestamp) -> bool {
         let lease = self.settings.worker_gone_ms();
         runtime.quarantined
@@ -65,13 +66,14 @@
                 .is_some_and(|since| now.since(since) > lease)
     }
 
-    /// Running tasks of a job as far as this controller has heard, for display.
+    /// Number of running tasks of a job that this controller knows of, for display.
     pub fn running_task_count(&self, job: JobId) -> u32 {
         let own = self.held.running_task_count(job);
         own + self.peers.running(job)
     }
 
-    /// Whether no task of a job may run any more, as far as this controller knows.
+    /// Whether no task of a job may run any more: the job is in a final state, or a peer reports that it was
+    /// cancelled.
     pub(crate) fn is_job_final(&self, job_id: JobId, job: &Job) -> bool {
         job.status != JobStatus::Pending || self.peers.reports_cancelled(job_id)
     }
--- a/src/controller/outcomes.rs
+++ b/src/controller/outcomes.rs
@@ -1,26 +1,26 @@
-//! Why tasks leave a machine's queue, and where they go.
+//! Outcomes of bound tasks, and moves of tasks between the queues of machines.
 
 use crate::names::MachineId;
 use crate::replica::Binding;
 
-/// Why a task leaves a queue.
+/// Reason why a task leaves a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskOutcome {
-    /// Completed.
+    /// The task has completed successfully.
     Done,
-    /// Failed on the machine.
+    /// The task has failed on the machine.
     Failed,
-    /// Not started, or stopped, or its machine is gone: it may be bound again.
+    /// The task was not started, was stopped, or its machine is presumed dead; it may be bound again.
     Free,
 }
 
 /// A move of unstarted tasks from one queue to another.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Move {
-    /// The machine whose queue they leave.
+    /// Machine whose queue the tasks leave.
     pub victim: MachineId,
-    /// The machine whose queue they enter.
+    /// Machine whose queue the tasks enter.
     pub thief: MachineId,
-    /// Their bindings in the queue that they leave.
+    /// Bindings of the tasks in the victim's queue.
     pub bindings: Vec<Binding>,
 }
