--- a/src/controller/completions/done_lists.rs
+++ b/src/controller/completions/done_lists.rs
@@ -14,9 +14,9 @@
 const MIN_MOVED_LISTS_FRACTION: f64 = 0.15;
 /// Above this fraction of the maximum value size, as many lists are moved as fit into one transaction.
 const VERY_LARGE_BLOCK_FRACTION: f64 = 0.9;
-/// Maximum number of jobs whose lists are moved at a time. Each job costs one write, and its list is removed
-/// from every block.
-const MAX_JOBS_PER_TRANSACTION: usize = 3;
+/// Maximum number of jobs whose lists are moved out of a large block at a time. Each job costs one write, and
+/// its list is removed from every block.
+const LARGE_BLOCK_JOBS_PER_WRITE: usize = 3;
 /// Size of a list in a value apart from its ranges, bytes.
 const LIST_OVERHEAD_BYTES: usize = 8;
 
@@ -79,7 +79,7 @@
         } else if size as f64 > max_bytes * LARGE_BLOCK_FRACTION
             && listed as f64 > max_bytes * MIN_MOVED_LISTS_FRACTION
         {
-            MAX_JOBS_PER_TRANSACTION
+            LARGE_BLOCK_JOBS_PER_WRITE
         } else {
             0
         }
--- a/src/controller/completions/moves.rs
+++ b/src/controller/completions/moves.rs
@@ -78,7 +78,7 @@
         MoveDecision::Write(to)
     }
 
-    /// Whether a task is certain not to be on a machine: the worker accepts only our token, and no ack has
+    /// Whether a task is certain not to be on a machine: the worker has adopted our token, and no ack has
     /// launched the task.
     pub(crate) fn is_unstarted(&self, machine_id: MachineId, binding: &Binding) -> bool {
         let runtime = self.held.get(machine_id);
--- a/src/controller/heartbeat/classify.rs
+++ b/src/controller/heartbeat/classify.rs
@@ -32,7 +32,7 @@
     /// It counts only if this controller still holds the machine, so the replica must catch up first.
     ConfirmFirst,
     /// It is acknowledged, with commands.
-    Answer,
+    Acknowledge,
 }
 
 impl Controller {
@@ -70,7 +70,7 @@
         {
             return HeartbeatAction::Ignore;
         }
-        HeartbeatAction::Answer
+        HeartbeatAction::Acknowledge
     }
 }
 
@@ -82,7 +82,7 @@
     } else if runtime.presumed_dead {
         HeartbeatAction::Readmit
     } else {
-        HeartbeatAction::Answer
+        HeartbeatAction::Acknowledge
     }
 }
 
--- a/src/controller/heartbeat/delayed.rs
+++ b/src/controller/heartbeat/delayed.rs
@@ -48,9 +48,9 @@
         woken.map(str::to_owned).collect()
     }
 
-    /// The delayed ack to a heartbeat that was handled earlier. Since then this controller may have lost the
-    /// block or its authority, or the worker may have stopped waiting.
-    pub fn delayed_ack(
+    /// Returns the delayed ack to a heartbeat that was handled earlier, or a refusal. Since then this
+    /// controller may have lost the block or its authority, or the worker may have stopped waiting.
+    pub fn release_ack(
         &mut self,
         machine: &str,
         number: (u64, u64),
--- a/src/controller/heartbeat/mod.rs
+++ b/src/controller/heartbeat/mod.rs
@@ -78,7 +78,7 @@
             HeartbeatAction::Ignore => HeartbeatResponse::Unavailable,
             HeartbeatAction::ConfirmFirst => HeartbeatResponse::Unconfirmed,
             HeartbeatAction::Readmit => self.readmit(held, &mut runtime, heartbeat, now),
-            HeartbeatAction::Answer => self.acknowledge(held, &mut runtime, heartbeat, now),
+            HeartbeatAction::Acknowledge => self.acknowledge(held, &mut runtime, heartbeat, now),
         };
         self.held.insert(machine_id, runtime);
         response
--- a/src/controller/heartbeat/reconcile.rs
+++ b/src/controller/heartbeat/reconcile.rs
@@ -88,8 +88,8 @@
             if let Some(binding) = reported.binding {
                 log_status_change(heartbeat, status, previous);
                 let completion = confirmed_completion(binding, status, heartbeat, runtime);
-                let unknown = !self.completions.is_pending(machine_id, &binding);
-                if let Some(completion) = completion.filter(|_| unknown) {
+                let is_new = !self.completions.is_pending(machine_id, &binding);
+                if let Some(completion) = completion.filter(|_| is_new) {
                     let ratio =
                         job.and_then(|job| run_time_ratio(job, &completion, previous?, now));
                     reconciliation.run_time_ratios.extend(ratio);
--- a/src/controller/held_machines.rs
+++ b/src/controller/held_machines.rs
@@ -135,7 +135,7 @@
         self.running_tasks.iter().map(|(&job, &count)| (job, count))
     }
 
-    /// Releases the delayed ack of a machine, if there is one, because tasks were bound to it.
+    /// Wakes a machine whose ack is delayed, because tasks were bound to it.
     pub(crate) fn wake(&mut self, machine_id: MachineId) {
         if let Some(runtime) = self.machines.get_mut(&machine_id)
             && runtime.ack_delayed
--- a/src/controller/held_machines/runtime.rs
+++ b/src/controller/held_machines/runtime.rs
@@ -86,7 +86,7 @@
     /// Whether the machine is presumed dead: it was silent for longer than its worker's lease, so its tasks
     /// can no longer run.
     pub(in crate::controller) presumed_dead: bool,
-    /// Number of consecutive acks that did not reach the machine.
+    /// Number of acks missed since the last one that reached the machine. A lost lease counts as two.
     pub(in crate::controller) missed_acks: u32,
     /// Number of consecutive acks that reached the machine.
     pub(in crate::controller) received_acks: u32,
@@ -120,8 +120,8 @@
         self.is_fenced_and_alive() && self.unreachable_since.is_none()
     }
 
-    /// Whether the worker accepts this holder's token only and is not presumed dead. Only then is it certain
-    /// not to start bindings that leave its queue.
+    /// Whether the worker rejects the tokens of earlier holders and is not presumed dead. Only then is it
+    /// certain not to start bindings that leave its queue.
     pub(crate) fn is_fenced_and_alive(&self) -> bool {
         self.fenced && !self.presumed_dead
     }
--- a/src/http/workers.rs
+++ b/src/http/workers.rs
@@ -107,6 +107,6 @@
         self.shared
             .controller
             .lock()
-            .delayed_ack(machine, number, now)
+            .release_ack(machine, number, now)
     }
 }
--- a/tests/missed_messages.rs
+++ b/tests/missed_messages.rs
@@ -538,24 +538,24 @@
         _ => 0,
     };
     assert_eq!(
-        orders(controller.delayed_ack(&machine, number, clock)),
+        orders(controller.release_ack(&machine, number, clock)),
         2,
         "{job}"
     );
     // What was launched this way counts as begun until a newer report shows it.
-    assert_eq!(orders(controller.delayed_ack(&machine, number, clock)), 0);
+    assert_eq!(orders(controller.release_ack(&machine, number, clock)), 0);
     assert_eq!(controller.delay_ack(&machine, number, clock), None);
     // An answer to a heartbeat that was overtaken, or under a grant that is gone, starts nothing.
     let mut newer = heartbeat;
     newer.sequence += 1;
     controller.on_heartbeat(newer, clock);
-    assert_eq!(orders(controller.delayed_ack(&machine, number, clock)), 0);
+    assert_eq!(orders(controller.release_ack(&machine, number, clock)), 0);
     w.isolate(i);
     w.run(40_000);
     let clock = w.clock(i);
     let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
     assert_eq!(
-        orders(controller.delayed_ack(&machine, (number.0, number.1 + 1), clock)),
+        orders(controller.release_ack(&machine, (number.0, number.1 + 1), clock)),
         0
     );
 }
--- a/tests/support/machines.rs
+++ b/tests/support/machines.rs
@@ -154,7 +154,7 @@
                 return;
             }
             let _span = tracing::debug_span!("controller", node, now).entered();
-            let reply = controller.delayed_ack(&machine, number, clock);
+            let reply = controller.release_ack(&machine, number, clock);
             digest::heartbeat_answer(origin, &machine, &reply);
             match reached {
                 true => self.take_answer(at, reply, sent),
