--- a/src/controller/completions/done_lists.rs
+++ b/src/controller/completions/done_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of done tasks: from a block that has grown large they move to the jobs' own keys.
+//! Moves lists of done tasks out of blocks that have grown large, into the jobs' own keys.
 
 use crate::controller::{Controller, put};
 use crate::names::JobId;
@@ -8,36 +8,38 @@
 use crate::replica::job_key;
 use std::cmp::Reverse;
 
-/// A block is large above this part of the largest value: its lists of done tasks are moved to the jobs' keys.
-const LARGE: f64 = 0.6;
-/// The lists of a large block are left if they take less than this part of the largest value.
-const LISTS_WORTH_MOVING: f64 = 0.15;
-/// Above this part of the largest value, as many are moved as one transaction takes.
-const VERY_LARGE: f64 = 0.9;
-/// Jobs whose list is moved at a time: each costs a write, and frees the list in every block.
-const JOBS_AT_A_TIME: usize = 3;
-/// Bytes of a list in a value besides its ranges.
+/// A block is large above this fraction of the maximum value size. Its lists of done tasks are then moved.
+const LARGE_BLOCK_FRACTION: f64 = 0.6;
+/// The lists of a large block are not moved if they take less than this fraction of the maximum value size.
+const MIN_MOVED_LISTS_FRACTION: f64 = 0.15;
+/// Above this fraction of the maximum value size, as many lists are moved as fit into one transaction.
+const VERY_LARGE_BLOCK_FRACTION: f64 = 0.9;
+/// Maximum number of jobs whose lists are moved out of a large block at a time. Each job costs one write, and
+/// its list is removed from every block.
+const LARGE_BLOCK_JOBS_PER_WRITE: usize = 3;
+/// Size of a list in a value apart from its ranges, bytes.
 const LIST_OVERHEAD_BYTES: usize = 8;
 
-/// What a transaction takes besides its blocks.
+/// Space left in a transaction beside its blocks.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ListBudget {
-    /// Bytes of values.
+    /// Remaining size of values, bytes.
     pub(super) bytes: usize,
-    /// Writes.
+    /// Remaining number of writes.
     pub(super) writes: usize,
 }
 
 impl Controller {
-    /// Chooses jobs whose own keys take over the done tasks that a block lists, the longest lists first, and
-    /// removes these from its record; `size` is that of the record's value in bytes.
+    /// Chooses the jobs with the longest lists of done tasks in a block, removes these lists from its record,
+    /// and returns the writes that store them under the jobs' own keys. `size` is the size of the record's
+    /// value in bytes.
     pub(super) fn move_done_lists(
         &self,
         record: &mut BlockRecord,
         size: usize,
         mut budget: ListBudget,
     ) -> Vec<(JobId, Mutation)> {
-        let max_writes = self.lists_to_move(record, size).min(budget.writes);
+        let max_writes = self.max_lists_to_move(record, size).min(budget.writes);
         if max_writes == 0 {
             return Vec::new();
         }
@@ -51,7 +53,7 @@
             let job = name.and_then(|name| self.replica.names.jobs.get(name));
             let write = job
                 .filter(|_| job_writes.len() < max_writes)
-                .and_then(|job| Some((job, self.job_change(job, &tasks)?)))
+                .and_then(|job| Some((job, self.done_tasks_mutation(job, &tasks)?)))
                 .filter(|(_, write)| write.value_bytes() <= budget.bytes);
             match write {
                 Some((job, write)) => {
@@ -65,30 +67,31 @@
         job_writes
     }
 
-    /// How many lists a block of this size is to be rid of.
-    fn lists_to_move(&self, record: &BlockRecord, size: usize) -> usize {
+    /// Maximum number of lists to move out of a block of this size.
+    fn max_lists_to_move(&self, record: &BlockRecord, size: usize) -> usize {
         let max_bytes = self.settings.value_bytes() as f64;
         let lists = record.done.iter();
         let listed: usize = lists
             .map(|(_, tasks)| tasks.text_len() + LIST_OVERHEAD_BYTES)
             .sum();
-        if size as f64 > max_bytes * VERY_LARGE {
+        if size as f64 > max_bytes * VERY_LARGE_BLOCK_FRACTION {
             self.settings.platform.settings.state.txn_ops / 2
-        } else if size as f64 > max_bytes * LARGE && listed as f64 > max_bytes * LISTS_WORTH_MOVING
+        } else if size as f64 > max_bytes * LARGE_BLOCK_FRACTION
+            && listed as f64 > max_bytes * MIN_MOVED_LISTS_FRACTION
         {
-            JOBS_AT_A_TIME
+            LARGE_BLOCK_JOBS_PER_WRITE
         } else {
             0
         }
     }
 
-    /// A write of a job's own key that shows every task known to be done, and `more`; none if its
-    /// present value cannot be read, or the new one would be too large: then the blocks go on listing
-    /// what is done.
-    pub(crate) fn job_change(&self, job_id: JobId, more: &RangeSet) -> Option<Mutation> {
+    /// Mutation of a job's own key that records all its known done tasks and `more`. Returns `None` if the
+    /// current value cannot be read or the new one would be too large. The blocks then keep listing the done
+    /// tasks.
+    pub(crate) fn done_tasks_mutation(&self, job_id: JobId, more: &RangeSet) -> Option<Mutation> {
         let job = self.replica.jobs.get(&job_id)?;
         let name = self.replica.names.jobs.name(job_id);
-        // Its precondition would fail for ever, and with it all that shares the transaction.
+        // The precondition would always fail, and with it everything else in the transaction.
         if self.replica.is_unreadable(name) {
             return None;
         }
--- a/src/controller/completions/moves.rs
+++ b/src/controller/completions/moves.rs
@@ -1,4 +1,4 @@
-//! Moves of unstarted bindings between queues, which go with the write of the block that they leave.
+//! Moves unstarted bindings between queues, in the write of the block that they leave.
 
 use crate::controller::writes::WriteIntent;
 use crate::controller::{Controller, Move};
@@ -6,18 +6,20 @@
 use crate::replica::{Binding, BlockEdit, BlockId};
 use std::collections::BTreeMap;
 
-/// What becomes of a planned move now.
+/// Decision on a planned move.
 enum MoveDecision {
-    /// It leaves another block, or the block that it enters cannot be written now.
-    Later,
-    /// Its machines or its bindings are no longer what they were: it is given up.
+    /// It waits for a later write, because it leaves another block or the block that it enters cannot be
+    /// written now.
+    Defer,
+    /// It is cancelled, because its machines or bindings have changed since it was planned.
     Cancel,
-    /// It is written, into this block.
+    /// It is written with this transaction, into this block.
     Write(BlockId),
 }
 
 impl Controller {
-    /// Adds the moves that leave a block, and keeps those for later that cannot go now.
+    /// Adds the moves that leave a block to the edits, and keeps the moves that cannot be written now for a
+    /// later write.
     pub(super) fn plan_moves(
         &mut self,
         id: BlockId,
@@ -27,7 +29,7 @@
         let mut later = Vec::new();
         for task_move in self.completions.take_planned() {
             match self.decide_move(id, edits, &task_move) {
-                MoveDecision::Later => later.push(task_move),
+                MoveDecision::Defer => later.push(task_move),
                 MoveDecision::Cancel => self.completions.release([&task_move]),
                 MoveDecision::Write(to) => {
                     if to != id && !intent.blocks.contains(&to) {
@@ -50,7 +52,7 @@
     ) -> MoveDecision {
         let victim = self.replica.machines.get(&task_move.victim);
         if victim.is_some_and(|machine| machine.block != id) {
-            return MoveDecision::Later;
+            return MoveDecision::Defer;
         }
         let thief = self.replica.machines.get(&task_move.thief);
         let Some(thief) = thief.filter(|machine| !machine.leaving) else {
@@ -59,32 +61,34 @@
         let from = edits
             .get(&id)
             .and_then(|edit| edit.machines.get(&task_move.victim));
-        let is_whole = from.is_some_and(|from| {
+        let is_movable = from.is_some_and(|from| {
             let mut bindings = task_move.bindings.iter();
             bindings.all(|binding| {
-                from.queue.contains(binding) && self.unstarted(task_move.victim, binding)
+                from.queue.contains(binding) && self.is_unstarted(task_move.victim, binding)
             })
         });
-        if !is_whole {
+        if !is_movable {
             return MoveDecision::Cancel;
         }
         let to = thief.block;
         let max_blocks = self.settings.platform.settings.state.txn_ops / 2;
         if !edits.contains_key(&to) && (edits.len() >= max_blocks || self.writes.writes_block(to)) {
-            return MoveDecision::Later;
+            return MoveDecision::Defer;
         }
         MoveDecision::Write(to)
     }
 
-    /// Whether a task is surely not on a machine: it obeys our token, and no answer has launched the task.
-    pub(crate) fn unstarted(&self, machine_id: MachineId, binding: &Binding) -> bool {
+    /// Whether a task is certain not to be on a machine: the worker has adopted our token, and no ack has
+    /// launched the task.
+    pub(crate) fn is_unstarted(&self, machine_id: MachineId, binding: &Binding) -> bool {
         let runtime = self.held.get(machine_id);
-        runtime
-            .is_some_and(|runtime| runtime.is_fenced_and_alive() && !runtime.may_have(binding.task))
+        runtime.is_some_and(|runtime| {
+            runtime.is_fenced_and_alive() && !runtime.may_have_task(binding.task)
+        })
     }
 }
 
-/// Takes the bindings of a move out of one queue and appends them to the other.
+/// Removes the bindings of a move from the victim's queue and appends them to the thief's.
 fn move_bindings(
     from: BlockId,
     to: BlockId,
--- a/src/controller/completions/plan.rs
+++ b/src/controller/completions/plan.rs
@@ -1,4 +1,4 @@
-//! The write that records the completions and moves of one block.
+//! Plans the transaction that records the completions and moves of one block.
 
 use super::MAX_TRANSACTION_BYTES;
 use super::done_lists::ListBudget;
@@ -10,15 +10,15 @@
 use crate::replica::{BlockEdit, BlockId, block_key, grant_key, job_key};
 use std::collections::BTreeMap;
 
-/// A block as it is to be written.
-struct SealedBlock {
+/// A block in the final form in which it is written.
+struct FinalizedBlock {
     id: BlockId,
     record: BlockRecord,
     value: Json,
 }
 
 impl Controller {
-    /// Plans the write of a block's completions and moves; none if there are none.
+    /// Plans the write of a block's completions and moves; `None` if there is nothing to write.
     pub(super) fn plan_completions(&mut self, id: BlockId) -> Option<(Transaction, WriteIntent)> {
         let (edit, mut intent) = self.edit_without_completed(id);
         if self.block_upkeep.is_oversized(id)
@@ -31,15 +31,15 @@
         if intent.outcomes.is_empty() && intent.moves.is_empty() {
             return None;
         }
-        let mut blocks = self.seal_blocks(&edits);
+        let mut blocks = self.finalize_blocks(&edits);
         if blocks.len() > 1 && self.is_too_large(&blocks) {
-            // The thief's block, or the transaction, has no room for more: the completions go without
+            // The thief's block or the transaction has no space left, so the completions are written without
             // the moves.
             self.completions.release(&intent.moves);
             return self.plan_completions(id);
         }
         let job_writes = self.shorten_done_lists(id, &mut blocks);
-        // A value that the service would refuse for ever is not sent: the block is split.
+        // The key-value store would always refuse a value of this size, so the block is split instead.
         let max_bytes = self.settings.value_bytes();
         if blocks
             .iter()
@@ -50,17 +50,17 @@
         Some((self.completions_transaction(blocks, job_writes), intent))
     }
 
-    fn seal_blocks(&self, edits: &BTreeMap<BlockId, BlockEdit>) -> Vec<SealedBlock> {
-        let seal = |(&id, edit)| {
+    fn finalize_blocks(&self, edits: &BTreeMap<BlockId, BlockEdit>) -> Vec<FinalizedBlock> {
+        let finalize = |(&id, edit)| {
             let record = self.replica.seal(edit);
             let value = Json::of(&record);
-            SealedBlock { id, record, value }
+            FinalizedBlock { id, record, value }
         };
-        edits.iter().map(seal).collect()
+        edits.iter().map(finalize).collect()
     }
 
-    /// Whether blocks have no room for what moves between them: in one value, or in the transaction.
-    fn is_too_large(&self, blocks: &[SealedBlock]) -> bool {
+    /// Whether the blocks leave no space for the moves between them, in one value or in the transaction.
+    fn is_too_large(&self, blocks: &[FinalizedBlock]) -> bool {
         let nearly_full = self.settings.value_bytes() * 9 / 10;
         total_bytes(blocks) > MAX_TRANSACTION_BYTES
             || blocks.iter().any(|block| block.value.size() > nearly_full)
@@ -70,7 +70,7 @@
     fn shorten_done_lists(
         &self,
         id: BlockId,
-        blocks: &mut [SealedBlock],
+        blocks: &mut [FinalizedBlock],
     ) -> Vec<(JobId, Mutation)> {
         let max_writes = self.settings.platform.settings.state.txn_ops;
         let budget = ListBudget {
@@ -90,12 +90,13 @@
 
     fn completions_transaction(
         &self,
-        blocks: Vec<SealedBlock>,
+        blocks: Vec<FinalizedBlock>,
         job_writes: Vec<(JobId, Mutation)>,
     ) -> Transaction {
         let mut transaction = Transaction::default();
-        for SealedBlock { id, value, .. } in blocks {
-            // Whoever holds the thief's block must hold it still, as must we the victim's.
+        for FinalizedBlock { id, value, .. } in blocks {
+            // The holder of the thief's block must still hold it, as this controller must still hold the
+            // victim's.
             let grant_unchanged = self.precondition(&grant_key(id));
             transaction.preconditions.push(grant_unchanged);
             let key = block_key(id);
@@ -115,6 +116,6 @@
     }
 }
 
-fn total_bytes(blocks: &[SealedBlock]) -> usize {
+fn total_bytes(blocks: &[FinalizedBlock]) -> usize {
     blocks.iter().map(|block| block.value.size()).sum()
 }
--- a/src/controller/heartbeat/launch.rs
+++ b/src/controller/heartbeat/launch.rs
@@ -1,4 +1,4 @@
-//! Which bindings of a machine's queue are started, and which are given up.
+//! Decides which bindings in a machine's queue are started and which are freed.
 
 use crate::clock::Timestamp;
 use crate::controller::held_machines::MachineRuntime;
@@ -10,43 +10,44 @@
 use quillbend_spillover::confirmation::Permission;
 use tracing::debug;
 
-/// What is done with the bindings that are not started yet.
+/// How the bindings that are not started yet are handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum QueueUse {
-    /// They are started while there is room.
+pub(super) enum QueueMode {
+    /// They are started while the machine has free resources.
     Start,
-    /// They are given up: the machine is leaving, being reclaimed, quarantined or unreachable.
+    /// They are freed, because the machine is cordoned, being reclaimed, quarantined or unreachable.
     Drain,
 }
 
-/// What is started, and what is given up instead.
+/// Launch commands, and the bindings that are freed instead.
 #[derive(Debug, Default)]
 pub(super) struct Launches {
-    /// One for each task that is started.
+    /// One command for each task that is started.
     pub(super) commands: Vec<Command>,
-    /// Bindings that are given up.
+    /// Bindings that are freed, so that their tasks can be bound again.
     pub(super) freed: Vec<Completion>,
 }
 
-/// What becomes of one binding.
+/// Decision on one binding.
 enum QueueDecision {
-    /// It stays as it is: it is on the machine, has ended, moves away, or may not be started yet.
+    /// It stays in the queue: its task is on the machine, has ended, is being moved, or may not be started
+    /// yet.
     Keep,
-    /// It is not to be started here any more.
+    /// It is freed and not started here.
     Free,
-    /// It is started if there is so much room.
+    /// It is started if the machine has these resources free.
     Start(Room),
 }
 
 impl Controller {
-    /// Launches the head of a machine's queue while there is room for it beside what is `used`; what is not to
-    /// be started here any more is freed.
+    /// Launches bindings from the head of a machine's queue while its resources suffice beside those `used`,
+    /// and frees bindings that should no longer start here.
     pub(super) fn plan_launches(
         &self,
         machine_id: MachineId,
         runtime: &mut MachineRuntime,
         mut used: Room,
-        queue_use: QueueUse,
+        queue_mode: QueueMode,
         now: Timestamp,
     ) -> Launches {
         let mut launches = Launches::default();
@@ -55,14 +56,14 @@
         };
         let size = self.size(machine);
         let mut full = false;
-        for binding in self.by_priority(machine) {
-            match self.decide_binding(machine_id, machine, runtime, binding, queue_use, now) {
+        for binding in self.bindings_by_priority(machine) {
+            match self.decide_binding(machine_id, machine, runtime, binding, queue_mode, now) {
                 QueueDecision::Keep => {}
-                // Before the machine obeys our token an earlier holder may still start it.
+                // Until the worker has adopted our token, an earlier holder may still start the task.
                 QueueDecision::Free if !runtime.fenced => {}
                 QueueDecision::Free => launches.freed.push(Completion::free(*binding)),
                 QueueDecision::Start(need) => {
-                    // What comes later in the queue does not overtake.
+                    // Later bindings do not overtake the first one that does not fit.
                     full |= !size.is_some_and(|size| need.fits(&size.minus(&used)));
                     if !full {
                         used.add(&need, 1.0);
@@ -77,8 +78,8 @@
         launches
     }
 
-    /// The bindings of a machine, those of the highest priority first, otherwise in the order of the queue.
-    fn by_priority<'a>(&self, machine: &'a Machine) -> Vec<&'a Binding> {
+    /// Bindings of a machine by priority, highest first, and within a priority in queue order.
+    fn bindings_by_priority<'a>(&self, machine: &'a Machine) -> Vec<&'a Binding> {
         let mut bindings: Vec<&Binding> = machine.queue.iter().collect();
         bindings.sort_by_key(|binding| {
             let job = self.replica.jobs.get(&binding.task.job);
@@ -93,28 +94,28 @@
         machine: &Machine,
         runtime: &MachineRuntime,
         binding: &Binding,
-        queue_use: QueueUse,
+        queue_mode: QueueMode,
         now: Timestamp,
     ) -> QueueDecision {
         let job_id = binding.task.job;
-        if runtime.may_have(binding.task) || self.completions.is_pending(machine_id, binding) {
+        if runtime.may_have_task(binding.task) || self.completions.is_pending(machine_id, binding) {
             return QueueDecision::Keep;
         }
         let job = self.replica.jobs.get(&job_id);
-        let Some(job) = job.filter(|job| !self.is_over(job_id, job)) else {
+        let Some(job) = job.filter(|job| !self.is_job_final(job_id, job)) else {
             return QueueDecision::Free;
         };
         if self.completions.is_reserved(binding) {
             return QueueDecision::Keep;
         }
-        let given_up = queue_use == QueueUse::Drain || machine.evict.contains(binding);
+        let draining = queue_mode == QueueMode::Drain || machine.evict.contains(binding);
         match self
             .spillover
             .permission(job, self.replica.names.jobs.name(job_id), now)
         {
             Permission::Wait => QueueDecision::Keep,
             Permission::Stop => QueueDecision::Free,
-            Permission::Run if given_up => QueueDecision::Free,
+            Permission::Run if draining => QueueDecision::Free,
             Permission::Run => QueueDecision::Start(job.room()),
         }
     }
