--- a/src/controller/candidacy.rs
+++ b/src/controller/candidacy.rs
@@ -102,7 +102,7 @@
         }
         let leader = self.leader_status(now);
         let suspect_ms = match leader {
-            LeaderStatus::Peer(peer) => self.leadership.leader_gone_for(peer.is_suspect(), now),
+            LeaderStatus::Peer(peer) => self.leadership.leader_gone_for_ms(peer.is_suspect(), now),
             _ => None,
         };
         if candidacy(leader, suspect_ms) == Candidacy::Campaign {
@@ -129,7 +129,7 @@
         PeerLeader {
             replaced: key.is_none_or(|shown| shown.incarnation != leader.incarnation),
             silent: !self.peers.hears(host, now)
-                && self.listened(now)
+                && self.peer_silence_is_conclusive(now)
                 && self.peers.corroborated(host, now),
             refused: self.store_refuses_only(host, now),
             restarted: self.peers.restarted(host, leader.incarnation, now),
--- a/src/controller/formats.rs
+++ b/src/controller/formats.rs
@@ -146,7 +146,7 @@
     pub(crate) fn plan_format(&mut self, now: Timestamp) -> Option<Transaction> {
         let most = self.settings.options.format_most as u32;
         let format = self.common_format(now).min(most);
-        if format <= self.replica.format || !self.listened(now) {
+        if format <= self.replica.format || !self.peer_silence_is_conclusive(now) {
             return None;
         }
         let record = FormatRecord { format };
--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -21,11 +21,11 @@
 const MIN_ARCHIVE_INTERVAL_MS: u64 = 500;
 /// Jobs to be archived that make the rate of these transactions grow by the least rate, while no
 /// job waits to run.
-const CROWD_WHEN_IDLE: u64 = 10;
+const JOBS_PER_RATE_STEP_WHEN_IDLE: u64 = 10;
 /// The same while jobs wait to run.
-const CROWD_WHEN_BUSY: u64 = 50;
+const JOBS_PER_RATE_STEP_WHEN_BUSY: u64 = 50;
 /// Bytes that a mutation and its precondition take besides the value.
-const MUTATION_BYTES: usize = 100;
+const MUTATION_OVERHEAD_BYTES: usize = 100;
 
 /// A job that is over and leaves the watched keys.
 pub(super) struct ArchivableJob {
@@ -40,7 +40,7 @@
 impl Controller {
     /// Records the end of jobs whose tasks are all done. Blocks show that first, and what is done
     /// stays done: the job's own key decides between this and a cancellation.
-    pub(super) fn plan_finish(&self) -> Option<Transaction> {
+    pub(super) fn plan_finished_jobs(&self) -> Option<Transaction> {
         let most = self.settings.platform.settings.state.txn_ops;
         let reported = self.reported_done();
         let nothing = RangeSet::new();
@@ -61,7 +61,7 @@
                 continue;
             };
             if let Mutation::Put { key, value, .. } = &mutation {
-                bytes += value.size() + MUTATION_BYTES;
+                bytes += value.size() + MUTATION_OVERHEAD_BYTES;
                 if bytes > MAX_TRANSACTION_BYTES {
                     break;
                 }
@@ -161,8 +161,8 @@
 /// faster than they leave would fill the memory.
 fn archive_interval_ms(archivable: usize, pending: usize) -> u64 {
     let crowd = match pending {
-        0 => archivable as u64 / CROWD_WHEN_IDLE,
-        _ => archivable as u64 / CROWD_WHEN_BUSY,
+        0 => archivable as u64 / JOBS_PER_RATE_STEP_WHEN_IDLE,
+        _ => archivable as u64 / JOBS_PER_RATE_STEP_WHEN_BUSY,
     };
     (MAX_ARCHIVE_INTERVAL_MS / (1 + crowd)).max(MIN_ARCHIVE_INTERVAL_MS)
 }
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -4,10 +4,10 @@
 //! Collects the jobs with unbound tasks, puts them in order, and leaves the choice of machines to
 //! [`placement`]. It only plans: `block_edits` writes what was planned.
 
+mod bindable_jobs;
 mod limits;
-mod open_jobs;
 
-use super::preemption::Evictions;
+use super::preemption::Preemptions;
 use super::slots::SlotScope;
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
@@ -16,7 +16,7 @@
 use crate::placement::{self, Candidate, PlannedBinding, Slot};
 use crate::ranges::RangeSet;
 use crate::replica::Job;
-use open_jobs::{OpenJob, OpenJobs};
+use bindable_jobs::{BindableJob, BindableJobs};
 use tracing::debug;
 
 /// Shortest time between two plans, ms.
@@ -28,15 +28,15 @@
 /// Most tasks that a starved job is given in its turn ahead of the others.
 const MAX_STARVED_TASKS: usize = 16;
 /// Part of a starved job that is bound in its turn ahead of the others.
-const STARVED_PART: usize = 8;
+const STARVED_TASKS_DIVISOR: usize = 8;
 /// Largest job of a chain whose tasks are bound ahead of a block's regular turn.
-const MAX_TASKS_AHEAD_OF_TURN: u32 = 10;
+const MAX_TASKS_FOR_EARLY_BINDING: u32 = 10;
 
 /// Tasks to be bound, and tasks to be stopped for them.
 #[derive(Debug, Clone, Default)]
 pub(super) struct BindPlan {
     pub bindings: Vec<PlannedBinding>,
-    pub evictions: Evictions,
+    pub preemptions: Preemptions,
 }
 
 /// Numbers of tasks whose binding is written but not yet shown by the replica, by job.
@@ -45,25 +45,27 @@
 impl Controller {
     /// Chooses queues for unbound tasks, most pressing jobs first, and tasks to be stopped.
     pub(super) fn plan_bindings(&mut self, now: Timestamp) -> BindPlan {
-        if !self.leadership.turns.binding_due(now) {
+        if !self.leadership.binding_schedule.binding_due(now) {
             return BindPlan::default();
         }
         // The larger the world, the more a look at it costs and the less hangs on each task.
         let size = self.replica.machines.len() + self.replica.jobs.len();
         let interval_ms = PLAN_INTERVAL_MS + size as u64 / 10;
-        self.leadership.turns.delay_binding(interval_ms, now);
+        self.leadership
+            .binding_schedule
+            .schedule_next_binding(interval_ms, now);
 
         let in_flight = self.tasks_in_flight();
         let mut team_room = self.team_room();
-        let open_jobs = self.open_jobs(&in_flight, &team_room, now);
-        let mut slots = self.slots_for(&open_jobs, now);
+        let bindable_jobs = self.bindable_jobs(&in_flight, &team_room, now);
+        let mut slots = self.slots_for(&bindable_jobs, now);
         if slots.is_empty() {
             return BindPlan::default();
         }
-        if let Some(starved) = open_jobs.starved {
-            self.leadership.turns.note_turn(starved, now);
+        if let Some(starved) = bindable_jobs.starved {
+            self.leadership.binding_schedule.record_boost(starved, now);
         }
-        let mut candidates = self.candidates(&open_jobs, &in_flight);
+        let mut candidates = self.candidates(&bindable_jobs, &in_flight);
         let limits = self.plan_limits(slots.len(), now);
         let free_before = free_cpus(&slots);
         let bindings = placement::plan(
@@ -78,14 +80,14 @@
             free_cpus_before = free_before,
             free_cpus_after = free_cpus(&slots),
             jobs = candidates.len(),
-            open_jobs = open_jobs.in_order.len(),
+            open_jobs = bindable_jobs.in_order.len(),
             bindings = bindings.len(),
             "bindings planned"
         );
-        let evictions = self.plan_due_evictions(&candidates, &team_room, interval_ms, now);
+        let preemptions = self.plan_due_preemptions(&candidates, &team_room, interval_ms, now);
         BindPlan {
             bindings,
-            evictions,
+            preemptions,
         }
     }
 
@@ -100,34 +102,39 @@
     }
 
     /// The machines that may take tasks of these jobs.
-    fn slots_for(&self, open_jobs: &OpenJobs, now: Timestamp) -> Vec<Slot> {
-        let jobs = &open_jobs.in_order;
+    fn slots_for(&self, bindable_jobs: &BindableJobs, now: Timestamp) -> Vec<Slot> {
+        let jobs = &bindable_jobs.in_order;
         let scope = SlotScope {
             cordoned: jobs.iter().any(|open| open.overdue),
             ahead_of_turn: jobs
                 .iter()
-                .any(|open| self.goes_ahead_of_turn(open.job, &self.replica.jobs[&open.job])),
+                .any(|open| self.may_bind_early(open.job, &self.replica.jobs[&open.job])),
         };
         self.slots(scope, now)
     }
 
     /// The tasks that may be bound, by job in the order in which jobs are served; what exceeds a
     /// job's share of the fleet comes after all other jobs.
-    fn candidates(&self, open_jobs: &OpenJobs, in_flight: &TasksInFlight) -> Vec<Candidate> {
+    fn candidates(
+        &self,
+        bindable_jobs: &BindableJobs,
+        in_flight: &TasksInFlight,
+    ) -> Vec<Candidate> {
         let fleet_cpus = self.fleet_cpus();
         let mut bound_by_zone = None;
         let mut candidates: Vec<Candidate> = Vec::new();
         let mut beyond_share: Vec<Candidate> = Vec::new();
-        for open in open_jobs.in_order.iter().take(MAX_JOBS_PER_PLAN) {
+        for open in bindable_jobs.in_order.iter().take(MAX_JOBS_PER_PLAN) {
             let job = &self.replica.jobs[&open.job];
             let mut taken = job.done.clone();
             let in_flight = in_flight.get(&open.job).into_iter().flatten().copied();
             for number in self.replica.bound(open.job).chain(in_flight) {
                 taken.insert(number);
             }
-            let most = match Some(open.job) == open_jobs.starved {
+            let most = match Some(open.job) == bindable_jobs.starved {
                 // A share that begins the job and does not hold up the others for long.
-                true => (job.spec.task_count as usize / STARVED_PART).clamp(1, MAX_STARVED_TASKS),
+                true => (job.spec.task_count as usize / STARVED_TASKS_DIVISOR)
+                    .clamp(1, MAX_STARVED_TASKS),
                 false => MAX_TASKS_PER_JOB,
             };
             let mut candidate = self.candidate(open, job, &taken, most);
@@ -137,7 +144,9 @@
                 candidate.bound_by_zone = all.remove(&open.job).unwrap_or_default();
             } else {
                 let open_tasks = (taken.len() - job.done.len()) as usize;
-                let share_left = self.share_tasks(job, fleet_cpus).saturating_sub(open_tasks);
+                let share_left = self
+                    .max_tasks_in_share(job, fleet_cpus)
+                    .saturating_sub(open_tasks);
                 let within_share = share_left.min(candidate.tasks.len());
                 let rest = candidate.tasks.split_off(within_share);
                 if !rest.is_empty() {
@@ -155,7 +164,7 @@
     }
 
     /// Up to `most` tasks of a job that are not `taken`, wherever the others are bound.
-    fn candidate(&self, open: &OpenJob, job: &Job, taken: &RangeSet, most: usize) -> Candidate {
+    fn candidate(&self, open: &BindableJob, job: &Job, taken: &RangeSet, most: usize) -> Candidate {
         let value_bytes = self.settings.value_bytes();
         let bindable = job.bindable(taken, value_bytes, self.replica.encoding());
         Candidate {
@@ -168,16 +177,16 @@
             tasks: bindable.take(most).collect(),
             bound_by_zone: HashMap::default(),
             overdue: open.overdue,
-            ahead_of_turn: self.goes_ahead_of_turn(open.job, job),
+            ahead_of_turn: self.may_bind_early(open.job, job),
             beyond_share: false,
         }
     }
 
     /// Whether a job's tasks are bound at once, and not at the regular turn of a block: it is part
     /// of a chain whose end somebody waits for, and so small that this costs few writes.
-    fn goes_ahead_of_turn(&self, job_id: JobId, job: &Job) -> bool {
+    fn may_bind_early(&self, job_id: JobId, job: &Job) -> bool {
         let chained = job.ready_ms.is_some() || self.replica.dependencies.is_needed(job_id);
-        chained && job.spec.task_count <= MAX_TASKS_AHEAD_OF_TURN
+        chained && job.spec.task_count <= MAX_TASKS_FOR_EARLY_BINDING
     }
 }
 
--- a/src/leadership/binding/open_jobs.rs
+++ b/src/leadership/binding/bindable_jobs.rs
@@ -13,7 +13,7 @@
 
 /// After waiting for so long a job goes to any machine that fits, cordoned and expensive ones
 /// included: what saves money must not keep it waiting while there is room, seconds.
-const OVERDUE_S: f64 = 45.0;
+const OVERDUE_AFTER_S: f64 = 45.0;
 /// Failures in a row after which a job must wait before it is tried again.
 const FAILURES_BEFORE_BACKOFF: u32 = 3;
 /// First wait, ms; each further failure doubles it.
@@ -22,7 +22,7 @@
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 /// A job with unbound tasks that may be bound now.
-pub(super) struct OpenJob {
+pub(super) struct BindableJob {
     pub job: JobId,
     rank: Rank,
     /// Whether its next task exceeds what is left of its team's guarantee.
@@ -31,10 +31,10 @@
     pub overdue: bool,
 }
 
-impl OpenJob {
+impl BindableJob {
     /// By tier; within it, teams within their guarantee first.
-    fn compare(&self, other: &OpenJob) -> Ordering {
-        let class = |job: &OpenJob| (job.rank.tier, job.beyond_guarantee);
+    fn compare(&self, other: &BindableJob) -> Ordering {
+        let class = |job: &BindableJob| (job.rank.tier, job.beyond_guarantee);
         class(self)
             .cmp(&class(other))
             .then(self.rank.order_s.total_cmp(&other.rank.order_s))
@@ -46,7 +46,7 @@
 struct StarvedJob {
     job: JobId,
     /// When it last had its turn ahead of the others.
-    last_turn: Timestamp,
+    last_boosted_at: Timestamp,
     waited_s: f64,
 }
 
@@ -54,22 +54,22 @@
     /// Whether it has its turn before another one: each has its turn, for one that fits no machine
     /// which is there would otherwise keep it for ever.
     fn is_before(&self, other: &StarvedJob) -> bool {
-        (self.last_turn, -self.waited_s) < (other.last_turn, -other.waited_s)
+        (self.last_boosted_at, -self.waited_s) < (other.last_boosted_at, -other.waited_s)
     }
 }
 
 /// The jobs that may be bound now.
-pub(super) struct OpenJobs {
+pub(super) struct BindableJobs {
     /// All of them, in the order in which they are served.
-    pub in_order: Vec<OpenJob>,
+    pub in_order: Vec<BindableJob>,
     /// The job that has its turn ahead of the others, which is the first in the order then.
     pub starved: Option<JobId>,
 }
 
-impl OpenJobs {
+impl BindableJobs {
     /// Puts the jobs in order.
-    fn sorted(mut jobs: Vec<OpenJob>, starved: Option<JobId>) -> Self {
-        jobs.sort_by(OpenJob::compare);
+    fn sorted(mut jobs: Vec<BindableJob>, starved: Option<JobId>) -> Self {
+        jobs.sort_by(BindableJob::compare);
         let first = jobs.iter().position(|open| Some(open.job) == starved);
         if let Some(first) = first {
             jobs[..=first].rotate_right(1);
@@ -83,13 +83,13 @@
 
 impl Controller {
     /// The jobs with unbound tasks that may be bound now, in the order in which they are served.
-    pub(super) fn open_jobs(
+    pub(super) fn bindable_jobs(
         &self,
         in_flight: &TasksInFlight,
         team_room: &HashMap<TeamId, Room>,
         now: Timestamp,
-    ) -> OpenJobs {
-        let guarantees = self.guaranteed_left();
+    ) -> BindableJobs {
+        let guarantees = self.guaranteed_cpus_left();
         let lending = self.writes.jobs_being_lent();
         let mut jobs = Vec::new();
         let mut starved: Option<StarvedJob> = None;
@@ -106,7 +106,7 @@
             if within_limit && waited_s > self.settings.options.queue_floor_s {
                 let this = StarvedJob {
                     job: job_id,
-                    last_turn: self.leadership.turns.last_turn(job_id),
+                    last_boosted_at: self.leadership.binding_schedule.last_boosted_at(job_id),
                     waited_s,
                 };
                 if starved.as_ref().is_none_or(|first| this.is_before(first)) {
@@ -116,16 +116,16 @@
             let beyond_guarantee = guarantees
                 .get(&job.team)
                 .is_none_or(|left| job.spec.cpus > left + ROOM_TOLERANCE);
-            jobs.push(OpenJob {
+            jobs.push(BindableJob {
                 job: job_id,
                 rank: self.rank(job_id, job),
                 beyond_guarantee,
-                overdue: within_limit && waited_s > OVERDUE_S,
+                overdue: within_limit && waited_s > OVERDUE_AFTER_S,
             });
         }
         // Guards against the order of jobs: whatever stands behind a stream of more pressing work,
         // or is late beyond help, would not begin before the stream ends.
-        OpenJobs::sorted(jobs, starved.map(|first| first.job))
+        BindableJobs::sorted(jobs, starved.map(|first| first.job))
     }
 
     /// Whether some task of a job may be bound now, `in_flight` of them being bound already.
@@ -135,14 +135,14 @@
         job.status == JobStatus::Pending
             && self.spillover.may_bind(job, name, now)
             && begun < job.spec.task_count
-            && !self.backs_off(job_id, now)
+            && !self.is_backing_off(job_id, now)
             // It may have been cancelled.
             && !self.replica.is_unreadable(name)
     }
 
     /// Whether a job must wait before it is tried again: the more of its tasks failed in a row, as
     /// this controller and its peers know it, the longer.
-    fn backs_off(&self, job: JobId, now: Timestamp) -> bool {
+    fn is_backing_off(&self, job: JobId, now: Timestamp) -> bool {
         let (mut failures, mut last) = (0, Timestamp(0));
         for streak in self.peers.failure_streaks() {
             if streak.job == job {
@@ -163,15 +163,15 @@
     /// Seconds for which nothing of a job was begun, or nothing more.
     fn waited_s(&self, job_id: JobId, job: &Job, now: Timestamp) -> f64 {
         let age_s = self.day_ms.saturating_sub(job.since_ms()) as f64 / 1000.0;
-        match self.leadership.turns.served_at(job_id) {
+        match self.leadership.binding_schedule.last_bound_at(job_id) {
             Some(at) => now.since(at) as f64 / 1000.0,
             None if job.done.is_empty() && self.replica.bound_len(job_id) == 0 => age_s,
-            None => age_s.min(now.since(self.leadership.since) as f64 / 1000.0),
+            None => age_s.min(now.since(self.leadership.term_started_at) as f64 / 1000.0),
         }
     }
 
     /// CPUs that each team may still use within its guarantee.
-    pub(crate) fn guaranteed_left(&self) -> HashMap<TeamId, f64> {
+    pub(crate) fn guaranteed_cpus_left(&self) -> HashMap<TeamId, f64> {
         self.team_room_of(|team| (team.cpus, 0.0))
             .into_iter()
             .map(|(team, left)| (team, left.cpus))
--- a/src/leadership/binding/limits.rs
+++ b/src/leadership/binding/limits.rs
@@ -14,7 +14,7 @@
 const MIN_TASK_CPUS: f64 = 0.01;
 /// While there is work that may not run on spot machines, other work goes to an ordinary machine only
 /// if that saves it so much, seconds.
-const ORDINARY_PENALTY_S: f64 = 2.0;
+const ON_DEMAND_PENALTY_S: f64 = 2.0;
 
 impl Controller {
     /// The bounds of a plan for so many machines.
@@ -25,8 +25,8 @@
             sample: options.queue_sample as usize,
             most: machines.max(MIN_BINDINGS_LIMIT),
             longest_on_expensive_s: self.backlog_s() + options.fleet_horizon_s / 1.5,
-            ordinary_penalty_s: match self.ordinary_wanted() {
-                true => ORDINARY_PENALTY_S,
+            ordinary_penalty_s: match self.has_on_demand_only_jobs() {
+                true => ON_DEMAND_PENALTY_S,
                 false => 0.0,
             },
         }
@@ -69,7 +69,7 @@
     }
 
     /// Whether some job that is not over, waiting ones included, may not run on spot machines.
-    fn ordinary_wanted(&self) -> bool {
+    fn has_on_demand_only_jobs(&self) -> bool {
         let jobs = self.replica.jobs.values();
         let mut pending =
             jobs.filter(|job| job.status == JobStatus::Pending && job.lent().is_none());
@@ -81,7 +81,7 @@
     ///
     /// Guards against one job of many hundred tasks that takes all room which comes free, while many
     /// small ones behind it miss their deadlines.
-    pub(super) fn share_tasks(&self, job: &Job, fleet_cpus: f64) -> usize {
+    pub(super) fn max_tasks_in_share(&self, job: &Job, fleet_cpus: f64) -> usize {
         let cpus = fleet_cpus * self.settings.options.queue_share;
         let tasks = cpus / job.spec.cpus.max(MIN_TASK_CPUS);
         (tasks as usize).max(MIN_SHARE_TASKS)
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -4,7 +4,7 @@
 //! their holders had recorded a completion in between, and the more blocks there are, the surer.
 
 use super::binding::BindPlan;
-use super::preemption::Evictions;
+use super::preemption::Preemptions;
 use crate::clock::Timestamp;
 use crate::collections::HashSet;
 use crate::controller::writes::WriteIntent;
@@ -18,7 +18,7 @@
 
 /// Part of the largest value up to which a block's queues may grow: its holder needs the rest
 /// for the tasks that are done.
-const MAX_QUEUED_PART: f64 = 0.7;
+const MAX_QUEUE_FRACTION: f64 = 0.7;
 
 /// A block's next value, and what writing it does besides.
 #[derive(Default)]
@@ -48,7 +48,7 @@
     }
 
     /// What is planned for a block, which is as `replica` shows it if that is nothing yet.
-    pub(super) fn of_block(&mut self, id: BlockId, replica: &Replica) -> &mut PlannedEdit {
+    pub(super) fn get_or_create(&mut self, id: BlockId, replica: &Replica) -> &mut PlannedEdit {
         self.0
             .entry(id)
             .or_insert_with(|| PlannedEdit::of(id, replica))
@@ -71,7 +71,7 @@
     }
 
     /// Whether the leader may write a block ahead of its turn, for what others wait for.
-    fn is_writable_ahead_of_turn(&self, id: BlockId, now: Timestamp) -> bool {
+    fn is_writable_early(&self, id: BlockId, now: Timestamp) -> bool {
         self.may_plan_early(WriteKind::BlockEdit(id), now) && !self.writes.writes_block(id)
     }
 
@@ -82,10 +82,9 @@
     }
 
     /// Blocks whose key the leader may write ahead of their turn.
-    pub(super) fn blocks_writable_ahead_of_turn(&self, now: Timestamp) -> HashSet<BlockId> {
+    pub(super) fn blocks_writable_early(&self, now: Timestamp) -> HashSet<BlockId> {
         let all = self.replica.blocks.keys().copied();
-        all.filter(|&id| self.is_writable_ahead_of_turn(id, now))
-            .collect()
+        all.filter(|&id| self.is_writable_early(id, now)).collect()
     }
 
     /// Puts machines into blocks, marks those that leave, drops those that are gone, binds tasks.
@@ -94,8 +93,8 @@
             return;
         }
         let mut edits = PlannedEdits::default();
-        self.note_unplaced_machines(now);
-        self.drop_gone_machines(&mut edits, now);
+        self.record_unplaced_machines(now);
+        self.remove_returned_machines(&mut edits, now);
         self.mark_leaving_machines(&mut edits, now);
         self.place_machines(&mut edits, now);
         let plan = self.plan_bindings(now);
@@ -117,7 +116,7 @@
         let mutation = put(&block_key(id), &record, None);
         let part = match intent.binds.is_empty() {
             true => 1.0,
-            false => MAX_QUEUED_PART,
+            false => MAX_QUEUE_FRACTION,
         };
         let most = self.settings.value_bytes() as f64 * part;
         if mutation.value_bytes() as f64 > most {
@@ -134,7 +133,7 @@
     }
 
     /// Takes machines whose return was answered out of their blocks.
-    fn drop_gone_machines(&mut self, edits: &mut PlannedEdits, now: Timestamp) {
+    fn remove_returned_machines(&mut self, edits: &mut PlannedEdits, now: Timestamp) {
         let mut removed = Vec::new();
         for machine_id in self.leadership.inventory.returned() {
             let Some(machine) = self.replica.machines.get(machine_id) else {
@@ -149,12 +148,12 @@
                 tasks = machine.queue.len(),
                 "machine removed from its block: it is gone"
             );
-            let planned = edits.of_block(machine.block, &self.replica);
+            let planned = edits.get_or_create(machine.block, &self.replica);
             planned.edit.machines.remove(machine_id);
             removed.push(name.to_owned());
         }
         for machine in removed {
-            self.leadership.inventory.note_removed(machine, now);
+            self.leadership.inventory.record_removed(machine, now);
         }
     }
 
@@ -167,7 +166,7 @@
             if machine.leaving || !self.is_writable(machine.block, now) {
                 continue;
             }
-            let planned = edits.of_block(machine.block, &self.replica);
+            let planned = edits.get_or_create(machine.block, &self.replica);
             if let Some(leaving) = planned.edit.machines.get_mut(machine_id) {
                 let machine = self.replica.names.machines.name(*machine_id);
                 info!(machine, "machine drains: it is to be returned");
@@ -176,17 +175,17 @@
         }
     }
 
-    /// Writes bindings and evictions, each block by itself; what is too much for a block's value
+    /// Writes bindings and preemptions, each block by itself; what is too much for a block's value
     /// is bound in part.
     fn bind(&mut self, plan: &BindPlan, now: Timestamp, out: &mut Vec<Effect>) {
         for (id, bindings) in self.bindings_by_block(plan) {
             // The plan binds nothing out of a block's turn but what may be.
-            let ahead_of_turn = !bindings.is_empty() && self.is_writable_ahead_of_turn(id, now);
+            let ahead_of_turn = !bindings.is_empty() && self.is_writable_early(id, now);
             if ahead_of_turn || self.is_writable(id, now) {
-                self.bind_in_block(id, bindings, &plan.evictions, now, out);
+                self.bind_in_block(id, bindings, &plan.preemptions, now, out);
             }
         }
-        for (machine_id, tasks) in &plan.evictions {
+        for (machine_id, tasks) in &plan.preemptions {
             self.counters.evicted += tasks.len() as u64;
             debug!(
                 machine = self.replica.names.machines.name(*machine_id),
@@ -204,7 +203,7 @@
                 by_block.entry(machine.block).or_default().push(*planned);
             }
         }
-        for machine_id in plan.evictions.keys() {
+        for machine_id in plan.preemptions.keys() {
             if let Some(machine) = self.replica.machines.get(machine_id) {
                 by_block.entry(machine.block).or_default();
             }
@@ -217,16 +216,16 @@
         &mut self,
         id: BlockId,
         mut bindings: Vec<PlannedBinding>,
-        evictions: &Evictions,
+        preemptions: &Preemptions,
         now: Timestamp,
         out: &mut Vec<Effect>,
     ) {
         loop {
-            let planned = self.edit_with_bindings(id, &bindings, evictions);
+            let planned = self.edit_with_bindings(id, &bindings, preemptions);
             if self.write_block(id, planned, out) == BlockWrite::Submitted {
                 let jobs: HashSet<JobId> = bindings.iter().map(|planned| planned.job).collect();
                 for job in jobs {
-                    self.leadership.turns.note_served(job, now);
+                    self.leadership.binding_schedule.record_bound(job, now);
                 }
                 return;
             }
@@ -242,12 +241,12 @@
         }
     }
 
-    /// A block with more tasks bound, and its evictions marked.
+    /// A block with more tasks bound, and its preemptions marked.
     fn edit_with_bindings(
         &self,
         id: BlockId,
         bindings: &[PlannedBinding],
-        evictions: &Evictions,
+        preemptions: &Preemptions,
     ) -> PlannedEdit {
         // An attempt is numbered by the revision at which it is bound: unbinding comes at a
         // later one, so attempts of a task only grow.
@@ -267,7 +266,7 @@
                 planned.intent.binds.push((machine, binding));
             }
         }
-        for (machine_id, tasks) in evictions {
+        for (machine_id, tasks) in preemptions {
             if let Some(edited) = machines.get_mut(machine_id) {
                 edited.evict.extend(tasks);
             }
--- a/src/leadership/block_sizes.rs
+++ b/src/leadership/block_sizes.rs
@@ -11,11 +11,11 @@
     pub min_blocks: usize,
     /// Blocks that can be written twice a second together; there are more only for lack of room in
     /// their values.
-    pub enough_blocks: usize,
-    /// Machines up to which a block is filled while there are fewer than `enough_blocks`.
+    pub target_blocks: usize,
+    /// Machines up to which a block is filled while there are fewer than `target_blocks`.
     pub machines_per_block: usize,
     /// Bytes that a block's machines may be expected to fill.
-    pub room_bytes: usize,
+    pub max_expected_bytes: usize,
 }
 
 /// What a block holds.
@@ -68,7 +68,7 @@
         size.machines += 1;
     }
 
-    /// The block for a machine that may come to fill `expected_bytes`: the lightest that may be
+    /// The block for a machine that may come to fill `expected_bytes`: the smallest that may be
     /// written now, or a new one. None if all that could take it have a write in flight.
     pub(super) fn choose(
         &self,
@@ -77,19 +77,19 @@
     ) -> Option<BlockId> {
         let rules = &self.rules;
         let used = || self.sizes.iter().filter(|(_, size)| size.machines > 0);
-        let lightest = used()
+        let smallest = used()
             .filter(|&(&id, _)| is_writable(id))
             .min_by_key(|&(&id, size)| (size.expected_bytes, id));
         let used = used().count();
-        match lightest {
+        match smallest {
             Some((&id, size))
                 if used >= rules.min_blocks && size.machines < rules.machines_per_block =>
             {
                 Some(id)
             }
             Some((&id, size))
-                if used >= rules.enough_blocks
-                    && size.expected_bytes + expected_bytes <= rules.room_bytes =>
+                if used >= rules.target_blocks
+                    && size.expected_bytes + expected_bytes <= rules.max_expected_bytes =>
             {
                 Some(id)
             }
--- a/src/leadership/block_sizes/tests.rs
+++ b/src/leadership/block_sizes/tests.rs
@@ -5,9 +5,9 @@
 
 const RULES: BlockRules = BlockRules {
     min_blocks: 2,
-    enough_blocks: 3,
+    target_blocks: 3,
     machines_per_block: 4,
-    room_bytes: 100,
+    max_expected_bytes: 100,
 };
 
 /// Blocks of so many machines and expected bytes, numbered from 0.
--- a/src/leadership/capacity.rs
+++ b/src/leadership/capacity.rs
@@ -65,13 +65,13 @@
         if machine.leaving
             || unfit
             || self.leadership.scale_in.is_draining(machine_id)
-            || self.cut_off(machine_id, now)
-            || self.is_dead(machine_id, now)
+            || self.is_partitioned_off(machine_id, now)
+            || self.is_presumed_dead(machine_id, now)
         {
             return None;
         }
         let up = info.is_some_and(|info| info.age_ms.is_some());
-        let idle_ms = self.leadership.machines.idle_for(machine_id, now);
+        let idle_ms = self.leadership.machines.idle_for_ms(machine_id, now);
         Some(Rented {
             machine: machine_id,
             machine_type: machine.machine_type,
@@ -80,21 +80,21 @@
             size,
             price: machine_type.price_of(machine.spot),
             idle_s: idle_ms.filter(|_| up).map(|ms| ms as f64 / 1000.0),
-            held_s: self.rented_for(machine_id, now) as f64 / 1000.0,
+            held_s: self.rented_for_ms(machine_id, now) as f64 / 1000.0,
         })
     }
 
     /// Milliseconds since a machine was rented, as far as this leader knows.
-    pub(super) fn rented_for(&self, machine_id: MachineId, now: Timestamp) -> u64 {
+    pub(super) fn rented_for_ms(&self, machine_id: MachineId, now: Timestamp) -> u64 {
         match self.leadership.inventory.listed(machine_id) {
             Some(listed) => now.since(listed.rented_at),
-            None => self.leadership.machines.known_for(machine_id, now),
+            None => self.leadership.machines.known_for_ms(machine_id, now),
         }
     }
 
     /// The fleet together with what is on its way: asked for, or rented and not yet in a block.
     /// Asking for all zones at once must not ask for the same need again and again.
-    pub(super) fn with_coming(&self, mut fleet: Vec<Rented>) -> Vec<Rented> {
+    pub(super) fn with_pending_machines(&self, mut fleet: Vec<Rented>) -> Vec<Rented> {
         let unplaced = self.leadership.inventory.to_place().values();
         let unplaced = unplaced.map(|new| (&new.machine_type, &new.zone, new.spot, 1));
         let asked = self.leadership.rent.pending();
@@ -164,14 +164,14 @@
 
     /// Whether the cloud may be asked for a type in a zone, on either market.
     fn may_rent(&self, offer: &Offer, zone: ZoneId, now: Timestamp) -> bool {
-        let may_ask = |spot| {
+        let may_request = |spot| {
             let pool = CapacityPool {
                 machine_type: offer.machine_type,
                 zone,
                 spot,
             };
-            self.leadership.rent.may_ask(pool, now)
+            self.leadership.rent.may_request(pool, now)
         };
-        may_ask(false) || may_ask(true)
+        may_request(false) || may_request(true)
     }
 }
--- a/src/leadership/cloud_inventory.rs
+++ b/src/leadership/cloud_inventory.rs
@@ -13,11 +13,11 @@
 
 /// A machine that was taken out of its block is not put into one again for so long, ms: lists and
 /// heartbeats that are late may still show it.
-const REMOVED_REMEMBERED_MS: u64 = 120_000;
+const REMOVED_RETENTION_MS: u64 = 120_000;
 /// Lists in a row without a machine after which it counts as absent from the cloud.
-const ABSENT_LISTS: u32 = 2;
+const MIN_ABSENT_LISTS: u32 = 2;
 /// The cloud's status of a machine that has failed (PROTOCOL, cloud).
-const FAILED: &str = "failed";
+const FAILED_STATUS: &str = "failed";
 
 /// A machine that is to be put into a block.
 #[derive(Debug, Clone, PartialEq)]
@@ -69,7 +69,7 @@
     /// Whether several lists in a row did not show a machine.
     pub(super) fn is_absent(&self, machine_id: MachineId) -> bool {
         let absent_lists = self.absent_lists.get(&machine_id);
-        absent_lists.is_some_and(|&lists| lists >= ABSENT_LISTS)
+        absent_lists.is_some_and(|&lists| lists >= MIN_ABSENT_LISTS)
     }
 
     /// Machines that are to be put into blocks, by name.
@@ -89,7 +89,7 @@
 
     /// Whether it is time for the next list; if so, it counts as asked for, and the one after it
     /// is due after `interval_ms`.
-    pub(super) fn begin_list(&mut self, interval_ms: u64, now: Timestamp) -> bool {
+    pub(super) fn start_list_request(&mut self, interval_ms: u64, now: Timestamp) -> bool {
         let due = now >= self.next_list && self.list_request == ListRequest::Idle;
         if due {
             self.list_request = ListRequest::InFlight;
@@ -99,12 +99,12 @@
     }
 
     /// The list that was asked for was answered, or not.
-    pub(super) fn end_list(&mut self) {
+    pub(super) fn complete_list_request(&mut self) {
         self.list_request = ListRequest::Idle;
     }
 
     /// Takes in the cloud's list.
-    pub(super) fn note_list(
+    pub(super) fn record_list(
         &mut self,
         machines: Vec<CloudMachine>,
         replica: &Replica,
@@ -117,7 +117,7 @@
             match placed {
                 Some(machine_id) => {
                     shown.insert(machine_id);
-                    self.note_listed(machine_id, &machine, now);
+                    self.record_listed(machine_id, &machine, now);
                 }
                 // Rented by an earlier leader, or late: it is used or goes back in time.
                 None => {
@@ -126,7 +126,7 @@
                         zone: machine.zone,
                         spot: machine.spot,
                     };
-                    self.note_unplaced(machine.name, new);
+                    self.record_unplaced(machine.name, new);
                 }
             }
         }
@@ -140,25 +140,25 @@
             .retain(|machine_id, _| replica.machines.contains_key(machine_id));
     }
 
-    fn note_listed(&mut self, machine_id: MachineId, machine: &CloudMachine, now: Timestamp) {
+    fn record_listed(&mut self, machine_id: MachineId, machine: &CloudMachine, now: Timestamp) {
         let held_ms = (machine.held_s * 1000.0) as u64;
         let rented_at = Timestamp(now.0.saturating_sub(held_ms));
         let listed = self.listed.entry(machine_id).or_insert(ListedMachine {
             rented_at,
             failed: false,
         });
-        listed.failed = machine.status == FAILED;
+        listed.failed = machine.status == FAILED_STATUS;
     }
 
     /// A machine that no block has is to be put into one, unless it was taken out lately.
-    pub(super) fn note_unplaced(&mut self, machine: String, new: NewMachine) {
+    pub(super) fn record_unplaced(&mut self, machine: String, new: NewMachine) {
         if !self.was_removed(&machine) {
             self.to_place.entry(machine).or_insert(new);
         }
     }
 
     /// A machine that this leader rented is to be put into a block.
-    pub(super) fn place_rented(&mut self, machine: String, new: NewMachine) {
+    pub(super) fn record_rented(&mut self, machine: String, new: NewMachine) {
         self.to_place.insert(machine, new);
     }
 
@@ -172,12 +172,12 @@
     }
 
     /// The cloud has answered the return of a machine.
-    pub(super) fn note_returned(&mut self, machine_id: MachineId) {
+    pub(super) fn record_returned(&mut self, machine_id: MachineId) {
         self.returned.insert(machine_id);
     }
 
     /// A machine is being taken out of its block.
-    pub(super) fn note_removed(&mut self, machine: String, now: Timestamp) {
+    pub(super) fn record_removed(&mut self, machine: String, now: Timestamp) {
         self.removed.insert(machine, now);
     }
 
@@ -186,6 +186,6 @@
         self.returned
             .retain(|machine_id| replica.machines.contains_key(machine_id));
         self.removed
-            .retain(|_, removed_at| now.since(*removed_at) < REMOVED_REMEMBERED_MS);
+            .retain(|_, removed_at| now.since(*removed_at) < REMOVED_RETENTION_MS);
     }
 }
--- a/src/leadership/grants_seen.rs
+++ b/src/leadership/grant_observations.rs
@@ -15,7 +15,7 @@
 
 /// A grant, and since when this leader knows it.
 #[derive(Debug, Clone, Copy)]
-struct SeenGrant {
+struct ObservedGrant {
     /// Its fencing token.
     mod_revision: u64,
     since: Timestamp,
@@ -23,8 +23,8 @@
 
 /// Grants and holders as seen in this term.
 #[derive(Debug, Default)]
-pub(super) struct GrantsSeen {
-    grants: HashMap<BlockId, SeenGrant>,
+pub(super) struct GrantObservations {
+    grants: HashMap<BlockId, ObservedGrant>,
     /// Until when controllers that do not reach their workers get no more blocks.
     avoid_until: HashMap<HostId, Timestamp>,
     /// Since when a controller speaks in another incarnation than its grants name.
@@ -32,11 +32,11 @@
     next_rebalance: Timestamp,
 }
 
-impl GrantsSeen {
+impl GrantObservations {
     /// Records which grants there are.
-    pub(super) fn note_grants(&mut self, replica: &Replica, now: Timestamp) {
+    pub(super) fn observe_grants(&mut self, replica: &Replica, now: Timestamp) {
         for (&block, grant) in &replica.grants {
-            let current = SeenGrant {
+            let current = ObservedGrant {
                 mod_revision: grant.mod_revision,
                 since: now,
             };
@@ -48,14 +48,14 @@
     }
 
     /// Milliseconds for which a block's last seen grant has been known; zero if none was seen.
-    pub(super) fn held_for(&self, block: BlockId, now: Timestamp) -> u64 {
+    pub(super) fn held_for_ms(&self, block: BlockId, now: Timestamp) -> u64 {
         let seen = self.grants.get(&block);
         seen.map_or(0, |grant| now.since(grant.since))
     }
 
     /// Milliseconds for which a block's grant with this fencing token has been known; none if it
     /// has not been seen yet.
-    pub(super) fn known_for(
+    pub(super) fn known_for_ms(
         &self,
         block: BlockId,
         fencing_token: u64,
@@ -67,7 +67,7 @@
     }
 
     /// Drops controllers that are to be avoided from `holders`, unless no other is left.
-    pub(super) fn retain_unavoided(&mut self, holders: &mut Vec<HostId>, now: Timestamp) {
+    pub(super) fn exclude_avoided(&mut self, holders: &mut Vec<HostId>, now: Timestamp) {
         self.avoid_until.retain(|_, until| now < *until);
         let avoided = |host: &HostId| self.avoid_until.contains_key(host);
         if !holders.iter().all(avoided) {
@@ -82,7 +82,7 @@
 
     /// Records the controllers that speak in another incarnation than their grants name, and
     /// returns those that have done so for long enough.
-    pub(super) fn note_restarted(
+    pub(super) fn observe_restarted(
         &mut self,
         restarted: &HashSet<HostId>,
         now: Timestamp,
@@ -104,7 +104,7 @@
     }
 
     /// The load of holders is evened out now.
-    pub(super) fn delay_rebalance(&mut self, now: Timestamp) {
+    pub(super) fn schedule_next_rebalance(&mut self, now: Timestamp) {
         self.next_rebalance = now.plus(REBALANCE_INTERVAL_MS);
     }
 }
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -14,11 +14,11 @@
 use tracing::info;
 
 /// Least age of a grant that is renewed because a worker has restarted, ms.
-const RESTART_GRANT_INTERVAL_MS: u64 = 3000;
+const MIN_REGRANT_AGE_MS: u64 = 3000;
 /// Time beyond the silence of a peer that a new leader waits before it acts on what is missing, ms.
-const GRACE_MS: u64 = 500;
+const TERM_GRACE_MS: u64 = 500;
 /// Most grants in a transaction while the store refuses some for lack of budget.
-const GRANTS_WHEN_REFUSED: usize = 3;
+const MAX_GRANTS_WHEN_RATE_LIMITED: usize = 3;
 
 /// Why a block is granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -84,7 +84,7 @@
         Self { usable, held }
     }
 
-    fn held_by(&self, host: HostId) -> usize {
+    fn load_of(&self, host: HostId) -> usize {
         self.held.get(&host).copied().unwrap_or(0)
     }
 
@@ -93,15 +93,15 @@
     }
 
     /// The usable controller that holds least, `except` left aside.
-    fn lightest_except(&self, except: Option<HostId>) -> Option<HostId> {
+    fn least_loaded_except(&self, except: Option<HostId>) -> Option<HostId> {
         let usable = self.usable.iter().copied();
         let others = usable.filter(|&host| Some(host) != except);
-        others.min_by_key(|&host| self.held_by(host))
+        others.min_by_key(|&host| self.load_of(host))
     }
 
-    fn heaviest(&self) -> Option<HostId> {
+    fn most_loaded(&self) -> Option<HostId> {
         let usable = self.usable.iter().copied();
-        usable.max_by_key(|&host| self.held_by(host))
+        usable.max_by_key(|&host| self.load_of(host))
     }
 }
 
@@ -119,19 +119,19 @@
 }
 
 impl Controller {
-    /// Whether this controller has listened for long enough to call another one silent. Hearing
+    /// Whether this controller has peer_silence_is_conclusive for long enough to call another one silent. Hearing
     /// goes on whoever leads, so a new leader that has been up for a while need not wait.
-    pub(crate) fn listened(&self, now: Timestamp) -> bool {
+    pub(crate) fn peer_silence_is_conclusive(&self, now: Timestamp) -> bool {
         now.since(self.pauses.started_at(now)) > self.peers.settling_ms()
     }
 
     /// Whether this leader's term has lasted for so long that what it misses is really missing.
-    pub(crate) fn grace_over(&self, now: Timestamp) -> bool {
-        now.since(self.leadership.since) > self.peers.silent_ms() + GRACE_MS
+    pub(crate) fn grace_period_over(&self, now: Timestamp) -> bool {
+        now.since(self.leadership.term_started_at) > self.peers.silent_ms() + TERM_GRACE_MS
     }
 
     /// Whether a controller may be granted blocks.
-    pub(super) fn controller_usable(&self, host: HostId, now: Timestamp) -> bool {
+    pub(super) fn is_eligible_holder(&self, host: HostId, now: Timestamp) -> bool {
         let Some(controller) = self.replica.live_controllers.get(&host) else {
             return false;
         };
@@ -143,7 +143,7 @@
         }
         let restarted = self.peers.restarted(host, controller.incarnation, now);
         (self.peers.hears(host, now) && !restarted)
-            || (!self.listened(now) && !self.peers.is_known(host))
+            || (!self.peer_silence_is_conclusive(now) && !self.peers.is_known(host))
     }
 
     /// Grants blocks that nobody holds, or whose holder is gone or silent, and evens them out.
@@ -164,7 +164,7 @@
         // While the budget of changes is short, a transaction of many finds room last of all.
         let most = self.settings.platform.settings.state.txn_ops;
         grants.truncate(match self.refused_lately(now) {
-            true => GRANTS_WHEN_REFUSED,
+            true => MAX_GRANTS_WHEN_RATE_LIMITED,
             false => most,
         });
         self.avoid_unreachable_holders(&grants, now);
@@ -174,11 +174,11 @@
     /// Controllers that may be granted blocks, in the order of their indices.
     fn usable_controllers(&mut self, now: Timestamp) -> Vec<HostId> {
         let live = self.replica.live_controllers.keys().copied();
-        let usable = live.filter(|&host| self.controller_usable(host, now));
+        let usable = live.filter(|&host| self.is_eligible_holder(host, now));
         let mut usable: Vec<HostId> = usable.collect();
         usable.sort();
         if !usable.is_empty() {
-            self.leadership.grants.retain_unavoided(&mut usable, now);
+            self.leadership.grants.exclude_avoided(&mut usable, now);
         }
         usable
     }
@@ -191,7 +191,7 @@
         let restarted: HashSet<HostId> = restarted.map(|grant| grant.host).collect();
         let seen = &mut self.leadership.grants;
         HolderFaults {
-            restarted: seen.note_restarted(&restarted, now),
+            restarted: seen.observe_restarted(&restarted, now),
             unreachable,
         }
     }
@@ -211,10 +211,10 @@
             };
             let holder = grant.map(|grant| grant.host);
             let same = holder.filter(|host| reason.keeps_holder() && holders.usable.contains(host));
-            let hears_workers = faults.unreachable.get(&id).copied();
+            let reachable_by_workers = faults.unreachable.get(&id).copied();
             let to = same
-                .or(hears_workers)
-                .or_else(|| holders.lightest_except(holder));
+                .or(reachable_by_workers)
+                .or_else(|| holders.least_loaded_except(holder));
             let Some(to) = to else { continue };
             holders.add(to, block_weight(block.machines.len()));
             grants.push(PlannedGrant {
@@ -244,7 +244,7 @@
         }
         if host != self.me
             && !self.peers.hears(host, now)
-            && self.listened(now)
+            && self.peer_silence_is_conclusive(now)
             && self.peers.corroborated(host, now)
         {
             return Some(GrantReason::HolderSilent);
@@ -268,8 +268,8 @@
         // A grant that was not there at the last look is new: what is known of its machines is
         // older.
         let seen = &self.leadership.grants;
-        let known_ms = seen.known_for(block, grant.mod_revision, now);
-        if known_ms.is_none_or(|known_ms| known_ms <= RESTART_GRANT_INTERVAL_MS) {
+        let known_ms = seen.known_for_ms(block, grant.mod_revision, now);
+        if known_ms.is_none_or(|known_ms| known_ms <= MIN_REGRANT_AGE_MS) {
             return false;
         }
         let restarted = |&machine_id: &MachineId| {
@@ -283,15 +283,15 @@
     /// A block of the controller that holds most, for the one that holds least: the one whose
     /// move comes closest to halving their difference.
     fn rebalancing_grant(&mut self, holders: &HolderLoads, now: Timestamp) -> Option<PlannedGrant> {
-        if !self.leadership.grants.rebalance_due(now) || !self.grace_over(now) {
+        if !self.leadership.grants.rebalance_due(now) || !self.grace_period_over(now) {
             return None;
         }
-        self.leadership.grants.delay_rebalance(now);
-        let heaviest = holders.heaviest()?;
-        let lightest = holders.lightest_except(None)?;
-        let gap = holders.held_by(heaviest) - holders.held_by(lightest);
+        self.leadership.grants.schedule_next_rebalance(now);
+        let most_loaded = holders.most_loaded()?;
+        let least_loaded = holders.least_loaded_except(None)?;
+        let gap = holders.load_of(most_loaded) - holders.load_of(least_loaded);
         let grants = self.replica.grants.iter();
-        let of_heaviest = grants.filter(|(_, grant)| grant.host == heaviest);
+        let of_heaviest = grants.filter(|(_, grant)| grant.host == most_loaded);
         let weights = of_heaviest.filter_map(|(&id, _)| {
             let block = self.replica.blocks.get(&id)?;
             Some((id, block_weight(block.machines.len())))
@@ -301,7 +301,7 @@
             .min_by_key(|&(id, weight)| (weight.abs_diff(gap / 2), id))?;
         Some(PlannedGrant {
             block,
-            to: lightest,
+            to: least_loaded,
             reason: GrantReason::Rebalance,
         })
     }
--- a/src/leadership/job_dependencies.rs
+++ b/src/leadership/job_dependencies.rs
@@ -13,7 +13,7 @@
 
 /// A job that is incomplete for so long is given up: its user repeats the submission for 60 s
 /// (PROTOCOL, submissions).
-const ABANDONED_MS: u64 = 180_000;
+const ABANDONED_AFTER_MS: u64 = 180_000;
 
 /// The ordinary job, or the archived one, that a waiting job becomes.
 fn record_of(waiting: &WaitingRecord, status: JobStatus, ready_ms: Option<u64>) -> JobRecord {
@@ -33,17 +33,17 @@
     ///
     /// A done job stays done, so the transaction needs no condition on it: the own key of the job
     /// that waits decides between this and its cancellation.
-    pub(super) fn plan_ready(&mut self) -> Option<Transaction> {
+    pub(super) fn plan_ready_jobs(&mut self) -> Option<Transaction> {
         if self.formats.own() < CHAINS_FORMAT {
             return None;
         }
         // Nothing becomes ready without a change of the replica.
-        if self.leadership.none_ready_at == Some(self.replica.version) {
+        if self.leadership.none_ready_at_version == Some(self.replica.version) {
             return None;
         }
         let mut ready = self.ready_jobs();
         if ready.is_empty() {
-            self.leadership.none_ready_at = Some(self.replica.version);
+            self.leadership.none_ready_at_version = Some(self.replica.version);
             return None;
         }
         ready.sort_by_key(|&job| (self.waiting_priority(job), job));
@@ -79,11 +79,11 @@
     }
 
     /// Drops incomplete jobs that their users have given up.
-    pub(super) fn plan_abandoned(&self) -> Option<Transaction> {
+    pub(super) fn plan_abandoned_jobs(&self) -> Option<Transaction> {
         let waiting = self.replica.waiting.jobs.iter();
         let mut abandoned = waiting.filter(|(_, waiting)| {
             let age_ms = self.day_ms.saturating_sub(waiting.record.submitted_ms);
-            waiting.record.incomplete && age_ms > ABANDONED_MS
+            waiting.record.incomplete && age_ms > ABANDONED_AFTER_MS
         });
         let (&job, _) = abandoned.next()?;
         let key = waiting_key(self.replica.names.jobs.name(job));
--- a/src/leadership/machine_placement.rs
+++ b/src/leadership/machine_placement.rs
@@ -14,10 +14,10 @@
 
 /// Part of the largest value that the machines of a block may be expected to fill when all of them
 /// are busy.
-const PLANNED_PART: f64 = 0.55;
+const MAX_PLANNED_FRACTION: f64 = 0.55;
 /// For so long a machine must have sent heartbeats before it is put into a block, ms: one heartbeat
 /// alone may be a late copy from a machine that is gone.
-const MIN_HEARD_MS: u64 = 500;
+const MIN_HEARTBEAT_HISTORY_MS: u64 = 500;
 /// Bytes that a machine's name and description take in its block's value.
 const MACHINE_BYTES: usize = 20;
 /// Bytes that a machine's bound tasks take there for each of its CPUs.
@@ -28,7 +28,7 @@
 impl Controller {
     /// Takes up machines that send heartbeats, or that an earlier leader rented, and that are in no
     /// block.
-    pub(super) fn note_unplaced_machines(&mut self, now: Timestamp) {
+    pub(super) fn record_unplaced_machines(&mut self, now: Timestamp) {
         let peers = self.peers.unowned_machines();
         let heard_by_peers = peers.map(|(_, machine)| machine.clone());
         let heard_here = self.held.unowned.to_report(now);
@@ -37,14 +37,16 @@
         let in_block = |name: &str| names.get(name).is_some_and(|id| machines.contains_key(&id));
         let heard = heard_here.into_iter().chain(heard_by_peers);
         let unplaced = heard.filter(|heard| !in_block(&heard.machine));
-        let lasting = unplaced.filter(|heard| heard.for_ms >= MIN_HEARD_MS);
+        let lasting = unplaced.filter(|heard| heard.for_ms >= MIN_HEARTBEAT_HISTORY_MS);
         for heard in lasting.collect::<Vec<_>>() {
             let new = NewMachine {
                 machine_type: heard.machine_type,
                 zone: heard.zone,
                 spot: heard.spot,
             };
-            self.leadership.inventory.note_unplaced(heard.machine, new);
+            self.leadership
+                .inventory
+                .record_unplaced(heard.machine, new);
         }
         self.leadership.inventory.forget_placed(&self.replica);
     }
@@ -91,7 +93,7 @@
                 queue: Vec::new(),
                 evict: Vec::new(),
             };
-            let planned = edits.of_block(block, &self.replica);
+            let planned = edits.get_or_create(block, &self.replica);
             planned.edit.machines.insert(machine_id, machine);
             planned.intent.placed.push(machine_id);
             sizes.add_machine(block, bytes);
@@ -103,9 +105,10 @@
         let settings = &self.settings.platform.settings;
         let mut sizes = BlockSizes::new(BlockRules {
             min_blocks: settings.count.max(1),
-            enough_blocks: ((settings.state.write_rps / 2.0) as usize).max(settings.count),
+            target_blocks: ((settings.state.write_rps / 2.0) as usize).max(settings.count),
             machines_per_block: self.settings.block_machines(),
-            room_bytes: (self.settings.value_bytes() as f64 * PLANNED_PART) as usize,
+            max_expected_bytes: (self.settings.value_bytes() as f64 * MAX_PLANNED_FRACTION)
+                as usize,
         });
         for (&id, block) in &self.replica.blocks {
             let machines = block.machines.iter();
--- a/src/leadership/machines.rs
+++ b/src/leadership/machines.rs
@@ -3,16 +3,16 @@
 //! Calling a machine dead here never frees its tasks: it makes the leader return the machine, and
 //! only the cloud's answer to that proves that the machine and everything on it are gone.
 
-use super::observations::LastHeard;
+use super::observations::LastHeartbeat;
 use crate::clock::Timestamp;
 use crate::controller::Controller;
 use crate::names::MachineId;
 use crate::replica::Machine;
 
 /// Silence beyond the end of a worker's lease after which a machine counts as dead, ms.
-const DEAD_AFTER_LEASE_MS: u64 = 8000;
+const PRESUMED_DEAD_AFTER_LEASE_MS: u64 = 8000;
 /// The same beyond the longest time that an earlier holder could answer it, ms.
-const DEAD_AFTER_UNFENCED_MS: u64 = 2000;
+const PRESUMED_DEAD_AFTER_UNFENCED_MS: u64 = 2000;
 /// A list may be this many times as late as the settings say, and by so much more, ms.
 const LIST_LAG_FACTOR: f64 = 2.0;
 const LIST_LAG_MARGIN_MS: u64 = 2000;
@@ -34,42 +34,46 @@
     /// Takes stock of machines and grants.
     pub(super) fn observe_machines(&mut self, now: Timestamp) {
         let heartbeats = self.last_heartbeats(now);
-        self.note_start_times(&heartbeats);
+        self.observe_start_times(&heartbeats);
         let silent_ms = self.settings.worker_gone_ms();
         let leadership = &mut self.leadership;
-        leadership.grants.note_grants(&self.replica, now);
+        leadership.grants.observe_grants(&self.replica, now);
         leadership.inventory.retain_existing(&self.replica, now);
         leadership.scale_in.retain_existing(&self.replica);
         let machines = &mut leadership.machines;
-        machines.note_heartbeats(&heartbeats);
-        machines.note_queues(&self.replica, now);
+        machines.observe_heartbeats(&heartbeats);
+        machines.observe_queues(&self.replica, now);
         machines.retain_existing(&self.replica);
         machines.find_partitioned_zones(&self.replica, silent_ms, now);
     }
 
     /// When the holders of all machines heard them last.
-    fn last_heartbeats(&self, now: Timestamp) -> Vec<LastHeard> {
+    fn last_heartbeats(&self, now: Timestamp) -> Vec<LastHeartbeat> {
         let machines = self.replica.machines.keys();
         let heard = machines.filter_map(|&machine_id| {
             let age_ms = self.machine_info(machine_id, now)?.age_ms?;
             let at = Timestamp(now.0.saturating_sub(age_ms));
-            Some(LastHeard { machine_id, at })
+            Some(LastHeartbeat { machine_id, at })
         });
         heard.collect()
     }
 
     /// Records how long machines took to their first heartbeat.
-    fn note_start_times(&mut self, heartbeats: &[LastHeard]) {
+    fn observe_start_times(&mut self, heartbeats: &[LastHeartbeat]) {
         for heartbeat in heartbeats {
-            if !self.leadership.machines.was_heard(heartbeat.machine_id) {
-                self.note_start_time(heartbeat);
+            if !self
+                .leadership
+                .machines
+                .has_sent_heartbeat(heartbeat.machine_id)
+            {
+                self.observe_start_time(heartbeat);
             }
         }
     }
 
     /// Records how long a machine took to its first heartbeat, if this leader rented it: of the
     /// others it is not known whether the heartbeat is their first.
-    fn note_start_time(&mut self, first: &LastHeard) {
+    fn observe_start_time(&mut self, first: &LastHeartbeat) {
         let Some(machine) = self.replica.machines.get(&first.machine_id) else {
             return;
         };
@@ -80,29 +84,29 @@
         let Some(rented_at) = listed.or(first_seen) else {
             return;
         };
-        if rented_at > self.leadership.since {
+        if rented_at > self.leadership.term_started_at {
             let seconds = first.at.since(rented_at) as f64 / 1000.0;
             let machines = &mut self.leadership.machines;
-            machines.note_start_time(machine_type, seconds);
+            machines.observe_start_time(machine_type, seconds);
         }
     }
 
     /// Whether a machine is silent together with most others of its zone.
-    pub(super) fn cut_off(&self, machine_id: MachineId, now: Timestamp) -> bool {
+    pub(super) fn is_partitioned_off(&self, machine_id: MachineId, now: Timestamp) -> bool {
         let observed = &self.leadership.machines;
         let machine = self.replica.machines.get(&machine_id);
-        let silent_ms = observed.silent_for(machine_id, now);
-        machine.is_some_and(|machine| observed.is_partitioned(machine.zone))
+        let silent_ms = observed.since_last_heartbeat_ms(machine_id, now);
+        machine.is_some_and(|machine| observed.is_zone_partitioned(machine.zone))
             && silent_ms.is_some_and(|silent_ms| silent_ms > self.settings.worker_gone_ms())
     }
 
     /// Whether a machine is better returned than waited for: the answer to the return proves
     /// that it and everything on it are gone.
-    pub(super) fn is_dead(&self, machine_id: MachineId, now: Timestamp) -> bool {
+    pub(super) fn is_presumed_dead(&self, machine_id: MachineId, now: Timestamp) -> bool {
         let Some(machine) = self.replica.machines.get(&machine_id) else {
             return false;
         };
-        if !self.machine_types.contains_key(&machine.machine_type) || !self.grace_over(now) {
+        if !self.machine_types.contains_key(&machine.machine_type) || !self.grace_period_over(now) {
             return false;
         }
         let listed = self.leadership.inventory.listed(machine_id);
@@ -113,9 +117,15 @@
             return false;
         }
         let evidence = self.death_evidence(machine_id, machine, now);
-        match self.leadership.machines.silent_for(machine_id, now) {
-            Some(silent_ms) => self.is_dead_after_silence(machine_id, silent_ms, evidence, now),
-            None => self.is_dead_before_start(machine_id, machine, evidence, now),
+        match self
+            .leadership
+            .machines
+            .since_last_heartbeat_ms(machine_id, now)
+        {
+            Some(silent_ms) => {
+                self.is_presumed_dead_after_silence(machine_id, silent_ms, evidence, now)
+            }
+            None => self.is_presumed_dead_before_start(machine_id, machine, evidence, now),
         }
     }
 
@@ -131,19 +141,19 @@
         let lag_s = self.settings.platform.settings.cloud.list_lag_s;
         let lag_ms = (lag_s * 1000.0 * LIST_LAG_FACTOR) as u64 + LIST_LAG_MARGIN_MS;
         let absent = self.leadership.inventory.is_absent(machine_id);
-        let known_ms = self.leadership.machines.known_for(machine_id, now);
+        let known_ms = self.leadership.machines.known_for_ms(machine_id, now);
         DeathEvidence {
             known_ms,
             // A new holder has not heard any of its machines at first. That says nothing of them:
             // what earlier holders heard counts on, and the new one gets its time.
-            held_ms: self.leadership.grants.held_for(machine.block, now),
+            held_ms: self.leadership.grants.held_for_ms(machine.block, now),
             missing: absent && known_ms > lag_ms,
-            presumed_dead_ms: self.settings.worker_gone_ms() + DEAD_AFTER_LEASE_MS,
+            presumed_dead_ms: self.settings.worker_gone_ms() + PRESUMED_DEAD_AFTER_LEASE_MS,
         }
     }
 
     /// Whether a machine that was heard once is dead after so long a silence.
-    fn is_dead_after_silence(
+    fn is_presumed_dead_after_silence(
         &self,
         machine_id: MachineId,
         silent_ms: u64,
@@ -152,8 +162,8 @@
     ) -> bool {
         // An earlier holder that is cut off from all but its workers may still be answering this
         // machine, for as long as its authority lasts.
-        let unfenced_ms = self.settings.unfenced_gone_ms() + DEAD_AFTER_UNFENCED_MS;
-        if self.cut_off(machine_id, now) {
+        let unfenced_ms = self.settings.unfenced_gone_ms() + PRESUMED_DEAD_AFTER_UNFENCED_MS;
+        if self.is_partitioned_off(machine_id, now) {
             // With its warm cache it is worth more than what could be rented into a zone that
             // cannot be reached.
             let cut_ms = (self.settings.options.fleet_cut_s * 1000.0) as u64;
@@ -164,7 +174,7 @@
     }
 
     /// Whether a machine that was never heard is dead: it takes far longer to start than others.
-    fn is_dead_before_start(
+    fn is_presumed_dead_before_start(
         &self,
         machine_id: MachineId,
         machine: &Machine,
@@ -178,7 +188,7 @@
         let overdue_s = observed.start_overdue_s(machine.machine_type, catalog_entry.boot_s);
         let overdue_ms = (overdue_s * 1000.0) as u64;
         evidence.missing
-            || (self.rented_for(machine_id, now) > overdue_ms
+            || (self.rented_for_ms(machine_id, now) > overdue_ms
                 && evidence.known_ms > evidence.presumed_dead_ms
                 && evidence.held_ms > evidence.presumed_dead_ms)
     }
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -6,15 +6,14 @@
 
 mod archiving;
 mod binding;
-mod binding_turns;
+mod binding_schedule;
 mod block_edits;
 mod block_sizes;
-mod boot_times;
 mod capacity;
 mod catalog;
 mod cloud_inventory;
+mod grant_observations;
 mod grants;
-mod grants_seen;
 mod job_dependencies;
 pub(crate) mod job_order;
 mod machine_placement;
@@ -25,6 +24,7 @@
 mod renting;
 mod scale_in;
 mod slots;
+mod start_times;
 mod unreachable_holders;
 
 pub use renting::RentOutcome;
@@ -36,11 +36,11 @@
 use crate::names::{JobId, MachineId};
 use crate::protocol::Transaction;
 use crate::replica::{LEAD, Term};
-use binding_turns::BindingTurns;
+use binding_schedule::BindingSchedule;
 use cloud_inventory::CloudInventory;
-use grants_seen::GrantsSeen;
+use grant_observations::GrantObservations;
 use observations::MachineObservations;
-use rent_requests::RentRequests;
+use rent_requests::RentalRequests;
 use scale_in::ScaleIn;
 use tracing::info;
 
@@ -53,17 +53,17 @@
 pub(crate) struct LeaderState {
     term: Option<Term>,
     /// When this controller began to lead.
-    since: Timestamp,
+    term_started_at: Timestamp,
     /// Since when the present leader seems to be gone.
     leader_gone_since: Option<Timestamp>,
     machines: MachineObservations,
-    grants: GrantsSeen,
+    grants: GrantObservations,
     inventory: CloudInventory,
-    rent: RentRequests,
+    rent: RentalRequests,
     scale_in: ScaleIn,
-    turns: BindingTurns,
+    binding_schedule: BindingSchedule,
     /// The change of the replica after which no waiting job was ready.
-    none_ready_at: Option<u64>,
+    none_ready_at_version: Option<u64>,
     next_observation: Timestamp,
     next_archive: Timestamp,
 }
@@ -73,18 +73,18 @@
     fn new(term: Term, now: Timestamp) -> Self {
         Self {
             term: Some(term),
-            since: now,
+            term_started_at: now,
             ..Self::default()
         }
     }
 
     /// Forgets jobs whose indices may be given to other jobs.
     pub(crate) fn forget_jobs(&mut self, released: &HashSet<JobId>) {
-        self.turns.forget_jobs(released);
+        self.binding_schedule.forget_jobs(released);
     }
 
     /// For how long the leader has been `gone` without a break, ms.
-    pub(crate) fn leader_gone_for(&mut self, gone: bool, now: Timestamp) -> Option<u64> {
+    pub(crate) fn leader_gone_for_ms(&mut self, gone: bool, now: Timestamp) -> Option<u64> {
         if !gone {
             self.leader_gone_since = None;
             return None;
@@ -96,7 +96,7 @@
 impl Controller {
     /// Does what the leader has to do, one transaction at a time.
     pub(crate) fn tick_leader(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        let Some(term) = self.follow_term(now) else {
+        let Some(term) = self.update_term(now) else {
             return;
         };
         if now >= self.leadership.next_observation {
@@ -117,7 +117,7 @@
 
     /// The term in which this controller leads; none if it does not. What was remembered of an
     /// earlier term is forgotten.
-    fn follow_term(&mut self, now: Timestamp) -> Option<Term> {
+    fn update_term(&mut self, now: Timestamp) -> Option<Term> {
         let term = self.leads().map(|leader| Term(leader.mod_revision));
         match term {
             None if self.leadership.term.is_some() => {
@@ -135,20 +135,20 @@
 
     /// The most pressing of the writes that only a leader may make.
     fn plan_leader_write(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
-        let alone = |transaction| (transaction, WriteIntent::default());
+        let without_intent = |transaction| (transaction, WriteIntent::default());
         self.plan_grants(now)
-            .or_else(|| self.plan_ready())
-            .map(alone)
+            .or_else(|| self.plan_ready_jobs())
+            .map(without_intent)
             .or_else(|| self.plan_transfers(now))
-            .or_else(|| self.plan_finish().map(alone))
-            .or_else(|| self.plan_format(now).map(alone))
-            .or_else(|| self.plan_abandoned().map(alone))
-            .or_else(|| self.plan_archive(now).map(alone))
-            .or_else(|| self.plan_catalog().map(alone))
+            .or_else(|| self.plan_finished_jobs().map(without_intent))
+            .or_else(|| self.plan_format(now).map(without_intent))
+            .or_else(|| self.plan_abandoned_jobs().map(without_intent))
+            .or_else(|| self.plan_archive(now).map(without_intent))
+            .or_else(|| self.plan_catalog().map(without_intent))
     }
 
     /// Number of tasks on a machine as its last heartbeat to this controller shows.
-    pub fn tasks_seen(&self, machine_id: MachineId) -> usize {
+    pub fn reported_task_count(&self, machine_id: MachineId) -> usize {
         let runtime = self.held.get(machine_id);
         runtime.map_or(0, |runtime| runtime.task_count())
     }
--- a/src/leadership/observations.rs
+++ b/src/leadership/observations.rs
@@ -5,7 +5,7 @@
 //! estimate that a successor makes again: nothing here may be taken as proof that a machine, or
 //! a task on it, has stopped.
 
-use super::boot_times::StartTimes;
+use super::start_times::StartTimes;
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
 use crate::names::{ImageId, MachineId, MachineTypeId, ZoneId};
@@ -16,19 +16,19 @@
 
 /// When a machine was last heard by its holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct LastHeard {
+pub(super) struct LastHeartbeat {
     pub(super) machine_id: MachineId,
     pub(super) at: Timestamp,
 }
 
 /// Machines of a zone that were heard at all, and how many of them are silent now.
 #[derive(Debug, Clone, Copy, Default)]
-struct ZoneCensus {
+struct ZoneReachability {
     silent: usize,
     machines: usize,
 }
 
-impl ZoneCensus {
+impl ZoneReachability {
     /// Machines of one zone that fall silent together are partitioned, not dead.
     fn is_partitioned(self) -> bool {
         self.machines >= MIN_MACHINES_FOR_PARTITION && self.silent * 2 > self.machines
@@ -40,7 +40,7 @@
 pub(super) struct MachineObservations {
     /// Images that a machine has fetched, as far as its queue has shown since the term began.
     cached_images: HashMap<MachineId, Vec<ImageId>>,
-    last_heard: HashMap<MachineId, Timestamp>,
+    last_heartbeat_at: HashMap<MachineId, Timestamp>,
     /// How long machines of each type took to their first heartbeat, of those rented in this term.
     start_times: HashMap<MachineTypeId, StartTimes>,
     /// Zones most of whose machines are silent.
@@ -51,14 +51,18 @@
 
 impl MachineObservations {
     /// Whether any holder has heard a machine in this term.
-    pub(super) fn was_heard(&self, machine_id: MachineId) -> bool {
-        self.last_heard.contains_key(&machine_id)
+    pub(super) fn has_sent_heartbeat(&self, machine_id: MachineId) -> bool {
+        self.last_heartbeat_at.contains_key(&machine_id)
     }
 
     /// Milliseconds since any holder last heard a machine; none if it was not heard in this term.
-    pub(super) fn silent_for(&self, machine_id: MachineId, now: Timestamp) -> Option<u64> {
-        let last_heard = self.last_heard.get(&machine_id);
-        last_heard.map(|&at| now.since(at))
+    pub(super) fn since_last_heartbeat_ms(
+        &self,
+        machine_id: MachineId,
+        now: Timestamp,
+    ) -> Option<u64> {
+        let last_heartbeat_at = self.last_heartbeat_at.get(&machine_id);
+        last_heartbeat_at.map(|&at| now.since(at))
     }
 
     /// When a machine was first seen in the replica in this term.
@@ -67,13 +71,13 @@
     }
 
     /// Milliseconds for which a machine has been known in this term.
-    pub(super) fn known_for(&self, machine_id: MachineId, now: Timestamp) -> u64 {
+    pub(super) fn known_for_ms(&self, machine_id: MachineId, now: Timestamp) -> u64 {
         let first_seen = self.first_seen.get(&machine_id);
         first_seen.map_or(0, |&at| now.since(at))
     }
 
     /// Milliseconds for which no task has been bound to a machine; none while one is.
-    pub(super) fn idle_for(&self, machine_id: MachineId, now: Timestamp) -> Option<u64> {
+    pub(super) fn idle_for_ms(&self, machine_id: MachineId, now: Timestamp) -> Option<u64> {
         let idle_since = self.idle_since.get(&machine_id);
         idle_since.map(|&at| now.since(at))
     }
@@ -85,7 +89,7 @@
     }
 
     /// Whether most machines of a zone are silent.
-    pub(super) fn is_partitioned(&self, zone: ZoneId) -> bool {
+    pub(super) fn is_zone_partitioned(&self, zone: ZoneId) -> bool {
         self.partitioned_zones.contains(&zone)
     }
 
@@ -97,7 +101,7 @@
     }
 
     /// Records how long a machine took from its rental to its first heartbeat.
-    pub(super) fn note_start_time(&mut self, machine_type: MachineTypeId, seconds: f64) {
+    pub(super) fn observe_start_time(&mut self, machine_type: MachineTypeId, seconds: f64) {
         self.start_times
             .entry(machine_type)
             .or_default()
@@ -105,18 +109,18 @@
     }
 
     /// Records when holders last heard their machines. What earlier holders heard counts on.
-    pub(super) fn note_heartbeats(&mut self, heartbeats: &[LastHeard]) {
+    pub(super) fn observe_heartbeats(&mut self, heartbeats: &[LastHeartbeat]) {
         for heartbeat in heartbeats {
-            let last_heard = self
-                .last_heard
+            let last_heartbeat_at = self
+                .last_heartbeat_at
                 .entry(heartbeat.machine_id)
                 .or_insert(heartbeat.at);
-            *last_heard = heartbeat.at.max(*last_heard);
+            *last_heartbeat_at = heartbeat.at.max(*last_heartbeat_at);
         }
     }
 
     /// Records which machines exist, since when they are idle and what images they have fetched.
-    pub(super) fn note_queues(&mut self, replica: &Replica, now: Timestamp) {
+    pub(super) fn observe_queues(&mut self, replica: &Replica, now: Timestamp) {
         for (&machine_id, machine) in &replica.machines {
             self.first_seen.entry(machine_id).or_insert(now);
             if machine.queue.is_empty() {
@@ -139,7 +143,8 @@
     pub(super) fn retain_existing(&mut self, replica: &Replica) {
         let exists = |machine_id: &MachineId| replica.machines.contains_key(machine_id);
         self.first_seen.retain(|machine_id, _| exists(machine_id));
-        self.last_heard.retain(|machine_id, _| exists(machine_id));
+        self.last_heartbeat_at
+            .retain(|machine_id, _| exists(machine_id));
         self.idle_since.retain(|machine_id, _| exists(machine_id));
         self.cached_images
             .retain(|machine_id, _| exists(machine_id));
@@ -152,17 +157,17 @@
         silent_ms: u64,
         now: Timestamp,
     ) {
-        let mut zones: HashMap<ZoneId, ZoneCensus> = HashMap::default();
-        for (machine_id, &at) in &self.last_heard {
+        let mut zones: HashMap<ZoneId, ZoneReachability> = HashMap::default();
+        for (machine_id, &at) in &self.last_heartbeat_at {
             if let Some(machine) = replica.machines.get(machine_id) {
-                let census = zones.entry(machine.zone).or_default();
-                census.silent += usize::from(now.since(at) > silent_ms);
-                census.machines += 1;
+                let reachability = zones.entry(machine.zone).or_default();
+                reachability.silent += usize::from(now.since(at) > silent_ms);
+                reachability.machines += 1;
             }
         }
         let partitioned = zones
             .into_iter()
-            .filter(|(_, census)| census.is_partitioned());
+            .filter(|(_, reachability)| reachability.is_partitioned());
         self.partitioned_zones = partitioned.map(|(zone, _)| zone).collect();
     }
 }
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -14,11 +14,11 @@
 use std::cmp::Ordering;
 
 /// Jobs for which tasks may be stopped at a time.
-const MAX_PRESSING_JOBS: usize = 30;
+const MAX_PREEMPTORS: usize = 30;
 /// Most slack of a job for which tasks may be stopped, seconds.
-const PRESSING_SLACK_S: f64 = 60.0;
+const MAX_PREEMPTOR_SLACK_S: f64 = 60.0;
 /// Part of the CPUs of all tasks that may be stopped at all that one plan may stop.
-const MAX_EVICTED_PART: f64 = 0.1;
+const MAX_PREEMPTED_FRACTION: f64 = 0.1;
 /// Longest task that may be stopped, seconds. Long tasks decide when everything is done: they run
 /// through.
 const MAX_VICTIM_RUN_S: f64 = 60.0;
@@ -28,16 +28,16 @@
 const MIN_TASK_CPUS: f64 = 1e-3;
 
 /// Tasks to be stopped, by machine.
-pub(super) type Evictions = HashMap<MachineId, Vec<Binding>>;
+pub(super) type Preemptions = HashMap<MachineId, Vec<Binding>>;
 
 /// A job with unbound tasks for which others may be stopped.
-struct PressingJob<'a> {
+struct Preemptor<'a> {
     candidate: &'a Candidate,
     priority: Priority,
     slack_s: f64,
 }
 
-impl PressingJob<'_> {
+impl Preemptor<'_> {
     /// CPUs of one of its tasks.
     fn task_cpus(&self) -> f64 {
         self.candidate.needs.room.cpus.max(MIN_TASK_CPUS)
@@ -46,7 +46,7 @@
     /// Whether a task is so much less pressing that it may be stopped for this job. Its job must
     /// clearly have more time left, or be late beyond help, so that nothing is stopped and started
     /// in circles.
-    fn outranks(&self, victim: &Victim) -> bool {
+    fn may_preempt(&self, victim: &Victim) -> bool {
         let least_slack_s = self.slack_s.max(0.0) + SLACK_MARGIN_S + 0.5 * victim.run_s;
         victim.priority > self.priority
             && (victim.rank.tier == Tier::Late || victim.rank.order_s > least_slack_s)
@@ -65,14 +65,14 @@
 /// CPUs of tasks that were marked by an earlier plan: they come free soon and are not asked for
 /// again.
 #[derive(Default)]
-struct IncomingCpus {
+struct CpusBeingFreed {
     by_team: HashMap<TeamId, f64>,
     all: f64,
 }
 
-impl IncomingCpus {
+impl CpusBeingFreed {
     /// CPUs that must still be freed for a pressing job whose team may use so many more.
-    fn missing(&mut self, job: &PressingJob, team_cpus: f64, shortage: Shortage) -> f64 {
+    fn missing(&mut self, job: &Preemptor, team_cpus: f64, shortage: Shortage) -> f64 {
         let wanted = job.candidate.tasks.len() as f64 * job.task_cpus();
         let incoming = match shortage {
             Shortage::TeamLimit => self.by_team.entry(job.candidate.team).or_default(),
@@ -111,41 +111,45 @@
 
 impl Controller {
     /// Chooses tasks to be stopped, unless that was done a moment ago.
-    pub(super) fn plan_due_evictions(
+    pub(super) fn plan_due_preemptions(
         &mut self,
         candidates: &[Candidate],
         team_room: &HashMap<TeamId, Room>,
         interval_ms: u64,
         now: Timestamp,
-    ) -> Evictions {
-        if !self.leadership.turns.eviction_due(now) {
-            return Evictions::default();
+    ) -> Preemptions {
+        if !self.leadership.binding_schedule.preemption_due(now) {
+            return Preemptions::default();
         }
-        let evictions = self.plan_evictions(candidates, team_room);
-        if !evictions.is_empty() {
-            self.leadership.turns.delay_eviction(interval_ms, now);
+        let preemptions = self.plan_preemptions(candidates, team_room);
+        if !preemptions.is_empty() {
+            self.leadership
+                .binding_schedule
+                .schedule_next_preemption(interval_ms, now);
         }
-        evictions
+        preemptions
     }
 
     /// Chooses tasks to be stopped for pressing jobs that found no room: less urgent ones that
     /// save their progress, of the same team where the team's limit stands in the way, of any
     /// team where the machines are full.
-    fn plan_evictions(
+    fn plan_preemptions(
         &self,
         candidates: &[Candidate],
         team_room: &HashMap<TeamId, Room>,
-    ) -> Evictions {
-        let mut evictions = Evictions::default();
-        let pressing = self.pressing_jobs(candidates);
+    ) -> Preemptions {
+        let mut preemptions = Preemptions::default();
+        let pressing = self.preemptors(candidates);
         if pressing.is_empty() {
-            return evictions;
+            return preemptions;
         }
         let mut victims = self.victims();
-        let evictable_cpus: f64 = victims.iter().map(|victim| victim.cpus).sum();
+        let preemptible_cpus: f64 = victims.iter().map(|victim| victim.cpus).sum();
         let options = &self.settings.options;
-        let mut budget_cpus = options.evict_cpus.max(evictable_cpus * MAX_EVICTED_PART);
-        let mut incoming = self.incoming_cpus();
+        let mut budget_cpus = options
+            .evict_cpus
+            .max(preemptible_cpus * MAX_PREEMPTED_FRACTION);
+        let mut incoming = self.cpus_being_freed();
         for job in pressing {
             if budget_cpus <= 0.0 || victims.is_empty() {
                 break;
@@ -163,7 +167,7 @@
             victims.retain(|victim| {
                 let evicted = missing_cpus > ROOM_TOLERANCE
                     && budget_cpus > 0.0
-                    && job.outranks(victim)
+                    && job.may_preempt(victim)
                     && match shortage {
                         Shortage::TeamLimit => victim.team == team,
                         Shortage::Machines => self.suits(victim.machine, &job.candidate.needs),
@@ -171,17 +175,17 @@
                 if evicted {
                     missing_cpus -= victim.cpus;
                     budget_cpus -= victim.cpus;
-                    let tasks = evictions.entry(victim.machine).or_default();
+                    let tasks = preemptions.entry(victim.machine).or_default();
                     tasks.push(victim.binding);
                 }
                 !evicted
             });
         }
-        evictions
+        preemptions
     }
 
     /// Jobs that found no room and have little time left, most pressing first.
-    fn pressing_jobs<'a>(&self, candidates: &'a [Candidate]) -> Vec<PressingJob<'a>> {
+    fn preemptors<'a>(&self, candidates: &'a [Candidate]) -> Vec<Preemptor<'a>> {
         let waiting = candidates
             .iter()
             .filter(|candidate| !candidate.tasks.is_empty() && !candidate.beyond_share);
@@ -189,20 +193,20 @@
             .filter_map(|candidate| {
                 let job = self.replica.jobs.get(&candidate.job)?;
                 let rank = self.rank(candidate.job, job);
-                let pressing = rank.tier <= Tier::InTime && rank.order_s <= PRESSING_SLACK_S;
-                pressing.then(|| PressingJob {
+                let pressing = rank.tier <= Tier::InTime && rank.order_s <= MAX_PREEMPTOR_SLACK_S;
+                pressing.then(|| Preemptor {
                     candidate,
                     priority: self.priority_of(candidate.job, job),
                     slack_s: rank.order_s,
                 })
             })
-            .take(MAX_PRESSING_JOBS)
+            .take(MAX_PREEMPTORS)
             .collect()
     }
 
     /// CPUs of the tasks that are marked to be stopped.
-    fn incoming_cpus(&self) -> IncomingCpus {
-        let mut incoming = IncomingCpus::default();
+    fn cpus_being_freed(&self) -> CpusBeingFreed {
+        let mut incoming = CpusBeingFreed::default();
         let machines = self.replica.machines.values();
         for binding in machines.flat_map(|machine| &machine.evict) {
             if let Some(job) = self.replica.jobs.get(&binding.task.job) {
--- a/src/leadership/rent_requests.rs
+++ b/src/leadership/rent_requests.rs
@@ -12,11 +12,11 @@
 /// A rental without any answer is repeated after so long, ms.
 const RENT_RETRY_MS: u64 = 10_000;
 /// A rental whose answer leaves its result open is repeated after so long, ms.
-const UNCERTAIN_RENT_RETRY_MS: u64 = 1500;
+const IN_DOUBT_RENT_RETRY_MS: u64 = 1500;
 
 /// A rental that waits for its answer.
 #[derive(Debug)]
-struct PendingRent {
+struct PendingRental {
     request: RentRequest,
     retry_at: Timestamp,
 }
@@ -31,8 +31,8 @@
 
 /// Requests to the cloud in this term.
 #[derive(Debug, Default)]
-pub(super) struct RentRequests {
-    pending: HashMap<String, PendingRent>,
+pub(super) struct RentalRequests {
+    pending: HashMap<String, PendingRental>,
     /// Until when the cloud is not asked again for what it refused.
     refused_until: HashMap<CapacityPool, Timestamp>,
     return_request: ReturnRequest,
@@ -40,14 +40,14 @@
     next_review: Timestamp,
 }
 
-impl RentRequests {
+impl RentalRequests {
     /// Whether demand and machines may be compared again.
     pub(super) fn review_due(&self, now: Timestamp) -> bool {
         now >= self.next_review
     }
 
     /// Demand and machines are compared next at this moment.
-    pub(super) fn review_at(&mut self, at: Timestamp) {
+    pub(super) fn schedule_review(&mut self, at: Timestamp) {
         self.next_review = at;
     }
 
@@ -58,10 +58,10 @@
     }
 
     /// A rental is sent.
-    pub(super) fn begin_rent(&mut self, request: RentRequest, now: Timestamp) {
+    pub(super) fn start_rental_request(&mut self, request: RentRequest, now: Timestamp) {
         let retry_at = now.plus(RENT_RETRY_MS);
         let request_id = request.request_id.clone();
-        let pending = PendingRent { request, retry_at };
+        let pending = PendingRental { request, retry_at };
         self.pending.insert(request_id, pending);
     }
 
@@ -91,38 +91,38 @@
     /// same machines.
     pub(super) fn retry_soon(&mut self, request_id: &str, now: Timestamp) {
         if let Some(pending) = self.pending.get_mut(request_id) {
-            pending.retry_at = now.plus(UNCERTAIN_RENT_RETRY_MS);
+            pending.retry_at = now.plus(IN_DOUBT_RENT_RETRY_MS);
         }
     }
 
     /// A rental was answered.
-    pub(super) fn end_rent(&mut self, request_id: &str) {
+    pub(super) fn complete_rental_request(&mut self, request_id: &str) {
         self.pending.remove(request_id);
     }
 
     /// Whether the cloud may be asked for machines of a pool, as far as its refusals say.
-    pub(super) fn may_ask(&self, pool: CapacityPool, now: Timestamp) -> bool {
+    pub(super) fn may_request(&self, pool: CapacityPool, now: Timestamp) -> bool {
         let refused_until = self.refused_until.get(&pool);
         refused_until.is_none_or(|&until| now >= until)
     }
 
     /// The cloud refused machines of a pool: it is not asked for them again until then.
-    pub(super) fn note_refused(&mut self, pool: CapacityPool, until: Timestamp) {
+    pub(super) fn record_refused(&mut self, pool: CapacityPool, until: Timestamp) {
         self.refused_until.insert(pool, until);
     }
 
     /// Whether no return waits for its answer.
-    pub(super) fn may_return(&self) -> bool {
+    pub(super) fn may_start_return(&self) -> bool {
         self.return_request == ReturnRequest::Idle
     }
 
     /// A return is sent.
-    pub(super) fn begin_return(&mut self) {
+    pub(super) fn start_return_request(&mut self) {
         self.return_request = ReturnRequest::InFlight;
     }
 
     /// A return was answered, or not.
-    pub(super) fn end_return(&mut self) {
+    pub(super) fn complete_return_request(&mut self) {
         self.return_request = ReturnRequest::Idle;
     }
 }
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -58,14 +58,14 @@
         let lag_s = self.settings.platform.settings.cloud.list_lag_s;
         let interval_s = lag_s.clamp(MIN_LIST_INTERVAL_S, MAX_LIST_INTERVAL_S);
         let inventory = &mut self.leadership.inventory;
-        if inventory.begin_list((interval_s * 1000.0) as u64, now) {
+        if inventory.start_list_request((interval_s * 1000.0) as u64, now) {
             out.push(Effect::List);
         }
         let overdue = self.leadership.rent.take_overdue(now);
         out.extend(overdue.into_iter().map(Effect::Rent));
         if self.leadership.rent.review_due(now) {
             let next = now.plus(REVIEW_INTERVAL_MS);
-            self.leadership.rent.review_at(next);
+            self.leadership.rent.schedule_review(next);
             self.review_capacity(now, term, out);
         }
     }
@@ -82,7 +82,7 @@
             charge_s: MIN_CHARGE_S,
         };
         // The replica must show what is bound before idleness means anything.
-        if self.grace_over(now) {
+        if self.grace_period_over(now) {
             self.cordon_machines(&demand, &fleet, &rules, now);
             for machine_id in scaling::machines_to_return(&demand, &fleet, &rules) {
                 self.leadership.scale_in.drain(machine_id);
@@ -104,7 +104,7 @@
         now: Timestamp,
     ) -> Vec<RentOrder> {
         let offers = self.offers();
-        let fleet = self.with_coming(fleet);
+        let fleet = self.with_pending_machines(fleet);
         let leadership = &self.leadership;
         let pending: HashSet<CapacityPool> = leadership
             .rent
@@ -112,9 +112,9 @@
             .filter_map(|request| self.pool_of(request))
             .collect();
         scaling::plan_rentals(demand, &fleet, &offers, rules, |pool| {
-            leadership.rent.may_ask(pool, now)
+            leadership.rent.may_request(pool, now)
                 && !pending.contains(&pool)
-                && !leadership.machines.is_partitioned(pool.zone)
+                && !leadership.machines.is_zone_partitioned(pool.zone)
         })
     }
 
@@ -145,20 +145,22 @@
             number = request.number,
             "renting machines"
         );
-        self.leadership.rent.begin_rent(request.clone(), now);
+        self.leadership
+            .rent
+            .start_rental_request(request.clone(), now);
         out.push(Effect::Rent(request));
     }
 
     /// Returns machines that are drained or dead, one request at a time.
     fn return_machines(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if !self.leadership.rent.may_return() {
+        if !self.leadership.rent.may_start_return() {
             return;
         }
         let returned = self.leadership.inventory.returned();
         let machines = self.replica.machines.iter();
         let to_return = machines.filter(|(machine_id, machine)| {
             let drained = machine.leaving && machine.queue.is_empty();
-            !returned.contains(machine_id) && (drained || self.is_dead(**machine_id, now))
+            !returned.contains(machine_id) && (drained || self.is_presumed_dead(**machine_id, now))
         });
         let names = to_return.map(|(&machine_id, _)| {
             let name = self.replica.names.machines.name(machine_id);
@@ -167,7 +169,7 @@
         let names: Vec<String> = names.take(MAX_RETURNED_PER_REQUEST).collect();
         if !names.is_empty() {
             info!(machines = names.join(" "), "returning machines");
-            self.leadership.rent.begin_return();
+            self.leadership.rent.start_return_request();
             out.push(Effect::Return(names));
         }
     }
@@ -183,10 +185,10 @@
     ) {
         let available = fleet
             .iter()
-            .filter(|rented| self.available(rented.machine, now));
+            .filter(|rented| self.can_take_tasks(rented.machine, now));
         let busy = available.map(|rented| BusyMachine {
             machine: rented.clone(),
-            used_cpus: self.used_on(rented.machine).cpus,
+            used_cpus: self.used_room_on(rented.machine).cpus,
         });
         let machines: Vec<BusyMachine> = busy.collect();
         let cordoned = scaling::machines_to_cordon(demand, &machines, rules);
@@ -244,11 +246,11 @@
     pub fn on_list(&mut self, list: Option<Vec<CloudMachine>>, now: Timestamp) {
         let leads = self.leads().is_some();
         let inventory = &mut self.leadership.inventory;
-        inventory.end_list();
+        inventory.complete_list_request();
         if let Some(list) = list
             && leads
         {
-            inventory.note_list(list, &self.replica, now);
+            inventory.record_list(list, &self.replica, now);
         }
     }
 
@@ -266,7 +268,7 @@
             RentOutcome::Rented(machines) => machines,
             RentOutcome::Refused => Vec::new(),
         };
-        rent.end_rent(&rental.request_id);
+        rent.complete_rental_request(&rental.request_id);
         info!(
             request_id = rental.request_id,
             asked = rental.number,
@@ -274,43 +276,43 @@
             "rent request answered"
         );
         if (machines.len() as u32) < rental.number {
-            self.note_refusal(rental, now);
+            self.record_refusal(rental, now);
         }
-        self.leadership.rent.review_at(now);
+        self.leadership.rent.schedule_review(now);
         for machine in machines {
             let new = NewMachine {
                 machine_type: rental.machine_type.clone(),
                 zone: rental.zone.clone(),
                 spot: rental.spot,
             };
-            self.leadership.inventory.place_rented(machine, new);
+            self.leadership.inventory.record_rented(machine, new);
         }
     }
 
     /// The cloud gave fewer machines than were asked for: the pool is left alone for a while, by
     /// chance a little longer, so that not all pools are asked again at once.
-    fn note_refusal(&mut self, rental: &RentRequest, now: Timestamp) {
+    fn record_refusal(&mut self, rental: &RentRequest, now: Timestamp) {
         if let Some(pool) = self.pool_of(rental) {
             let wait_ms = (self.settings.options.fleet_refused_s * 1000.0) as u64;
             let until = now.plus(wait_ms + self.rng.random_range(0..wait_ms / 2 + 1));
-            self.leadership.rent.note_refused(pool, until);
+            self.leadership.rent.record_refused(pool, until);
         }
     }
 
     /// A return was answered, or not: only if the cloud has `confirmed` it are the machines gone.
     pub fn on_returned(&mut self, machines: &[String], confirmed: bool, now: Timestamp) {
-        self.leadership.rent.end_return();
+        self.leadership.rent.complete_return_request();
         if self.leads().is_none() {
             return;
         }
         if !confirmed {
             let next = now.plus(REVIEW_AFTER_FAILED_RETURN_MS);
-            self.leadership.rent.review_at(next);
+            self.leadership.rent.schedule_review(next);
             return;
         }
         for machine in machines {
             if let Some(machine_id) = self.replica.names.machines.get(machine) {
-                self.leadership.inventory.note_returned(machine_id);
+                self.leadership.inventory.record_returned(machine_id);
             }
         }
     }
--- a/src/leadership/slots.rs
+++ b/src/leadership/slots.rs
@@ -13,10 +13,10 @@
 /// single task.
 const EXPENSIVE_MACHINE_FACTOR: f64 = 4.0;
 /// Prices are compared only while at least one in so many CPUs is cheap.
-const CHEAP_SHARE: f64 = 4.0;
+const MAX_CPUS_PER_CHEAP_CPU: f64 = 4.0;
 /// Heartbeat intervals, and ms on top, within which a machine must have been heard to get tasks.
-const RECENT_HEARTBEATS: f64 = 2.0;
-const RECENT_MARGIN_MS: u64 = 500;
+const RECENT_HEARTBEAT_INTERVALS: f64 = 2.0;
+const RECENT_HEARTBEAT_MARGIN_MS: u64 = 500;
 
 /// Least prices in the fleet.
 #[derive(Debug, Clone, Copy)]
@@ -54,9 +54,10 @@
 
 impl Controller {
     /// Whether tasks may be bound to a machine now.
-    pub(crate) fn available(&self, machine_id: MachineId, now: Timestamp) -> bool {
+    pub(crate) fn can_take_tasks(&self, machine_id: MachineId, now: Timestamp) -> bool {
         let interval_s = self.settings.platform.settings.workers.heartbeat_s;
-        let recent_ms = (interval_s * 1000.0 * RECENT_HEARTBEATS) as u64 + RECENT_MARGIN_MS;
+        let recent_ms =
+            (interval_s * 1000.0 * RECENT_HEARTBEAT_INTERVALS) as u64 + RECENT_HEARTBEAT_MARGIN_MS;
         let machine = self.replica.machines.get(&machine_id);
         let leadership = &self.leadership;
         machine.is_some_and(|machine| !machine.leaving)
@@ -72,7 +73,7 @@
     pub(super) fn slots(&self, scope: SlotScope, now: Timestamp) -> Vec<Slot> {
         let open = self.writable_blocks(now);
         let early = match scope.ahead_of_turn {
-            true => self.blocks_writable_ahead_of_turn(now),
+            true => self.blocks_writable_early(now),
             false => HashSet::default(),
         };
         let cheapest = self.cheapest_prices();
@@ -87,7 +88,7 @@
             let writable = regular || early.contains(&machine.block);
             let cordoned = self.leadership.scale_in.is_cordoned(machine_id);
             let in_scope = writable && (scope.cordoned || !cordoned);
-            if !in_scope || !self.available(machine_id, now) {
+            if !in_scope || !self.can_take_tasks(machine_id, now) {
                 continue;
             }
             let coming = coming.get(&machine_id).map_or(&[][..], Vec::as_slice);
@@ -156,7 +157,7 @@
                 false => machine_type.cpus,
             };
         }
-        if cheap_cpus * CHEAP_SHARE > all_cpus {
+        if cheap_cpus * MAX_CPUS_PER_CHEAP_CPU > all_cpus {
             cheapest
         } else {
             CheapestPrices::UNKNOWN
@@ -175,7 +176,7 @@
     }
 
     /// Room that a machine's bound tasks take.
-    pub(crate) fn used_on(&self, machine_id: MachineId) -> Room {
+    pub(crate) fn used_room_on(&self, machine_id: MachineId) -> Room {
         let machine = self.replica.machines.get(&machine_id);
         let queue = machine.map(|machine| machine.queue.iter());
         self.used_by(queue.into_iter().flatten())
--- a/src/leadership/boot_times.rs
+++ b/src/leadership/start_times.rs
@@ -9,9 +9,9 @@
 /// With fewer starts seen than this, the catalog's boot time alone decides.
 const MIN_SAMPLES: usize = 4;
 /// A start may take this many times what nearly all starts of its type took.
-const SLACK: f64 = 2.0;
+const OVERDUE_FACTOR: f64 = 2.0;
 /// Part of the starts that count as nearly all.
-const NEARLY_ALL: f64 = 0.9;
+const USUAL_START_QUANTILE: f64 = 0.9;
 /// Without enough samples a start may take this many times the boot time of the catalog, and so
 /// many seconds more: boot times vary by half and more (PROTOCOL, catalog).
 const BOOT_FACTOR: f64 = 3.5;
@@ -44,9 +44,9 @@
         }
         let mut sorted: Vec<f64> = self.seconds.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
-        let rank = (sorted.len() as f64 * NEARLY_ALL).ceil() as usize;
+        let rank = (sorted.len() as f64 * USUAL_START_QUANTILE).ceil() as usize;
         let usual = sorted[rank.clamp(1, sorted.len()) - 1];
-        (usual.max(boot_s) * SLACK).min(without_samples)
+        (usual.max(boot_s) * OVERDUE_FACTOR).min(without_samples)
     }
 }
 
--- a/src/leadership/unreachable_holders.rs
+++ b/src/leadership/unreachable_holders.rs
@@ -10,18 +10,18 @@
 
 /// A machine counts against its holder when it has come to another controller for so long, and its
 /// holder has not heard it for as long, ms.
-const UNANSWERED_MS: u64 = 4500;
+const MIN_UNANSWERED_MS: u64 = 4500;
 /// Part of a block's machines, as one in so many, that shows that it is the holder's fault.
-const UNANSWERED_SHARE: usize = 3;
+const UNANSWERED_FRACTION_DIVISOR: usize = 3;
 /// Fewest machines that show it, if the block has as many.
-const MIN_UNANSWERED: usize = 2;
+const MIN_UNANSWERED_MACHINES: usize = 2;
 
 /// Machines of one block that come to controllers which do not hold it.
 struct UnansweredMachines {
     total: usize,
     /// Most that come to one controller, and which one that is.
     most: usize,
-    most_heard_by: HostId,
+    most_received_by: HostId,
 }
 
 impl Controller {
@@ -32,15 +32,15 @@
     /// round all controllers, whoever holds its block.
     pub(super) fn blocks_of_unreachable_holders(&self, now: Timestamp) -> HashMap<BlockId, HostId> {
         let mut blocks = HashMap::default();
-        if !self.listened(now) {
+        if !self.peer_silence_is_conclusive(now) {
             return blocks;
         }
         for (block, unanswered) in self.unanswered_by_block(now) {
             let block_record = self.replica.blocks.get(&block);
             let machines = block_record.map_or(0, |block| block.machines.len());
-            let share = machines.div_ceil(UNANSWERED_SHARE);
-            if unanswered.total >= share.max(MIN_UNANSWERED).min(machines) {
-                blocks.insert(block, unanswered.most_heard_by);
+            let share = machines.div_ceil(UNANSWERED_FRACTION_DIVISOR);
+            if unanswered.total >= share.max(MIN_UNANSWERED_MACHINES).min(machines) {
+                blocks.insert(block, unanswered.most_received_by);
             }
         }
         blocks
@@ -62,12 +62,12 @@
             let unanswered = by_block.entry(block).or_insert(UnansweredMachines {
                 total: 0,
                 most: 0,
-                most_heard_by: host,
+                most_received_by: host,
             });
             unanswered.total += machines.len();
             if machines.len() > unanswered.most {
                 unanswered.most = machines.len();
-                unanswered.most_heard_by = host;
+                unanswered.most_received_by = host;
             }
         }
         by_block
@@ -80,14 +80,14 @@
         machine: &UnownedMachine,
         now: Timestamp,
     ) -> Option<(BlockId, MachineId)> {
-        if machine.for_ms < UNANSWERED_MS || !self.controller_usable(host, now) {
+        if machine.for_ms < MIN_UNANSWERED_MS || !self.is_eligible_holder(host, now) {
             return None;
         }
         let machine_id = self.replica.names.machines.get(&machine.machine)?;
         let (block, grant) = self.replica.holder(machine_id)?;
         let info = self.machine_info(machine_id, now);
         let heard_ms = info.and_then(|info| info.age_ms);
-        let unheard = heard_ms.is_none_or(|age_ms| age_ms > UNANSWERED_MS);
+        let unheard = heard_ms.is_none_or(|age_ms| age_ms > MIN_UNANSWERED_MS);
         (grant.host != host && unheard).then_some((block, machine_id))
     }
 }
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -209,7 +209,10 @@
     /// that are in flight or in doubt are counted.
     fn plan_loans(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
         let policy = self.spillover.settings.policy.clone();
-        if !self.transfers_open() || !self.grace_over(now) || now < self.spillover.next_policy {
+        if !self.transfers_open()
+            || !self.grace_period_over(now)
+            || now < self.spillover.next_policy
+        {
             return None;
         }
         self.spillover.next_policy = now.plus((policy.period_s * 1000.0) as u64);
--- a/src/stealing/rounds.rs
+++ b/src/stealing/rounds.rs
@@ -191,7 +191,7 @@
             for (&machine_id, &load) in &totals.machines {
                 let holder = self.replica.holder(machine_id);
                 let held = holder.is_some_and(|(_, grant)| grant.host == *host);
-                if held && self.available(machine_id, now) {
+                if held && self.can_take_tasks(machine_id, now) {
                     loads.machines.insert(machine_id, load);
                 }
             }
@@ -200,7 +200,7 @@
             let load = self.queue_load(machine_id, now);
             loads.count += 1;
             loads.sum += load;
-            if self.available(machine_id, now) {
+            if self.can_take_tasks(machine_id, now) {
                 loads.machines.insert(machine_id, load);
             }
         }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -271,7 +271,7 @@
             let on_it = on_it.map_or(0, |m| m.tasks.len());
             if w.holder(name) == Some(i) {
                 assert_eq!(
-                    controller.tasks_seen(machine_id),
+                    controller.reported_task_count(machine_id),
                     on_it,
                     "{name}: {listed} listed"
                 );
