--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -1,8 +1,8 @@
-//! The leader's plan of bindings: which unbound tasks join which machines' queues, and which running
-//! tasks make room for them.
+//! Plans bindings: which unbound tasks join the queues of which machines, and which running tasks
+//! are preempted for them.
 //!
-//! Collects the jobs with unbound tasks, puts them in order, and leaves the choice of machines to
-//! [`placement`]. It only plans: `block_edits` writes what was planned.
+//! Collects and orders the jobs with unbound tasks and delegates the choice of machines to
+//! [`placement`]. This module only plans; `block_edits` writes the result.
 
 mod bindable_jobs;
 mod limits;
@@ -19,36 +19,38 @@
 use bindable_jobs::{BindableJob, BindableJobs};
 use tracing::debug;
 
-/// Shortest time between two plans, ms.
+/// Minimum interval between two plans, ms.
 const PLAN_INTERVAL_MS: u64 = 200;
-/// Jobs whose tasks are looked at in one plan, the most pressing ones.
+/// Number of jobs considered in one plan, in serving order.
 const MAX_JOBS_PER_PLAN: usize = 200;
-/// Most tasks of one job that are bound at a time.
+/// Maximum number of tasks of one job that are bound in one plan.
 const MAX_TASKS_PER_JOB: usize = 128;
-/// Most tasks that a starved job is given in its turn ahead of the others.
+/// Maximum number of tasks that a starved job gets when it is served first.
 const MAX_STARVED_TASKS: usize = 16;
-/// Part of a starved job that is bound in its turn ahead of the others.
+/// A starved job that is served first gets its task count divided by this number.
 const STARVED_TASKS_DIVISOR: usize = 8;
-/// Largest job of a chain whose tasks are bound ahead of a block's regular turn.
+/// Maximum task count of a job in a dependency chain whose tasks are bound before the regular write
+/// time of a block.
 const MAX_TASKS_FOR_EARLY_BINDING: u32 = 10;
 
-/// Tasks to be bound, and tasks to be stopped for them.
+/// Tasks to bind and tasks to preempt for them.
 #[derive(Debug, Clone, Default)]
 pub(super) struct BindPlan {
     pub bindings: Vec<PlannedBinding>,
     pub preemptions: Preemptions,
 }
 
-/// Numbers of tasks whose binding is written but not yet shown by the replica, by job.
+/// Task numbers by job of bindings that have been submitted but that the replica does not show yet.
 type TasksInFlight = HashMap<JobId, Vec<u32>>;
 
 impl Controller {
-    /// Chooses queues for unbound tasks, most pressing jobs first, and tasks to be stopped.
+    /// Assigns unbound tasks to machine queues in serving order and selects tasks to preempt.
     pub(super) fn plan_bindings(&mut self, now: Timestamp) -> BindPlan {
         if !self.leadership.binding_schedule.binding_due(now) {
             return BindPlan::default();
         }
-        // The larger the world, the more a look at it costs and the less hangs on each task.
+        // In a large cluster a plan costs more and each single task matters less, so plans are made
+        // less often.
         let size = self.replica.machines.len() + self.replica.jobs.len();
         let interval_ms = PLAN_INTERVAL_MS + size as u64 / 10;
         self.leadership
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Tasks whose binding is written but not yet shown by the replica.
+    /// Tasks whose binding has been submitted but that the replica does not show yet.
     fn tasks_in_flight(&self) -> TasksInFlight {
         let mut in_flight = TasksInFlight::default();
         for (_, binding) in self.writes.pending_bindings() {
@@ -105,16 +107,16 @@
     fn slots_for(&self, bindable_jobs: &BindableJobs, now: Timestamp) -> Vec<Slot> {
         let jobs = &bindable_jobs.in_order;
         let scope = SlotScope {
-            cordoned: jobs.iter().any(|open| open.overdue),
-            ahead_of_turn: jobs
-                .iter()
-                .any(|open| self.may_bind_early(open.job, &self.replica.jobs[&open.job])),
+            cordoned: jobs.iter().any(|bindable_job| bindable_job.overdue),
+            ahead_of_turn: jobs.iter().any(|bindable_job| {
+                self.may_bind_early(bindable_job.job, &self.replica.jobs[&bindable_job.job])
+            }),
         };
         self.slots(scope, now)
     }
 
-    /// The tasks that may be bound, by job in the order in which jobs are served; what exceeds a
-    /// job's share of the fleet comes after all other jobs.
+    /// The tasks that may be bound, grouped by job in serving order. Tasks beyond a job's share of
+    /// the fleet come after all other jobs.
     fn candidates(
         &self,
         bindable_jobs: &BindableJobs,
@@ -124,29 +126,34 @@
         let mut bound_by_zone = None;
         let mut candidates: Vec<Candidate> = Vec::new();
         let mut beyond_share: Vec<Candidate> = Vec::new();
-        for open in bindable_jobs.in_order.iter().take(MAX_JOBS_PER_PLAN) {
-            let job = &self.replica.jobs[&open.job];
+        for bindable_job in bindable_jobs.in_order.iter().take(MAX_JOBS_PER_PLAN) {
+            let job = &self.replica.jobs[&bindable_job.job];
             let mut taken = job.done.clone();
-            let in_flight = in_flight.get(&open.job).into_iter().flatten().copied();
-            for number in self.replica.bound(open.job).chain(in_flight) {
+            let in_flight = in_flight
+                .get(&bindable_job.job)
+                .into_iter()
+                .flatten()
+                .copied();
+            for number in self.replica.bound(bindable_job.job).chain(in_flight) {
                 taken.insert(number);
             }
-            let most = match Some(open.job) == bindable_jobs.starved {
-                // A share that begins the job and does not hold up the others for long.
+            let max_tasks = match Some(bindable_job.job) == bindable_jobs.starved {
+                // Enough to start the job without delaying the others for long.
                 true => (job.spec.task_count as usize / STARVED_TASKS_DIVISOR)
                     .clamp(1, MAX_STARVED_TASKS),
                 false => MAX_TASKS_PER_JOB,
             };
-            let mut candidate = self.candidate(open, job, &taken, most);
+            let mut candidate = self.candidate(bindable_job, job, &taken, max_tasks);
             if candidate.needs.depends_on_other_tasks() {
-                // Zones are counted for one candidate alone: such jobs have no share.
+                // Zones are counted for only one candidate per job, so such jobs are not split by
+                // share.
                 let all = bound_by_zone.get_or_insert_with(|| self.zones_of());
-                candidate.bound_by_zone = all.remove(&open.job).unwrap_or_default();
+                candidate.bound_by_zone = all.remove(&bindable_job.job).unwrap_or_default();
             } else {
-                let open_tasks = (taken.len() - job.done.len()) as usize;
+                let bound_tasks = (taken.len() - job.done.len()) as usize;
                 let share_left = self
                     .max_tasks_in_share(job, fleet_cpus)
-                    .saturating_sub(open_tasks);
+                    .saturating_sub(bound_tasks);
                 let within_share = share_left.min(candidate.tasks.len());
                 let rest = candidate.tasks.split_off(within_share);
                 if !rest.is_empty() {
@@ -163,34 +170,42 @@
         candidates
     }
 
-    /// Up to `most` tasks of a job that are not `taken`, wherever the others are bound.
-    fn candidate(&self, open: &BindableJob, job: &Job, taken: &RangeSet, most: usize) -> Candidate {
+    /// A candidate with up to `most` tasks of a job that are not in `taken`. Zones of bound tasks
+    /// are left empty.
+    fn candidate(
+        &self,
+        bindable_job: &BindableJob,
+        job: &Job,
+        taken: &RangeSet,
+        max_tasks: usize,
+    ) -> Candidate {
         let value_bytes = self.settings.value_bytes();
         let bindable = job.bindable(taken, value_bytes, self.replica.encoding());
         Candidate {
-            job: open.job,
+            job: bindable_job.job,
             team: job.team,
             image: job.image,
             image_gb: job.spec.image_gb,
             needs: needs_of(job),
             run_s: self.run_s(job),
-            tasks: bindable.take(most).collect(),
+            tasks: bindable.take(max_tasks).collect(),
             bound_by_zone: HashMap::default(),
-            overdue: open.overdue,
-            ahead_of_turn: self.may_bind_early(open.job, job),
+            overdue: bindable_job.overdue,
+            ahead_of_turn: self.may_bind_early(bindable_job.job, job),
             beyond_share: false,
         }
     }
 
-    /// Whether a job's tasks are bound at once, and not at the regular turn of a block: it is part
-    /// of a chain whose end somebody waits for, and so small that this costs few writes.
+    /// Whether a job's tasks may be bound before the regular write time of a block: the job belongs
+    /// to a dependency chain, whose last result a user is waiting for, and is small enough that
+    /// this costs few writes.
     fn may_bind_early(&self, job_id: JobId, job: &Job) -> bool {
         let chained = job.ready_ms.is_some() || self.replica.dependencies.is_needed(job_id);
         chained && job.spec.task_count <= MAX_TASKS_FOR_EARLY_BINDING
     }
 }
 
-/// CPUs of these machines that no bound task takes.
+/// CPUs of these machines that no bound task uses.
 fn free_cpus(slots: &[Slot]) -> f64 {
     slots
         .iter()
--- a/src/leadership/binding/bindable_jobs.rs
+++ b/src/leadership/binding/bindable_jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs with unbound tasks that may be bound now, in the order in which they are served.
+//! Selects the jobs with unbound tasks that may be bound now and sorts them into serving order.
 
 use super::TasksInFlight;
 use crate::clock::Timestamp;
@@ -11,28 +11,28 @@
 use crate::replica::Job;
 use std::cmp::Ordering;
 
-/// After waiting for so long a job goes to any machine that fits, cordoned and expensive ones
-/// included: what saves money must not keep it waiting while there is room, seconds.
+/// Waiting time after which a job may use any machine that fits, including cordoned and expensive
+/// ones, seconds. Cost savings must not delay a job while there is room.
 const OVERDUE_AFTER_S: f64 = 45.0;
-/// Failures in a row after which a job must wait before it is tried again.
+/// Consecutive failures after which a job backs off before it is retried.
 const FAILURES_BEFORE_BACKOFF: u32 = 3;
-/// First wait, ms; each further failure doubles it.
+/// Initial backoff, ms; each further failure doubles it.
 const FIRST_BACKOFF_MS: u64 = 2000;
-/// Times that the wait is doubled at most.
+/// Maximum number of times the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 /// A job with unbound tasks that may be bound now.
 pub(super) struct BindableJob {
     pub job: JobId,
     rank: Rank,
-    /// Whether its next task exceeds what is left of its team's guarantee.
+    /// Whether its next task exceeds the remainder of its team's guarantee.
     beyond_guarantee: bool,
-    /// Whether it has waited so long that any machine which fits will do.
+    /// Whether it has waited so long that any machine that fits may be used.
     pub overdue: bool,
 }
 
 impl BindableJob {
-    /// By tier; within it, teams within their guarantee first.
+    /// Orders by tier; within a tier, teams within their guarantee come first.
     fn compare(&self, other: &BindableJob) -> Ordering {
         let class = |job: &BindableJob| (job.rank.tier, job.beyond_guarantee);
         class(self)
@@ -42,17 +42,17 @@
     }
 }
 
-/// A job that waits too long for its place in the order.
+/// A job that has waited too long at its place in the serving order.
 struct StarvedJob {
     job: JobId,
-    /// When it last had its turn ahead of the others.
+    /// When it was last served first.
     last_boosted_at: Timestamp,
     waited_s: f64,
 }
 
 impl StarvedJob {
-    /// Whether it has its turn before another one: each has its turn, for one that fits no machine
-    /// which is there would otherwise keep it for ever.
+    /// Whether this job is to be served first rather than `other`. Starved jobs take turns;
+    /// otherwise one that fits no available machine would block the others forever.
     fn is_before(&self, other: &StarvedJob) -> bool {
         (self.last_boosted_at, -self.waited_s) < (other.last_boosted_at, -other.waited_s)
     }
@@ -60,14 +60,14 @@
 
 /// The jobs that may be bound now.
 pub(super) struct BindableJobs {
-    /// All of them, in the order in which they are served.
+    /// All of them, in serving order.
     pub in_order: Vec<BindableJob>,
-    /// The job that has its turn ahead of the others, which is the first in the order then.
+    /// The starved job that is served first in this plan, if any.
     pub starved: Option<JobId>,
 }
 
 impl BindableJobs {
-    /// Puts the jobs in order.
+    /// Sorts the jobs into serving order and moves the starved job to the front.
     fn sorted(mut jobs: Vec<BindableJob>, starved: Option<JobId>) -> Self {
         jobs.sort_by(BindableJob::compare);
         let first = jobs.iter().position(|open| Some(open.job) == starved);
@@ -82,7 +82,7 @@
 }
 
 impl Controller {
-    /// The jobs with unbound tasks that may be bound now, in the order in which they are served.
+    /// The jobs with unbound tasks that may be bound now, in serving order.
     pub(super) fn bindable_jobs(
         &self,
         in_flight: &TasksInFlight,
@@ -98,7 +98,7 @@
             if lending.contains(&job_id) || !self.has_bindable_tasks(job_id, job, in_flight, now) {
                 continue;
             }
-            // Whoever waits for the team's limit has nothing to gain from a machine.
+            // A job that is blocked by its team's limit would not benefit from more machines.
             let within_limit = team_room
                 .get(&job.team)
                 .is_some_and(|room| job.room().cpus <= room.cpus + ROOM_TOLERANCE);
@@ -123,12 +123,12 @@
                 overdue: within_limit && waited_s > OVERDUE_AFTER_S,
             });
         }
-        // Guards against the order of jobs: whatever stands behind a stream of more pressing work,
-        // or is late beyond help, would not begin before the stream ends.
+        // Prevents starvation: a job behind a steady stream of higher-priority work, or one that
+        // can no longer meet its deadline, would otherwise not start before that stream ends.
         BindableJobs::sorted(jobs, starved.map(|first| first.job))
     }
 
-    /// Whether some task of a job may be bound now, `in_flight` of them being bound already.
+    /// Whether some task of a job may be bound now, with `in_flight` of them being bound already.
     fn has_bindable_tasks(&self, job_id: JobId, job: &Job, in_flight: u32, now: Timestamp) -> bool {
         let name = self.replica.names.jobs.name(job_id);
         let begun = self.replica.bound_len(job_id) + in_flight + job.done.len();
@@ -136,12 +136,12 @@
             && self.spillover.may_bind(job, name, now)
             && begun < job.spec.task_count
             && !self.is_backing_off(job_id, now)
-            // It may have been cancelled.
+            // A job with an unreadable value may have been cancelled.
             && !self.replica.is_unreadable(name)
     }
 
-    /// Whether a job must wait before it is tried again: the more of its tasks failed in a row, as
-    /// this controller and its peers know it, the longer.
+    /// Whether a job must wait before it is retried. The wait grows with the number of consecutive
+    /// task failures seen by this controller and its peers.
     fn is_backing_off(&self, job: JobId, now: Timestamp) -> bool {
         let (mut failures, mut last) = (0, Timestamp(0));
         for streak in self.peers.failure_streaks() {
@@ -160,7 +160,8 @@
         now.since(last) < FIRST_BACKOFF_MS << further.min(MAX_BACKOFF_DOUBLINGS)
     }
 
-    /// Seconds for which nothing of a job was begun, or nothing more.
+    /// Seconds since a task of the job was last bound, or since the job became ready if none was.
+    /// For a job that was started in an earlier term, counts from the start of this term.
     fn waited_s(&self, job_id: JobId, job: &Job, now: Timestamp) -> f64 {
         let age_s = self.day_ms.saturating_sub(job.since_ms()) as f64 / 1000.0;
         match self.leadership.binding_schedule.last_bound_at(job_id) {
--- a/src/leadership/binding/limits.rs
+++ b/src/leadership/binding/limits.rs
@@ -1,4 +1,4 @@
-//! The bounds of a plan of bindings, from what waits and what the fleet is.
+//! Limits of a binding plan, derived from the waiting work and the fleet.
 
 use crate::clock::Timestamp;
 use crate::controller::Controller;
@@ -6,18 +6,18 @@
 use crate::protocol::JobStatus;
 use crate::replica::Job;
 
-/// Bindings that one plan may make, however few machines there are.
+/// Minimum value of the limit on bindings per plan, for small fleets.
 const MIN_BINDINGS_LIMIT: usize = 300;
-/// Tasks of one job that may be open at its place in the order, however small the fleet is.
+/// Minimum number of tasks in a job's share, for small fleets.
 const MIN_SHARE_TASKS: usize = 200;
-/// What a task that asks for next to no CPU counts for.
+/// Minimum CPUs that a task counts for, against division by zero.
 const MIN_TASK_CPUS: f64 = 0.01;
-/// While there is work that may not run on spot machines, other work goes to an ordinary machine only
-/// if that saves it so much, seconds.
+/// While there is work that may not run on spot machines, other work uses an on-demand machine only
+/// if it starts at least this much earlier there, seconds.
 const ON_DEMAND_PENALTY_S: f64 = 2.0;
 
 impl Controller {
-    /// The bounds of a plan for so many machines.
+    /// The limits of a plan for this number of machines.
     pub(super) fn plan_limits(&self, machines: usize, now: Timestamp) -> Limits {
         let options = &self.settings.options;
         Limits {
@@ -32,10 +32,10 @@
         }
     }
 
-    /// How long a bound task may wait for room: the longer completions and bindings wait for their
-    /// block's turn to be written, the earlier the next tasks must be there. The more machines are
-    /// still coming up, the less: what is bound behind other jobs' tasks by a rough estimate would
-    /// wait there while machines without tasks send their first heartbeat.
+    /// How long a bound task may wait for room on its machine, seconds. It grows with the interval
+    /// between block writes, because the next tasks must be queued before the next write. It
+    /// shrinks with the share of machines that are still booting: a task queued behind other tasks
+    /// on a rough estimate would wait there while new machines come up idle.
     fn ahead_s(&self, now: Timestamp) -> f64 {
         let ahead_s = self.settings.options.queue_ahead_s + (self.turns_s() - 1.0).max(0.0);
         let machines = self.replica.machines.len().max(1);
@@ -45,7 +45,7 @@
         ahead_s * (machines - booting) as f64 / machines as f64
     }
 
-    /// CPUs of all machines.
+    /// CPUs of all machines whose type is known.
     pub(super) fn fleet_cpus(&self) -> f64 {
         let machines = self.replica.machines.values();
         let machine_types =
@@ -53,7 +53,7 @@
         machine_types.map(|machine_type| machine_type.cpus).sum()
     }
 
-    /// Seconds until all that waits would be begun on the fleet as it is.
+    /// Seconds until all waiting tasks would have been started on the current fleet.
     fn backlog_s(&self) -> f64 {
         let cpus = self.fleet_cpus();
         let jobs = self.replica.jobs.iter();
@@ -68,7 +68,7 @@
         waiting / cpus.max(1.0)
     }
 
-    /// Whether some job that is not over, waiting ones included, may not run on spot machines.
+    /// Whether some unfinished job, waiting ones included, may not run on spot machines.
     fn has_on_demand_only_jobs(&self) -> bool {
         let jobs = self.replica.jobs.values();
         let mut pending =
@@ -76,11 +76,11 @@
         let mut waiting = self.replica.waiting.jobs.values();
         pending.any(|job| !job.spec.spot) || waiting.any(|job| !job.record.spec.spot)
     }
-    /// Tasks of a job that may be open at its place in the order; the others come after all other
-    /// jobs.
+    /// Maximum number of a job's tasks that are bound and not done at its place in the serving
+    /// order; its other tasks come after all other jobs.
     ///
-    /// Guards against one job of many hundred tasks that takes all room which comes free, while many
-    /// small ones behind it miss their deadlines.
+    /// Prevents a job of several hundred tasks from taking all room that becomes free while many
+    /// small jobs behind it miss their deadlines.
     pub(super) fn max_tasks_in_share(&self, job: &Job, fleet_cpus: f64) -> usize {
         let cpus = fleet_cpus * self.settings.options.queue_share;
         let tasks = cpus / job.spec.cpus.max(MIN_TASK_CPUS);
--- a/src/leadership/binding_schedule.rs
+++ b/src/leadership/binding_schedule.rs
@@ -1,16 +1,16 @@
-//! When jobs were last served, and when the leader looks at bindings and preemptions next.
+//! Tracks when jobs were last served and when the leader plans the next bindings and preemptions.
 
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
 use crate::names::JobId;
 
-/// Whose turn it is when tasks are bound.
+/// When jobs were last served in this term, and when bindings and preemptions are planned next.
 #[derive(Debug, Default)]
 pub(super) struct BindingSchedule {
-    /// When a task of a job was last bound in this term.
-    served: HashMap<JobId, Timestamp>,
-    /// When a job that waits too long last had its turn ahead of the others.
-    turns: HashMap<JobId, Timestamp>,
+    /// When a task of each job was last bound in this term.
+    last_bound: HashMap<JobId, Timestamp>,
+    /// When each starved job was last served before the others.
+    last_boosts: HashMap<JobId, Timestamp>,
     next_binding: Timestamp,
     next_preemption: Timestamp,
 }
@@ -18,48 +18,48 @@
 impl BindingSchedule {
     /// When a task of a job was last bound in this term.
     pub(super) fn last_bound_at(&self, job: JobId) -> Option<Timestamp> {
-        self.served.get(&job).copied()
+        self.last_bound.get(&job).copied()
     }
 
-    /// A task of a job is bound.
+    /// Records that a task of a job has been bound.
     pub(super) fn record_bound(&mut self, job: JobId, now: Timestamp) {
-        self.served.insert(job, now);
+        self.last_bound.insert(job, now);
     }
 
-    /// When a job that waits too long last had its turn; the beginning of time if it had none.
+    /// When a starved job was last served before the others; time zero if it never was.
     pub(super) fn last_boosted_at(&self, job: JobId) -> Timestamp {
-        let turn = self.turns.get(&job);
-        turn.copied().unwrap_or(Timestamp(0))
+        let boosted_at = self.last_boosts.get(&job);
+        boosted_at.copied().unwrap_or(Timestamp(0))
     }
 
-    /// A job that waits too long has its turn ahead of the others.
+    /// Records that a starved job is served before the others.
     pub(super) fn record_boost(&mut self, job: JobId, now: Timestamp) {
-        self.turns.insert(job, now);
+        self.last_boosts.insert(job, now);
     }
 
-    /// Whether tasks may be bound again.
+    /// Whether the next plan of bindings is due.
     pub(super) fn binding_due(&self, now: Timestamp) -> bool {
         now >= self.next_binding
     }
 
-    /// Tasks are bound now, and next after `pause_ms`.
+    /// Schedules the next plan of bindings `pause_ms` from now.
     pub(super) fn schedule_next_binding(&mut self, pause_ms: u64, now: Timestamp) {
         self.next_binding = now.plus(pause_ms);
     }
 
-    /// Whether tasks may be preempted again.
+    /// Whether the next plan of preemptions is due.
     pub(super) fn preemption_due(&self, now: Timestamp) -> bool {
         now >= self.next_preemption
     }
 
-    /// Tasks are preempted now, and next after `pause_ms`.
+    /// Schedules the next plan of preemptions `pause_ms` from now.
     pub(super) fn schedule_next_preemption(&mut self, pause_ms: u64, now: Timestamp) {
         self.next_preemption = now.plus(pause_ms);
     }
 
-    /// Forgets jobs whose indices may be given to other jobs.
+    /// Drops released jobs, whose indices may be reused.
     pub(super) fn forget_jobs(&mut self, released: &HashSet<JobId>) {
-        self.served.retain(|job, _| !released.contains(job));
-        self.turns.retain(|job, _| !released.contains(job));
+        self.last_bound.retain(|job, _| !released.contains(job));
+        self.last_boosts.retain(|job, _| !released.contains(job));
     }
 }
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -1,7 +1,8 @@
-//! The leader's changes of blocks: one write for everything that a block waits for.
+//! Writes the leader's changes to blocks, all changes to one block in one write.
 //!
-//! Each block is written on its own. A transaction over many blocks would fail as soon as one of
-//! their holders had recorded a completion in between, and the more blocks there are, the surer.
+//! Each block is written in its own transaction. A transaction over several blocks fails as soon as
+//! one of their holders records a completion in between, which becomes more likely with every
+//! block.
 
 use super::binding::BindPlan;
 use super::preemption::Preemptions;
@@ -16,11 +17,11 @@
 use std::collections::BTreeMap;
 use tracing::{debug, info};
 
-/// Part of the largest value up to which a block's queues may grow: its holder needs the rest
-/// for the tasks that are done.
+/// Fraction of the maximum value size that a block's queues may fill. The holder needs the rest to
+/// record done tasks.
 const MAX_QUEUE_FRACTION: f64 = 0.7;
 
-/// A block's next value, and what writing it does besides.
+/// The next value of a block and the intent of writing it.
 #[derive(Default)]
 pub(super) struct PlannedEdit {
     pub edit: BlockEdit,
@@ -28,8 +29,8 @@
 }
 
 impl PlannedEdit {
-    /// A block as it is.
-    fn of(id: BlockId, replica: &Replica) -> Self {
+    /// A block without changes.
+    fn unchanged(id: BlockId, replica: &Replica) -> Self {
         Self {
             edit: replica.edit(id),
             intent: WriteIntent::default(),
@@ -37,25 +38,25 @@
     }
 }
 
-/// The blocks that are to be written, each at most once.
+/// The blocks to be written, each at most once.
 #[derive(Default)]
 pub(super) struct PlannedEdits(BTreeMap<BlockId, PlannedEdit>);
 
 impl PlannedEdits {
-    /// Whether a block is to be written already.
+    /// Whether a change to this block is planned already.
     pub(super) fn contains(&self, id: BlockId) -> bool {
         self.0.contains_key(&id)
     }
 
-    /// What is planned for a block, which is as `replica` shows it if that is nothing yet.
+    /// The planned change of a block, which starts from the block's value in `replica`.
     pub(super) fn get_or_create(&mut self, id: BlockId, replica: &Replica) -> &mut PlannedEdit {
         self.0
             .entry(id)
-            .or_insert_with(|| PlannedEdit::of(id, replica))
+            .or_insert_with(|| PlannedEdit::unchanged(id, replica))
     }
 }
 
-/// Whether a block's value was written.
+/// Result of an attempt to write a block's value.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum BlockWrite {
     /// The transaction was submitted.
@@ -70,24 +71,26 @@
         self.may_plan(WriteKind::BlockEdit(id), now) && !self.writes.writes_block(id)
     }
 
-    /// Whether the leader may write a block ahead of its turn, for what others wait for.
+    /// Whether the leader may write a block before its regular write time, for work that others
+    /// wait for.
     fn is_writable_early(&self, id: BlockId, now: Timestamp) -> bool {
         self.may_plan_early(WriteKind::BlockEdit(id), now) && !self.writes.writes_block(id)
     }
 
-    /// Blocks whose key the leader may write now.
+    /// Blocks that the leader may write now.
     pub(super) fn writable_blocks(&self, now: Timestamp) -> HashSet<BlockId> {
         let all = self.replica.blocks.keys().copied();
         all.filter(|&id| self.is_writable(id, now)).collect()
     }
 
-    /// Blocks whose key the leader may write ahead of their turn.
+    /// Blocks that the leader may write before their regular write time.
     pub(super) fn blocks_writable_early(&self, now: Timestamp) -> HashSet<BlockId> {
         let all = self.replica.blocks.keys().copied();
         all.filter(|&id| self.is_writable_early(id, now)).collect()
     }
 
-    /// Puts machines into blocks, marks those that leave, drops those that are gone, binds tasks.
+    /// Plans and submits block writes: removes returned machines, marks leaving ones, places new
+    /// ones and binds tasks.
     pub(super) fn plan_edits(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if self.block_upkeep.grants_first(now) {
             return;
@@ -101,10 +104,10 @@
         for (id, planned) in edits.0 {
             self.write_block(id, planned, out);
         }
-        self.bind(&plan, now, out);
+        self.write_bindings(&plan, now, out);
     }
 
-    /// Writes a block, if its value is not too large for that.
+    /// Submits a block write unless the value would be too large.
     fn write_block(
         &mut self,
         id: BlockId,
@@ -114,12 +117,12 @@
         let PlannedEdit { edit, mut intent } = planned;
         let record = self.replica.seal(&edit);
         let mutation = put(&block_key(id), &record, None);
-        let part = match intent.binds.is_empty() {
+        let fraction = match intent.binds.is_empty() {
             true => 1.0,
             false => MAX_QUEUE_FRACTION,
         };
-        let most = self.settings.value_bytes() as f64 * part;
-        if mutation.value_bytes() as f64 > most {
+        let max_bytes = self.settings.value_bytes() as f64 * fraction;
+        if mutation.value_bytes() as f64 > max_bytes {
             return BlockWrite::ValueFull;
         }
         intent.blocks = vec![id];
@@ -132,7 +135,7 @@
         BlockWrite::Submitted
     }
 
-    /// Takes machines whose return was answered out of their blocks.
+    /// Removes machines from their blocks once the cloud has answered their return.
     fn remove_returned_machines(&mut self, edits: &mut PlannedEdits, now: Timestamp) {
         let mut removed = Vec::new();
         for machine_id in self.leadership.inventory.returned() {
@@ -146,7 +149,7 @@
             info!(
                 machine = name,
                 tasks = machine.queue.len(),
-                "machine removed from its block: it is gone"
+                "removing returned machine from its block"
             );
             let planned = edits.get_or_create(machine.block, &self.replica);
             planned.edit.machines.remove(machine_id);
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Marks machines that are to be returned: they get no new tasks.
+    /// Marks machines that will be returned, so that they get no new tasks.
     fn mark_leaving_machines(&self, edits: &mut PlannedEdits, now: Timestamp) {
         for machine_id in self.leadership.scale_in.to_drain() {
             let Some(machine) = self.replica.machines.get(machine_id) else {
@@ -169,19 +172,20 @@
             let planned = edits.get_or_create(machine.block, &self.replica);
             if let Some(leaving) = planned.edit.machines.get_mut(machine_id) {
                 let machine = self.replica.names.machines.name(*machine_id);
-                info!(machine, "machine drains: it is to be returned");
+                info!(machine, "draining machine before its return");
                 leaving.leaving = true;
             }
         }
     }
 
-    /// Writes bindings and preemptions, each block by itself; what is too much for a block's value
-    /// is bound in part.
-    fn bind(&mut self, plan: &BindPlan, now: Timestamp, out: &mut Vec<Effect>) {
+    /// Writes bindings and preemptions, one write per block. If a block's value has no room for all
+    /// its bindings, only some are written.
+    fn write_bindings(&mut self, plan: &BindPlan, now: Timestamp, out: &mut Vec<Effect>) {
         for (id, bindings) in self.bindings_by_block(plan) {
-            // The plan binds nothing out of a block's turn but what may be.
-            let ahead_of_turn = !bindings.is_empty() && self.is_writable_early(id, now);
-            if ahead_of_turn || self.is_writable(id, now) {
+            // The plan contains only permitted bindings for blocks outside their regular write
+            // time.
+            let writable_early = !bindings.is_empty() && self.is_writable_early(id, now);
+            if writable_early || self.is_writable(id, now) {
                 self.bind_in_block(id, bindings, &plan.preemptions, now, out);
             }
         }
@@ -190,12 +194,12 @@
             debug!(
                 machine = self.replica.names.machines.name(*machine_id),
                 tasks = tasks.len(),
-                "preempting tasks for more pressing ones"
+                "preempting tasks for more urgent jobs"
             );
         }
     }
 
-    /// The planned bindings by block; none for a block that has only tasks to be stopped.
+    /// The planned bindings by block; empty for a block that has only preemptions.
     fn bindings_by_block(&self, plan: &BindPlan) -> BTreeMap<BlockId, Vec<PlannedBinding>> {
         let mut by_block: BTreeMap<BlockId, Vec<PlannedBinding>> = BTreeMap::new();
         for planned in &plan.bindings {
@@ -211,7 +215,7 @@
         by_block
     }
 
-    /// Writes as many of a block's bindings as its value has room for, the first ones.
+    /// Writes as many of a block's bindings as fit into its value, starting with the first.
     fn bind_in_block(
         &mut self,
         id: BlockId,
@@ -232,7 +236,7 @@
             debug!(
                 block = id.0,
                 tasks = bindings.len(),
-                "block value full: binding fewer tasks"
+                "block value is full, binding fewer tasks"
             );
             if bindings.is_empty() {
                 return;
@@ -241,17 +245,17 @@
         }
     }
 
-    /// A block with more tasks bound, and its preemptions marked.
+    /// A block with additional bindings and its preemptions marked.
     fn edit_with_bindings(
         &self,
         id: BlockId,
         bindings: &[PlannedBinding],
         preemptions: &Preemptions,
     ) -> PlannedEdit {
-        // An attempt is numbered by the revision at which it is bound: unbinding comes at a
-        // later one, so attempts of a task only grow.
+        // The attempt number is the revision at which the task is bound. Unbinding happens at a
+        // later revision, so the attempt numbers of a task only increase.
         let attempt = self.replica.latest();
-        let mut planned = PlannedEdit::of(id, &self.replica);
+        let mut planned = PlannedEdit::unchanged(id, &self.replica);
         let machines = &mut planned.edit.machines;
         for &PlannedBinding {
             machine,
--- a/src/leadership/block_sizes.rs
+++ b/src/leadership/block_sizes.rs
@@ -1,32 +1,33 @@
-//! How full blocks are, and which block takes a new machine. Pure: knows neither replica nor clock.
+//! Chooses the block for a new machine from the sizes of all blocks. Pure computation without
+//! access to the replica or the clock.
 
 use crate::replica::BlockId;
 use std::collections::BTreeMap;
 
-/// How many blocks there should be, and how much one holds.
+/// Limits on the number and size of blocks.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BlockRules {
-    /// Blocks that are filled before any has more than `machines_per_block` machines: one for each
+    /// Number of blocks to create before any block is filled up to `machines_per_block`: one per
     /// controller.
     pub min_blocks: usize,
-    /// Blocks that can be written twice a second together; there are more only for lack of room in
-    /// their values.
+    /// Number of blocks that can together be written twice a second. More are created only if the
+    /// values of the others have no room.
     pub target_blocks: usize,
-    /// Machines up to which a block is filled while there are fewer than `target_blocks`.
+    /// Number of machines up to which a block is filled while there are fewer than `target_blocks`.
     pub machines_per_block: usize,
-    /// Bytes that a block's machines may be expected to fill.
+    /// Maximum expected bytes of a block's machines in its value.
     pub max_expected_bytes: usize,
 }
 
-/// What a block holds.
+/// The size of a block.
 #[derive(Debug, Clone, Copy, Default)]
 struct BlockSize {
-    /// Bytes that its machines may come to fill in its value.
+    /// Bytes that its machines are expected to fill in its value when busy.
     expected_bytes: usize,
     machines: usize,
 }
 
-/// What all blocks hold, those included that are only being made.
+/// The sizes of all blocks, including those whose creation is in flight.
 #[derive(Debug)]
 pub(super) struct BlockSizes {
     rules: BlockRules,
@@ -34,7 +35,7 @@
 }
 
 impl BlockSizes {
-    /// No blocks yet.
+    /// Creates an empty set of blocks.
     pub(super) fn new(rules: BlockRules) -> Self {
         Self {
             rules,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// A block with so many machines, which may come to fill so many bytes.
+    /// Adds a block with this many machines and expected bytes.
     pub(super) fn insert(&mut self, id: BlockId, machines: usize, expected_bytes: usize) {
         let size = BlockSize {
             expected_bytes,
@@ -51,9 +52,10 @@
         self.sizes.insert(id, size);
     }
 
-    /// A block that a write in flight touches; it counts as full if nothing else is known of it.
+    /// Adds a block that is touched by a write in flight. It counts as full unless its size is
+    /// known.
     ///
-    /// Guards against blocks that are only being made: they would be made twice.
+    /// Prevents a block whose creation is in flight from being created twice.
     pub(super) fn insert_in_flight(&mut self, id: BlockId) {
         self.sizes.entry(id).or_insert(BlockSize {
             expected_bytes: usize::MAX / 2,
@@ -61,16 +63,16 @@
         });
     }
 
-    /// One more machine in a block.
+    /// Counts one more machine in a block.
     pub(super) fn add_machine(&mut self, id: BlockId, expected_bytes: usize) {
         let size = self.sizes.entry(id).or_default();
         size.expected_bytes += expected_bytes;
         size.machines += 1;
     }
 
-    /// The block for a machine that may come to fill `expected_bytes`: the smallest that may be
-    /// written now, or a new one. None if all that could take it have a write in flight.
-    pub(super) fn choose(
+    /// The block for a machine with `expected_bytes`: the smallest that may be written now, or a
+    /// new one. None if all suitable blocks have a write in flight.
+    pub(super) fn choose_block(
         &self,
         expected_bytes: usize,
         is_writable: impl Fn(BlockId) -> bool,
@@ -94,13 +96,12 @@
                 Some(id)
             }
             None if used >= rules.min_blocks => None,
-            _ => self.unused(is_writable),
+            _ => self.empty_or_new(is_writable),
         }
     }
 
-    /// A block without machines. One that a merge has emptied is used again before a new one is
-    /// made.
-    fn unused(&self, is_writable: impl Fn(BlockId) -> bool) -> Option<BlockId> {
+    /// A block without machines. Blocks emptied by a merge are reused before a new one is created.
+    fn empty_or_new(&self, is_writable: impl Fn(BlockId) -> bool) -> Option<BlockId> {
         let empty = self.sizes.iter().filter(|(_, size)| size.machines == 0);
         let mut emptied = empty.map(|(&id, _)| id).filter(|&id| is_writable(id));
         let mut free = (0..).map(BlockId).filter(|id| !self.sizes.contains_key(id));
--- a/src/leadership/block_sizes/tests.rs
+++ b/src/leadership/block_sizes/tests.rs
@@ -10,7 +10,7 @@
     max_expected_bytes: 100,
 };
 
-/// Blocks of so many machines and expected bytes, numbered from 0.
+/// Creates blocks with these machine counts and expected bytes, numbered from 0.
 fn blocks(sizes: &[(usize, usize)]) -> BlockSizes {
     let mut blocks = BlockSizes::new(RULES);
     for (id, &(machines, bytes)) in (0..).zip(sizes) {
@@ -19,9 +19,9 @@
     blocks
 }
 
-/// The block for a machine of ten bytes while these blocks have no write in flight.
+/// The block for a machine of ten bytes if only the blocks in `writable` may be written.
 fn choose(sizes: &[(usize, usize)], writable: &[u32]) -> Option<u32> {
-    let chosen = blocks(sizes).choose(10, |id| writable.contains(&id.0));
+    let chosen = blocks(sizes).choose_block(10, |id| writable.contains(&id.0));
     chosen.map(|id| id.0)
 }
 
@@ -58,8 +58,8 @@
 fn a_block_that_is_only_being_made_is_not_made_twice() {
     let mut sizes = blocks(&[(1, 10)]);
     sizes.insert_in_flight(BlockId(1));
-    assert_eq!(sizes.choose(10, |_| false), None);
+    assert_eq!(sizes.choose_block(10, |_| false), None);
     let mut sizes = blocks(&[]);
     sizes.insert_in_flight(BlockId(0));
-    assert_eq!(sizes.choose(10, |_| false), Some(BlockId(1)));
+    assert_eq!(sizes.choose_block(10, |_| false), Some(BlockId(1)));
 }
--- a/src/leadership/grant_observations.rs
+++ b/src/leadership/grant_observations.rs
@@ -1,39 +1,39 @@
-//! What the leader has seen of grants and of the controllers that hold them.
+//! Records which grants the leader has observed, and faults of the controllers that hold them.
 
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
 use crate::names::HostId;
 use crate::replica::{BlockId, Replica};
 
-/// A holder that does not reach its workers gets no more blocks for so long, ms.
+/// How long a holder that does not reach its workers gets no more blocks, ms.
 const AVOID_HOLDER_MS: u64 = 30_000;
-/// A controller counts as restarted once it has spoken in another incarnation than its grants
-/// name for so long, ms: what it says may lag behind its key by a message or two.
+/// A controller counts as restarted after it has been seen in another incarnation than its grants
+/// name for this long, ms: its messages may lag behind its key by one or two.
 const RESTART_CONFIRMED_MS: u64 = 1500;
-/// Least time from one move of a block to the next that evens out the load of holders, ms.
+/// Minimum interval between two grants that rebalance the load, ms.
 const REBALANCE_INTERVAL_MS: u64 = 6000;
 
-/// A grant, and since when this leader knows it.
+/// A grant, and since when this leader has known it.
 #[derive(Debug, Clone, Copy)]
 struct ObservedGrant {
-    /// Its fencing token.
+    /// The fencing token of the grant.
     mod_revision: u64,
     since: Timestamp,
 }
 
-/// Grants and holders as seen in this term.
+/// Grants and holders as observed in this term.
 #[derive(Debug, Default)]
 pub(super) struct GrantObservations {
     grants: HashMap<BlockId, ObservedGrant>,
     /// Until when controllers that do not reach their workers get no more blocks.
     avoid_until: HashMap<HostId, Timestamp>,
-    /// Since when a controller speaks in another incarnation than its grants name.
+    /// Since when each controller has been seen in another incarnation than its grants name.
     restarted_since: HashMap<HostId, Timestamp>,
     next_rebalance: Timestamp,
 }
 
 impl GrantObservations {
-    /// Records which grants there are.
+    /// Records the current grants.
     pub(super) fn observe_grants(&mut self, replica: &Replica, now: Timestamp) {
         for (&block, grant) in &replica.grants {
             let current = ObservedGrant {
@@ -47,14 +47,15 @@
         }
     }
 
-    /// Milliseconds for which a block's last seen grant has been known; zero if none was seen.
+    /// Milliseconds for which the last observed grant of a block has been known; 0 if none was
+    /// observed.
     pub(super) fn held_for_ms(&self, block: BlockId, now: Timestamp) -> u64 {
         let seen = self.grants.get(&block);
         seen.map_or(0, |grant| now.since(grant.since))
     }
 
-    /// Milliseconds for which a block's grant with this fencing token has been known; none if it
-    /// has not been seen yet.
+    /// Milliseconds for which the grant with this fencing token has been known; none if it has not
+    /// been observed yet.
     pub(super) fn known_for_ms(
         &self,
         block: BlockId,
@@ -66,7 +67,7 @@
         seen.map(|grant| now.since(grant.since))
     }
 
-    /// Drops controllers that are to be avoided from `holders`, unless no other is left.
+    /// Removes avoided controllers from `holders`, unless that would leave none.
     pub(super) fn exclude_avoided(&mut self, holders: &mut Vec<HostId>, now: Timestamp) {
         self.avoid_until.retain(|_, until| now < *until);
         let avoided = |host: &HostId| self.avoid_until.contains_key(host);
@@ -75,13 +76,13 @@
         }
     }
 
-    /// A controller does not reach its workers: it gets no more blocks for a while.
+    /// Excludes a controller that does not reach its workers from new grants for a while.
     pub(super) fn avoid(&mut self, holder: HostId, now: Timestamp) {
         self.avoid_until.insert(holder, now.plus(AVOID_HOLDER_MS));
     }
 
-    /// Records the controllers that speak in another incarnation than their grants name, and
-    /// returns those that have done so for long enough.
+    /// Records the controllers that run in another incarnation than their grants name, and returns
+    /// those that have done so for long enough.
     pub(super) fn observe_restarted(
         &mut self,
         restarted: &HashSet<HostId>,
@@ -98,12 +99,12 @@
         confirmed.map(|(&host, _)| host).collect()
     }
 
-    /// Whether the load of holders may be evened out again.
+    /// Whether a rebalancing grant is due.
     pub(super) fn rebalance_due(&self, now: Timestamp) -> bool {
         now >= self.next_rebalance
     }
 
-    /// The load of holders is evened out now.
+    /// Schedules the next rebalancing grant.
     pub(super) fn schedule_next_rebalance(&mut self, now: Timestamp) {
         self.next_rebalance = now.plus(REBALANCE_INTERVAL_MS);
     }
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -1,8 +1,9 @@
-//! Which controller holds which block.
+//! Assigns blocks to controllers.
 //!
-//! A grant is one key of the store, and its revision is the block's fencing token. The leader
-//! must not grant a block on suspicion alone while it has just started, nor on its own word: a
-//! silent holder must be silent to others too.
+//! A grant is one key in the store, and the key's revision is the block's fencing token. A leader
+//! that has just started must not grant a block because its holder appears silent, and it must
+//! never rely on its own observation alone: a silent holder must be silent to other controllers as
+//! well.
 
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
@@ -13,11 +14,12 @@
 use crate::replica::{BlockId, Holder, Replica, grant_key};
 use tracing::info;
 
-/// Least age of a grant that is renewed because a worker has restarted, ms.
+/// Minimum age of a grant before it is renewed because a worker has restarted, ms.
 const MIN_REGRANT_AGE_MS: u64 = 3000;
-/// Time beyond the silence of a peer that a new leader waits before it acts on what is missing, ms.
+/// Time beyond the silence timeout of peers that a new leader waits before it acts on missing
+/// messages, ms.
 const TERM_GRACE_MS: u64 = 500;
-/// Most grants in a transaction while the store refuses some for lack of budget.
+/// Maximum number of grants in a transaction while the store rejects writes for lack of budget.
 const MAX_GRANTS_WHEN_RATE_LIMITED: usize = 3;
 
 /// Why a block is granted.
@@ -34,16 +36,16 @@
 }
 
 impl GrantReason {
-    /// As it stands in the log.
+    /// The reason's text in the log.
     fn as_str(self) -> &'static str {
         match self {
             GrantReason::Unheld => "no holder",
             GrantReason::HolderReplaced => "holder replaced",
             GrantReason::HolderSilent => "holder silent",
-            GrantReason::HolderRefusedByStore => "store refuses the holder alone",
+            GrantReason::HolderRefusedByStore => "holder cannot reach the store",
             GrantReason::HolderRestarted => "holder restarted",
             GrantReason::WorkerRestarted => "worker restarted",
-            GrantReason::HolderUnreachable => "holder unreachable for its workers",
+            GrantReason::HolderUnreachable => "holder unreachable by its workers",
             GrantReason::Rebalance => "rebalanced",
         }
     }
@@ -57,7 +59,7 @@
     }
 }
 
-/// A grant that is to be made.
+/// A grant to be written.
 #[derive(Debug, Clone, Copy)]
 struct PlannedGrant {
     block: BlockId,
@@ -65,34 +67,34 @@
     reason: GrantReason,
 }
 
-/// Controllers that may hold blocks, and how much each holds.
+/// The controllers that may hold blocks, and the load of each holder.
 struct HolderLoads {
-    /// In the order of their indices.
+    /// Sorted by index.
     usable: Vec<HostId>,
-    /// Blocks and machines held.
-    held: HashMap<HostId, usize>,
+    /// Load by holder, as the sum of [`block_weight`] over its blocks.
+    loads: HashMap<HostId, usize>,
 }
 
 impl HolderLoads {
     fn new(usable: Vec<HostId>, replica: &Replica) -> Self {
-        let mut held: HashMap<HostId, usize> = HashMap::default();
+        let mut loads: HashMap<HostId, usize> = HashMap::default();
         for (id, grant) in &replica.grants {
             if let Some(block) = replica.blocks.get(id) {
-                *held.entry(grant.host).or_default() += block_weight(block.machines.len());
+                *loads.entry(grant.host).or_default() += block_weight(block.machines.len());
             }
         }
-        Self { usable, held }
+        Self { usable, loads }
     }
 
     fn load_of(&self, host: HostId) -> usize {
-        self.held.get(&host).copied().unwrap_or(0)
+        self.loads.get(&host).copied().unwrap_or(0)
     }
 
-    fn add(&mut self, host: HostId, weight: usize) {
-        *self.held.entry(host).or_default() += weight;
+    fn add_load(&mut self, host: HostId, weight: usize) {
+        *self.loads.entry(host).or_default() += weight;
     }
 
-    /// The usable controller that holds least, `except` left aside.
+    /// The usable controller with the lowest load, excluding `except`.
     fn least_loaded_except(&self, except: Option<HostId>) -> Option<HostId> {
         let usable = self.usable.iter().copied();
         let others = usable.filter(|&host| Some(host) != except);
@@ -105,27 +107,29 @@
     }
 }
 
-/// What a block counts for in the load of its holder.
+/// The load that a block adds to its holder.
 fn block_weight(machines: usize) -> usize {
     machines + 1
 }
 
-/// Holders that do not do their duty although their keys are there.
+/// Holders that do not serve their blocks although their keys exist.
 struct HolderFaults {
-    /// Controllers that speak in another incarnation than their grants name, for a while already.
+    /// Controllers that have been running in another incarnation than their grants name for long
+    /// enough.
     restarted: HashSet<HostId>,
-    /// Blocks whose holder does not answer its workers, with the controller that hears them.
+    /// Blocks whose holder does not answer its workers, with the controller that receives their
+    /// heartbeats.
     unreachable: HashMap<BlockId, HostId>,
 }
 
 impl Controller {
-    /// Whether this controller has peer_silence_is_conclusive for long enough to call another one silent. Hearing
-    /// goes on whoever leads, so a new leader that has been up for a while need not wait.
+    /// Whether this controller has listened long enough to call a peer silent. Controllers listen
+    /// whether or not they lead, so a new leader that has been running for a while need not wait.
     pub(crate) fn peer_silence_is_conclusive(&self, now: Timestamp) -> bool {
         now.since(self.pauses.started_at(now)) > self.peers.settling_ms()
     }
 
-    /// Whether this leader's term has lasted for so long that what it misses is really missing.
+    /// Whether this leader's term has lasted long enough that missing messages mean failures.
     pub(crate) fn grace_period_over(&self, now: Timestamp) -> bool {
         now.since(self.leadership.term_started_at) > self.peers.silent_ms() + TERM_GRACE_MS
     }
@@ -146,7 +150,7 @@
             || (!self.peer_silence_is_conclusive(now) && !self.peers.is_known(host))
     }
 
-    /// Grants blocks that nobody holds, or whose holder is gone or silent, and evens them out.
+    /// Plans grants for blocks without a working holder, or one grant that rebalances the load.
     pub(super) fn plan_grants(&mut self, now: Timestamp) -> Option<Transaction> {
         let usable = self.usable_controllers(now);
         if usable.is_empty() {
@@ -161,17 +165,17 @@
         if grants.is_empty() {
             return None;
         }
-        // While the budget of changes is short, a transaction of many finds room last of all.
-        let most = self.settings.platform.settings.state.txn_ops;
+        // While the write budget is short, large transactions are the last to be admitted.
+        let max_grants = self.settings.platform.settings.state.txn_ops;
         grants.truncate(match self.refused_lately(now) {
             true => MAX_GRANTS_WHEN_RATE_LIMITED,
-            false => most,
+            false => max_grants,
         });
         self.avoid_unreachable_holders(&grants, now);
         self.grant_transaction(&grants)
     }
 
-    /// Controllers that may be granted blocks, in the order of their indices.
+    /// Controllers that may be granted blocks, sorted by index.
     fn usable_controllers(&mut self, now: Timestamp) -> Vec<HostId> {
         let live = self.replica.live_controllers.keys().copied();
         let usable = live.filter(|&host| self.is_eligible_holder(host, now));
@@ -196,7 +200,7 @@
         }
     }
 
-    /// Grants of blocks that need another holder, or a new fencing token.
+    /// Grants for blocks that need another holder or a new fencing token.
     fn grants_due(
         &self,
         holders: &mut HolderLoads,
@@ -216,7 +220,7 @@
                 .or(reachable_by_workers)
                 .or_else(|| holders.least_loaded_except(holder));
             let Some(to) = to else { continue };
-            holders.add(to, block_weight(block.machines.len()));
+            holders.add_load(to, block_weight(block.machines.len()));
             grants.push(PlannedGrant {
                 block: id,
                 to,
@@ -226,7 +230,7 @@
         grants
     }
 
-    /// Why a block is to be granted; none while its grant is as it should be.
+    /// Why a block must be granted again; none if its current grant is valid.
     fn grant_reason(
         &self,
         block: BlockId,
@@ -262,11 +266,12 @@
         unreachable.then_some(GrantReason::HolderUnreachable)
     }
 
-    /// Whether the worker of some machine of a block has restarted. Old copies of heartbeats of
-    /// its earlier epoch could pass for new ones for as long as the fencing token is the same.
+    /// Whether the worker of some machine in a block has restarted. While the fencing token stays
+    /// the same, delayed duplicates of heartbeats from the worker's earlier epoch could be taken
+    /// for new ones.
     fn has_restarted_worker(&self, block: BlockId, grant: &Holder, now: Timestamp) -> bool {
-        // A grant that was not there at the last look is new: what is known of its machines is
-        // older.
+        // A grant that was missing in the last observation is new, so the facts known about its
+        // machines are older than it.
         let seen = &self.leadership.grants;
         let known_ms = seen.known_for_ms(block, grant.mod_revision, now);
         if known_ms.is_none_or(|known_ms| known_ms <= MIN_REGRANT_AGE_MS) {
@@ -280,8 +285,8 @@
         block.is_some_and(|block| block.machines.iter().any(restarted))
     }
 
-    /// A block of the controller that holds most, for the one that holds least: the one whose
-    /// move comes closest to halving their difference.
+    /// Moves a block from the most to the least loaded controller: the one whose move comes closest
+    /// to halving their difference in load.
     fn rebalancing_grant(&mut self, holders: &HolderLoads, now: Timestamp) -> Option<PlannedGrant> {
         if !self.leadership.grants.rebalance_due(now) || !self.grace_period_over(now) {
             return None;
@@ -306,7 +311,7 @@
         })
     }
 
-    /// Holders that do not reach their workers get no more blocks for a while.
+    /// Excludes holders that do not reach their workers from new grants for a while.
     fn avoid_unreachable_holders(&mut self, grants: &[PlannedGrant], now: Timestamp) {
         for grant in grants {
             let holder = self.replica.grants.get(&grant.block);
--- a/src/leadership/machine_placement.rs
+++ b/src/leadership/machine_placement.rs
@@ -80,7 +80,7 @@
             let zone = names.zones.intern(&new.zone);
             let bytes = self.expected_bytes(machine_type);
             let is_writable = |id| edits.contains(id) || writable.contains(&id);
-            let Some(block) = sizes.choose(bytes, is_writable) else {
+            let Some(block) = sizes.choose_block(bytes, is_writable) else {
                 // It waits until a block may be written, and so do all after it.
                 break;
             };
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -1,8 +1,8 @@
-//! The leader's duties: grants, machines in and out of blocks, bindings, scaling.
+//! Leader duties: block grants, block membership, task bindings and scaling.
 //!
-//! [`LeaderState`] is what a leader remembers of its term, one part for each duty. Whatever a
-//! leader writes carries the precondition that it still leads; nothing here may act on what an
-//! earlier term remembered.
+//! [`LeaderState`] holds the leader's state for one term, one field per duty. Every leader write
+//! carries the precondition that this controller still leads. State from an earlier term must never
+//! be used.
 
 mod archiving;
 mod binding;
@@ -44,17 +44,17 @@
 use scale_in::ScaleIn;
 use tracing::info;
 
-/// Interval at which the leader takes stock of machines and grants, ms.
+/// Interval between two observations of machines and grants, ms.
 const OBSERVATION_INTERVAL_MS: u64 = 400;
 
-/// What a leader remembers of one term. A successor finds all of it out again, so nothing that
-/// must outlive the term may be kept here.
+/// State of one leader term. It is lost on failover and rebuilt by the next leader, so nothing that
+/// must outlive the term may be stored here.
 #[derive(Debug, Default)]
 pub(crate) struct LeaderState {
     term: Option<Term>,
-    /// When this controller began to lead.
+    /// When this controller became leader.
     term_started_at: Timestamp,
-    /// Since when the present leader seems to be gone.
+    /// Since when the current leader has appeared to be gone.
     leader_gone_since: Option<Timestamp>,
     machines: MachineObservations,
     grants: GrantObservations,
@@ -62,14 +62,14 @@
     rent: RentalRequests,
     scale_in: ScaleIn,
     binding_schedule: BindingSchedule,
-    /// The change of the replica after which no waiting job was ready.
+    /// Version of the replica at which no waiting job was ready.
     none_ready_at_version: Option<u64>,
     next_observation: Timestamp,
     next_archive: Timestamp,
 }
 
 impl LeaderState {
-    /// The state at the beginning of a term.
+    /// Creates the state for a new term.
     fn new(term: Term, now: Timestamp) -> Self {
         Self {
             term: Some(term),
@@ -78,12 +78,13 @@
         }
     }
 
-    /// Forgets jobs whose indices may be given to other jobs.
+    /// Drops state of released jobs, whose indices may be reused.
     pub(crate) fn forget_jobs(&mut self, released: &HashSet<JobId>) {
         self.binding_schedule.forget_jobs(released);
     }
 
-    /// For how long the leader has been `gone` without a break, ms.
+    /// Milliseconds for which the leader has been `gone` without interruption; none if it is not
+    /// gone.
     pub(crate) fn leader_gone_for_ms(&mut self, gone: bool, now: Timestamp) -> Option<u64> {
         if !gone {
             self.leader_gone_since = None;
@@ -94,7 +95,7 @@
 }
 
 impl Controller {
-    /// Does what the leader has to do, one transaction at a time.
+    /// Runs the leader's periodic work. At most one leader-only transaction is in flight at a time.
     pub(crate) fn tick_leader(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         let Some(term) = self.update_term(now) else {
             return;
@@ -107,7 +108,7 @@
         if self.may_plan(WriteKind::LeaderWrite, now)
             && let Some((mut transaction, intent)) = self.plan_leader_write(now)
         {
-            // Guards against a write of a leader that another one has replaced.
+            // Rejects the write if another controller has become leader in the meantime.
             transaction.preconditions.push(self.precondition(LEAD));
             self.writes
                 .submit(WriteKind::LeaderWrite, transaction, intent, out);
@@ -115,8 +116,8 @@
         self.plan_edits(now, out);
     }
 
-    /// The term in which this controller leads; none if it does not. What was remembered of an
-    /// earlier term is forgotten.
+    /// Returns the term in which this controller leads, or none if it does not lead. Resets the
+    /// leader state when the term changes.
     fn update_term(&mut self, now: Timestamp) -> Option<Term> {
         let term = self.leads().map(|leader| Term(leader.mod_revision));
         match term {
@@ -125,7 +126,7 @@
                 self.leadership = LeaderState::default();
             }
             Some(term) if self.leadership.term != Some(term) => {
-                info!(term = term.0, "leader term begins");
+                info!(term = term.0, "leader term started");
                 self.leadership = LeaderState::new(term, now);
             }
             _ => {}
@@ -133,7 +134,7 @@
         term
     }
 
-    /// The most pressing of the writes that only a leader may make.
+    /// Plans the highest-priority transaction among those that only the leader may write.
     fn plan_leader_write(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
         let without_intent = |transaction| (transaction, WriteIntent::default());
         self.plan_grants(now)
@@ -147,7 +148,8 @@
             .or_else(|| self.plan_catalog().map(without_intent))
     }
 
-    /// Number of tasks on a machine as its last heartbeat to this controller shows.
+    /// Number of tasks in a machine's last heartbeat to this controller; 0 if this controller does
+    /// not hold the machine.
     pub fn reported_task_count(&self, machine_id: MachineId) -> usize {
         let runtime = self.held.get(machine_id);
         runtime.map_or(0, |runtime| runtime.task_count())
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -1,7 +1,7 @@
-//! Preemption: running tasks that are stopped to make room for more pressing ones.
+//! Selects running tasks to preempt in favour of more urgent jobs.
 //!
-//! Only chooses the tasks. Their machines' holders stop them once `block_edits` has marked them in
-//! the blocks' values; nothing is unbound here.
+//! Only selects the tasks. `block_edits` marks them in the blocks' values, after which the holders
+//! of their machines stop them; nothing is unbound here.
 
 use super::job_order::{Rank, Tier};
 use crate::clock::Timestamp;
@@ -13,24 +13,25 @@
 use crate::replica::{Binding, Machine};
 use std::cmp::Ordering;
 
-/// Jobs for which tasks may be stopped at a time.
+/// Maximum number of jobs for which one plan preempts tasks.
 const MAX_PREEMPTORS: usize = 30;
-/// Most slack of a job for which tasks may be stopped, seconds.
+/// Maximum slack of a job for which tasks may be preempted, seconds.
 const MAX_PREEMPTOR_SLACK_S: f64 = 60.0;
-/// Part of the CPUs of all tasks that may be stopped at all that one plan may stop.
+/// Fraction of the CPUs of all preemptible tasks that one plan may preempt.
 const MAX_PREEMPTED_FRACTION: f64 = 0.1;
-/// Longest task that may be stopped, seconds. Long tasks decide when everything is done: they run
-/// through.
+/// Tasks with an expected run time of this or more are never preempted, seconds. Long tasks
+/// determine when all work is done, so they run to completion.
 const MAX_VICTIM_RUN_S: f64 = 60.0;
-/// By how much a stopped task's job must have more slack, seconds, besides half of its run time.
+/// Slack that a victim's job must have beyond the preemptor's, in addition to half the victim's run
+/// time, seconds.
 const SLACK_MARGIN_S: f64 = 30.0;
-/// What a task that asks for next to no CPU counts for.
+/// Minimum CPUs that a task counts for, against division by zero.
 const MIN_TASK_CPUS: f64 = 1e-3;
 
-/// Tasks to be stopped, by machine.
+/// Tasks to preempt, by machine.
 pub(super) type Preemptions = HashMap<MachineId, Vec<Binding>>;
 
-/// A job with unbound tasks for which others may be stopped.
+/// A job with unbound tasks for which other tasks may be preempted.
 struct Preemptor<'a> {
     candidate: &'a Candidate,
     priority: Priority,
@@ -43,9 +44,8 @@
         self.candidate.needs.room.cpus.max(MIN_TASK_CPUS)
     }
 
-    /// Whether a task is so much less pressing that it may be stopped for this job. Its job must
-    /// clearly have more time left, or be late beyond help, so that nothing is stopped and started
-    /// in circles.
+    /// Whether a task may be preempted for this job. The victim's job must have clearly more slack,
+    /// or be too late to meet its deadline, so that tasks do not preempt each other in turn.
     fn may_preempt(&self, victim: &Victim) -> bool {
         let least_slack_s = self.slack_s.max(0.0) + SLACK_MARGIN_S + 0.5 * victim.run_s;
         victim.priority > self.priority
@@ -53,17 +53,17 @@
     }
 }
 
-/// What stands in the way of a pressing job.
+/// The resource that a preemptor lacks.
 #[derive(Clone, Copy, PartialEq)]
 enum Shortage {
     /// Its team's limit: only tasks of the same team make room.
     TeamLimit,
-    /// The machines are full: tasks of any team make room on machines that suit it.
+    /// Free machines: tasks of any team make room on machines that suit the job.
     Machines,
 }
 
-/// CPUs of tasks that were marked by an earlier plan: they come free soon and are not asked for
-/// again.
+/// CPUs of tasks marked for preemption by an earlier plan. They will be free soon and are not
+/// requested again.
 #[derive(Default)]
 struct CpusBeingFreed {
     by_team: HashMap<TeamId, f64>,
@@ -71,15 +71,16 @@
 }
 
 impl CpusBeingFreed {
-    /// CPUs that must still be freed for a pressing job whose team may use so many more.
-    fn missing(&mut self, job: &Preemptor, team_cpus: f64, shortage: Shortage) -> f64 {
+    /// CPUs that must still be freed for a job whose team may use `team_cpus` more. Uses up the
+    /// CPUs that are being freed.
+    fn missing_cpus(&mut self, job: &Preemptor, team_cpus: f64, shortage: Shortage) -> f64 {
         let wanted = job.candidate.tasks.len() as f64 * job.task_cpus();
-        let incoming = match shortage {
+        let being_freed = match shortage {
             Shortage::TeamLimit => self.by_team.entry(job.candidate.team).or_default(),
             Shortage::Machines => &mut self.all,
         };
-        let used = incoming.min(wanted);
-        *incoming -= used;
+        let used = being_freed.min(wanted);
+        *being_freed -= used;
         match shortage {
             Shortage::TeamLimit => wanted - used - team_cpus.max(0.0),
             Shortage::Machines => wanted.min(team_cpus) - used,
@@ -87,7 +88,7 @@
     }
 }
 
-/// A task that may be stopped.
+/// A task that may be preempted.
 #[derive(Clone, Copy)]
 struct Victim {
     machine: MachineId,
@@ -100,7 +101,8 @@
 }
 
 impl Victim {
-    /// Those whose jobs have most time left come first, of one job the latest bound ones.
+    /// Orders tasks by descending slack of their jobs; within a job, the most recently bound come
+    /// first.
     fn compare(&self, other: &Victim) -> Ordering {
         let by_slack = other.rank.order_s.total_cmp(&self.rank.order_s);
         by_slack
@@ -110,7 +112,7 @@
 }
 
 impl Controller {
-    /// Chooses tasks to be stopped, unless that was done a moment ago.
+    /// Selects tasks to preempt if a plan is due.
     pub(super) fn plan_due_preemptions(
         &mut self,
         candidates: &[Candidate],
@@ -130,17 +132,17 @@
         preemptions
     }
 
-    /// Chooses tasks to be stopped for pressing jobs that found no room: less urgent ones that
-    /// save their progress, of the same team where the team's limit stands in the way, of any
-    /// team where the machines are full.
+    /// Selects tasks to preempt for urgent jobs that found no room. Victims have a lower priority
+    /// and save checkpoints. They belong to the same team if the team's limit is the shortage, and
+    /// to any team if the machines are full.
     fn plan_preemptions(
         &self,
         candidates: &[Candidate],
         team_room: &HashMap<TeamId, Room>,
     ) -> Preemptions {
         let mut preemptions = Preemptions::default();
-        let pressing = self.preemptors(candidates);
-        if pressing.is_empty() {
+        let preemptors = self.preemptors(candidates);
+        if preemptors.is_empty() {
             return preemptions;
         }
         let mut victims = self.victims();
@@ -149,8 +151,8 @@
         let mut budget_cpus = options
             .evict_cpus
             .max(preemptible_cpus * MAX_PREEMPTED_FRACTION);
-        let mut incoming = self.cpus_being_freed();
-        for job in pressing {
+        let mut being_freed = self.cpus_being_freed();
+        for job in preemptors {
             if budget_cpus <= 0.0 || victims.is_empty() {
                 break;
             }
@@ -158,33 +160,33 @@
             let team_cpus = team_room.get(&team).map_or(0.0, |room| room.cpus);
             let shortage = match team_cpus + ROOM_TOLERANCE < job.task_cpus() {
                 true => Shortage::TeamLimit,
-                // Where the whole fleet is full, only urgent work may push others out: otherwise the
-                // same lack moves from class to class, with stops and fetches on top.
+                // When the whole fleet is full, only urgent work may preempt other tasks. Otherwise
+                // the shortage would move from class to class and cost extra stops and fetches.
                 false if job.priority > Priority::Urgent => continue,
                 false => Shortage::Machines,
             };
-            let mut missing_cpus = incoming.missing(&job, team_cpus, shortage);
+            let mut missing_cpus = being_freed.missing_cpus(&job, team_cpus, shortage);
             victims.retain(|victim| {
-                let evicted = missing_cpus > ROOM_TOLERANCE
+                let preempted = missing_cpus > ROOM_TOLERANCE
                     && budget_cpus > 0.0
                     && job.may_preempt(victim)
                     && match shortage {
                         Shortage::TeamLimit => victim.team == team,
                         Shortage::Machines => self.suits(victim.machine, &job.candidate.needs),
                     };
-                if evicted {
+                if preempted {
                     missing_cpus -= victim.cpus;
                     budget_cpus -= victim.cpus;
                     let tasks = preemptions.entry(victim.machine).or_default();
                     tasks.push(victim.binding);
                 }
-                !evicted
+                !preempted
             });
         }
         preemptions
     }
 
-    /// Jobs that found no room and have little time left, most pressing first.
+    /// Jobs that found no room and have little slack, in serving order.
     fn preemptors<'a>(&self, candidates: &'a [Candidate]) -> Vec<Preemptor<'a>> {
         let waiting = candidates
             .iter()
@@ -193,8 +195,9 @@
             .filter_map(|candidate| {
                 let job = self.replica.jobs.get(&candidate.job)?;
                 let rank = self.rank(candidate.job, job);
-                let pressing = rank.tier <= Tier::InTime && rank.order_s <= MAX_PREEMPTOR_SLACK_S;
-                pressing.then(|| Preemptor {
+                let is_preemptor =
+                    rank.tier <= Tier::InTime && rank.order_s <= MAX_PREEMPTOR_SLACK_S;
+                is_preemptor.then(|| Preemptor {
                     candidate,
                     priority: self.priority_of(candidate.job, job),
                     slack_s: rank.order_s,
@@ -204,20 +207,20 @@
             .collect()
     }
 
-    /// CPUs of the tasks that are marked to be stopped.
+    /// CPUs of the tasks that are marked for preemption.
     fn cpus_being_freed(&self) -> CpusBeingFreed {
-        let mut incoming = CpusBeingFreed::default();
+        let mut being_freed = CpusBeingFreed::default();
         let machines = self.replica.machines.values();
         for binding in machines.flat_map(|machine| &machine.evict) {
             if let Some(job) = self.replica.jobs.get(&binding.task.job) {
-                *incoming.by_team.entry(job.team).or_default() += job.spec.cpus;
-                incoming.all += job.spec.cpus;
+                *being_freed.by_team.entry(job.team).or_default() += job.spec.cpus;
+                being_freed.all += job.spec.cpus;
             }
         }
-        incoming
+        being_freed
     }
 
-    /// Whether a machine suits a job's tasks, its room aside.
+    /// Whether a machine is suitable for a job's tasks, regardless of its free room.
     fn suits(&self, machine: MachineId, needs: &Needs) -> bool {
         let Some(machine) = self.replica.machines.get(&machine) else {
             return false;
@@ -228,7 +231,7 @@
         })
     }
 
-    /// Tasks that may be stopped at all, those whose jobs have most time left first.
+    /// All preemptible tasks, those of the jobs with the most slack first.
     fn victims(&self) -> Vec<Victim> {
         let mut by_job: HashMap<JobId, Option<Victim>> = HashMap::default();
         let mut victims: Vec<Victim> = Vec::new();
@@ -252,7 +255,7 @@
         victims
     }
 
-    /// A bound task as one that may be stopped; none if its job's tasks may not be.
+    /// A bound task as a victim; none if tasks of its job must not be preempted.
     fn victim(&self, machine: MachineId, binding: Binding) -> Option<Victim> {
         let job_id = binding.task.job;
         let job = self.replica.jobs.get(&job_id)?;
@@ -272,7 +275,7 @@
     }
 }
 
-/// Bound tasks of a machine that are not marked to be stopped yet.
+/// Bound tasks of a machine that are not marked for preemption.
 fn unmarked_bindings(machine: &Machine) -> impl Iterator<Item = &Binding> {
     let queue = machine.queue.iter();
     queue.filter(|binding| !machine.evict.contains(binding))
