--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -1,7 +1,7 @@
-//! Jobs that are over: recorded as such, and moved out of the watched keys into the archive.
+//! Records the final state of jobs and moves finished jobs from the watched keys into the archive.
 //!
-//! Only plans transactions. A job's own key decides whether it is done or cancelled; nothing here
-//! may touch a job that a block still mentions.
+//! Only plans transactions. A job's own key decides whether it is done or cancelled. A job must not
+//! be archived while a block still mentions it.
 
 use crate::clock::Timestamp;
 use crate::collections::HashSet;
@@ -13,35 +13,35 @@
 use crate::records::JobRecord;
 use crate::replica::{Job, job_key, past_key};
 
-/// Most jobs that are archived in one transaction.
+/// Maximum number of jobs archived in one transaction.
 const MAX_ARCHIVED_AT_ONCE: usize = 4;
-/// Longest time between two transactions that archive, ms.
+/// Maximum interval between two archiving transactions, ms.
 const MAX_ARCHIVE_INTERVAL_MS: u64 = 4000;
-/// Shortest time between two transactions that archive, ms.
+/// Minimum interval between two archiving transactions, ms.
 const MIN_ARCHIVE_INTERVAL_MS: u64 = 500;
-/// Jobs to be archived that make the rate of these transactions grow by the least rate, while no
-/// job waits to run.
+/// Number of archivable jobs that adds one base rate to the rate of archiving transactions while no
+/// job waits to run. The base rate is one transaction per maximum interval.
 const JOBS_PER_RATE_STEP_WHEN_IDLE: u64 = 10;
 /// The same while jobs wait to run.
 const JOBS_PER_RATE_STEP_WHEN_BUSY: u64 = 50;
-/// Bytes that a mutation and its precondition take besides the value.
+/// Bytes of a mutation and its precondition in addition to the value.
 const MUTATION_OVERHEAD_BYTES: usize = 100;
 
-/// A job that is over and leaves the watched keys.
+/// A job in a final state that leaves the watched keys.
 pub(super) struct ArchivableJob {
-    /// The job.
+    /// Index of the job's name.
     pub job: JobId,
-    /// The watched key under which it stands.
+    /// The watched key of the job.
     pub key: String,
-    /// The value to be archived.
+    /// The value to archive.
     pub record: JobRecord,
 }
 
 impl Controller {
-    /// Records the end of jobs whose tasks are all done. Blocks show that first, and what is done
-    /// stays done: the job's own key decides between this and a cancellation.
+    /// Records the final state of jobs whose tasks are all done. Blocks show that first, and a done
+    /// task stays done. The job's own key decides between this write and a cancellation.
     pub(super) fn plan_finished_jobs(&self) -> Option<Transaction> {
-        let most = self.settings.platform.settings.state.txn_ops;
+        let max_jobs = self.settings.platform.settings.state.txn_ops;
         let reported = self.reported_done();
         let nothing = RangeSet::new();
         let mut done: Vec<JobId> = reported
@@ -50,12 +50,12 @@
             .map(|(&job_id, _)| job_id)
             .collect();
         done.extend(self.replica.complete());
-        // What others wait for goes first.
+        // Jobs with dependents come first.
         done.sort_by_key(|&job_id| (!self.replica.dependencies.is_needed(job_id), job_id));
         done.dedup();
         let mut transaction = Transaction::default();
         let mut bytes = 0;
-        for job_id in done.into_iter().take(most) {
+        for job_id in done.into_iter().take(max_jobs) {
             let tasks = reported.get(&job_id).unwrap_or(&nothing);
             let Some(mutation) = self.job_change(job_id, tasks) else {
                 continue;
@@ -72,7 +72,7 @@
         (!transaction.mutations.is_empty()).then_some(transaction)
     }
 
-    /// Whether a job that is not over is done once these tasks of it count as done.
+    /// Whether an unfinished job is done once these additional tasks count as done.
     fn is_done_with(&self, job_id: JobId, tasks: &RangeSet) -> bool {
         let job = self.replica.jobs.get(&job_id);
         let pending = job.filter(|job| job.status == JobStatus::Pending);
@@ -83,25 +83,26 @@
         })
     }
 
-    /// Moves jobs that are over out of the watched part, while the budget is not needed for more.
+    /// Plans moving finished jobs to the archive while the write budget is not needed for other
+    /// work.
     pub(super) fn plan_archive(&mut self, now: Timestamp) -> Option<Transaction> {
         if now < self.leadership.next_archive || self.refused_lately(now) {
             return None;
         }
-        // Each job that leaves costs two changes: those that wait to run come first.
+        // Archiving a job costs two writes, so jobs that wait to run take precedence.
         let pending = self.replica.pending();
-        let over = self.replica.jobs.len() - pending;
-        if pending > 0 && over < self.settings.options.jobs_kept as usize {
+        let final_jobs = self.replica.jobs.len() - pending;
+        if pending > 0 && final_jobs < self.settings.options.jobs_kept as usize {
             return None;
         }
         let mut jobs = self.archivable_jobs();
-        jobs.extend(self.cancelled_waiting());
+        jobs.extend(self.cancelled_waiting_jobs());
         self.leadership.next_archive = now.plus(archive_interval_ms(jobs.len(), pending));
-        let transaction = self.archive(jobs);
+        let transaction = self.archive_transaction(jobs);
         (!transaction.mutations.is_empty()).then_some(transaction)
     }
 
-    /// Jobs that are over and that nothing mentions any more.
+    /// Jobs in a final state that no block, waiting job or binding in flight mentions.
     fn archivable_jobs(&self) -> Vec<ArchivableJob> {
         let bindings = self.writes.pending_bindings();
         let being_bound: HashSet<JobId> = bindings.map(|(_, binding)| binding.task.job).collect();
@@ -122,26 +123,27 @@
 
     fn is_archivable(&self, job_id: JobId, job: &Job) -> bool {
         job.status != JobStatus::Pending
-            // The watch has passed it: no older change can bring the job back after its drop.
+            // The watch has passed this revision, so no older change can restore the job after its
+            // deletion.
             && job.mod_revision <= self.replica.revision
             && !self.replica.is_mentioned(job_id)
             && self.may_archive(job_id, job)
             && !self.replica.is_unreadable(self.replica.names.jobs.name(job_id))
     }
 
-    /// Moves the first of these jobs into the archive, as many as one transaction takes.
-    fn archive(&self, jobs: Vec<ArchivableJob>) -> Transaction {
-        let most = self.settings.platform.settings.state.txn_ops / 2;
+    /// Plans archiving the first of these jobs, as many as fit into one transaction.
+    fn archive_transaction(&self, jobs: Vec<ArchivableJob>) -> Transaction {
+        let max_jobs = self.settings.platform.settings.state.txn_ops / 2;
         let value_bytes = self.settings.value_bytes();
         let mut transaction = Transaction::default();
         let mut bytes = 0;
-        for mut archivable in jobs.into_iter().take(most.min(MAX_ARCHIVED_AT_ONCE)) {
+        for mut archivable in jobs.into_iter().take(max_jobs.min(MAX_ARCHIVED_AT_ONCE)) {
             archivable.record.shorten(value_bytes);
             let name = self.replica.names.jobs.name(archivable.job);
             let mutation = put(&past_key(name), &archivable.record, None);
             if mutation.value_bytes() > value_bytes {
-                // Written when values could be larger: it stays where it is, for it cannot be
-                // written anywhere any more.
+                // Written under a higher size limit. The job stays where it is because its value
+                // can no longer be written anywhere.
                 continue;
             }
             bytes += mutation.value_bytes();
@@ -157,12 +159,12 @@
     }
 }
 
-/// Time until jobs may be archived again, ms: the more of them there are, the sooner. Jobs that end
-/// faster than they leave would fill the memory.
+/// Milliseconds until jobs may be archived again: the more archivable jobs, the sooner. Jobs that
+/// finish faster than they are archived would fill the memory.
 fn archive_interval_ms(archivable: usize, pending: usize) -> u64 {
-    let crowd = match pending {
+    let rate_steps = match pending {
         0 => archivable as u64 / JOBS_PER_RATE_STEP_WHEN_IDLE,
         _ => archivable as u64 / JOBS_PER_RATE_STEP_WHEN_BUSY,
     };
-    (MAX_ARCHIVE_INTERVAL_MS / (1 + crowd)).max(MIN_ARCHIVE_INTERVAL_MS)
+    (MAX_ARCHIVE_INTERVAL_MS / (1 + rate_steps)).max(MIN_ARCHIVE_INTERVAL_MS)
 }
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -7,8 +7,8 @@
 mod bindable_jobs;
 mod limits;
 
+use super::candidate_machines::CandidateMachineScope;
 use super::preemption::Preemptions;
-use super::slots::SlotScope;
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
 use crate::controller::{Controller, needs_of};
@@ -60,33 +60,33 @@
         let in_flight = self.tasks_in_flight();
         let mut team_room = self.team_room();
         let bindable_jobs = self.bindable_jobs(&in_flight, &team_room, now);
-        let mut slots = self.slots_for(&bindable_jobs, now);
-        if slots.is_empty() {
+        let mut candidate_machines = self.candidate_machines_for(&bindable_jobs, now);
+        if candidate_machines.is_empty() {
             return BindPlan::default();
         }
         if let Some(starved) = bindable_jobs.starved {
             self.leadership.binding_schedule.record_boost(starved, now);
         }
-        let mut candidates = self.candidates(&bindable_jobs, &in_flight);
-        let limits = self.plan_limits(slots.len(), now);
-        let free_before = free_cpus(&slots);
+        let mut candidate_jobs = self.candidate_jobs(&bindable_jobs, &in_flight);
+        let limits = self.plan_limits(candidate_machines.len(), now);
+        let free_before = free_cpus(&candidate_machines);
         let bindings = placement::plan(
-            &mut slots,
-            &mut candidates,
+            &mut candidate_machines,
+            &mut candidate_jobs,
             &mut team_room,
             limits,
             &mut self.rng,
         );
         debug!(
-            machines = slots.len(),
+            machines = candidate_machines.len(),
             free_cpus_before = free_before,
-            free_cpus_after = free_cpus(&slots),
-            jobs = candidates.len(),
+            free_cpus_after = free_cpus(&candidate_machines),
+            jobs = candidate_jobs.len(),
             open_jobs = bindable_jobs.in_order.len(),
             bindings = bindings.len(),
             "bindings planned"
         );
-        let preemptions = self.plan_due_preemptions(&candidates, &team_room, interval_ms, now);
+        let preemptions = self.plan_due_preemptions(&candidate_jobs, &team_room, interval_ms, now);
         BindPlan {
             bindings,
             preemptions,
@@ -104,27 +104,27 @@
     }
 
     /// The machines that may take tasks of these jobs.
-    fn slots_for(&self, bindable_jobs: &BindableJobs, now: Timestamp) -> Vec<Slot> {
+    fn candidate_machines_for(&self, bindable_jobs: &BindableJobs, now: Timestamp) -> Vec<Slot> {
         let jobs = &bindable_jobs.in_order;
-        let scope = SlotScope {
-            cordoned: jobs.iter().any(|bindable_job| bindable_job.overdue),
-            ahead_of_turn: jobs.iter().any(|bindable_job| {
+        let scope = CandidateMachineScope {
+            include_cordoned: jobs.iter().any(|bindable_job| bindable_job.overdue),
+            include_early: jobs.iter().any(|bindable_job| {
                 self.may_bind_early(bindable_job.job, &self.replica.jobs[&bindable_job.job])
             }),
         };
-        self.slots(scope, now)
+        self.candidate_machines(scope, now)
     }
 
     /// The tasks that may be bound, grouped by job in serving order. Tasks beyond a job's share of
     /// the fleet come after all other jobs.
-    fn candidates(
+    fn candidate_jobs(
         &self,
         bindable_jobs: &BindableJobs,
         in_flight: &TasksInFlight,
     ) -> Vec<Candidate> {
         let fleet_cpus = self.fleet_cpus();
         let mut bound_by_zone = None;
-        let mut candidates: Vec<Candidate> = Vec::new();
+        let mut candidate_jobs: Vec<Candidate> = Vec::new();
         let mut beyond_share: Vec<Candidate> = Vec::new();
         for bindable_job in bindable_jobs.in_order.iter().take(MAX_JOBS_PER_PLAN) {
             let job = &self.replica.jobs[&bindable_job.job];
@@ -143,36 +143,36 @@
                     .clamp(1, MAX_STARVED_TASKS),
                 false => MAX_TASKS_PER_JOB,
             };
-            let mut candidate = self.candidate(bindable_job, job, &taken, max_tasks);
-            if candidate.needs.depends_on_other_tasks() {
+            let mut candidate_job = self.candidate_job(bindable_job, job, &taken, max_tasks);
+            if candidate_job.needs.depends_on_other_tasks() {
                 // Zones are counted for only one candidate per job, so such jobs are not split by
                 // share.
                 let all = bound_by_zone.get_or_insert_with(|| self.zones_of());
-                candidate.bound_by_zone = all.remove(&bindable_job.job).unwrap_or_default();
+                candidate_job.bound_by_zone = all.remove(&bindable_job.job).unwrap_or_default();
             } else {
                 let bound_tasks = (taken.len() - job.done.len()) as usize;
                 let share_left = self
                     .max_tasks_in_share(job, fleet_cpus)
                     .saturating_sub(bound_tasks);
-                let within_share = share_left.min(candidate.tasks.len());
-                let rest = candidate.tasks.split_off(within_share);
+                let within_share = share_left.min(candidate_job.tasks.len());
+                let rest = candidate_job.tasks.split_off(within_share);
                 if !rest.is_empty() {
                     beyond_share.push(Candidate {
                         tasks: rest,
                         beyond_share: true,
-                        ..candidate.clone()
+                        ..candidate_job.clone()
                     });
                 }
             }
-            candidates.push(candidate);
+            candidate_jobs.push(candidate_job);
         }
-        candidates.append(&mut beyond_share);
-        candidates
+        candidate_jobs.append(&mut beyond_share);
+        candidate_jobs
     }
 
-    /// A candidate with up to `most` tasks of a job that are not in `taken`. Zones of bound tasks
+    /// A candidate with up to `max_tasks` tasks of a job that are not in `taken`. Zones of bound tasks
     /// are left empty.
-    fn candidate(
+    fn candidate_job(
         &self,
         bindable_job: &BindableJob,
         job: &Job,
@@ -206,8 +206,8 @@
 }
 
 /// CPUs of these machines that no bound task uses.
-fn free_cpus(slots: &[Slot]) -> f64 {
-    slots
+fn free_cpus(candidate_machines: &[Slot]) -> f64 {
+    candidate_machines
         .iter()
         .map(|slot| slot.size.cpus - slot.used.cpus)
         .sum()
--- a/src/leadership/slots.rs
+++ b/src/leadership/candidate_machines.rs
@@ -1,4 +1,4 @@
-//! Machines that may take tasks, as the placement of tasks sees them.
+//! Lists the machines that may take tasks, in the form that placement needs.
 
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
@@ -9,16 +9,17 @@
 use crate::replica::{Binding, Machine};
 use crate::scaling::{EXPENSIVE_CPU_FACTOR, MIN_CPUS};
 
-/// A machine that costs this many times what the cheapest one does is expensive to hold for a
-/// single task.
+/// A machine is expensive if its price exceeds this many times that of the cheapest machine.
+/// Expensive machines should not be held for a single task.
 const EXPENSIVE_MACHINE_FACTOR: f64 = 4.0;
-/// Prices are compared only while at least one in so many CPUs is cheap.
+/// Prices are compared only while at least one in this many CPUs is cheap.
 const MAX_CPUS_PER_CHEAP_CPU: f64 = 4.0;
-/// Heartbeat intervals, and ms on top, within which a machine must have been heard to get tasks.
+/// Number of heartbeat intervals, plus a margin in ms, within which a machine must have sent a
+/// heartbeat to get tasks.
 const RECENT_HEARTBEAT_INTERVALS: f64 = 2.0;
 const RECENT_HEARTBEAT_MARGIN_MS: u64 = 500;
 
-/// Least prices in the fleet.
+/// The lowest prices in the fleet.
 #[derive(Debug, Clone, Copy)]
 struct CheapestPrices {
     per_cpu: f64,
@@ -26,7 +27,7 @@
 }
 
 impl CheapestPrices {
-    /// Compared with these nothing is expensive.
+    /// Prices in comparison with which no machine is expensive.
     const UNKNOWN: Self = Self {
         per_cpu: f64::INFINITY,
         machine: f64::INFINITY,
@@ -38,22 +39,22 @@
     }
 }
 
-/// Price of a CPU of a machine.
+/// Price of one CPU of a machine.
 fn price_per_cpu(machine_type: &MachineType, spot: bool) -> f64 {
     machine_type.price_of(spot) / machine_type.cpus.max(MIN_CPUS)
 }
 
-/// Which machines are wanted besides those that are open to all tasks.
+/// Which machines are included besides those that are open to all tasks.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct SlotScope {
-    /// Also cordoned ones, for jobs that have waited for too long.
-    pub(super) cordoned: bool,
-    /// Also those whose blocks can be written ahead of their turn.
-    pub(super) ahead_of_turn: bool,
+pub(super) struct CandidateMachineScope {
+    /// Whether to include cordoned machines, for jobs that have waited too long.
+    pub(super) include_cordoned: bool,
+    /// Whether to include machines whose blocks may be written before their regular write time.
+    pub(super) include_early: bool,
 }
 
 impl Controller {
-    /// Whether tasks may be bound to a machine now.
+    /// Whether tasks may be bound to a machine now, regardless of its free resources and its block.
     pub(crate) fn can_take_tasks(&self, machine_id: MachineId, now: Timestamp) -> bool {
         let interval_s = self.settings.platform.settings.workers.heartbeat_s;
         let recent_ms =
@@ -69,46 +70,50 @@
             })
     }
 
-    /// Machines that may take tasks now, if their blocks can be written.
-    pub(super) fn slots(&self, scope: SlotScope, now: Timestamp) -> Vec<Slot> {
-        let open = self.writable_blocks(now);
-        let early = match scope.ahead_of_turn {
+    /// The machines that may take tasks now and whose blocks can be written.
+    pub(super) fn candidate_machines(
+        &self,
+        scope: CandidateMachineScope,
+        now: Timestamp,
+    ) -> Vec<Slot> {
+        let regular_blocks = self.writable_blocks(now);
+        let early_blocks = match scope.include_early {
             true => self.blocks_writable_early(now),
             false => HashSet::default(),
         };
         let cheapest = self.cheapest_prices();
-        let mut coming: HashMap<MachineId, Vec<Binding>> = HashMap::default();
+        let mut pending: HashMap<MachineId, Vec<Binding>> = HashMap::default();
         for (machine_id, binding) in self.writes.pending_bindings() {
-            coming.entry(*machine_id).or_default().push(*binding);
+            pending.entry(*machine_id).or_default().push(*binding);
         }
-        let mut slots = Vec::new();
+        let mut candidates = Vec::new();
         for machine_id in self.replica.machines_sorted() {
             let machine = &self.replica.machines[&machine_id];
-            let regular = open.contains(&machine.block);
-            let writable = regular || early.contains(&machine.block);
+            let regular = regular_blocks.contains(&machine.block);
+            let writable = regular || early_blocks.contains(&machine.block);
             let cordoned = self.leadership.scale_in.is_cordoned(machine_id);
-            let in_scope = writable && (scope.cordoned || !cordoned);
+            let in_scope = writable && (scope.include_cordoned || !cordoned);
             if !in_scope || !self.can_take_tasks(machine_id, now) {
                 continue;
             }
-            let coming = coming.get(&machine_id).map_or(&[][..], Vec::as_slice);
-            let slot = self.slot(machine_id, machine, coming, cheapest, now);
-            slots.extend(slot.map(|slot| Slot {
+            let pending = pending.get(&machine_id).map_or(&[][..], Vec::as_slice);
+            let candidate = self.candidate_machine(machine_id, machine, pending, cheapest, now);
+            candidates.extend(candidate.map(|candidate| Slot {
                 cordoned,
                 ahead_of_turn: !regular,
-                ..slot
+                ..candidate
             }));
         }
-        slots
+        candidates
     }
 
-    /// A machine as a slot, the tasks that are being bound counted as there; none while its type
+    /// Describes a machine for placement, counting bindings in flight as present; none if its type
     /// is unknown.
-    fn slot(
+    fn candidate_machine(
         &self,
         machine_id: MachineId,
         machine: &Machine,
-        coming: &[Binding],
+        pending: &[Binding],
         cheapest: CheapestPrices,
         now: Timestamp,
     ) -> Option<Slot> {
@@ -121,7 +126,7 @@
             zone: machine.zone,
             spot: machine.spot,
             size,
-            used: self.used_by(machine.queue.iter().chain(coming)),
+            used: self.used_resources(machine.queue.iter().chain(pending)),
             load_s: self.known_load(machine_id, now),
             fetch_gb_per_s: machine_type.fetch_gb_per_s,
             cached_images: images.iter().copied().collect(),
@@ -131,8 +136,8 @@
         })
     }
 
-    /// The least prices of a CPU and of a machine in the fleet, if a good part of it is cheap;
-    /// otherwise nothing counts as expensive.
+    /// The lowest prices of a CPU and of a machine in the fleet, or [`CheapestPrices::UNKNOWN`] if
+    /// too small a part of the fleet is cheap.
     fn cheapest_prices(&self) -> CheapestPrices {
         let machines = || {
             let machines = self.replica.machines.values();
@@ -164,8 +169,8 @@
         }
     }
 
-    /// Room that tasks take.
-    fn used_by<'a>(&self, bindings: impl Iterator<Item = &'a Binding>) -> Room {
+    /// Resources used by the tasks of these bindings.
+    fn used_resources<'a>(&self, bindings: impl Iterator<Item = &'a Binding>) -> Room {
         let mut used = Room::default();
         for binding in bindings {
             if let Some(job) = self.replica.jobs.get(&binding.task.job) {
@@ -175,10 +180,10 @@
         used
     }
 
-    /// Room that a machine's bound tasks take.
-    pub(crate) fn used_room_on(&self, machine_id: MachineId) -> Room {
+    /// Resources used by the tasks that are bound to a machine.
+    pub(crate) fn used_on(&self, machine_id: MachineId) -> Room {
         let machine = self.replica.machines.get(&machine_id);
         let queue = machine.map(|machine| machine.queue.iter());
-        self.used_by(queue.into_iter().flatten())
+        self.used_resources(queue.into_iter().flatten())
     }
 }
--- a/src/leadership/capacity.rs
+++ b/src/leadership/capacity.rs
@@ -1,4 +1,5 @@
-//! What scaling decides on: the demand of jobs, the machines that serve it, and the cloud's offers.
+//! Collects the inputs of scaling: the demand of jobs, the fleet that serves it, and the cloud's
+//! offers.
 
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
@@ -9,11 +10,12 @@
 use crate::replica::{Job, Machine};
 use crate::scaling::{CapacityPool, Demand, Offer, Rented};
 
-/// Fewest CPUs that a task counts with.
+/// Minimum CPUs that a task counts for.
 const MIN_TASK_CPUS: f64 = 1e-3;
 
 impl Controller {
-    /// The demand of jobs that may be bound, each team's limit given out in the order of priority.
+    /// The demand of jobs that may be bound. Each team's limit is assigned to its jobs in order of
+    /// priority.
     pub(super) fn demand(&self, now: Timestamp) -> Vec<Demand> {
         let names = &self.replica.names;
         let teams = self.settings.platform.settings.teams.iter();
@@ -46,7 +48,8 @@
         demand
     }
 
-    /// The machines that serve demand: not those that leave, are cut off or dead.
+    /// The machines that serve demand, excluding those that are leaving, partitioned off or
+    /// presumed dead.
     pub(crate) fn fleet(&self, now: Timestamp) -> Vec<Rented> {
         let machines = self.replica.machines_sorted().into_iter();
         let rented = machines.filter_map(|machine_id| {
@@ -59,11 +62,11 @@
         let size = self.size(machine)?;
         let machine_type = self.machine_types.get(&machine.machine_type)?;
         let info = self.machine_info(machine_id, now);
-        let unfit = info
+        let unusable = info
             .as_ref()
             .is_some_and(|info| info.being_reclaimed || info.quarantined);
         if machine.leaving
-            || unfit
+            || unusable
             || self.leadership.scale_in.is_draining(machine_id)
             || self.is_partitioned_off(machine_id, now)
             || self.is_presumed_dead(machine_id, now)
@@ -92,18 +95,18 @@
         }
     }
 
-    /// The fleet together with what is on its way: asked for, or rented and not yet in a block.
-    /// Asking for all zones at once must not ask for the same need again and again.
+    /// The fleet including pending machines, both requested ones and those rented but not yet in a
+    /// block. Without them, concurrent requests to several zones would repeat the same demand.
     pub(super) fn with_pending_machines(&self, mut fleet: Vec<Rented>) -> Vec<Rented> {
         let unplaced = self.leadership.inventory.to_place().values();
         let unplaced = unplaced.map(|new| (&new.machine_type, &new.zone, new.spot, 1));
-        let asked = self.leadership.rent.pending();
-        let asked = asked.map(|request| {
+        let requested = self.leadership.rental_requests.pending();
+        let requested = requested.map(|request| {
             let number = request.number;
             (&request.machine_type, &request.zone, request.spot, number)
         });
         let names = &self.replica.names;
-        for (type_name, zone_name, spot, number) in unplaced.chain(asked) {
+        for (type_name, zone_name, spot, number) in unplaced.chain(requested) {
             let (Some(machine_type), Some(zone)) = (
                 names.machine_types.get(type_name),
                 names.zones.get(zone_name),
@@ -115,7 +118,7 @@
             };
             for _ in 0..number {
                 fleet.push(Rented {
-                    // It has no name yet, and nothing decides on it.
+                    // Placeholder: the machine has no name yet, and no decision depends on it.
                     machine: MachineId::from_raw(u32::MAX),
                     machine_type,
                     zone,
@@ -130,7 +133,7 @@
         fleet
     }
 
-    /// What the catalog offers, in the order of machine types.
+    /// The catalog's offers, sorted by machine type.
     pub(super) fn offers(&self) -> Vec<Offer> {
         let catalog = self.machine_types.iter();
         let mut offers: Vec<Offer> = catalog
@@ -151,8 +154,8 @@
         offers
     }
 
-    /// Seconds until a machine of the quickest type that can be rented now would be up; none while
-    /// the cloud refuses all of them.
+    /// Boot time in seconds of the fastest-booting machine type that can be rented now; none while
+    /// the cloud refuses all types.
     pub(crate) fn rentable_start_s(&self, now: Timestamp) -> Option<f64> {
         let offers = self.offers().into_iter();
         let rentable = offers.filter(|offer| {
@@ -162,7 +165,7 @@
         rentable.map(|offer| offer.boot_s).min_by(f64::total_cmp)
     }
 
-    /// Whether the cloud may be asked for a type in a zone, on either market.
+    /// Whether a machine type may be requested in a zone, on either market.
     fn may_rent(&self, offer: &Offer, zone: ZoneId, now: Timestamp) -> bool {
         let may_request = |spot| {
             let pool = CapacityPool {
@@ -170,7 +173,7 @@
                 zone,
                 spot,
             };
-            self.leadership.rent.may_request(pool, now)
+            self.leadership.rental_requests.may_request(pool, now)
         };
         may_request(false) || may_request(true)
     }
--- a/src/leadership/catalog.rs
+++ b/src/leadership/catalog.rs
@@ -1,12 +1,12 @@
-//! The copy of the cloud's catalog in the store.
+//! Keeps a copy of the cloud's catalog in the store.
 
 use crate::controller::{Controller, put};
 use crate::protocol::{MachineType, Transaction};
 use crate::replica::CATALOG;
 
-/// Whether two entries say the same, prices aside: these move all the time and are not worth a
+/// Whether two entries are equal apart from their prices, which change too often to be worth a
 /// write.
-fn same_but_for_prices(stored: &MachineType, known: &MachineType) -> bool {
+fn equal_except_prices(stored: &MachineType, known: &MachineType) -> bool {
     let known = MachineType {
         price: stored.price,
         market_price: stored.market_price,
@@ -16,8 +16,8 @@
 }
 
 impl Controller {
-    /// Keeps the machine types where a controller finds them that starts while the cloud is
-    /// away.
+    /// Plans a write of the machine types, so that a controller can start while the cloud is
+    /// unavailable.
     pub(super) fn plan_catalog(&mut self) -> Option<Transaction> {
         let mut machine_types: Vec<MachineType> = self.machine_types.values().cloned().collect();
         machine_types.sort_by(|a, b| a.name.cmp(&b.name));
@@ -25,7 +25,7 @@
         let up_to_date = stored.is_some_and(|stored| {
             let mut pairs = stored.iter().zip(&machine_types);
             stored.len() == machine_types.len()
-                && pairs.all(|(stored, known)| same_but_for_prices(stored, known))
+                && pairs.all(|(stored, known)| equal_except_prices(stored, known))
         });
         if up_to_date {
             return None;
--- a/src/leadership/cloud_inventory.rs
+++ b/src/leadership/cloud_inventory.rs
@@ -1,8 +1,8 @@
-//! What the cloud says of the machines that are rented.
+//! Tracks what the cloud reports about rented machines.
 //!
-//! Owns the facts of the cloud's lists, which machines still have to be put into a block, and
-//! which are gone because their return was answered. A list may be late (PROTOCOL, cloud): that a
-//! machine is missing from one proves nothing by itself.
+//! Owns the facts from the cloud's lists, the machines that still have to be put into a block, and
+//! those whose return has been confirmed. A list may be delayed (PROTOCOL, cloud), so a machine's
+//! absence from one list proves nothing by itself.
 
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
@@ -11,15 +11,15 @@
 use crate::replica::Replica;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine that was taken out of its block is not put into one again for so long, ms: lists and
-/// heartbeats that are late may still show it.
+/// How long a machine that was removed from its block is not put into one again, ms: delayed lists
+/// and heartbeats may still show it.
 const REMOVED_RETENTION_MS: u64 = 120_000;
-/// Lists in a row without a machine after which it counts as absent from the cloud.
+/// Number of consecutive lists without a machine after which it counts as absent from the cloud.
 const MIN_ABSENT_LISTS: u32 = 2;
 /// The cloud's status of a machine that has failed (PROTOCOL, cloud).
 const FAILED_STATUS: &str = "failed";
 
-/// A machine that is to be put into a block.
+/// A machine to be put into a block.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct NewMachine {
     pub(super) machine_type: String,
@@ -27,16 +27,16 @@
     pub(super) spot: bool,
 }
 
-/// What the last list said of a machine.
+/// A machine according to the cloud's lists.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ListedMachine {
     /// When it was rented, by this process's clock.
     pub(super) rented_at: Timestamp,
-    /// Whether the cloud says that it has failed.
+    /// Whether the cloud reports it as failed.
     pub(super) failed: bool,
 }
 
-/// Whether a list is being asked for.
+/// Whether a list request is in flight.
 #[derive(Debug, Default, PartialEq, Eq)]
 enum ListRequest {
     #[default]
@@ -44,51 +44,51 @@
     InFlight,
 }
 
-/// The machines that the cloud knows, and what is to be done with those that no block has.
+/// The machines that the cloud knows, and the state of those that are in no block.
 #[derive(Debug, Default)]
 pub(super) struct CloudInventory {
     listed: HashMap<MachineId, ListedMachine>,
-    /// Lists in a row that did not show a machine of ours.
+    /// Number of consecutive lists without the machine, for machines in blocks.
     absent_lists: HashMap<MachineId, u32>,
     /// Machines to be put into blocks, by name.
     to_place: BTreeMap<String, NewMachine>,
-    /// Machines whose return was answered, and which are still in a block.
+    /// Machines whose return was confirmed but that are still in a block.
     returned: BTreeSet<MachineId>,
-    /// When machines were taken out of their blocks, by name.
+    /// When machines were removed from their blocks, by name.
     removed: HashMap<String, Timestamp>,
     next_list: Timestamp,
     list_request: ListRequest,
 }
 
 impl CloudInventory {
-    /// What the last list that showed a machine said of it.
+    /// A machine's entry in the last list that showed it; none if no list did.
     pub(super) fn listed(&self, machine_id: MachineId) -> Option<ListedMachine> {
         self.listed.get(&machine_id).copied()
     }
 
-    /// Whether several lists in a row did not show a machine.
+    /// Whether a machine was missing from several consecutive lists.
     pub(super) fn is_absent(&self, machine_id: MachineId) -> bool {
         let absent_lists = self.absent_lists.get(&machine_id);
         absent_lists.is_some_and(|&lists| lists >= MIN_ABSENT_LISTS)
     }
 
-    /// Machines that are to be put into blocks, by name.
+    /// Machines to be put into blocks, by name.
     pub(super) fn to_place(&self) -> &BTreeMap<String, NewMachine> {
         &self.to_place
     }
 
-    /// Machines whose return was answered, and which are still in a block.
+    /// Machines whose return was confirmed but that are still in a block.
     pub(super) fn returned(&self) -> &BTreeSet<MachineId> {
         &self.returned
     }
 
-    /// Whether a machine was taken out of its block a short while ago.
+    /// Whether a machine was recently removed from its block.
     pub(super) fn was_removed(&self, machine: &str) -> bool {
         self.removed.contains_key(machine)
     }
 
-    /// Whether it is time for the next list; if so, it counts as asked for, and the one after it
-    /// is due after `interval_ms`.
+    /// Whether a list request is due. If so, records it as in flight and schedules the next one
+    /// after `interval_ms`.
     pub(super) fn start_list_request(&mut self, interval_ms: u64, now: Timestamp) -> bool {
         let due = now >= self.next_list && self.list_request == ListRequest::Idle;
         if due {
@@ -98,12 +98,12 @@
         due
     }
 
-    /// The list that was asked for was answered, or not.
+    /// Records that the list request was answered or has failed.
     pub(super) fn complete_list_request(&mut self) {
         self.list_request = ListRequest::Idle;
     }
 
-    /// Takes in the cloud's list.
+    /// Records the machines in the cloud's list.
     pub(super) fn record_list(
         &mut self,
         machines: Vec<CloudMachine>,
@@ -119,7 +119,8 @@
                     shown.insert(machine_id);
                     self.record_listed(machine_id, &machine, now);
                 }
-                // Rented by an earlier leader, or late: it is used or goes back in time.
+                // Rented by an earlier leader, or shown by a delayed list. It is either used or
+                // returned later.
                 None => {
                     let new = NewMachine {
                         machine_type: machine.machine_type,
@@ -150,19 +151,19 @@
         listed.failed = machine.status == FAILED_STATUS;
     }
 
-    /// A machine that no block has is to be put into one, unless it was taken out lately.
+    /// Records a machine to be put into a block, unless it was recently removed from one.
     pub(super) fn record_unplaced(&mut self, machine: String, new: NewMachine) {
         if !self.was_removed(&machine) {
             self.to_place.entry(machine).or_insert(new);
         }
     }
 
-    /// A machine that this leader rented is to be put into a block.
+    /// Records a machine rented by this leader, to be put into a block.
     pub(super) fn record_rented(&mut self, machine: String, new: NewMachine) {
         self.to_place.insert(machine, new);
     }
 
-    /// Drops machines that are in a block by now from those to be placed.
+    /// Drops machines that are in a block from those to be placed.
     pub(super) fn forget_placed(&mut self, replica: &Replica) {
         let names = &replica.names.machines;
         self.to_place.retain(|name, _| {
@@ -171,17 +172,17 @@
         });
     }
 
-    /// The cloud has answered the return of a machine.
+    /// Records that the cloud has confirmed the return of a machine.
     pub(super) fn record_returned(&mut self, machine_id: MachineId) {
         self.returned.insert(machine_id);
     }
 
-    /// A machine is being taken out of its block.
+    /// Records that a machine is being removed from its block.
     pub(super) fn record_removed(&mut self, machine: String, now: Timestamp) {
         self.removed.insert(machine, now);
     }
 
-    /// Forgets returned machines that are in no block any more, and removals long ago.
+    /// Drops returned machines that are no longer in any block, and old removals.
     pub(super) fn retain_existing(&mut self, replica: &Replica, now: Timestamp) {
         self.returned
             .retain(|machine_id| replica.machines.contains_key(machine_id));
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -28,7 +28,7 @@
     Unheld,
     HolderReplaced,
     HolderSilent,
-    HolderRefusedByStore,
+    HolderCannotReachStore,
     HolderRestarted,
     WorkerRestarted,
     HolderUnreachable,
@@ -42,7 +42,7 @@
             GrantReason::Unheld => "no holder",
             GrantReason::HolderReplaced => "holder replaced",
             GrantReason::HolderSilent => "holder silent",
-            GrantReason::HolderRefusedByStore => "holder cannot reach the store",
+            GrantReason::HolderCannotReachStore => "holder cannot reach the store",
             GrantReason::HolderRestarted => "holder restarted",
             GrantReason::WorkerRestarted => "worker restarted",
             GrantReason::HolderUnreachable => "holder unreachable by its workers",
@@ -114,8 +114,7 @@
 
 /// Holders that do not serve their blocks although their keys exist.
 struct HolderFaults {
-    /// Controllers that have been running in another incarnation than their grants name for long
-    /// enough.
+    /// Controllers seen for long enough in another incarnation than the one in their grants.
     restarted: HashSet<HostId>,
     /// Blocks whose holder does not answer its workers, with the controller that receives their
     /// heartbeats.
@@ -254,7 +253,7 @@
             return Some(GrantReason::HolderSilent);
         }
         if self.store_refuses_only(host, now) {
-            return Some(GrantReason::HolderRefusedByStore);
+            return Some(GrantReason::HolderCannotReachStore);
         }
         if faults.restarted.contains(&host) && self.peers.restarted(host, grant.incarnation, now) {
             return Some(GrantReason::HolderRestarted);
@@ -285,8 +284,8 @@
         block.is_some_and(|block| block.machines.iter().any(restarted))
     }
 
-    /// Moves a block from the most to the least loaded controller: the one whose move comes closest
-    /// to halving their difference in load.
+    /// A grant that moves a block from the most to the least loaded controller: the block whose
+    /// move comes closest to halving their difference in load.
     fn rebalancing_grant(&mut self, holders: &HolderLoads, now: Timestamp) -> Option<PlannedGrant> {
         if !self.leadership.grants.rebalance_due(now) || !self.grace_period_over(now) {
             return None;
--- a/src/leadership/job_dependencies.rs
+++ b/src/leadership/job_dependencies.rs
@@ -1,6 +1,7 @@
-//! Jobs that wait for others: what is ready becomes an ordinary job, what is cancelled is archived.
+//! Plans the next step of jobs that wait for predecessors: ready jobs become ordinary jobs,
+//! cancelled ones are archived.
 //!
-//! Only plans transactions. Whether a job is ready or cancelled is the replica's to say.
+//! Only plans transactions. The replica decides whether a job is ready or cancelled.
 
 use super::archiving::ArchivableJob;
 use crate::controller::completions::MAX_TRANSACTION_BYTES;
@@ -11,12 +12,12 @@
 use crate::replica::{job_key, waiting_key};
 use tracing::debug;
 
-/// A job that is incomplete for so long is given up: its user repeats the submission for 60 s
+/// Age after which an incomplete job is dropped: its user retries the submission for 60 s
 /// (PROTOCOL, submissions).
 const ABANDONED_AFTER_MS: u64 = 180_000;
 
-/// The ordinary job, or the archived one, that a waiting job becomes.
-fn record_of(waiting: &WaitingRecord, status: JobStatus, ready_ms: Option<u64>) -> JobRecord {
+/// The ordinary or archived job that a waiting job becomes.
+fn job_record(waiting: &WaitingRecord, status: JobStatus, ready_ms: Option<u64>) -> JobRecord {
     JobRecord {
         spec: waiting.spec.clone(),
         status,
@@ -28,16 +29,16 @@
 }
 
 impl Controller {
-    /// Makes ordinary jobs of those that wait and whose predecessors are all finally done, the most
-    /// pressing first.
+    /// Turns waiting jobs whose predecessors have all reached the final state done into ordinary
+    /// jobs, highest priority first.
     ///
-    /// A done job stays done, so the transaction needs no condition on it: the own key of the job
-    /// that waits decides between this and its cancellation.
+    /// The final state of a predecessor never changes, so the transaction needs no precondition on
+    /// it. The waiting job's own key decides between this write and a cancellation.
     pub(super) fn plan_ready_jobs(&mut self) -> Option<Transaction> {
         if self.formats.own() < CHAINS_FORMAT {
             return None;
         }
-        // Nothing becomes ready without a change of the replica.
+        // No job becomes ready without a change of the replica.
         if self.leadership.none_ready_at_version == Some(self.replica.version) {
             return None;
         }
@@ -47,20 +48,20 @@
             return None;
         }
         ready.sort_by_key(|&job| (self.waiting_priority(job), job));
-        let most = self.settings.platform.settings.state.txn_ops / 2;
+        let max_jobs = self.settings.platform.settings.state.txn_ops / 2;
         let mut transaction = Transaction::default();
         let mut bytes = 0;
-        for job in ready.into_iter().take(most) {
+        for job in ready.into_iter().take(max_jobs) {
             let waiting = self.replica.waiting.jobs[&job].record.clone();
             let name = self.replica.names.jobs.name(job);
-            let record = record_of(&waiting, JobStatus::Pending, Some(self.day_ms));
+            let record = job_record(&waiting, JobStatus::Pending, Some(self.day_ms));
             let (from, to) = (waiting_key(name), job_key(name));
             let mutation = put(&to, &record, None);
             bytes += mutation.value_bytes();
             if bytes > MAX_TRANSACTION_BYTES {
                 break;
             }
-            debug!(job = name, "job ready: all jobs that it needs are done");
+            debug!(job = name, "job is ready: all its predecessors are done");
             transaction.preconditions.push(self.precondition(&from));
             transaction.mutations.push(mutation);
             transaction.mutations.push(Mutation::Delete { key: from });
@@ -68,7 +69,7 @@
         (!transaction.mutations.is_empty()).then_some(transaction)
     }
 
-    /// Jobs whose predecessors are all finally done.
+    /// Waiting jobs whose predecessors have all reached the final state done.
     fn ready_jobs(&self) -> Vec<JobId> {
         let names = &self.replica.names.jobs;
         let waiting = self.replica.waiting.jobs.keys().copied();
@@ -78,7 +79,7 @@
             .collect()
     }
 
-    /// Drops incomplete jobs that their users have given up.
+    /// Deletes an incomplete job whose submission its user has abandoned.
     pub(super) fn plan_abandoned_jobs(&self) -> Option<Transaction> {
         let waiting = self.replica.waiting.jobs.iter();
         let mut abandoned = waiting.filter(|(_, waiting)| {
@@ -93,7 +94,7 @@
         })
     }
 
-    /// The priority of a job that waits, and of those that need it.
+    /// The priority of a waiting job: the highest of its own and those of its dependents.
     fn waiting_priority(&self, job: JobId) -> Priority {
         let own = self.replica.waiting.jobs.get(&job);
         let own = own.map_or(Priority::BestEffort, |waiting| waiting.record.spec.priority);
@@ -101,22 +102,23 @@
         inherited.map_or(own, |importance| importance.priority.min(own))
     }
 
-    /// Cancelled jobs that waited and that no other needs any more, with the values to be archived.
-    /// Those at the ends of chains come first, so that what their cancellation follows from stays
-    /// in every replica for as long as they do.
-    pub(super) fn cancelled_waiting(&self) -> Vec<ArchivableJob> {
+    /// Cancelled waiting jobs that no other job depends on, with the values to archive. Dependents
+    /// are thus archived before their predecessors, so every replica keeps the cause of a
+    /// cancellation as long as the cancelled job.
+    pub(super) fn cancelled_waiting_jobs(&self) -> Vec<ArchivableJob> {
         let waiting = self.replica.waiting.jobs.iter();
-        let over = waiting.filter(|(job, waiting)| {
+        let cancelled = waiting.filter(|(job, waiting)| {
             waiting.cancelled
                 && !waiting.record.incomplete
                 && waiting.mod_revision <= self.replica.revision
                 && !self.replica.dependencies.is_needed(**job)
         });
-        over.map(|(&job, waiting)| ArchivableJob {
-            job,
-            key: waiting_key(self.replica.names.jobs.name(job)),
-            record: record_of(&waiting.record, JobStatus::Cancelled, None),
-        })
-        .collect()
+        cancelled
+            .map(|(&job, waiting)| ArchivableJob {
+                job,
+                key: waiting_key(self.replica.names.jobs.name(job)),
+                record: job_record(&waiting.record, JobStatus::Cancelled, None),
+            })
+            .collect()
     }
 }
--- a/src/leadership/job_order.rs
+++ b/src/leadership/job_order.rs
@@ -1,7 +1,7 @@
-//! The order in which jobs are served: by priority, then by slack, late jobs last.
+//! Defines the serving order of jobs: by priority, then by slack, with late jobs last.
 //!
-//! Owns the rules of the order and no state. Only reads the replica and the settings; never looks
-//! at machines or at what is bound.
+//! Holds no state. The order depends only on the replica and the settings, never on machines or
+//! bindings.
 
 use crate::controller::Controller;
 use crate::names::JobId;
@@ -9,62 +9,62 @@
 use crate::replica::{Job, Replica};
 use crate::settings::Params;
 
-/// Most seconds by which a small job counts as due earlier.
+/// Maximum number of seconds by which a small job counts as due earlier.
 const SMALL_JOB_BONUS_S: f64 = 60.0;
-/// Slack of a job that was just submitted and has no deadline at all, seconds.
+/// Slack of a job without any deadline at its submission, seconds.
 const NO_DEADLINE_SLACK_S: f64 = 1e5;
-/// Seconds by which a job with a deadline may be late and still counts as in time.
+/// Delay up to which a job with a deadline still counts as in time, seconds.
 const LATE_TOLERANCE_S: f64 = 10.0;
-/// The same for a job without a deadline of its own: the objective of a class is a wish, and the
-/// estimates are rough.
+/// The same for a job without its own deadline: the objective of a class is not binding, and run
+/// times are rough estimates.
 const LATE_TOLERANCE_OF_CLASS_S: f64 = 60.0;
-/// Least CPUs that a team is taken to have at once, against division by zero.
+/// Minimum CPUs that a team is assumed to have at once, against division by zero.
 const MIN_TEAM_CPUS: f64 = 1e-3;
 
-/// How pressing a job is. The least comes first.
+/// Urgency of a job. Lower values are served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Tier {
-    /// Its priority is critical.
+    /// The job's priority is critical.
     Critical,
-    /// Its priority is urgent.
+    /// The job's priority is urgent.
     Urgent,
-    /// It can still be done in time.
+    /// The job can still be done in time.
     InTime,
-    /// It is late beyond help.
+    /// The job can no longer be done in time.
     Late,
 }
 
-/// A job's place in the order.
+/// A job's place in the serving order.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Rank {
-    /// Jobs of a lesser tier come first.
+    /// Lower tiers come first.
     pub tier: Tier,
-    /// Within a tier, the least first: seconds of slack, with a bonus for small jobs. Of late jobs,
-    /// the expected seconds of a task, negated.
+    /// Within a tier, lower values come first: the slack in seconds, less a bonus for small jobs.
+    /// For late jobs, the negated expected seconds of a task.
     pub order_s: f64,
 }
 
-/// Time to spare until the rest of a job must be begun.
+/// Time left before the rest of a job must be started.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Slack {
-    /// Seconds to spare; negative if the job will be late.
+    /// Seconds left; negative if the job will be late.
     pub left_s: f64,
     /// Seconds by which the job counts as due earlier because it is small.
     pub small_job_bonus_s: f64,
 }
 
-/// What the order of jobs depends on.
+/// The inputs of the serving order.
 pub(crate) struct JobOrder<'a> {
     replica: &'a Replica,
     settings: &'a Params,
-    /// Milliseconds since the day began, by the wall clock.
+    /// Wall-clock time, milliseconds since the Unix epoch.
     day_ms: u64,
 }
 
 impl JobOrder<'_> {
-    /// Seconds until the rest of a job must be begun to be done in time, if one of its tasks takes
-    /// `run_s`. Without a deadline of its own, the time that the operators' objectives give its
-    /// class counts.
+    /// Seconds until the rest of a job must be started to be done in time, if one of its tasks
+    /// takes `run_s`. A job without its own deadline uses the time from the operators' objectives
+    /// for its class.
     pub(crate) fn slack(&self, job_id: JobId, job: &Job, run_s: f64) -> Slack {
         let team_cpus = self.team_cpus(job);
         let left_tasks = f64::from(job.spec.task_count.saturating_sub(job.done.len()));
@@ -76,19 +76,18 @@
                 small_job_bonus_s: 0.0,
             };
         };
-        // With more asked than can be done, serving the closest deadline first makes everything
-        // a little late. What costs little is worth saving first: small jobs count as due
-        // earlier, by up to a minute.
+        // Under overload, strict earliest-deadline-first order makes every job a little late. Cheap
+        // jobs are worth saving first, so small jobs count as due earlier, by up to a minute.
         Slack {
             left_s: due_in_s - rest_s,
             small_job_bonus_s: SMALL_JOB_BONUS_S * (-work / (team_cpus * 10.0)).exp(),
         }
     }
 
-    /// Seconds until a job is due: by its own deadline, by that of the jobs which need it, or by
-    /// the objective of its class.
+    /// Seconds until a job is due: by its own deadline, by that of its dependents, or by the
+    /// objective of its class.
     fn due_in_s(&self, job_id: JobId, job: &Job) -> Option<f64> {
-        // The deadline counts from the submission, all else from when the job became ready.
+        // The deadline counts from the submission, everything else from when the job became ready.
         let own = job.spec.due_s.map(|due| due - self.age_s(job.submitted_ms));
         let dependents = self.dependents_due_in_s(job_id);
         match (own, dependents) {
@@ -100,14 +99,14 @@
         }
     }
 
-    /// Seconds until a job must be done so that those which need it can be done in time.
+    /// Seconds until a job must be done for its dependents to be done in time.
     fn dependents_due_in_s(&self, job_id: JobId) -> Option<f64> {
         let inherited = self.replica.dependencies.inherited(job_id)?;
         let start_by_ms = inherited.start_by_ms?;
         Some((start_by_ms - self.day_ms as i64) as f64 / 1000.0)
     }
 
-    /// Seconds within which jobs of this one's class should be done.
+    /// Seconds within which jobs of the same class should be done.
     fn class_objective_s(&self, job: &Job) -> Option<f64> {
         let objectives = self.settings.objectives.iter();
         let of_class = objectives.filter(|objective| objective.class == job.spec.class);
@@ -115,23 +114,23 @@
         within_s.min_by(f64::total_cmp)
     }
 
-    /// Seconds since a time of day.
+    /// Seconds since a wall-clock time.
     fn age_s(&self, since_ms: u64) -> f64 {
         self.day_ms.saturating_sub(since_ms) as f64 / 1000.0
     }
 
     /// CPUs that a job's team may use at once, at least those of one task. A team without a limit
-    /// is as wide as the widest that has one.
+    /// counts as having the highest limit of any team.
     fn team_cpus(&self, job: &Job) -> f64 {
         let teams = &self.settings.teams;
         let limits = teams.iter().map(|team| team.cpus_max);
-        let widest = limits.filter(|limit| limit.is_finite()).fold(1.0, f64::max);
+        let highest_limit = limits.filter(|limit| limit.is_finite()).fold(1.0, f64::max);
         let team = teams.iter().find(|team| team.name == job.spec.team);
-        let limit = team.map_or(1.0, |team| team.cpus_max.min(widest));
+        let limit = team.map_or(1.0, |team| team.cpus_max.min(highest_limit));
         limit.max(job.spec.cpus).max(MIN_TEAM_CPUS)
     }
 
-    /// A job's priority: its own, or that of a job which needs it, if that is higher.
+    /// A job's priority: the highest of its own and those of its dependents.
     pub(crate) fn priority(&self, job_id: JobId, job: &Job) -> Priority {
         let inherited = self.replica.dependencies.inherited(job_id);
         inherited.map_or(job.spec.priority, |importance| {
@@ -139,8 +138,8 @@
         })
     }
 
-    /// A job's place in the order, if one of its tasks takes `run_s`: urgent work first; of the
-    /// rest, what can still be done in time, by slack; last, what is late beyond help.
+    /// A job's place in the serving order, if one of its tasks takes `run_s`: urgent work first,
+    /// then jobs that can be done in time, by slack, then late jobs.
     pub(crate) fn rank(&self, job_id: JobId, job: &Job, run_s: f64) -> Rank {
         let slack = self.slack(job_id, job, run_s);
         let is_late = slack.left_s < -self.tolerated_delay_s(job);
@@ -151,15 +150,15 @@
             _ => Tier::InTime,
         };
         let order_s = match tier {
-            // The longest first, for they decide when everything is done.
+            // The longest tasks come first, because they determine when all work is done.
             Tier::Late => -run_s,
             _ => slack.left_s - slack.small_job_bonus_s,
         };
         Rank { tier, order_s }
     }
 
-    /// Seconds by which a job may miss its deadline before it counts as late beyond help: up to the
-    /// largest multiple of the deadline that the operators still count.
+    /// Seconds by which a job may miss its deadline before it counts as late: up to the largest
+    /// multiple of the deadline that the operators' objectives still measure.
     fn tolerated_delay_s(&self, job: &Job) -> f64 {
         let objectives = self.settings.objectives.iter();
         let of_class = objectives.filter(|objective| objective.class == job.spec.class);
@@ -176,7 +175,7 @@
 }
 
 impl Controller {
-    /// The order of jobs as the replica shows them now.
+    /// The serving order according to the current replica.
     pub(crate) fn job_order(&self) -> JobOrder<'_> {
         JobOrder {
             replica: &self.replica,
@@ -185,12 +184,12 @@
         }
     }
 
-    /// A job's priority: its own, or that of a job which needs it, if that is higher.
+    /// A job's priority: the highest of its own and those of its dependents.
     pub(crate) fn priority_of(&self, job_id: JobId, job: &Job) -> Priority {
         self.job_order().priority(job_id, job)
     }
 
-    /// A job's place in the order in which jobs are served.
+    /// A job's place in the serving order.
     pub(crate) fn rank(&self, job_id: JobId, job: &Job) -> Rank {
         self.job_order().rank(job_id, job, self.run_s(job))
     }
--- a/src/leadership/job_order/tests.rs
+++ b/src/leadership/job_order/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the order of jobs.
+//! Unit tests of the serving order of jobs.
 
 use crate::controller::Controller;
 use crate::jobs::tests::{GOOD, job_of};
@@ -9,9 +9,9 @@
 
 const SUBMITTED_MS: u64 = 1_700_000_000_000;
 
-/// A controller at a time of day, and a job that was submitted at `SUBMITTED_MS` and became ready
-/// 100 s later.
-fn at(seconds: u64, due_s: Option<f64>) -> (Controller, Job) {
+/// Creates a controller whose clock is `seconds` after `SUBMITTED_MS`, and a job that was submitted
+/// then and became ready 100 s later.
+fn controller_and_job_at(seconds: u64, due_s: Option<f64>) -> (Controller, Job) {
     let Read::Good(good) = read(GOOD.as_bytes()) else {
         panic!("good")
     };
@@ -27,7 +27,7 @@
 }
 
 fn slack_at(seconds: u64, due_s: Option<f64>) -> f64 {
-    let (controller, job) = at(seconds, due_s);
+    let (controller, job) = controller_and_job_at(seconds, due_s);
     let run_s = controller.run_s(&job);
     let slack = controller
         .job_order()
@@ -37,16 +37,16 @@
 
 #[test]
 fn the_deadline_counts_from_the_submission_however_long_the_job_waited() {
-    let (controller, job) = at(130, Some(300.0));
-    let wide = controller.settings.platform.settings.teams[0].cpus_max;
+    let (controller, job) = controller_and_job_at(130, Some(300.0));
+    let team_cpus = controller.settings.platform.settings.teams[0].cpus_max;
     let work = f64::from(job.spec.task_count) * job.spec.cpus * job.spec.estimate_s;
-    let rest = job.spec.estimate_s + work / wide;
+    let rest = job.spec.estimate_s + work / team_cpus;
     assert!((slack_at(130, Some(300.0)) - (170.0 - rest)).abs() < 1e-6);
 }
 
 #[test]
 fn all_other_times_count_from_when_the_job_became_ready() {
-    // Without a deadline only the age counts, and it began when the job became ready.
+    // Without a deadline only the age counts, which starts when the job becomes ready.
     let (now, later) = (slack_at(130, None), slack_at(140, None));
     assert!((now - later - 10.0).abs() < 1e-6);
     assert!((now - (1e5 - 30.0)).abs() < 1e-6, "{now}");
--- a/src/leadership/machine_placement.rs
+++ b/src/leadership/machine_placement.rs
@@ -1,7 +1,6 @@
-//! New machines are put into blocks.
+//! Chooses blocks for new machines.
 //!
-//! Owns the choice of the block. A machine is only planned to be put there: `block_edits` writes the
-//! block.
+//! This module only plans the placement; `block_edits` writes the blocks.
 
 use super::block_edits::PlannedEdits;
 use super::block_sizes::{BlockRules, BlockSizes};
@@ -12,63 +11,65 @@
 use crate::names::{MachineId, MachineTypeId};
 use crate::replica::Machine;
 
-/// Part of the largest value that the machines of a block may be expected to fill when all of them
-/// are busy.
+/// Fraction of the maximum value size that the machines of a block may be expected to fill when all
+/// of them are busy.
 const MAX_PLANNED_FRACTION: f64 = 0.55;
-/// For so long a machine must have sent heartbeats before it is put into a block, ms: one heartbeat
-/// alone may be a late copy from a machine that is gone.
+/// How long a machine must have sent heartbeats before it is put into a block, ms. A single
+/// heartbeat may be a delayed duplicate from a machine that is gone.
 const MIN_HEARTBEAT_HISTORY_MS: u64 = 500;
-/// Bytes that a machine's name and description take in its block's value.
+/// Bytes of a machine's name and description in its block's value.
 const MACHINE_BYTES: usize = 20;
-/// Bytes that a machine's bound tasks take there for each of its CPUs.
+/// Bytes of a machine's bound tasks in its block's value, per CPU.
 const BYTES_PER_CPU: f64 = 6.0;
-/// CPUs of a machine whose type is not in the catalog.
+/// CPUs assumed for a machine whose type is not in the catalog.
 const DEFAULT_CPUS: f64 = 8.0;
 
 impl Controller {
-    /// Takes up machines that send heartbeats, or that an earlier leader rented, and that are in no
-    /// block.
+    /// Records machines that are in no block, either known from their heartbeats or rented by an
+    /// earlier leader.
     pub(super) fn record_unplaced_machines(&mut self, now: Timestamp) {
         let peers = self.peers.unowned_machines();
-        let heard_by_peers = peers.map(|(_, machine)| machine.clone());
-        let heard_here = self.held.unowned.to_report(now);
+        let reported_by_peers = peers.map(|(_, machine)| machine.clone());
+        let reported_here = self.held.unowned.to_report(now);
         let names = &self.replica.names.machines;
         let machines = &self.replica.machines;
         let in_block = |name: &str| names.get(name).is_some_and(|id| machines.contains_key(&id));
-        let heard = heard_here.into_iter().chain(heard_by_peers);
-        let unplaced = heard.filter(|heard| !in_block(&heard.machine));
-        let lasting = unplaced.filter(|heard| heard.for_ms >= MIN_HEARTBEAT_HISTORY_MS);
-        for heard in lasting.collect::<Vec<_>>() {
+        let reported = reported_here.into_iter().chain(reported_by_peers);
+        let unplaced = reported.filter(|reported| !in_block(&reported.machine));
+        let confirmed = unplaced.filter(|reported| reported.for_ms >= MIN_HEARTBEAT_HISTORY_MS);
+        for reported in confirmed.collect::<Vec<_>>() {
             let new = NewMachine {
-                machine_type: heard.machine_type,
-                zone: heard.zone,
-                spot: heard.spot,
+                machine_type: reported.machine_type,
+                zone: reported.zone,
+                spot: reported.spot,
             };
             self.leadership
                 .inventory
-                .record_unplaced(heard.machine, new);
+                .record_unplaced(reported.machine, new);
         }
         self.leadership.inventory.forget_placed(&self.replica);
     }
 
-    /// Bytes that a machine may come to fill in its block's value: its name, and its tasks.
+    /// Expected bytes of a busy machine in its block's value: its name and description, and its
+    /// bound tasks.
     pub(crate) fn expected_bytes(&self, machine_type: MachineTypeId) -> usize {
         let known = self.machine_types.get(&machine_type);
         let cpus = known.map_or(DEFAULT_CPUS, |machine_type| machine_type.cpus);
-        let most = self.settings.value_bytes() * 2 / 5;
-        (MACHINE_BYTES + (cpus * BYTES_PER_CPU) as usize).min(most)
+        let max_bytes = self.settings.value_bytes() * 2 / 5;
+        (MACHINE_BYTES + (cpus * BYTES_PER_CPU) as usize).min(max_bytes)
     }
 
-    /// Spreads new machines over blocks: enough blocks for each controller, more as the fleet
-    /// grows, up to as many as can be written twice a second together, and beyond that only for
-    /// lack of room in their values.
+    /// Distributes new machines over blocks. Creates at least one block per controller, then more
+    /// as the fleet grows, up to the number that can be written twice a second together, and beyond
+    /// that only if the values have no room.
     pub(super) fn place_machines(&mut self, edits: &mut PlannedEdits, now: Timestamp) {
         if self.leadership.inventory.to_place().is_empty() {
             return;
         }
         let in_flight: HashSet<MachineId> = self.writes.machines_being_placed();
         let mut sizes = self.block_sizes();
-        // Hundreds of machines may wait here, for as long as the budget of changes is used up.
+        // Computed once, because hundreds of machines may wait here while the write budget is used
+        // up.
         let writable = self.writable_blocks(now);
         for (name, new) in self.leadership.inventory.to_place().clone() {
             let names = &mut self.replica.names;
@@ -81,7 +82,7 @@
             let bytes = self.expected_bytes(machine_type);
             let is_writable = |id| edits.contains(id) || writable.contains(&id);
             let Some(block) = sizes.choose_block(bytes, is_writable) else {
-                // It waits until a block may be written, and so do all after it.
+                // This machine and all after it wait until a block may be written.
                 break;
             };
             let machine = Machine {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// How full the blocks are.
+    /// The current sizes of all blocks.
     fn block_sizes(&self) -> BlockSizes {
         let settings = &self.settings.platform.settings;
         let mut sizes = BlockSizes::new(BlockRules {
--- a/src/leadership/machines.rs
+++ b/src/leadership/machines.rs
@@ -1,7 +1,7 @@
-//! The leader's judgement of machines: who is cut off, who is dead, who is to go.
+//! Decides which machines are partitioned off, presumed dead, or to be drained.
 //!
-//! Calling a machine dead here never frees its tasks: it makes the leader return the machine, and
-//! only the cloud's answer to that proves that the machine and everything on it are gone.
+//! Presuming a machine dead never releases its tasks. It makes the leader return the machine, and
+//! only the cloud's confirmation proves that the machine and everything on it are gone.
 
 use super::observations::LastHeartbeat;
 use crate::clock::Timestamp;
@@ -9,29 +9,31 @@
 use crate::names::MachineId;
 use crate::replica::Machine;
 
-/// Silence beyond the end of a worker's lease after which a machine counts as dead, ms.
+/// Time without heartbeats beyond the end of a worker's lease after which a machine is presumed
+/// dead, ms.
 const PRESUMED_DEAD_AFTER_LEASE_MS: u64 = 8000;
-/// The same beyond the longest time that an earlier holder could answer it, ms.
+/// The same beyond the longest time for which an earlier holder could answer the machine, ms.
 const PRESUMED_DEAD_AFTER_UNFENCED_MS: u64 = 2000;
-/// A list may be this many times as late as the settings say, and by so much more, ms.
+/// A list may lag by this factor times the lag in the settings, plus a margin in ms.
 const LIST_LAG_FACTOR: f64 = 2.0;
 const LIST_LAG_MARGIN_MS: u64 = 2000;
 
-/// What speaks for a machine's death besides its silence.
+/// Evidence for a machine's death other than the time since its last heartbeat.
 #[derive(Debug, Clone, Copy)]
 struct DeathEvidence {
-    /// For how long the machine is known, ms.
+    /// How long the machine has been known, ms.
     known_ms: u64,
-    /// For how long its block is held under the present grant, ms.
+    /// How long its block has been held under the current grant, ms.
     held_ms: u64,
-    /// Whether the cloud's lists should show it and do not.
-    missing: bool,
-    /// Silence after which a machine of a holder that hears well is presumed dead, ms.
+    /// Whether the machine is missing from the cloud's lists although they should show it.
+    missing_from_lists: bool,
+    /// Time without heartbeats after which a machine is presumed dead if its holder receives
+    /// heartbeats normally, ms.
     presumed_dead_ms: u64,
 }
 
 impl Controller {
-    /// Takes stock of machines and grants.
+    /// Updates the observations of machines and grants.
     pub(super) fn observe_machines(&mut self, now: Timestamp) {
         let heartbeats = self.last_heartbeats(now);
         self.observe_start_times(&heartbeats);
@@ -47,18 +49,18 @@
         machines.find_partitioned_zones(&self.replica, silent_ms, now);
     }
 
-    /// When the holders of all machines heard them last.
+    /// When each machine's holder last received a heartbeat.
     fn last_heartbeats(&self, now: Timestamp) -> Vec<LastHeartbeat> {
         let machines = self.replica.machines.keys();
-        let heard = machines.filter_map(|&machine_id| {
+        let last_heartbeats = machines.filter_map(|&machine_id| {
             let age_ms = self.machine_info(machine_id, now)?.age_ms?;
             let at = Timestamp(now.0.saturating_sub(age_ms));
             Some(LastHeartbeat { machine_id, at })
         });
-        heard.collect()
+        last_heartbeats.collect()
     }
 
-    /// Records how long machines took to their first heartbeat.
+    /// Records the start times of machines whose first heartbeat has arrived.
     fn observe_start_times(&mut self, heartbeats: &[LastHeartbeat]) {
         for heartbeat in heartbeats {
             if !self
@@ -71,8 +73,8 @@
         }
     }
 
-    /// Records how long a machine took to its first heartbeat, if this leader rented it: of the
-    /// others it is not known whether the heartbeat is their first.
+    /// Records how long a machine took to send its first heartbeat, if this leader rented it. For
+    /// other machines it is unknown whether the heartbeat is their first.
     fn observe_start_time(&mut self, first: &LastHeartbeat) {
         let Some(machine) = self.replica.machines.get(&first.machine_id) else {
             return;
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Whether a machine is silent together with most others of its zone.
+    /// Whether a machine has stopped sending heartbeats together with most others of its zone.
     pub(super) fn is_partitioned_off(&self, machine_id: MachineId, now: Timestamp) -> bool {
         let observed = &self.leadership.machines;
         let machine = self.replica.machines.get(&machine_id);
@@ -100,7 +102,7 @@
             && silent_ms.is_some_and(|silent_ms| silent_ms > self.settings.worker_gone_ms())
     }
 
-    /// Whether a machine is better returned than waited for: the answer to the return proves
+    /// Whether a machine should be returned rather than waited for. The confirmed return proves
     /// that it and everything on it are gone.
     pub(super) fn is_presumed_dead(&self, machine_id: MachineId, now: Timestamp) -> bool {
         let Some(machine) = self.replica.machines.get(&machine_id) else {
@@ -135,24 +137,25 @@
         machine: &Machine,
         now: Timestamp,
     ) -> DeathEvidence {
-        // A list may be twice as late as it should be, so a machine counts as missing only after
-        // it has been known here for longer than that. It need not have been listed to this
-        // leader: it may have gone while another led, or nobody.
+        // A list may lag twice as long as documented, so a machine counts as missing only after it
+        // has been known here for longer than that. This leader need not have seen it in a list: it
+        // may have disappeared during an earlier term or while there was no leader.
         let lag_s = self.settings.platform.settings.cloud.list_lag_s;
         let lag_ms = (lag_s * 1000.0 * LIST_LAG_FACTOR) as u64 + LIST_LAG_MARGIN_MS;
         let absent = self.leadership.inventory.is_absent(machine_id);
         let known_ms = self.leadership.machines.known_for_ms(machine_id, now);
         DeathEvidence {
             known_ms,
-            // A new holder has not heard any of its machines at first. That says nothing of them:
-            // what earlier holders heard counts on, and the new one gets its time.
+            // A new holder has not received heartbeats from its machines at first, which is no
+            // evidence against them. Heartbeats to earlier holders still count, and the new holder
+            // gets time to receive its own.
             held_ms: self.leadership.grants.held_for_ms(machine.block, now),
-            missing: absent && known_ms > lag_ms,
+            missing_from_lists: absent && known_ms > lag_ms,
             presumed_dead_ms: self.settings.worker_gone_ms() + PRESUMED_DEAD_AFTER_LEASE_MS,
         }
     }
 
-    /// Whether a machine that was heard once is dead after so long a silence.
+    /// Whether a machine that has sent heartbeats is presumed dead after `silent_ms` without one.
     fn is_presumed_dead_after_silence(
         &self,
         machine_id: MachineId,
@@ -160,20 +163,21 @@
         evidence: DeathEvidence,
         now: Timestamp,
     ) -> bool {
-        // An earlier holder that is cut off from all but its workers may still be answering this
-        // machine, for as long as its authority lasts.
+        // An earlier holder that can reach only its workers may still be answering this machine
+        // until its authority expires.
         let unfenced_ms = self.settings.unfenced_gone_ms() + PRESUMED_DEAD_AFTER_UNFENCED_MS;
         if self.is_partitioned_off(machine_id, now) {
-            // With its warm cache it is worth more than what could be rented into a zone that
+            // The machine has a warm cache and is worth more than a replacement in a zone that
             // cannot be reached.
-            let cut_ms = (self.settings.options.fleet_cut_s * 1000.0) as u64;
-            return silent_ms > unfenced_ms.max(cut_ms) || evidence.missing;
+            let partition_wait_ms = (self.settings.options.fleet_cut_s * 1000.0) as u64;
+            return silent_ms > unfenced_ms.max(partition_wait_ms) || evidence.missing_from_lists;
         }
         (silent_ms > evidence.presumed_dead_ms && evidence.held_ms > unfenced_ms)
-            || (evidence.missing && silent_ms > self.settings.worker_gone_ms())
+            || (evidence.missing_from_lists && silent_ms > self.settings.worker_gone_ms())
     }
 
-    /// Whether a machine that was never heard is dead: it takes far longer to start than others.
+    /// Whether a machine that has never sent a heartbeat is presumed dead: it has taken far longer
+    /// to start than usual.
     fn is_presumed_dead_before_start(
         &self,
         machine_id: MachineId,
@@ -187,13 +191,13 @@
         let observed = &self.leadership.machines;
         let overdue_s = observed.start_overdue_s(machine.machine_type, catalog_entry.boot_s);
         let overdue_ms = (overdue_s * 1000.0) as u64;
-        evidence.missing
+        evidence.missing_from_lists
             || (self.rented_for_ms(machine_id, now) > overdue_ms
                 && evidence.known_ms > evidence.presumed_dead_ms
                 && evidence.held_ms > evidence.presumed_dead_ms)
     }
 
-    /// Drains machines that fail what they start.
+    /// Drains quarantined machines, on which tasks keep failing.
     pub(super) fn drain_quarantined(&mut self, now: Timestamp) {
         let machines = self.replica.machines.keys().copied();
         let quarantined = machines.filter(|&machine_id| {
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -9,6 +9,7 @@
 mod binding_schedule;
 mod block_edits;
 mod block_sizes;
+mod candidate_machines;
 mod capacity;
 mod catalog;
 mod cloud_inventory;
@@ -23,11 +24,10 @@
 mod rent_requests;
 mod renting;
 mod scale_in;
-mod slots;
 mod start_times;
 mod unreachable_holders;
 
-pub use renting::RentOutcome;
+pub use renting::RentalOutcome;
 
 use crate::clock::Timestamp;
 use crate::collections::HashSet;
@@ -59,7 +59,7 @@
     machines: MachineObservations,
     grants: GrantObservations,
     inventory: CloudInventory,
-    rent: RentalRequests,
+    rental_requests: RentalRequests,
     scale_in: ScaleIn,
     binding_schedule: BindingSchedule,
     /// Version of the replica at which no waiting job was ready.
--- a/src/leadership/observations.rs
+++ b/src/leadership/observations.rs
@@ -1,9 +1,9 @@
-//! What the leader has observed of machines in its term.
+//! Holds the leader's observations of machines in its term.
 //!
-//! Owns when machines were last heard by any holder, since when they are idle, which images they
-//! have fetched, how long they took to start and which zones are partitioned. All of it is an
-//! estimate that a successor makes again: nothing here may be taken as proof that a machine, or
-//! a task on it, has stopped.
+//! Owns when holders last received heartbeats from machines, since when machines are idle, which
+//! images they have fetched, how long they took to start, and which zones are partitioned. All of
+//! these are estimates that the next leader makes anew. None of them proves that a machine or a
+//! task on it has stopped.
 
 use super::start_times::StartTimes;
 use crate::clock::Timestamp;
@@ -11,17 +11,17 @@
 use crate::names::{ImageId, MachineId, MachineTypeId, ZoneId};
 use crate::replica::Replica;
 
-/// Fewest known machines of a zone from which a partition can be told from single failures.
+/// Minimum number of known machines in a zone for distinguishing a partition from single failures.
 const MIN_MACHINES_FOR_PARTITION: usize = 4;
 
-/// When a machine was last heard by its holder.
+/// When a machine's holder last received a heartbeat from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct LastHeartbeat {
     pub(super) machine_id: MachineId,
     pub(super) at: Timestamp,
 }
 
-/// Machines of a zone that were heard at all, and how many of them are silent now.
+/// Number of a zone's machines that have sent heartbeats, and of those that are silent now.
 #[derive(Debug, Clone, Copy, Default)]
 struct ZoneReachability {
     silent: usize,
@@ -29,7 +29,7 @@
 }
 
 impl ZoneReachability {
-    /// Machines of one zone that fall silent together are partitioned, not dead.
+    /// Machines of one zone that become silent together are partitioned, not dead.
     fn is_partitioned(self) -> bool {
         self.machines >= MIN_MACHINES_FOR_PARTITION && self.silent * 2 > self.machines
     }
@@ -38,24 +38,26 @@
 /// The leader's observations of machines.
 #[derive(Debug, Default)]
 pub(super) struct MachineObservations {
-    /// Images that a machine has fetched, as far as its queue has shown since the term began.
+    /// Images that each machine has fetched, according to its queue since the term began.
     cached_images: HashMap<MachineId, Vec<ImageId>>,
     last_heartbeat_at: HashMap<MachineId, Timestamp>,
-    /// How long machines of each type took to their first heartbeat, of those rented in this term.
+    /// How long machines of each type took to send their first heartbeat, for those rented in this
+    /// term.
     start_times: HashMap<MachineTypeId, StartTimes>,
-    /// Zones most of whose machines are silent.
+    /// Zones in which most machines are silent.
     partitioned_zones: HashSet<ZoneId>,
     idle_since: HashMap<MachineId, Timestamp>,
     first_seen: HashMap<MachineId, Timestamp>,
 }
 
 impl MachineObservations {
-    /// Whether any holder has heard a machine in this term.
+    /// Whether any holder has received a heartbeat from a machine in this term.
     pub(super) fn has_sent_heartbeat(&self, machine_id: MachineId) -> bool {
         self.last_heartbeat_at.contains_key(&machine_id)
     }
 
-    /// Milliseconds since any holder last heard a machine; none if it was not heard in this term.
+    /// Milliseconds since any holder last received a heartbeat from a machine; none if there was
+    /// none in this term.
     pub(super) fn since_last_heartbeat_ms(
         &self,
         machine_id: MachineId,
@@ -65,12 +67,12 @@
         last_heartbeat_at.map(|&at| now.since(at))
     }
 
-    /// When a machine was first seen in the replica in this term.
+    /// When a machine first appeared in the replica in this term.
     pub(super) fn first_seen(&self, machine_id: MachineId) -> Option<Timestamp> {
         self.first_seen.get(&machine_id).copied()
     }
 
-    /// Milliseconds for which a machine has been known in this term.
+    /// Milliseconds for which a machine has been known in this term; 0 if it is unknown.
     pub(super) fn known_for_ms(&self, machine_id: MachineId, now: Timestamp) -> u64 {
         let first_seen = self.first_seen.get(&machine_id);
         first_seen.map_or(0, |&at| now.since(at))
@@ -82,7 +84,7 @@
         idle_since.map(|&at| now.since(at))
     }
 
-    /// Images that a machine has fetched, as far as it is known.
+    /// Images that a machine is known to have fetched.
     pub(super) fn cached_images(&self, machine_id: MachineId) -> &[ImageId] {
         let images = self.cached_images.get(&machine_id);
         images.map_or(&[][..], Vec::as_slice)
@@ -93,7 +95,7 @@
         self.partitioned_zones.contains(&zone)
     }
 
-    /// Seconds that a machine of a type may take to its first heartbeat before it is overdue.
+    /// Seconds after which a machine of a type that has not sent its first heartbeat is overdue.
     pub(super) fn start_overdue_s(&self, machine_type: MachineTypeId, boot_s: f64) -> f64 {
         let no_samples = StartTimes::default();
         let samples = self.start_times.get(&machine_type).unwrap_or(&no_samples);
@@ -105,10 +107,10 @@
         self.start_times
             .entry(machine_type)
             .or_default()
-            .note(seconds);
+            .observe(seconds);
     }
 
-    /// Records when holders last heard their machines. What earlier holders heard counts on.
+    /// Records when holders last received heartbeats. Heartbeats to earlier holders still count.
     pub(super) fn observe_heartbeats(&mut self, heartbeats: &[LastHeartbeat]) {
         for heartbeat in heartbeats {
             let last_heartbeat_at = self
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Records which machines exist, since when they are idle and what images they have fetched.
+    /// Records which machines exist, since when they are idle and which images they have fetched.
     pub(super) fn observe_queues(&mut self, replica: &Replica, now: Timestamp) {
         for (&machine_id, machine) in &replica.machines {
             self.first_seen.entry(machine_id).or_insert(now);
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Forgets machines that are in no block any more.
+    /// Drops machines that are no longer in any block.
     pub(super) fn retain_existing(&mut self, replica: &Replica) {
         let exists = |machine_id: &MachineId| replica.machines.contains_key(machine_id);
         self.first_seen.retain(|machine_id, _| exists(machine_id));
@@ -150,7 +152,7 @@
             .retain(|machine_id, _| exists(machine_id));
     }
 
-    /// Finds the zones most of whose machines have been silent for longer than `silent_ms`.
+    /// Finds the zones in which most machines have been silent for longer than `silent_ms`.
     pub(super) fn find_partitioned_zones(
         &mut self,
         replica: &Replica,
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -115,7 +115,7 @@
     /// Selects tasks to preempt if a plan is due.
     pub(super) fn plan_due_preemptions(
         &mut self,
-        candidates: &[Candidate],
+        candidate_jobs: &[Candidate],
         team_room: &HashMap<TeamId, Room>,
         interval_ms: u64,
         now: Timestamp,
@@ -123,7 +123,7 @@
         if !self.leadership.binding_schedule.preemption_due(now) {
             return Preemptions::default();
         }
-        let preemptions = self.plan_preemptions(candidates, team_room);
+        let preemptions = self.plan_preemptions(candidate_jobs, team_room);
         if !preemptions.is_empty() {
             self.leadership
                 .binding_schedule
@@ -137,11 +137,11 @@
     /// to any team if the machines are full.
     fn plan_preemptions(
         &self,
-        candidates: &[Candidate],
+        candidate_jobs: &[Candidate],
         team_room: &HashMap<TeamId, Room>,
     ) -> Preemptions {
         let mut preemptions = Preemptions::default();
-        let preemptors = self.preemptors(candidates);
+        let preemptors = self.preemptors(candidate_jobs);
         if preemptors.is_empty() {
             return preemptions;
         }
@@ -187,8 +187,8 @@
     }
 
     /// Jobs that found no room and have little slack, in serving order.
-    fn preemptors<'a>(&self, candidates: &'a [Candidate]) -> Vec<Preemptor<'a>> {
-        let waiting = candidates
+    fn preemptors<'a>(&self, candidate_jobs: &'a [Candidate]) -> Vec<Preemptor<'a>> {
+        let waiting = candidate_jobs
             .iter()
             .filter(|candidate| !candidate.tasks.is_empty() && !candidate.beyond_share);
         waiting
--- a/src/leadership/rent_requests.rs
+++ b/src/leadership/rent_requests.rs
@@ -1,7 +1,7 @@
-//! Requests to the cloud: rentals without an answer, rentals it refused, returns.
+//! Tracks requests to the cloud: unanswered rentals, refused pools and returns.
 //!
-//! A rental is repeated under its request id until it is answered: the cloud gives the same
-//! machines to the same id (PROTOCOL, cloud). It must never be asked again under another id.
+//! A rental is retried under its request id until it is answered, because the cloud returns the
+//! same machines for the same id (PROTOCOL, cloud). It must never be retried under another id.
 
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
@@ -9,19 +9,19 @@
 use crate::replica::Term;
 use crate::scaling::CapacityPool;
 
-/// A rental without any answer is repeated after so long, ms.
+/// Retry interval of a rental without any response, ms.
 const RENT_RETRY_MS: u64 = 10_000;
-/// A rental whose answer leaves its result open is repeated after so long, ms.
+/// Retry delay of a rental whose response leaves the result in doubt, ms.
 const IN_DOUBT_RENT_RETRY_MS: u64 = 1500;
 
-/// A rental that waits for its answer.
+/// A rental request without a response.
 #[derive(Debug)]
 struct PendingRental {
     request: RentRequest,
     retry_at: Timestamp,
 }
 
-/// Whether machines are being returned.
+/// Whether a return request is in flight.
 #[derive(Debug, Default, PartialEq, Eq)]
 enum ReturnRequest {
     #[default]
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub(super) struct RentalRequests {
     pending: HashMap<String, PendingRental>,
-    /// Until when the cloud is not asked again for what it refused.
+    /// Until when each refused pool is not requested again.
     refused_until: HashMap<CapacityPool, Timestamp>,
     return_request: ReturnRequest,
     request_counter: u64,
@@ -41,23 +41,23 @@
 }
 
 impl RentalRequests {
-    /// Whether demand and machines may be compared again.
+    /// Whether the next comparison of demand and fleet is due.
     pub(super) fn review_due(&self, now: Timestamp) -> bool {
         now >= self.next_review
     }
 
-    /// Demand and machines are compared next at this moment.
+    /// Schedules the next comparison of demand and fleet.
     pub(super) fn schedule_review(&mut self, at: Timestamp) {
         self.next_review = at;
     }
 
-    /// The next request id of a term.
+    /// Creates the next request id of a term.
     pub(super) fn next_request_id(&mut self, term: Term) -> String {
         self.request_counter += 1;
         format!("b-{}-{}", term.0, self.request_counter)
     }
 
-    /// A rental is sent.
+    /// Records that a rental request is sent.
     pub(super) fn start_rental_request(&mut self, request: RentRequest, now: Timestamp) {
         let retry_at = now.plus(RENT_RETRY_MS);
         let request_id = request.request_id.clone();
@@ -65,12 +65,12 @@
         self.pending.insert(request_id, pending);
     }
 
-    /// Rentals that wait for their answers.
+    /// Rental requests without a response.
     pub(super) fn pending(&self) -> impl Iterator<Item = &RentRequest> {
         self.pending.values().map(|pending| &pending.request)
     }
 
-    /// Rentals that have waited too long for their answers and are sent again.
+    /// Returns the rentals to be retried now and schedules their next retries.
     pub(super) fn take_overdue(&mut self, now: Timestamp) -> Vec<RentRequest> {
         let pending = self.pending.values_mut();
         let overdue = pending.filter(|pending| now >= pending.retry_at);
@@ -82,46 +82,46 @@
             .collect()
     }
 
-    /// Whether a rental still waits for its answer.
+    /// Whether a rental request is still without a response.
     pub(super) fn is_pending(&self, request_id: &str) -> bool {
         self.pending.contains_key(request_id)
     }
 
-    /// The answer leaves open whether machines were rented: the same request again yields the
-    /// same machines.
+    /// Schedules an early retry of a rental in doubt. Retrying the same request yields the same
+    /// machines.
     pub(super) fn retry_soon(&mut self, request_id: &str, now: Timestamp) {
         if let Some(pending) = self.pending.get_mut(request_id) {
             pending.retry_at = now.plus(IN_DOUBT_RENT_RETRY_MS);
         }
     }
 
-    /// A rental was answered.
+    /// Records that a rental request was answered.
     pub(super) fn complete_rental_request(&mut self, request_id: &str) {
         self.pending.remove(request_id);
     }
 
-    /// Whether the cloud may be asked for machines of a pool, as far as its refusals say.
+    /// Whether a pool may be requested, given the cloud's earlier refusals.
     pub(super) fn may_request(&self, pool: CapacityPool, now: Timestamp) -> bool {
         let refused_until = self.refused_until.get(&pool);
         refused_until.is_none_or(|&until| now >= until)
     }
 
-    /// The cloud refused machines of a pool: it is not asked for them again until then.
+    /// Records that the cloud refused a pool, which is not requested again until `until`.
     pub(super) fn record_refused(&mut self, pool: CapacityPool, until: Timestamp) {
         self.refused_until.insert(pool, until);
     }
 
-    /// Whether no return waits for its answer.
+    /// Whether no return request is in flight.
     pub(super) fn may_start_return(&self) -> bool {
         self.return_request == ReturnRequest::Idle
     }
 
-    /// A return is sent.
+    /// Records that a return request is sent.
     pub(super) fn start_return_request(&mut self) {
         self.return_request = ReturnRequest::InFlight;
     }
 
-    /// A return was answered, or not.
+    /// Records that a return request was answered or has failed.
     pub(super) fn complete_return_request(&mut self) {
         self.return_request = ReturnRequest::Idle;
     }
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -1,7 +1,7 @@
-//! The leader's requests to the cloud: lists, rentals and returns, and their answers.
+//! Sends the leader's requests to the cloud (lists, rentals and returns) and handles the responses.
 //!
-//! A machine is returned only when nothing is bound to it any more or when it is dead; what runs
-//! on it afterwards counts as stopped once the cloud has answered the return.
+//! A machine is returned only when no task is bound to it or when it is presumed dead. Tasks that
+//! may still run on it count as stopped only after the cloud has confirmed the return.
 
 use super::cloud_inventory::NewMachine;
 use crate::clock::Timestamp;
@@ -16,41 +16,43 @@
 use rand::Rng;
 use tracing::info;
 
-/// Shortest time that the cloud charges a machine for (PROTOCOL, catalog).
+/// Minimum time that the cloud charges for a machine, seconds (PROTOCOL, catalog).
 const MIN_CHARGE_S: f64 = 60.0;
-/// Interval at which demand and machines are compared, ms.
+/// Interval between two comparisons of demand and fleet, ms.
 const REVIEW_INTERVAL_MS: u64 = 500;
-/// Pause before that after a return without an answer, ms.
+/// Delay of the next comparison after an unconfirmed return, ms.
 const REVIEW_AFTER_FAILED_RETURN_MS: u64 = 1000;
-/// Bounds of the interval of lists, seconds: they need not be more frequent than they are late.
+/// Bounds of the interval between lists, seconds. Lists need not be requested more often than their
+/// documented lag.
 const MIN_LIST_INTERVAL_S: f64 = 2.0;
 const MAX_LIST_INTERVAL_S: f64 = 10.0;
-/// Most rentals that are requested in one review.
+/// Maximum number of rental requests per comparison.
 const MAX_RENTALS_PER_REVIEW: usize = 6;
-/// Most machines that are returned in one request.
+/// Maximum number of machines in one return request.
 const MAX_RETURNED_PER_REQUEST: usize = 100;
-/// A machine with tasks is emptied only if they take at most this part of it.
+/// A machine with tasks is drained only if they use at most this fraction of its CPUs.
 const CONSOLIDATION_MAX_USE: f64 = 0.5;
-/// And at most this part of what is free on the machines that stay.
+/// They must also use at most this fraction of the free CPUs on the remaining machines.
 const CONSOLIDATION_MAX_FREE_USE: f64 = 0.8;
-/// And only while they take longer than this, seconds: else it is empty soon by itself.
+/// They must also be expected to run for longer than this, seconds; otherwise the machine soon
+/// becomes empty by itself.
 const CONSOLIDATION_MIN_LEFT_S: f64 = 30.0;
-/// Fewest used CPUs that a machine's load is divided by.
+/// Minimum used CPUs that a machine's load is divided by.
 const MIN_USED_CPUS: f64 = 0.1;
 
-/// What became of a request for machines.
+/// Result of a rental request.
 #[derive(Debug)]
-pub enum RentOutcome {
-    /// These machines were rented, fewer than were asked for if the cloud has no more.
+pub enum RentalOutcome {
+    /// These machines were rented. There are fewer than requested if the cloud has no more.
     Rented(Vec<String>),
-    /// Certainly nothing was rented.
+    /// No machine was rented.
     Refused,
     /// In doubt: machines may have been rented.
     Unknown,
 }
 
 impl Controller {
-    /// Asks the cloud for lists, repeats rentals without an answer, and scales out and in.
+    /// Requests lists from the cloud, retries unanswered rentals, and scales out and in.
     pub(super) fn tick_cloud(&mut self, now: Timestamp, term: Term, out: &mut Vec<Effect>) {
         if !self.catalog_known() {
             return;
@@ -61,16 +63,16 @@
         if inventory.start_list_request((interval_s * 1000.0) as u64, now) {
             out.push(Effect::List);
         }
-        let overdue = self.leadership.rent.take_overdue(now);
+        let overdue = self.leadership.rental_requests.take_overdue(now);
         out.extend(overdue.into_iter().map(Effect::Rent));
-        if self.leadership.rent.review_due(now) {
+        if self.leadership.rental_requests.review_due(now) {
             let next = now.plus(REVIEW_INTERVAL_MS);
-            self.leadership.rent.schedule_review(next);
+            self.leadership.rental_requests.schedule_review(next);
             self.review_capacity(now, term, out);
         }
     }
 
-    /// Compares demand and machines, and rents and returns what follows from it.
+    /// Compares demand and fleet, then rents and returns machines accordingly.
     fn review_capacity(&mut self, now: Timestamp, term: Term, out: &mut Vec<Effect>) {
         self.drain_quarantined(now);
         let demand = self.demand(now);
@@ -81,7 +83,7 @@
             most: self.settings.options.fleet_most as usize,
             charge_s: MIN_CHARGE_S,
         };
-        // The replica must show what is bound before idleness means anything.
+        // The replica must show all bindings before an empty queue means that a machine is idle.
         if self.grace_period_over(now) {
             self.cordon_machines(&demand, &fleet, &rules, now);
             for machine_id in scaling::machines_to_return(&demand, &fleet, &rules) {
@@ -95,7 +97,7 @@
         self.return_machines(now, out);
     }
 
-    /// Decides what is missing, counting what is on its way.
+    /// Plans rentals for unmet demand. Machines already requested count as available.
     fn plan_rentals(
         &self,
         demand: &[Demand],
@@ -107,18 +109,18 @@
         let fleet = self.with_pending_machines(fleet);
         let leadership = &self.leadership;
         let pending: HashSet<CapacityPool> = leadership
-            .rent
+            .rental_requests
             .pending()
             .filter_map(|request| self.pool_of(request))
             .collect();
         scaling::plan_rentals(demand, &fleet, &offers, rules, |pool| {
-            leadership.rent.may_request(pool, now)
+            leadership.rental_requests.may_request(pool, now)
                 && !pending.contains(&pool)
                 && !leadership.machines.is_zone_partitioned(pool.zone)
         })
     }
 
-    /// The pool that a rental asks for; none if its names are not known here.
+    /// The pool that a rental requests; none if its names are not known here.
     fn pool_of(&self, request: &RentRequest) -> Option<CapacityPool> {
         let names = &self.replica.names;
         Some(CapacityPool {
@@ -131,7 +133,7 @@
     fn send_rental(&mut self, order: RentOrder, term: Term, now: Timestamp, out: &mut Vec<Effect>) {
         let names = &self.replica.names;
         let request = RentRequest {
-            request_id: self.leadership.rent.next_request_id(term),
+            request_id: self.leadership.rental_requests.next_request_id(term),
             machine_type: names.machine_types.name(order.pool.machine_type).to_owned(),
             zone: names.zones.name(order.pool.zone).to_owned(),
             spot: order.pool.spot,
@@ -146,14 +148,14 @@
             "renting machines"
         );
         self.leadership
-            .rent
+            .rental_requests
             .start_rental_request(request.clone(), now);
         out.push(Effect::Rent(request));
     }
 
-    /// Returns machines that are drained or dead, one request at a time.
+    /// Returns machines that are drained or presumed dead, with at most one request in flight.
     fn return_machines(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if !self.leadership.rent.may_start_return() {
+        if !self.leadership.rental_requests.may_start_return() {
             return;
         }
         let returned = self.leadership.inventory.returned();
@@ -169,13 +171,13 @@
         let names: Vec<String> = names.take(MAX_RETURNED_PER_REQUEST).collect();
         if !names.is_empty() {
             info!(machines = names.join(" "), "returning machines");
-            self.leadership.rent.start_return_request();
+            self.leadership.rental_requests.start_return_request();
             out.push(Effect::Return(names));
         }
     }
 
-    /// Cordons machines that are not needed, and empties one whose tasks can all be resumed from
-    /// checkpoints when the others have room for them.
+    /// Cordons machines that are not needed. Drains one of them if all its tasks can resume from
+    /// checkpoints and the other machines have room for them.
     fn cordon_machines(
         &mut self,
         demand: &[Demand],
@@ -188,7 +190,7 @@
             .filter(|rented| self.can_take_tasks(rented.machine, now));
         let busy = available.map(|rented| BusyMachine {
             machine: rented.clone(),
-            used_cpus: self.used_room_on(rented.machine).cpus,
+            used_cpus: self.used_on(rented.machine).cpus,
         });
         let machines: Vec<BusyMachine> = busy.collect();
         let cordoned = scaling::machines_to_cordon(demand, &machines, rules);
@@ -201,7 +203,7 @@
         }
     }
 
-    /// The dearest cordoned machine whose tasks the others can take over.
+    /// The most expensive cordoned machine whose tasks fit on the others.
     fn machine_to_consolidate(
         &self,
         machines: &[BusyMachine],
@@ -217,12 +219,13 @@
         let consolidable = machines.iter().filter(|busy| {
             scale_in.is_cordoned(busy.machine.machine) && self.may_consolidate(busy, free, now)
         });
-        let dearest = consolidable.max_by(|a, b| a.machine.price.total_cmp(&b.machine.price));
-        dearest.map(|busy| busy.machine.machine)
+        let most_expensive =
+            consolidable.max_by(|a, b| a.machine.price.total_cmp(&b.machine.price));
+        most_expensive.map(|busy| busy.machine.machine)
     }
 
-    /// Whether emptying a machine saves something: its tasks take little of it, fit into the free
-    /// CPUs of the others, would run for a while, and all save checkpoints.
+    /// Whether draining a machine is worthwhile: its tasks use little of it, fit into the free CPUs
+    /// of the others, have enough run time left, and all save checkpoints.
     fn may_consolidate(&self, busy: &BusyMachine, free_cpus: f64, now: Timestamp) -> bool {
         let used = busy.used_cpus;
         let cpus = busy.machine.size.cpus;
@@ -242,7 +245,7 @@
             && jobs.all(|job| job.is_some_and(|job| job.spec.checkpoint_s > 0.0))
     }
 
-    /// The cloud's list arrived, or did not.
+    /// Handles the response to a list request; `list` is none if the request failed.
     pub fn on_list(&mut self, list: Option<Vec<CloudMachine>>, now: Timestamp) {
         let leads = self.leads().is_some();
         let inventory = &mut self.leadership.inventory;
@@ -254,31 +257,31 @@
         }
     }
 
-    /// A rental was answered, or not.
-    pub fn on_rented(&mut self, rental: &RentRequest, outcome: RentOutcome, now: Timestamp) {
-        let rent = &mut self.leadership.rent;
-        if !rent.is_pending(&rental.request_id) {
+    /// Handles the response to a rental request.
+    pub fn on_rented(&mut self, rental: &RentRequest, outcome: RentalOutcome, now: Timestamp) {
+        let rental_requests = &mut self.leadership.rental_requests;
+        if !rental_requests.is_pending(&rental.request_id) {
             return;
         }
         let machines = match outcome {
-            RentOutcome::Unknown => {
-                rent.retry_soon(&rental.request_id, now);
+            RentalOutcome::Unknown => {
+                rental_requests.retry_soon(&rental.request_id, now);
                 return;
             }
-            RentOutcome::Rented(machines) => machines,
-            RentOutcome::Refused => Vec::new(),
+            RentalOutcome::Rented(machines) => machines,
+            RentalOutcome::Refused => Vec::new(),
         };
-        rent.complete_rental_request(&rental.request_id);
+        rental_requests.complete_rental_request(&rental.request_id);
         info!(
             request_id = rental.request_id,
             asked = rental.number,
             rented = machines.len(),
-            "rent request answered"
+            "rental request answered"
         );
         if (machines.len() as u32) < rental.number {
             self.record_refusal(rental, now);
         }
-        self.leadership.rent.schedule_review(now);
+        self.leadership.rental_requests.schedule_review(now);
         for machine in machines {
             let new = NewMachine {
                 machine_type: rental.machine_type.clone(),
@@ -289,25 +292,26 @@
         }
     }
 
-    /// The cloud gave fewer machines than were asked for: the pool is left alone for a while, by
-    /// chance a little longer, so that not all pools are asked again at once.
+    /// Blocks a pool for a while after the cloud supplied fewer machines than requested. The random
+    /// extra delay keeps all pools from being retried at once.
     fn record_refusal(&mut self, rental: &RentRequest, now: Timestamp) {
         if let Some(pool) = self.pool_of(rental) {
             let wait_ms = (self.settings.options.fleet_refused_s * 1000.0) as u64;
             let until = now.plus(wait_ms + self.rng.random_range(0..wait_ms / 2 + 1));
-            self.leadership.rent.record_refused(pool, until);
+            self.leadership.rental_requests.record_refused(pool, until);
         }
     }
 
-    /// A return was answered, or not: only if the cloud has `confirmed` it are the machines gone.
+    /// Handles the response to a return request. The machines are gone only if the cloud has
+    /// `confirmed` it.
     pub fn on_returned(&mut self, machines: &[String], confirmed: bool, now: Timestamp) {
-        self.leadership.rent.complete_return_request();
+        self.leadership.rental_requests.complete_return_request();
         if self.leads().is_none() {
             return;
         }
         if !confirmed {
             let next = now.plus(REVIEW_AFTER_FAILED_RETURN_MS);
-            self.leadership.rent.schedule_review(next);
+            self.leadership.rental_requests.schedule_review(next);
             return;
         }
         for machine in machines {
--- a/src/leadership/scale_in.rs
+++ b/src/leadership/scale_in.rs
@@ -1,4 +1,4 @@
-//! Machines that take no new tasks, and those that are drained to be returned.
+//! Tracks machines that are cordoned and machines that are drained to be returned.
 
 use crate::clock::Timestamp;
 use crate::collections::HashSet;
@@ -6,21 +6,21 @@
 use crate::replica::Replica;
 use std::collections::BTreeSet;
 
-/// Least time from one consolidation to the next, ms.
+/// Minimum interval between two consolidations, ms.
 const CONSOLIDATION_INTERVAL_MS: u64 = 6000;
 
-/// What the leader has decided on scaling in.
+/// The leader's decisions on scaling in.
 #[derive(Debug, Default)]
 pub(super) struct ScaleIn {
-    /// Machines that are to be marked as leaving in their blocks.
+    /// Machines to be marked as leaving in their blocks.
     to_drain: BTreeSet<MachineId>,
-    /// Machines that take no new tasks, for the others suffice.
+    /// Machines that take no new tasks because the others suffice.
     cordoned: HashSet<MachineId>,
     next_consolidation: Timestamp,
 }
 
 impl ScaleIn {
-    /// Machines that are to be marked as leaving in their blocks.
+    /// Machines to be marked as leaving in their blocks.
     pub(super) fn to_drain(&self) -> &BTreeSet<MachineId> {
         &self.to_drain
     }
@@ -35,28 +35,28 @@
         self.cordoned.contains(&machine_id)
     }
 
-    /// Drains a machine: its tasks are preempted or run through, and it goes back.
+    /// Drains a machine: its tasks are preempted or run to completion, then it is returned.
     pub(super) fn drain(&mut self, machine_id: MachineId) {
         self.to_drain.insert(machine_id);
     }
 
-    /// Replaces the machines that take no new tasks.
+    /// Replaces the set of cordoned machines.
     pub(super) fn set_cordoned(&mut self, machines: Vec<MachineId>) {
         self.cordoned = machines.into_iter().collect();
     }
 
-    /// Whether a machine with tasks may be emptied again.
+    /// Whether the next machine with tasks may be drained for consolidation.
     pub(super) fn consolidation_due(&self, now: Timestamp) -> bool {
         now >= self.next_consolidation
     }
 
-    /// A machine with tasks is drained because the others have room for them.
+    /// Drains a machine with tasks because the others have room for them.
     pub(super) fn consolidate(&mut self, machine_id: MachineId, now: Timestamp) {
         self.next_consolidation = now.plus(CONSOLIDATION_INTERVAL_MS);
         self.to_drain.insert(machine_id);
     }
 
-    /// Forgets machines that are in no block any more.
+    /// Drops machines that are no longer in any block.
     pub(super) fn retain_existing(&mut self, replica: &Replica) {
         self.to_drain
             .retain(|machine_id| replica.machines.contains_key(machine_id));
--- a/src/leadership/start_times.rs
+++ b/src/leadership/start_times.rs
@@ -1,42 +1,42 @@
-//! How long machines take from their rental to their first heartbeat.
+//! Estimates how long machines take from their rental to their first heartbeat.
 //!
-//! Pure: it never decides that a machine is dead, it only says when one is overdue.
+//! Pure computation: it reports when a machine is overdue but never decides that one is dead.
 
 use std::collections::VecDeque;
 
-/// Starts that are remembered of each machine type.
+/// Number of recent starts kept for each machine type.
 const MAX_SAMPLES: usize = 32;
-/// With fewer starts seen than this, the catalog's boot time alone decides.
+/// Number of observed starts below which only the catalog's boot time counts.
 const MIN_SAMPLES: usize = 4;
-/// A start may take this many times what nearly all starts of its type took.
+/// A start is overdue after this many times the usual start time of its type.
 const OVERDUE_FACTOR: f64 = 2.0;
-/// Part of the starts that count as nearly all.
+/// Quantile of the observed start times that counts as the usual start time.
 const USUAL_START_QUANTILE: f64 = 0.9;
-/// Without enough samples a start may take this many times the boot time of the catalog, and so
-/// many seconds more: boot times vary by half and more (PROTOCOL, catalog).
+/// Without enough samples, a start is overdue after this many times the catalog's boot time plus a
+/// margin in seconds: boot times vary by half and more (PROTOCOL, catalog).
 const BOOT_FACTOR: f64 = 3.5;
 const BOOT_MARGIN_S: f64 = 20.0;
 
-/// Start times of one machine type, the latest ones.
+/// The most recent start times of one machine type.
 #[derive(Debug, Clone, Default)]
 pub(super) struct StartTimes {
     seconds: VecDeque<f64>,
 }
 
 impl StartTimes {
-    /// Records that a machine sent its first heartbeat so long after its rental.
-    pub(super) fn note(&mut self, seconds: f64) {
+    /// Records the seconds from a machine's rental to its first heartbeat.
+    pub(super) fn observe(&mut self, seconds: f64) {
         self.seconds.push_back(seconds);
         if self.seconds.len() > MAX_SAMPLES {
             self.seconds.pop_front();
         }
     }
 
-    /// Seconds after which a machine of this type that has sent no heartbeat is overdue: it is
-    /// returned and what it should have taken is rented again. `boot_s` is the catalog's boot time.
+    /// Seconds after which a machine of this type without a heartbeat is overdue. Its return is
+    /// then due, and a replacement is rented. `boot_s` is the catalog's boot time.
     ///
-    /// Guards against machines that never come up, which are charged and counted as room until
-    /// they are returned. Slow starts that do end are seen here, and make for more patience.
+    /// Detects machines that never come up, which are charged and counted as capacity until they
+    /// are returned. Slow starts that succeed are samples too and raise the limit.
     pub(super) fn overdue_s(&self, boot_s: f64) -> f64 {
         let without_samples = overdue_without_samples_s(boot_s);
         if self.seconds.len() < MIN_SAMPLES {
@@ -50,7 +50,7 @@
     }
 }
 
-/// The same while too few starts have been seen.
+/// The same while there are too few samples.
 fn overdue_without_samples_s(boot_s: f64) -> f64 {
     boot_s * BOOT_FACTOR + BOOT_MARGIN_S
 }
--- a/src/leadership/unreachable_holders.rs
+++ b/src/leadership/unreachable_holders.rs
@@ -1,4 +1,5 @@
-//! Holders that do not answer their workers: found by the machines that come to other controllers.
+//! Detects holders that do not answer their workers, by the machines that send heartbeats to other
+//! controllers.
 
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
@@ -8,28 +9,28 @@
 use crate::replica::BlockId;
 use std::collections::BTreeMap;
 
-/// A machine counts against its holder when it has come to another controller for so long, and its
-/// holder has not heard it for as long, ms.
+/// A machine counts against its holder once it has sent heartbeats to another controller for this
+/// long and the holder has received none for as long, ms.
 const MIN_UNANSWERED_MS: u64 = 4500;
-/// Part of a block's machines, as one in so many, that shows that it is the holder's fault.
+/// A holder is at fault if at least one in this many machines of a block counts against it.
 const UNANSWERED_FRACTION_DIVISOR: usize = 3;
-/// Fewest machines that show it, if the block has as many.
+/// Minimum number of machines that must count against the holder, unless the block has fewer.
 const MIN_UNANSWERED_MACHINES: usize = 2;
 
-/// Machines of one block that come to controllers which do not hold it.
+/// Machines of one block that send heartbeats to controllers that do not hold it.
 struct UnansweredMachines {
     total: usize,
-    /// Most that come to one controller, and which one that is.
-    most: usize,
-    most_received_by: HostId,
+    /// The highest number of them at one controller, and that controller.
+    max_machines: usize,
+    max_received_by: HostId,
 }
 
 impl Controller {
-    /// Blocks whose machines send heartbeats to somebody else because their holder does not answer
-    /// them, with the controller that hears most of them.
+    /// Blocks whose holder does not answer its workers, so that their machines send heartbeats to
+    /// other controllers, with the controller that receives most of them.
     ///
-    /// A single machine of many says nothing of its holder: one that hears no answers at all goes
-    /// round all controllers, whoever holds its block.
+    /// A single machine out of many is no evidence against its holder: a machine that receives no
+    /// answers at all tries every controller, whichever holds its block.
     pub(super) fn blocks_of_unreachable_holders(&self, now: Timestamp) -> HashMap<BlockId, HostId> {
         let mut blocks = HashMap::default();
         if !self.peer_silence_is_conclusive(now) {
@@ -40,40 +41,44 @@
             let machines = block_record.map_or(0, |block| block.machines.len());
             let share = machines.div_ceil(UNANSWERED_FRACTION_DIVISOR);
             if unanswered.total >= share.max(MIN_UNANSWERED_MACHINES).min(machines) {
-                blocks.insert(block, unanswered.most_received_by);
+                blocks.insert(block, unanswered.max_received_by);
             }
         }
         blocks
     }
 
     fn unanswered_by_block(&self, now: Timestamp) -> BTreeMap<BlockId, UnansweredMachines> {
-        let mut heard: BTreeMap<(BlockId, HostId), HashSet<MachineId>> = BTreeMap::new();
+        let mut received: BTreeMap<(BlockId, HostId), HashSet<MachineId>> = BTreeMap::new();
         let own = self.held.unowned.to_report(now);
         let own = own.iter().map(|machine| (self.me, machine));
         let of_peers = self.peers.unowned_machines();
         let of_peers = of_peers.filter(|&(host, _)| self.peers.hears(host, now));
         for (host, machine) in own.chain(of_peers) {
             if let Some((block, machine_id)) = self.unanswered(host, machine, now) {
-                heard.entry((block, host)).or_default().insert(machine_id);
+                received
+                    .entry((block, host))
+                    .or_default()
+                    .insert(machine_id);
             }
         }
         let mut by_block: BTreeMap<BlockId, UnansweredMachines> = BTreeMap::new();
-        for ((block, host), machines) in heard {
+        for ((block, host), machines) in received {
             let unanswered = by_block.entry(block).or_insert(UnansweredMachines {
                 total: 0,
-                most: 0,
-                most_received_by: host,
+                max_machines: 0,
+                max_received_by: host,
             });
             unanswered.total += machines.len();
-            if machines.len() > unanswered.most {
-                unanswered.most = machines.len();
-                unanswered.most_received_by = host;
+            if machines.len() > unanswered.max_machines {
+                unanswered.max_machines = machines.len();
+                unanswered.max_received_by = host;
             }
         }
         by_block
     }
 
-    /// The block of a machine that has come to `host` for long without being heard by its holder.
+    /// The block of a machine that has long sent heartbeats to `host` while its holder received
+    /// none.
     fn unanswered(
         &self,
         host: HostId,
@@ -86,8 +91,8 @@
         let machine_id = self.replica.names.machines.get(&machine.machine)?;
         let (block, grant) = self.replica.holder(machine_id)?;
         let info = self.machine_info(machine_id, now);
-        let heard_ms = info.and_then(|info| info.age_ms);
-        let unheard = heard_ms.is_none_or(|age_ms| age_ms > MIN_UNANSWERED_MS);
-        (grant.host != host && unheard).then_some((block, machine_id))
+        let since_last_heartbeat_ms = info.and_then(|info| info.age_ms);
+        let not_received = since_last_heartbeat_ms.is_none_or(|age_ms| age_ms > MIN_UNANSWERED_MS);
+        (grant.host != host && not_received).then_some((block, machine_id))
     }
 }
--- a/src/runtime/cloud_client.rs
+++ b/src/runtime/cloud_client.rs
@@ -3,7 +3,7 @@
 //! Owns the cloud's address and the bounds on its answers. It must never call a request refused whose
 //! outcome is in doubt: a machine may have been rented although no answer came.
 
-use crate::leadership::RentOutcome;
+use crate::leadership::RentalOutcome;
 use crate::protocol::{Catalog, CloudMachine, MachineNames, MachinePage, RentRequest};
 use awc::Client;
 use awc::http::StatusCode;
@@ -64,17 +64,17 @@
     }
 
     /// Rents machines. The request is idempotent by its id.
-    pub(super) async fn rent(self, request: RentRequest) -> RentOutcome {
+    pub(super) async fn rent(self, request: RentRequest) -> RentalOutcome {
         let url = format!("{}/machines", self.base_url);
         match self.post(url, &request).await {
             Some((StatusCode::OK, body)) => match serde_json::from_slice::<MachineNames>(&body) {
-                Ok(rented) => RentOutcome::Rented(rented.machines),
-                Err(_) => RentOutcome::Unknown,
+                Ok(rented) => RentalOutcome::Rented(rented.machines),
+                Err(_) => RentalOutcome::Unknown,
             },
             Some((StatusCode::SERVICE_UNAVAILABLE, body))
                 if String::from_utf8_lossy(&body).contains(NO_CAPACITY) =>
             {
-                RentOutcome::Refused
+                RentalOutcome::Refused
             }
             Some((StatusCode::BAD_REQUEST, body)) => {
                 let answer = String::from_utf8_lossy(&body).into_owned();
@@ -83,9 +83,9 @@
                     request_id = request.request_id,
                     "cloud rejected rent request as malformed"
                 );
-                RentOutcome::Refused
+                RentalOutcome::Refused
             }
-            _ => RentOutcome::Unknown,
+            _ => RentalOutcome::Unknown,
         }
     }
 
--- a/src/spillover/load.rs
+++ b/src/spillover/load.rs
@@ -125,7 +125,7 @@
     fn home_load(&self, now: Timestamp) -> HomeLoad {
         let mut load = HomeLoad::default();
         for rented in self.fleet(now) {
-            let used = self.used_room_on(rented.machine).cpus;
+            let used = self.used_on(rented.machine).cpus;
             load.fleet_cpus += rented.size.cpus;
             load.free_cpus += (rented.size.cpus - used).max(0.0);
             load.bound_s += self.known_load(rented.machine, now) * rented.size.cpus;
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -19,7 +19,7 @@
     pub(super) fn has_free_cpus(&self, machine_id: MachineId) -> bool {
         let machine = self.replica.machines.get(&machine_id);
         let size = machine.and_then(|machine| self.size(machine));
-        size.is_some_and(|size| self.used_room_on(machine_id).cpus + MIN_FREE_CPUS <= size.cpus)
+        size.is_some_and(|size| self.used_on(machine_id).cpus + MIN_FREE_CPUS <= size.cpus)
     }
 
     /// Tasks that may move, with their loads, the last of the queue first.
@@ -107,7 +107,7 @@
         let Some(size) = self.size(to) else {
             return false;
         };
-        let mut used = self.used_room_on(thief);
+        let mut used = self.used_on(thief);
         let coming = self.completions.moving_to(thief);
         for binding in coming.chain(&pack.tasks) {
             if let Some(job) = self.replica.jobs.get(&binding.task.job) {
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -5,7 +5,7 @@
     StoreFault, Timestamp, Transaction, World, WriteKind, catalog, cells, digest, past_key,
     position,
 };
-use quillbend::leadership::RentOutcome;
+use quillbend::leadership::RentalOutcome;
 
 impl World {
     /// One of six faults of a controller.
@@ -266,11 +266,11 @@
             Effect::Cell(call) => self.cell_calls.push((i, *call)),
             Effect::Rent(r) => {
                 if self.cloud_up && self.cloud_has_no_capacity {
-                    controller.on_rented(&r, RentOutcome::Refused, now);
+                    controller.on_rented(&r, RentalOutcome::Refused, now);
                     return false;
                 }
                 if !self.cloud_up {
-                    controller.on_rented(&r, RentOutcome::Unknown, now);
+                    controller.on_rented(&r, RentalOutcome::Unknown, now);
                     return false;
                 }
                 let names = match self.request_counter.get(&r.request_id) {
@@ -284,7 +284,7 @@
                 };
                 self.request_counter
                     .insert(r.request_id.clone(), names.clone());
-                controller.on_rented(&r, RentOutcome::Rented(names), now);
+                controller.on_rented(&r, RentalOutcome::Rented(names), now);
             }
             Effect::Return(machines) => {
                 if self.cloud_up {
