--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -22,7 +22,8 @@
 /// Number of archivable jobs that adds one base rate to the rate of archiving transactions while no
 /// job waits to run. The base rate is one transaction per maximum interval.
 const JOBS_PER_RATE_STEP_WHEN_IDLE: u64 = 10;
-/// The same while jobs wait to run.
+/// Number of archivable jobs that adds one base rate to the rate of archiving transactions while
+/// jobs wait to run.
 const JOBS_PER_RATE_STEP_WHEN_BUSY: u64 = 50;
 /// Bytes of a mutation and its precondition in addition to the value.
 const MUTATION_OVERHEAD_BYTES: usize = 100;
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -170,8 +170,8 @@
         candidate_jobs
     }
 
-    /// A candidate with up to `max_tasks` tasks of a job that are not in `taken`. Zones of bound tasks
-    /// are left empty.
+    /// A candidate with up to `max_tasks` tasks of a job that are not in `taken`. Zones of bound
+    /// tasks are left empty.
     fn candidate_job(
         &self,
         bindable_job: &BindableJob,
--- a/src/leadership/block_sizes.rs
+++ b/src/leadership/block_sizes.rs
@@ -7,7 +7,7 @@
 /// Limits on the number and size of blocks.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BlockRules {
-    /// Number of blocks to create before any block is filled up to `machines_per_block`: one per
+    /// Number of blocks to create before further machines are added to existing blocks: one per
     /// controller.
     pub min_blocks: usize,
     /// Number of blocks that can together be written twice a second. More are created only if the
--- a/src/leadership/grant_observations.rs
+++ b/src/leadership/grant_observations.rs
@@ -8,7 +8,7 @@
 /// How long a holder that does not reach its workers gets no more blocks, ms.
 const AVOID_HOLDER_MS: u64 = 30_000;
 /// A controller counts as restarted after it has been seen in another incarnation than its grants
-/// name for this long, ms: its messages may lag behind its key by one or two.
+/// name for this long, ms: its peer messages may lag behind its key by a message or two.
 const RESTART_CONFIRMED_MS: u64 = 1500;
 /// Minimum interval between two grants that rebalance the load, ms.
 const REBALANCE_INTERVAL_MS: u64 = 6000;
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -229,7 +229,7 @@
         grants
     }
 
-    /// Why a block must be granted again; none if its current grant is valid.
+    /// Why a block must be granted; none if its current grant is valid.
     fn grant_reason(
         &self,
         block: BlockId,
--- a/src/leadership/job_order.rs
+++ b/src/leadership/job_order.rs
@@ -15,8 +15,8 @@
 const NO_DEADLINE_SLACK_S: f64 = 1e5;
 /// Delay up to which a job with a deadline still counts as in time, seconds.
 const LATE_TOLERANCE_S: f64 = 10.0;
-/// The same for a job without its own deadline: the objective of a class is not binding, and run
-/// times are rough estimates.
+/// Delay up to which a job without its own deadline still counts as in time, seconds. It is larger
+/// because the objective of a class is not binding and run times are rough estimates.
 const LATE_TOLERANCE_OF_CLASS_S: f64 = 60.0;
 /// Minimum CPUs that a team is assumed to have at once, against division by zero.
 const MIN_TEAM_CPUS: f64 = 1e-3;
@@ -28,9 +28,9 @@
     Critical,
     /// The job's priority is urgent.
     Urgent,
-    /// The job can still be done in time.
+    /// The job can still be done in time or within the tolerated delay.
     InTime,
-    /// The job can no longer be done in time.
+    /// The job will miss its deadline by more than the tolerated delay.
     Late,
 }
 
--- a/src/leadership/machines.rs
+++ b/src/leadership/machines.rs
@@ -12,7 +12,8 @@
 /// Time without heartbeats beyond the end of a worker's lease after which a machine is presumed
 /// dead, ms.
 const PRESUMED_DEAD_AFTER_LEASE_MS: u64 = 8000;
-/// The same beyond the longest time for which an earlier holder could answer the machine, ms.
+/// Time without heartbeats beyond the longest time for which an earlier holder could answer a
+/// machine, after which the machine is presumed dead, ms.
 const PRESUMED_DEAD_AFTER_UNFENCED_MS: u64 = 2000;
 /// A list may lag by this factor times the lag in the settings, plus a margin in ms.
 const LIST_LAG_FACTOR: f64 = 2.0;
@@ -137,9 +138,9 @@
         machine: &Machine,
         now: Timestamp,
     ) -> DeathEvidence {
-        // A list may lag twice as long as documented, so a machine counts as missing only after it
-        // has been known here for longer than that. This leader need not have seen it in a list: it
-        // may have disappeared during an earlier term or while there was no leader.
+        // A list may lag twice as long as the settings say, so a machine counts as missing only
+        // after it has been known here for longer than that. This leader need not have seen it in a
+        // list: it may have disappeared during an earlier term or while there was no leader.
         let lag_s = self.settings.platform.settings.cloud.list_lag_s;
         let lag_ms = (lag_s * 1000.0 * LIST_LAG_FACTOR) as u64 + LIST_LAG_MARGIN_MS;
         let absent = self.leadership.inventory.is_absent(machine_id);
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -22,8 +22,8 @@
 const REVIEW_INTERVAL_MS: u64 = 500;
 /// Delay of the next comparison after an unconfirmed return, ms.
 const REVIEW_AFTER_FAILED_RETURN_MS: u64 = 1000;
-/// Bounds of the interval between lists, seconds. Lists need not be requested more often than their
-/// documented lag.
+/// Bounds of the interval between lists, seconds. Within them it is the lag of lists, because
+/// requesting them more often shows nothing newer.
 const MIN_LIST_INTERVAL_S: f64 = 2.0;
 const MAX_LIST_INTERVAL_S: f64 = 10.0;
 /// Maximum number of rental requests per comparison.
@@ -32,10 +32,11 @@
 const MAX_RETURNED_PER_REQUEST: usize = 100;
 /// A machine with tasks is drained only if they use at most this fraction of its CPUs.
 const CONSOLIDATION_MAX_USE: f64 = 0.5;
-/// They must also use at most this fraction of the free CPUs on the remaining machines.
+/// A machine with tasks is drained only if they use at most this fraction of the free CPUs on the
+/// remaining machines.
 const CONSOLIDATION_MAX_FREE_USE: f64 = 0.8;
-/// They must also be expected to run for longer than this, seconds; otherwise the machine soon
-/// becomes empty by itself.
+/// A machine with tasks is drained only if they are expected to run for longer than this, seconds;
+/// otherwise it soon becomes empty by itself.
 const CONSOLIDATION_MIN_LEFT_S: f64 = 30.0;
 /// Minimum used CPUs that a machine's load is divided by.
 const MIN_USED_CPUS: f64 = 0.1;
@@ -292,8 +293,8 @@
         }
     }
 
-    /// Blocks a pool for a while after the cloud supplied fewer machines than requested. The random
-    /// extra delay keeps all pools from being retried at once.
+    /// Suspends requests to a pool for a while after the cloud supplied fewer machines than
+    /// requested. The random extra delay keeps all pools from being retried at once.
     fn record_refusal(&mut self, rental: &RentRequest, now: Timestamp) {
         if let Some(pool) = self.pool_of(rental) {
             let wait_ms = (self.settings.options.fleet_refused_s * 1000.0) as u64;
--- a/src/leadership/start_times.rs
+++ b/src/leadership/start_times.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// The same while there are too few samples.
+/// Seconds after which a start is overdue while there are too few samples.
 fn overdue_without_samples_s(boot_s: f64) -> f64 {
     boot_s * BOOT_FACTOR + BOOT_MARGIN_S
 }
