--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -95,7 +95,7 @@
         pack: &Pack<Binding>,
         now: Timestamp,
     ) -> bool {
-        if victim == thief || !self.available(thief, now) {
+        if victim == thief || !self.can_take_tasks(thief, now) {
             return false;
         }
         let (Some(from), Some(to)) = (
