--- a/src/controller/candidacy.rs
+++ b/src/controller/candidacy.rs
@@ -7,7 +7,7 @@
 use super::writes::WriteIntent;
 use super::{Controller, Effect, WriteKind, put};
 use crate::clock::Timestamp;
-use crate::names::HostId;
+use crate::names::ControllerId;
 use crate::protocol::Transaction;
 use crate::records::HolderRecord;
 use crate::replica::{Holder, LEAD};
@@ -122,7 +122,7 @@
     fn judge_leader(&self, leader: Holder, now: Timestamp) -> PeerLeader {
         let host = leader.host;
         let key = self.replica.live_controllers.get(&host);
-        let goes_first = |&&other: &&HostId| {
+        let goes_first = |&&other: &&ControllerId| {
             let name = self.replica.names.hosts.name(other);
             other != host && self.peers.hears(other, now) && name < self.my_name()
         };
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -2,7 +2,7 @@
 //!
 //! Plain values only: nothing here decides or does anything.
 
-use crate::names::HostId;
+use crate::names::ControllerId;
 use crate::protocol::{HeartbeatAck, Json, Mutation, PeerMessage, RentRequest, Transaction};
 use crate::replica::BlockId;
 use crate::spillover::CellCall;
@@ -34,7 +34,7 @@
     /// Send a message to another controller.
     Peer {
         /// The controller.
-        host: HostId,
+        host: ControllerId,
         /// The message.
         message: Box<PeerMessage>,
     },
--- a/src/controller/formats.rs
+++ b/src/controller/formats.rs
@@ -13,7 +13,7 @@
 use super::{Controller, put};
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
-use crate::names::HostId;
+use crate::names::ControllerId;
 use crate::protocol::Transaction;
 use crate::records::{CHAINS_FORMAT, CURRENT_FORMAT, FormatRecord, NEWEST_FORMAT};
 use crate::replica::{FORMAT, Replica};
@@ -36,18 +36,18 @@
 #[derive(Debug)]
 pub(crate) struct FormatTracker {
     /// This controller.
-    me: HostId,
+    me: ControllerId,
     /// Format that this controller reads and writes at most.
     own: u32,
     /// Whether it was logged that this version is too old for what is stored.
     outdated_logged: bool,
     /// Controllers that were seen to run an older version.
-    older: HashMap<HostId, OlderVersion>,
+    older: HashMap<ControllerId, OlderVersion>,
 }
 
 impl FormatTracker {
     /// A controller that reads format `own` and has seen no other one yet.
-    pub(crate) fn new(me: HostId, own: u32) -> Self {
+    pub(crate) fn new(me: ControllerId, own: u32) -> Self {
         Self {
             me,
             own,
@@ -67,7 +67,7 @@
     }
 
     /// Takes note of the format that a controller reads.
-    pub(super) fn observe(&mut self, host: HostId, format: u32, now: Timestamp) {
+    pub(super) fn observe(&mut self, host: ControllerId, format: u32, now: Timestamp) {
         if format < self.own {
             let seen = now;
             self.older.insert(host, OlderVersion { format, seen });
--- a/src/controller/heartbeat/admission.rs
+++ b/src/controller/heartbeat/admission.rs
@@ -3,7 +3,7 @@
 use super::HeldMachine;
 use crate::clock::Timestamp;
 use crate::controller::{Controller, HeartbeatResponse};
-use crate::names::{HostId, MachineId};
+use crate::names::{ControllerId, MachineId};
 use crate::protocol::Heartbeat;
 use crate::replica::{FencingToken, Holder};
 
@@ -49,7 +49,7 @@
     }
 
     /// The controller to which a peer says that this machine's block was granted since.
-    fn later_holder(&self, machine_id: MachineId) -> Option<HostId> {
+    fn later_holder(&self, machine_id: MachineId) -> Option<ControllerId> {
         let block = self.replica.machines.get(&machine_id)?.block;
         let holder = self.peers.reported_holder(block)?;
         (holder != self.me).then_some(holder)
@@ -80,11 +80,11 @@
         self.redirect(holder)
     }
 
-    fn is_heard_peer(&self, host: HostId, now: Timestamp) -> bool {
+    fn is_heard_peer(&self, host: ControllerId, now: Timestamp) -> bool {
         host != self.me && self.peers.hears(host, now)
     }
 
-    fn redirect(&mut self, to: Option<HostId>) -> HeartbeatResponse {
+    fn redirect(&mut self, to: Option<ControllerId>) -> HeartbeatResponse {
         self.counters.redirects += 1;
         let name = to.map(|host| self.replica.names.hosts.name(host).to_owned());
         HeartbeatResponse::Elsewhere(name)
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -7,7 +7,7 @@
 use super::writes::WriteIntent;
 use super::{Controller, Effect, WriteKind, put};
 use crate::clock::Timestamp;
-use crate::names::HostId;
+use crate::names::ControllerId;
 use crate::protocol::Transaction;
 use crate::records::ControllerRecord;
 use crate::replica::{Holder, Incarnation, Replica, controller_key};
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub(crate) struct Membership {
     /// This controller.
-    me: HostId,
+    me: ControllerId,
     /// Length of a lease, ms.
     lease_ms: u64,
     /// Length of the authority after a confirmation, ms; less than that of the lease.
@@ -67,7 +67,7 @@
 
 impl Membership {
     /// A controller without a lease, with a random incarnation.
-    pub(crate) fn new(me: HostId, settings: &Settings, rng: &mut SmallRng) -> Self {
+    pub(crate) fn new(me: ControllerId, settings: &Settings, rng: &mut SmallRng) -> Self {
         Self {
             me,
             lease_ms: settings.block_lease_ms(),
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -45,7 +45,7 @@
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
 use crate::leadership::LeaderState;
-use crate::names::{HostId, MachineTypeId};
+use crate::names::{ControllerId, MachineTypeId};
 use crate::protocol::MachineType;
 use crate::records::{CURRENT_FORMAT, SPILLOVER_FORMAT};
 use crate::replica::Replica;
@@ -62,7 +62,7 @@
     /// Replica of the shared keys.
     pub replica: Replica,
     /// This controller.
-    pub me: HostId,
+    pub me: ControllerId,
     /// Counters.
     pub counters: Counters,
     /// Lease, incarnation and what the authority of this controller rests on.
--- a/src/controller/peers/messages.rs
+++ b/src/controller/peers/messages.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Timestamp;
 use crate::controller::{Controller, Effect};
-use crate::names::{HostId, JobId};
+use crate::names::{ControllerId, JobId};
 use crate::protocol::{FleetSummary, JobStatus, PeerMessage, StealMessage};
 use crate::replica::BlockId;
 
@@ -71,12 +71,12 @@
 
     /// Whether this controller sends the request to a peer, and not the peer to it. The answer
     /// says as much as the request, so one of the two suffices, unless the peer is overdue.
-    fn speaks_first_to(&self, host: HostId, now: Timestamp) -> bool {
+    fn speaks_first_to(&self, host: ControllerId, now: Timestamp) -> bool {
         self.my_name() < self.replica.names.hosts.name(host) || self.peers.is_overdue(host, now)
     }
 
     /// The leader needs to know all machines well, the others roughly.
-    fn message_length_for(&self, host: HostId) -> MessageLength {
+    fn message_length_for(&self, host: ControllerId) -> MessageLength {
         let leads = self
             .replica
             .leader
@@ -160,7 +160,7 @@
     /// without their waiting for the end of the old authority.
     fn add_facts_for_refused_peer(
         &mut self,
-        host: HostId,
+        host: ControllerId,
         message: &mut PeerMessage,
         now: Timestamp,
     ) {
@@ -265,7 +265,10 @@
 }
 
 /// Takes the messages to one peer out of the outbox, in order.
-fn take_messages_to(host: HostId, outbox: &mut Vec<(HostId, StealMessage)>) -> Vec<StealMessage> {
+fn take_messages_to(
+    host: ControllerId,
+    outbox: &mut Vec<(ControllerId, StealMessage)>,
+) -> Vec<StealMessage> {
     outbox
         .extract_if(.., |(to, _)| *to == host)
         .map(|(_, message)| message)
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -13,7 +13,7 @@
 use super::Controller;
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
-use crate::names::{HostId, JobId, MachineId};
+use crate::names::{ControllerId, JobId, MachineId};
 use crate::protocol::{MachineSummary, UnownedMachine};
 use crate::ranges::RangeSet;
 use crate::replica::{BlockId, Holder, Incarnation};
@@ -69,14 +69,14 @@
 #[derive(Debug)]
 pub(crate) struct Peers {
     /// This controller.
-    me: HostId,
+    me: ControllerId,
     /// The other controllers.
-    others: Vec<HostId>,
+    others: Vec<ControllerId>,
     timing: Timing,
     /// What is known of each peer.
-    states: HashMap<HostId, PeerState>,
+    states: HashMap<ControllerId, PeerState>,
     /// When each controller's queue totals last arrived by way of the state service.
-    last_load_seen: HashMap<HostId, Timestamp>,
+    last_load_seen: HashMap<ControllerId, Timestamp>,
     /// Jobs that were cancelled lately, and when that became known here.
     recent_cancellations: VecDeque<(Timestamp, String)>,
     /// Jobs that the replica shows as pending and a peer knows to be cancelled.
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, Copy)]
 struct ReportedGrant {
     fencing_token: u64,
-    holder: HostId,
+    holder: ControllerId,
 }
 
 /// Which messages are due.
@@ -111,7 +111,7 @@
 
 impl Peers {
     /// Peers none of which has been heard yet.
-    pub(crate) fn new(me: HostId, others: Vec<HostId>, settings: &Settings) -> Self {
+    pub(crate) fn new(me: ControllerId, others: Vec<ControllerId>, settings: &Settings) -> Self {
         Self {
             me,
             others,
@@ -129,7 +129,7 @@
     }
 
     /// The other controllers.
-    pub(super) fn others(&self) -> &[HostId] {
+    pub(super) fn others(&self) -> &[ControllerId] {
         &self.others
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// Whether a peer was heard lately; true of this controller itself.
-    pub(crate) fn hears(&self, host: HostId, now: Timestamp) -> bool {
+    pub(crate) fn hears(&self, host: ControllerId, now: Timestamp) -> bool {
         host == self.me
             || self
                 .states
@@ -156,14 +156,19 @@
     }
 
     /// Whether a message of this controller has ever come.
-    pub(crate) fn is_known(&self, host: HostId) -> bool {
+    pub(crate) fn is_known(&self, host: ControllerId) -> bool {
         self.states.contains_key(&host)
     }
 
     /// Whether a controller that is heard speaks in another incarnation than the one given. The
     /// earlier one is over then, even if its keys are still there: a controller that comes back
     /// without the state service cannot say so in any other way.
-    pub(crate) fn restarted(&self, host: HostId, incarnation: Incarnation, now: Timestamp) -> bool {
+    pub(crate) fn restarted(
+        &self,
+        host: ControllerId,
+        incarnation: Incarnation,
+        now: Timestamp,
+    ) -> bool {
         host != self.me
             && self.hears(host, now)
             && self
@@ -179,14 +184,14 @@
     /// would take over everything from peers that are well. Where those who miss it are no
     /// majority of all controllers, the others may sit on the far side of a partition together
     /// with it: then its totals must be missing from the state service as well.
-    pub(crate) fn corroborated(&self, host: HostId, now: Timestamp) -> bool {
+    pub(crate) fn corroborated(&self, host: ControllerId, now: Timestamp) -> bool {
         let silent_ms = self.timing.silent_ms;
         let heard = || {
             self.others
                 .iter()
                 .filter(|&&other| other != host && self.hears(other, now))
         };
-        let misses = |other: &&HostId| {
+        let misses = |other: &&ControllerId| {
             self.states.get(*other).is_some_and(|peer| {
                 peer.heard_ages_ms
                     .get(&host)
@@ -214,7 +219,7 @@
 
     /// Whether a peer that is heard has said for a while that the state service does not answer it,
     /// while it answered this controller.
-    pub(super) fn is_refused(&self, host: HostId, now: Timestamp) -> bool {
+    pub(super) fn is_refused(&self, host: ControllerId, now: Timestamp) -> bool {
         self.hears(host, now)
             && self
                 .states
@@ -241,7 +246,7 @@
     /// What a machine's holder last said of it, and when.
     pub(super) fn machine(
         &self,
-        holder: HostId,
+        holder: ControllerId,
         machine_id: MachineId,
     ) -> Option<(&MachineSummary, Timestamp)> {
         let peer = self.states.get(&holder)?;
@@ -268,7 +273,7 @@
     }
 
     /// Machines that report to a peer which does not hold them, with that peer.
-    pub(crate) fn unowned_machines(&self) -> impl Iterator<Item = (HostId, &UnownedMachine)> {
+    pub(crate) fn unowned_machines(&self) -> impl Iterator<Item = (ControllerId, &UnownedMachine)> {
         self.states.iter().flat_map(|(&host, peer)| {
             let machines = peer.unowned_machines.iter();
             machines.map(move |machine| (host, machine))
@@ -289,7 +294,7 @@
     }
 
     /// Who holds a block now, as a peer knows, that the replica shows as granted to this controller.
-    pub(crate) fn reported_holder(&self, block: BlockId) -> Option<HostId> {
+    pub(crate) fn reported_holder(&self, block: BlockId) -> Option<ControllerId> {
         self.reported_grants.get(&block).map(|grant| grant.holder)
     }
 
@@ -299,7 +304,7 @@
     }
 
     /// Queue totals of a controller arrived by way of the state service.
-    pub(super) fn note_load(&mut self, host: HostId, now: Timestamp) {
+    pub(super) fn note_load(&mut self, host: ControllerId, now: Timestamp) {
         self.last_load_seen.insert(host, now);
     }
 
@@ -365,7 +370,7 @@
     }
 
     /// Whether a peer's regular message is overdue.
-    fn is_overdue(&self, host: HostId, now: Timestamp) -> bool {
+    fn is_overdue(&self, host: ControllerId, now: Timestamp) -> bool {
         let heard_at = self.states.get(&host).and_then(|peer| peer.heard_at);
         heard_at.is_none_or(|at| now.since(at) > self.timing.overdue_ms)
     }
@@ -382,7 +387,7 @@
     ///
     /// It says so itself. While it leads, nothing is bound before its lease is over; what its
     /// machines complete is not recorded, and what is bound to them is not started.
-    pub(crate) fn store_refuses_only(&self, host: HostId, now: Timestamp) -> bool {
+    pub(crate) fn store_refuses_only(&self, host: ControllerId, now: Timestamp) -> bool {
         self.state_ok(now) && self.peers.is_refused(host, now)
     }
 }
--- a/src/controller/peers/state.rs
+++ b/src/controller/peers/state.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
-use crate::names::{HostId, JobId, MachineId};
+use crate::names::{ControllerId, JobId, MachineId};
 use crate::protocol::{FleetSummary, MachineSummary, PeerMessage, UnownedMachine};
 use crate::ranges::RangeSet;
 use crate::replica::{Incarnation, Names};
@@ -34,7 +34,7 @@
     /// When it last said that it had to refuse users for the budget of changes.
     pub(super) short_at: Option<Timestamp>,
     /// How long ago it had heard from others when it sent its last message, ms.
-    pub(super) heard_ages_ms: HashMap<HostId, u64>,
+    pub(super) heard_ages_ms: HashMap<ControllerId, u64>,
     /// What it last said of its machines.
     pub(super) machines: HashMap<MachineId, MachineSummary>,
     /// When it said that.
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -7,7 +7,7 @@
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
 use crate::controller::{Controller, put};
-use crate::names::{HostId, MachineId};
+use crate::names::{ControllerId, MachineId};
 use crate::protocol::Transaction;
 use crate::records::HolderRecord;
 use crate::replica::{BlockId, Holder, Replica, grant_key};
@@ -61,21 +61,21 @@
 #[derive(Debug, Clone, Copy)]
 struct PlannedGrant {
     block: BlockId,
-    to: HostId,
+    to: ControllerId,
     reason: GrantReason,
 }
 
 /// Controllers that may hold blocks, and how much each holds.
 struct HolderLoads {
     /// In the order of their indices.
-    usable: Vec<HostId>,
+    usable: Vec<ControllerId>,
     /// Blocks and machines held.
-    held: HashMap<HostId, usize>,
+    held: HashMap<ControllerId, usize>,
 }
 
 impl HolderLoads {
-    fn new(usable: Vec<HostId>, replica: &Replica) -> Self {
-        let mut held: HashMap<HostId, usize> = HashMap::default();
+    fn new(usable: Vec<ControllerId>, replica: &Replica) -> Self {
+        let mut held: HashMap<ControllerId, usize> = HashMap::default();
         for (id, grant) in &replica.grants {
             if let Some(block) = replica.blocks.get(id) {
                 *held.entry(grant.host).or_default() += block_weight(block.machines.len());
@@ -84,22 +84,22 @@
         Self { usable, held }
     }
 
-    fn held_by(&self, host: HostId) -> usize {
+    fn held_by(&self, host: ControllerId) -> usize {
         self.held.get(&host).copied().unwrap_or(0)
     }
 
-    fn add(&mut self, host: HostId, weight: usize) {
+    fn add(&mut self, host: ControllerId, weight: usize) {
         *self.held.entry(host).or_default() += weight;
     }
 
     /// The usable controller that holds least, `except` left aside.
-    fn lightest_except(&self, except: Option<HostId>) -> Option<HostId> {
+    fn lightest_except(&self, except: Option<ControllerId>) -> Option<ControllerId> {
         let usable = self.usable.iter().copied();
         let others = usable.filter(|&host| Some(host) != except);
         others.min_by_key(|&host| self.held_by(host))
     }
 
-    fn heaviest(&self) -> Option<HostId> {
+    fn heaviest(&self) -> Option<ControllerId> {
         let usable = self.usable.iter().copied();
         usable.max_by_key(|&host| self.held_by(host))
     }
@@ -113,9 +113,9 @@
 /// Holders that do not do their duty although their keys are there.
 struct HolderFaults {
     /// Controllers that speak in another incarnation than their grants name, for a while already.
-    restarted: HashSet<HostId>,
+    restarted: HashSet<ControllerId>,
     /// Blocks whose holder does not answer its workers, with the controller that hears them.
-    unreachable: HashMap<BlockId, HostId>,
+    unreachable: HashMap<BlockId, ControllerId>,
 }
 
 impl Controller {
@@ -131,7 +131,7 @@
     }
 
     /// Whether a controller may be granted blocks.
-    pub(super) fn controller_usable(&self, host: HostId, now: Timestamp) -> bool {
+    pub(super) fn controller_usable(&self, host: ControllerId, now: Timestamp) -> bool {
         let Some(controller) = self.replica.live_controllers.get(&host) else {
             return false;
         };
@@ -172,10 +172,10 @@
     }
 
     /// Controllers that may be granted blocks, in the order of their indices.
-    fn usable_controllers(&mut self, now: Timestamp) -> Vec<HostId> {
+    fn usable_controllers(&mut self, now: Timestamp) -> Vec<ControllerId> {
         let live = self.replica.live_controllers.keys().copied();
         let usable = live.filter(|&host| self.controller_usable(host, now));
-        let mut usable: Vec<HostId> = usable.collect();
+        let mut usable: Vec<ControllerId> = usable.collect();
         usable.sort();
         if !usable.is_empty() {
             self.leadership.grants.retain_unavoided(&mut usable, now);
@@ -188,7 +188,7 @@
         let grants = self.replica.grants.values();
         let restarted =
             grants.filter(|grant| self.peers.restarted(grant.host, grant.incarnation, now));
-        let restarted: HashSet<HostId> = restarted.map(|grant| grant.host).collect();
+        let restarted: HashSet<ControllerId> = restarted.map(|grant| grant.host).collect();
         let seen = &mut self.leadership.grants;
         HolderFaults {
             restarted: seen.note_restarted(&restarted, now),
--- a/src/leadership/grants_seen.rs
+++ b/src/leadership/grants_seen.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
-use crate::names::HostId;
+use crate::names::ControllerId;
 use crate::replica::{BlockId, Replica};
 
 /// A holder that does not reach its workers gets no more blocks for so long, ms.
@@ -26,9 +26,9 @@
 pub(super) struct GrantsSeen {
     grants: HashMap<BlockId, SeenGrant>,
     /// Until when controllers that do not reach their workers get no more blocks.
-    avoid_until: HashMap<HostId, Timestamp>,
+    avoid_until: HashMap<ControllerId, Timestamp>,
     /// Since when a controller speaks in another incarnation than its grants name.
-    restarted_since: HashMap<HostId, Timestamp>,
+    restarted_since: HashMap<ControllerId, Timestamp>,
     next_rebalance: Timestamp,
 }
 
@@ -67,16 +67,16 @@
     }
 
     /// Drops controllers that are to be avoided from `holders`, unless no other is left.
-    pub(super) fn retain_unavoided(&mut self, holders: &mut Vec<HostId>, now: Timestamp) {
+    pub(super) fn retain_unavoided(&mut self, holders: &mut Vec<ControllerId>, now: Timestamp) {
         self.avoid_until.retain(|_, until| now < *until);
-        let avoided = |host: &HostId| self.avoid_until.contains_key(host);
+        let avoided = |host: &ControllerId| self.avoid_until.contains_key(host);
         if !holders.iter().all(avoided) {
             holders.retain(|host| !avoided(host));
         }
     }
 
     /// A controller does not reach its workers: it gets no more blocks for a while.
-    pub(super) fn avoid(&mut self, holder: HostId, now: Timestamp) {
+    pub(super) fn avoid(&mut self, holder: ControllerId, now: Timestamp) {
         self.avoid_until.insert(holder, now.plus(AVOID_HOLDER_MS));
     }
 
@@ -84,9 +84,9 @@
     /// returns those that have done so for long enough.
     pub(super) fn note_restarted(
         &mut self,
-        restarted: &HashSet<HostId>,
+        restarted: &HashSet<ControllerId>,
         now: Timestamp,
-    ) -> HashSet<HostId> {
+    ) -> HashSet<ControllerId> {
         let since = &mut self.restarted_since;
         since.retain(|host, _| restarted.contains(host));
         for &host in restarted {
--- a/src/leadership/unreachable_holders.rs
+++ b/src/leadership/unreachable_holders.rs
@@ -3,7 +3,7 @@
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
 use crate::controller::Controller;
-use crate::names::{HostId, MachineId};
+use crate::names::{ControllerId, MachineId};
 use crate::protocol::UnownedMachine;
 use crate::replica::BlockId;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
     total: usize,
     /// Most that come to one controller, and which one that is.
     most: usize,
-    most_heard_by: HostId,
+    most_heard_by: ControllerId,
 }
 
 impl Controller {
@@ -30,7 +30,10 @@
     ///
     /// A single machine of many says nothing of its holder: one that hears no answers at all goes
     /// round all controllers, whoever holds its block.
-    pub(super) fn blocks_of_unreachable_holders(&self, now: Timestamp) -> HashMap<BlockId, HostId> {
+    pub(super) fn blocks_of_unreachable_holders(
+        &self,
+        now: Timestamp,
+    ) -> HashMap<BlockId, ControllerId> {
         let mut blocks = HashMap::default();
         if !self.listened(now) {
             return blocks;
@@ -47,7 +50,7 @@
     }
 
     fn unanswered_by_block(&self, now: Timestamp) -> BTreeMap<BlockId, UnansweredMachines> {
-        let mut heard: BTreeMap<(BlockId, HostId), HashSet<MachineId>> = BTreeMap::new();
+        let mut heard: BTreeMap<(BlockId, ControllerId), HashSet<MachineId>> = BTreeMap::new();
         let own = self.held.unowned.to_report(now);
         let own = own.iter().map(|machine| (self.me, machine));
         let of_peers = self.peers.unowned_machines();
@@ -76,7 +79,7 @@
     /// The block of a machine that has come to `host` for long without being heard by its holder.
     fn unanswered(
         &self,
-        host: HostId,
+        host: ControllerId,
         machine: &UnownedMachine,
         now: Timestamp,
     ) -> Option<(BlockId, MachineId)> {
--- a/src/names.rs
+++ b/src/names.rs
@@ -42,7 +42,7 @@
     /// An image.
     ImageId;
     /// A controller.
-    HostId;
+    ControllerId;
 }
 
 /// Maps names to indices. Released indices are given out again, so memory is bounded by the names in use.
--- a/src/replica/mod.rs
+++ b/src/replica/mod.rs
@@ -35,7 +35,7 @@
 
 use crate::collections::HashMap;
 use crate::dependencies::DependencyGraph;
-use crate::names::{HostId, JobId, MachineId};
+use crate::names::{ControllerId, JobId, MachineId};
 use crate::protocol::MachineType;
 use job_index::JobIndex;
 use std::collections::{BTreeMap, BTreeSet};
@@ -56,7 +56,7 @@
     /// Machine types as they are stored.
     pub catalog: Option<Vec<MachineType>>,
     /// Controllers whose lease has not expired.
-    pub live_controllers: HashMap<HostId, LiveController>,
+    pub live_controllers: HashMap<ControllerId, LiveController>,
     /// Holders of blocks.
     pub grants: HashMap<BlockId, Holder>,
     /// Blocks.
@@ -72,7 +72,7 @@
     /// The recorded format: the newest one that all controllers were seen to read. It only grows.
     pub format: u32,
     /// Queue totals as the controllers published them.
-    pub loads: HashMap<HostId, Loads>,
+    pub loads: HashMap<ControllerId, Loads>,
     /// Raised by every change of a key, but for queue totals: what scheduling looks at.
     pub version: u64,
     /// What changed since the controller last looked.
--- a/src/replica/model.rs
+++ b/src/replica/model.rs
@@ -2,7 +2,7 @@
 
 use super::{Binding, BlockId, Incarnation};
 use crate::collections::HashMap;
-use crate::names::{HostId, JobId, MachineId, MachineTypeId, ZoneId};
+use crate::names::{ControllerId, JobId, MachineId, MachineTypeId, ZoneId};
 use crate::ranges::RangeSet;
 use std::collections::BTreeSet;
 
@@ -46,7 +46,7 @@
     /// Machines that left their block.
     pub machines: Vec<MachineId>,
     /// Controllers that published their queue totals.
-    pub loads: Vec<HostId>,
+    pub loads: Vec<ControllerId>,
     /// Jobs that were cancelled.
     pub cancelled: Vec<JobId>,
 }
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Holder {
     /// Controller.
-    pub host: HostId,
+    pub host: ControllerId,
     /// Its incarnation. A later one of the same controller doesn't hold what this one held.
     pub incarnation: Incarnation,
     /// Revision of the key: the fencing token, or the term.
--- a/src/replica/name_tables.rs
+++ b/src/replica/name_tables.rs
@@ -2,7 +2,7 @@
 
 use super::TaskId;
 use crate::names::{
-    ClassId, HostId, ImageId, Interner, JobId, MachineId, MachineTypeId, TeamId, ZoneId,
+    ClassId, ControllerId, ImageId, Interner, JobId, MachineId, MachineTypeId, TeamId, ZoneId,
 };
 
 /// Names known to this process. Their indices mean nothing to any other.
@@ -23,7 +23,7 @@
     /// Images.
     pub images: Interner<ImageId>,
     /// Controllers.
-    pub hosts: Interner<HostId>,
+    pub hosts: Interner<ControllerId>,
 }
 
 impl Names {
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -5,7 +5,7 @@
 
 use super::controller_actor::ControllerActor;
 use crate::controller::{Effect, WriteKind};
-use crate::names::HostId;
+use crate::names::ControllerId;
 use crate::protocol::{PeerMessage, RentRequest, Transaction};
 use crate::spillover::CellCall;
 use crate::store::{CommitOutcome, LeaseOutcome};
@@ -95,7 +95,7 @@
 
     /// Sends a message to a peer. It is dropped if the peer's address is not known, or if too many calls
     /// wait for the peer already: the next message says the same and more.
-    fn send_to_peer(&self, host: HostId, message: &PeerMessage, ctx: &mut Context<Self>) {
+    fn send_to_peer(&self, host: ControllerId, message: &PeerMessage, ctx: &mut Context<Self>) {
         let host = {
             let controller = self.shared.controller.lock();
             controller.replica.names.hosts.name(host).to_owned()
--- a/src/stealing/rounds.rs
+++ b/src/stealing/rounds.rs
@@ -4,7 +4,7 @@
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
 use crate::controller::{Controller, Effect};
-use crate::names::{HostId, MachineId};
+use crate::names::{ControllerId, MachineId};
 use crate::protocol::StealMessage;
 use crate::replica::Binding;
 
@@ -20,7 +20,7 @@
     round: Option<Round>,
     next_round: Timestamp,
     /// Messages that wait for the next message to a peer.
-    outbox: Vec<(HostId, StealMessage)>,
+    outbox: Vec<(ControllerId, StealMessage)>,
 }
 
 impl WorkStealing {
@@ -45,12 +45,12 @@
     }
 
     /// Messages that wait for peers.
-    pub(crate) fn take_outgoing(&mut self) -> Vec<(HostId, StealMessage)> {
+    pub(crate) fn take_outgoing(&mut self) -> Vec<(ControllerId, StealMessage)> {
         std::mem::take(&mut self.outbox)
     }
 
     /// Keeps a message for a peer; dropped when `capacity` of them wait already.
-    pub(super) fn send(&mut self, host: HostId, message: StealMessage, capacity: usize) {
+    pub(super) fn send(&mut self, host: ControllerId, message: StealMessage, capacity: usize) {
         if self.outbox.len() < capacity {
             self.outbox.push((host, message));
         }
