--- a/src/clock.rs
+++ b/src/clock.rs
@@ -26,12 +26,12 @@
     /// The monotonic clock.
     fn now(&self) -> Timestamp;
     /// Time of day, milliseconds since the epoch.
-    fn day_ms(&self) -> u64;
+    fn unix_time_ms(&self) -> u64;
 }
 
 /// What the monotonic clock shows at the start, milliseconds: moments of up to an hour before the start can
 /// be expressed.
-const START_MS: u64 = 3_600_000;
+const INITIAL_TIMESTAMP_MS: u64 = 3_600_000;
 
 /// The clocks of the operating system.
 #[derive(Debug)]
@@ -48,10 +48,10 @@
 
 impl Clock for SystemClock {
     fn now(&self) -> Timestamp {
-        Timestamp(START_MS + self.start.elapsed().as_millis() as u64)
+        Timestamp(INITIAL_TIMESTAMP_MS + self.start.elapsed().as_millis() as u64)
     }
 
-    fn day_ms(&self) -> u64 {
+    fn unix_time_ms(&self) -> u64 {
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or(Duration::ZERO)
--- a/src/controller/heartbeat/delayed.rs
+++ b/src/controller/heartbeat/delayed.rs
@@ -9,7 +9,7 @@
 use crate::controller::held_machines::{HeartbeatNumber, MachineRuntime};
 use crate::controller::{Controller, HeartbeatResponse};
 use crate::names::MachineId;
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::protocol::{HeartbeatAck, TaskPhase};
 
 impl Controller {
@@ -87,7 +87,7 @@
         if machine.is_none_or(|machine| machine.leaving) || runtime.quarantined {
             return HeartbeatResponse::Unavailable;
         }
-        let mut used = Room::default();
+        let mut used = Resources::default();
         let launched = runtime.launched.iter();
         for job in launched.filter_map(|task| self.replica.jobs.get(&task.job)) {
             used.add(&job.room(), 1.0);
--- a/src/controller/heartbeat/launch.rs
+++ b/src/controller/heartbeat/launch.rs
@@ -4,7 +4,7 @@
 use crate::controller::held_machines::MachineRuntime;
 use crate::controller::{Completion, Controller};
 use crate::names::MachineId;
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::protocol::Command;
 use crate::replica::{Binding, Machine};
 use quillbend_spillover::confirmation::Permission;
@@ -35,7 +35,7 @@
     /// It is not to be started here any more.
     Free,
     /// It is started if there is so much room.
-    Start(Room),
+    Start(Resources),
 }
 
 impl Controller {
@@ -45,7 +45,7 @@
         &self,
         machine_id: MachineId,
         runtime: &mut MachineRuntime,
-        mut used: Room,
+        mut used: Resources,
         queue_use: QueueUse,
         now: Timestamp,
     ) -> Launches {
--- a/src/controller/heartbeat/outcomes.rs
+++ b/src/controller/heartbeat/outcomes.rs
@@ -22,7 +22,7 @@
                 runtime.failed_jobs.clear();
                 self.held.note_success(job);
                 // Others wait for it: the leader hears of its last completions soon.
-                if self.replica.dependencies.is_needed(job) {
+                if self.replica.dependencies.has_dependents(job) {
                     self.peers.request_urgent_update();
                 }
             }
--- a/src/controller/heartbeat/reconcile.rs
+++ b/src/controller/heartbeat/reconcile.rs
@@ -8,7 +8,7 @@
 use crate::controller::held_machines::{MachineRuntime, TaskRuntime};
 use crate::controller::{Completion, Controller, TaskOutcome};
 use crate::names::{ClassId, MachineId};
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::protocol::{ExitReason, Heartbeat, TaskPhase, TaskStatus};
 use crate::replica::{Binding, Job, Machine, TaskId};
 use tracing::debug;
@@ -45,7 +45,7 @@
     /// The tasks that the heartbeat before showed.
     pub(super) previous_tasks: HashMap<TaskId, TaskRuntime>,
     /// What the tasks take that have not ended.
-    pub(super) used: Room,
+    pub(super) used: Resources,
     /// Bindings that were found to have ended.
     pub(super) completions: Vec<Completion>,
     /// Observed run times over their estimates.
--- a/src/controller/queue_load.rs
+++ b/src/controller/queue_load.rs
@@ -7,7 +7,7 @@
 use super::{Controller, TaskRuntime};
 use crate::clock::Timestamp;
 use crate::names::MachineId;
-use crate::placement::{Needs, Room};
+use crate::placement::{Needs, Resources};
 use crate::protocol::{TaskPhase, Transaction};
 use crate::records::LoadRecord;
 use crate::replica::{Job, Machine, load_key};
@@ -30,10 +30,10 @@
     }
 
     /// Size of a machine; none while its type is unknown.
-    pub(crate) fn size(&self, machine: &Machine) -> Option<Room> {
+    pub(crate) fn size(&self, machine: &Machine) -> Option<Resources> {
         self.machine_types
             .get(&machine.machine_type)
-            .map(Room::from)
+            .map(Resources::from)
     }
 
     /// Expected seconds of a task, the owners' estimates corrected by what was observed.
@@ -157,7 +157,7 @@
 pub(crate) fn needs_of(job: &Job) -> Needs {
     let spec = &job.spec;
     Needs {
-        room: job.room(),
+        resources: job.room(),
         machine_types: job.machine_types.clone(),
         zone: job.zone,
         spot: spec.spot,
--- a/src/controller/usage.rs
+++ b/src/controller/usage.rs
@@ -3,12 +3,12 @@
 use super::Controller;
 use crate::collections::HashMap;
 use crate::names::{JobId, TeamId, ZoneId};
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::settings::Team;
 
 impl Controller {
     /// Room that a team may still use: its limit without everything bound.
-    pub(crate) fn team_room(&self) -> HashMap<TeamId, Room> {
+    pub(crate) fn team_room(&self) -> HashMap<TeamId, Resources> {
         self.team_room_of(|team| (team.cpus_max, team.gpus_max))
     }
 
@@ -16,12 +16,12 @@
     pub(crate) fn team_room_of(
         &self,
         limits: impl Fn(&Team) -> (f64, f64),
-    ) -> HashMap<TeamId, Room> {
-        let mut room_by_team: HashMap<TeamId, Room> = HashMap::default();
+    ) -> HashMap<TeamId, Resources> {
+        let mut room_by_team: HashMap<TeamId, Resources> = HashMap::default();
         for team in &self.settings.platform.settings.teams {
             if let Some(team_id) = self.replica.names.teams.get(&team.name) {
                 let (cpus, gpus) = limits(team);
-                let limited = Room {
+                let limited = Resources {
                     cpus,
                     gpus,
                     memory_gb: 0.0,
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -13,7 +13,7 @@
 
 /// What a job asks for on its own account.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct OwnDemand {
+pub struct OwnUrgency {
     /// Its priority.
     pub priority: Priority,
     /// Time of day at which it should be done, ms.
@@ -24,7 +24,7 @@
 
 /// How pressing a job is for the sake of the jobs that need it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Importance {
+pub struct InheritedUrgency {
     /// The highest priority of any of them.
     pub priority: Priority,
     /// Time of day, ms, at which the earliest of them must start to be done in time, or to let those
@@ -32,14 +32,14 @@
     pub start_by_ms: Option<i64>,
 }
 
-impl Importance {
+impl InheritedUrgency {
     /// The more pressing of both in each respect.
-    fn combine(self, other: Importance) -> Importance {
+    fn combine(self, other: InheritedUrgency) -> InheritedUrgency {
         let start_by_ms = match (self.start_by_ms, other.start_by_ms) {
             (Some(this), Some(that)) => Some(this.min(that)),
             (this, that) => this.or(that),
         };
-        Importance {
+        InheritedUrgency {
             priority: self.priority.min(other.priority),
             start_by_ms,
         }
@@ -49,7 +49,7 @@
 /// A job that waits.
 #[derive(Debug, Clone)]
 struct Waiting {
-    own: OwnDemand,
+    own: OwnUrgency,
     predecessors: Vec<JobId>,
 }
 
@@ -60,12 +60,12 @@
     /// Jobs that wait for a job, by that job.
     dependents: HashMap<JobId, Vec<JobId>>,
     /// Of each job that others wait for, what they make of it.
-    inherited: HashMap<JobId, Importance>,
+    inherited: HashMap<JobId, InheritedUrgency>,
 }
 
 impl DependencyGraph {
     /// Adds a job that waits for others; one that is there already stays as it is.
-    pub fn insert(&mut self, job: JobId, own: OwnDemand, predecessors: Vec<JobId>) {
+    pub fn insert(&mut self, job: JobId, own: OwnUrgency, predecessors: Vec<JobId>) {
         if self.waiting.contains_key(&job) {
             return;
         }
@@ -101,17 +101,17 @@
     }
 
     /// Whether some job waits for this one.
-    pub fn is_needed(&self, job: JobId) -> bool {
+    pub fn has_dependents(&self, job: JobId) -> bool {
         self.dependents.contains_key(&job)
     }
 
     /// What the jobs that need this one make of it.
-    pub fn inherited(&self, job: JobId) -> Option<Importance> {
+    pub fn inherited_urgency(&self, job: JobId) -> Option<InheritedUrgency> {
         self.inherited.get(&job).copied()
     }
 
     /// All jobs that need this one, directly or through others.
-    pub fn descendants(&self, job: JobId) -> Vec<JobId> {
+    pub fn transitive_dependents(&self, job: JobId) -> Vec<JobId> {
         let mut found: HashSet<JobId> = HashSet::default();
         let mut order = Vec::new();
         let mut queue = vec![job];
@@ -127,17 +127,17 @@
     }
 
     /// What a waiting job asks of each of its predecessors.
-    fn importance(&self, job: JobId) -> Option<Importance> {
+    fn importance(&self, job: JobId) -> Option<InheritedUrgency> {
         let own = self.waiting.get(&job)?.own;
-        let done_by = Importance {
+        let done_by = InheritedUrgency {
             priority: own.priority,
             start_by_ms: own.due_ms,
         };
-        let done_by = match self.inherited(job) {
+        let done_by = match self.inherited_urgency(job) {
             Some(inherited) => done_by.combine(inherited),
             None => done_by,
         };
-        Some(Importance {
+        Some(InheritedUrgency {
             start_by_ms: done_by.start_by_ms.map(|by| by - own.duration_ms),
             ..done_by
         })
@@ -149,8 +149,8 @@
         while let Some(job) = changed.pop() {
             let dependents = self.dependents.get(&job).into_iter().flatten();
             let all = dependents.filter_map(|&dependent| self.importance(dependent));
-            let inherited = all.reduce(Importance::combine);
-            if inherited == self.inherited(job) {
+            let inherited = all.reduce(InheritedUrgency::combine);
+            if inherited == self.inherited_urgency(job) {
                 continue;
             }
             match inherited {
--- a/src/dependencies/tests.rs
+++ b/src/dependencies/tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of `dependencies`.
 
-use super::{DependencyGraph, OwnDemand};
+use super::{DependencyGraph, OwnUrgency};
 use crate::names::{Index, JobId};
 use crate::protocol::Priority;
 
@@ -8,8 +8,8 @@
     JobId::from_raw(n)
 }
 
-fn own(priority: Priority, due_ms: Option<i64>, duration_ms: i64) -> OwnDemand {
-    OwnDemand {
+fn own(priority: Priority, due_ms: Option<i64>, duration_ms: i64) -> OwnUrgency {
+    OwnUrgency {
         priority,
         due_ms,
         duration_ms,
@@ -28,16 +28,19 @@
     add(&mut graph, 1, &[0]);
     add(&mut graph, 2, &[1]);
     assert_eq!(
-        graph.inherited(job(0)).unwrap().priority,
+        graph.inherited_urgency(job(0)).unwrap().priority,
         Priority::BestEffort
     );
     graph.insert(job(3), own(Priority::Urgent, Some(1000), 5), vec![job(2)]);
-    let start_by = |n| graph.inherited(job(n)).unwrap().start_by_ms;
+    let start_by = |n| graph.inherited_urgency(job(n)).unwrap().start_by_ms;
     assert_eq!(start_by(2), Some(995));
     assert_eq!(start_by(1), Some(985));
     assert_eq!(start_by(0), Some(975));
-    assert_eq!(graph.inherited(job(0)).unwrap().priority, Priority::Urgent);
-    assert_eq!(graph.inherited(job(3)), None);
+    assert_eq!(
+        graph.inherited_urgency(job(0)).unwrap().priority,
+        Priority::Urgent
+    );
+    assert_eq!(graph.inherited_urgency(job(3)), None);
 }
 
 #[test]
@@ -57,7 +60,11 @@
                 needs,
             );
         }
-        results.push((0..4).map(|n| graph.inherited(job(n))).collect::<Vec<_>>());
+        results.push(
+            (0..4)
+                .map(|n| graph.inherited_urgency(job(n)))
+                .collect::<Vec<_>>(),
+        );
     }
     assert_eq!(results[0], results[1]);
     assert_eq!(results[0], results[2]);
@@ -75,20 +82,20 @@
     graph.insert(job(2), own(Priority::Critical, Some(50), 1), vec![job(1)]);
     graph.insert(job(3), own(Priority::Normal, Some(90), 1), vec![job(1)]);
     assert_eq!(
-        graph.inherited(job(0)).unwrap().priority,
+        graph.inherited_urgency(job(0)).unwrap().priority,
         Priority::Critical
     );
     assert_eq!(graph.remove(job(2)), [job(1)]);
-    let left = graph.inherited(job(0)).unwrap();
+    let left = graph.inherited_urgency(job(0)).unwrap();
     assert_eq!(
         (left.priority, left.start_by_ms),
         (Priority::Normal, Some(79))
     );
     graph.remove(job(3));
-    assert!(!graph.is_needed(job(1)) && graph.is_needed(job(0)));
+    assert!(!graph.has_dependents(job(1)) && graph.has_dependents(job(0)));
     graph.remove(job(1));
-    assert_eq!(graph.inherited(job(0)), None);
-    assert!(!graph.is_needed(job(0)));
+    assert_eq!(graph.inherited_urgency(job(0)), None);
+    assert!(!graph.has_dependents(job(0)));
     assert!(graph.remove(job(1)).is_empty());
 }
 
@@ -100,10 +107,10 @@
     add(&mut graph, 3, &[1, 2]);
     add(&mut graph, 4, &[3]);
     add(&mut graph, 5, &[9]);
-    let mut all = graph.descendants(job(0));
+    let mut all = graph.transitive_dependents(job(0));
     all.sort();
     assert_eq!(all, [job(1), job(2), job(3), job(4)]);
-    assert!(graph.descendants(job(4)).is_empty());
+    assert!(graph.transitive_dependents(job(4)).is_empty());
 }
 
 #[test]
@@ -118,6 +125,9 @@
         own(Priority::Urgent, Some(0), 1),
         vec![job(49_999)],
     );
-    assert_eq!(graph.inherited(job(0)).unwrap().priority, Priority::Urgent);
-    assert_eq!(graph.descendants(job(0)).len(), 50_000);
+    assert_eq!(
+        graph.inherited_urgency(job(0)).unwrap().priority,
+        Priority::Urgent
+    );
+    assert_eq!(graph.transitive_dependents(job(0)).len(), 50_000);
 }
--- a/src/http/submission.rs
+++ b/src/http/submission.rs
@@ -59,7 +59,7 @@
     fn new_job(&self, submission: Submission) -> NewJob {
         NewJob {
             name: submission.name,
-            record: jobs::new_record(submission.spec, self.shared.clock.day_ms()),
+            record: jobs::new_record(submission.spec, self.shared.clock.unix_time_ms()),
             awaits: submission.awaits,
         }
     }
--- a/src/jobs/submission.rs
+++ b/src/jobs/submission.rs
@@ -6,7 +6,7 @@
 use super::chained;
 use super::errors::{SubmissionError, UnrunnableJob};
 use crate::controller::Controller;
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::protocol::{JobSpec, Submission};
 use crate::records::JobRecord;
 use crate::settings::DONE_RANGE_BYTES;
@@ -126,7 +126,7 @@
                 gpus: team.gpus_max,
             });
         }
-        let needed = Room {
+        let needed = Resources {
             cpus: spec.cpus,
             gpus: spec.gpus,
             memory_gb: spec.memory_gb,
--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -51,7 +51,7 @@
             .collect();
         done.extend(self.replica.complete());
         // What others wait for goes first.
-        done.sort_by_key(|&job_id| (!self.replica.dependencies.is_needed(job_id), job_id));
+        done.sort_by_key(|&job_id| (!self.replica.dependencies.has_dependents(job_id), job_id));
         done.dedup();
         let mut transaction = Transaction::default();
         let mut bytes = 0;
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -13,7 +13,7 @@
 use crate::collections::HashMap;
 use crate::controller::{Controller, needs_of};
 use crate::names::JobId;
-use crate::placement::{self, Candidate, PlannedBinding, Slot};
+use crate::placement::{self, CandidateJob, CandidateMachine, PlannedBinding};
 use crate::ranges::RangeSet;
 use crate::replica::Job;
 use open_jobs::{OpenJob, OpenJobs};
@@ -100,7 +100,7 @@
     }
 
     /// The machines that may take tasks of these jobs.
-    fn slots_for(&self, open_jobs: &OpenJobs, now: Timestamp) -> Vec<Slot> {
+    fn slots_for(&self, open_jobs: &OpenJobs, now: Timestamp) -> Vec<CandidateMachine> {
         let jobs = &open_jobs.in_order;
         let scope = SlotScope {
             cordoned: jobs.iter().any(|open| open.overdue),
@@ -113,11 +113,11 @@
 
     /// The tasks that may be bound, by job in the order in which jobs are served; what exceeds a
     /// job's share of the fleet comes after all other jobs.
-    fn candidates(&self, open_jobs: &OpenJobs, in_flight: &TasksInFlight) -> Vec<Candidate> {
+    fn candidates(&self, open_jobs: &OpenJobs, in_flight: &TasksInFlight) -> Vec<CandidateJob> {
         let fleet_cpus = self.fleet_cpus();
         let mut bound_by_zone = None;
-        let mut candidates: Vec<Candidate> = Vec::new();
-        let mut beyond_share: Vec<Candidate> = Vec::new();
+        let mut candidates: Vec<CandidateJob> = Vec::new();
+        let mut beyond_share: Vec<CandidateJob> = Vec::new();
         for open in open_jobs.in_order.iter().take(MAX_JOBS_PER_PLAN) {
             let job = &self.replica.jobs[&open.job];
             let mut taken = job.done.clone();
@@ -141,7 +141,7 @@
                 let within_share = share_left.min(candidate.tasks.len());
                 let rest = candidate.tasks.split_off(within_share);
                 if !rest.is_empty() {
-                    beyond_share.push(Candidate {
+                    beyond_share.push(CandidateJob {
                         tasks: rest,
                         beyond_share: true,
                         ..candidate.clone()
@@ -155,10 +155,10 @@
     }
 
     /// Up to `most` tasks of a job that are not `taken`, wherever the others are bound.
-    fn candidate(&self, open: &OpenJob, job: &Job, taken: &RangeSet, most: usize) -> Candidate {
+    fn candidate(&self, open: &OpenJob, job: &Job, taken: &RangeSet, most: usize) -> CandidateJob {
         let value_bytes = self.settings.value_bytes();
         let bindable = job.bindable(taken, value_bytes, self.replica.encoding());
-        Candidate {
+        CandidateJob {
             job: open.job,
             team: job.team,
             image: job.image,
@@ -168,7 +168,7 @@
             tasks: bindable.take(most).collect(),
             bound_by_zone: HashMap::default(),
             overdue: open.overdue,
-            ahead_of_turn: self.goes_ahead_of_turn(open.job, job),
+            ahead_of_schedule: self.goes_ahead_of_turn(open.job, job),
             beyond_share: false,
         }
     }
@@ -176,13 +176,13 @@
     /// Whether a job's tasks are bound at once, and not at the regular turn of a block: it is part
     /// of a chain whose end somebody waits for, and so small that this costs few writes.
     fn goes_ahead_of_turn(&self, job_id: JobId, job: &Job) -> bool {
-        let chained = job.ready_ms.is_some() || self.replica.dependencies.is_needed(job_id);
+        let chained = job.ready_ms.is_some() || self.replica.dependencies.has_dependents(job_id);
         chained && job.spec.task_count <= MAX_TASKS_AHEAD_OF_TURN
     }
 }
 
 /// CPUs of these machines that no bound task takes.
-fn free_cpus(slots: &[Slot]) -> f64 {
+fn free_cpus(slots: &[CandidateMachine]) -> f64 {
     slots
         .iter()
         .map(|slot| slot.size.cpus - slot.used.cpus)
--- a/src/leadership/binding/limits.rs
+++ b/src/leadership/binding/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Timestamp;
 use crate::controller::Controller;
-use crate::placement::Limits;
+use crate::placement::PlanLimits;
 use crate::protocol::JobStatus;
 use crate::replica::Job;
 
@@ -18,14 +18,14 @@
 
 impl Controller {
     /// The bounds of a plan for so many machines.
-    pub(super) fn plan_limits(&self, machines: usize, now: Timestamp) -> Limits {
+    pub(super) fn plan_limits(&self, machines: usize, now: Timestamp) -> PlanLimits {
         let options = &self.settings.options;
-        Limits {
-            ahead_s: self.ahead_s(now),
-            sample: options.queue_sample as usize,
-            most: machines.max(MIN_BINDINGS_LIMIT),
-            longest_on_expensive_s: self.backlog_s() + options.fleet_horizon_s / 1.5,
-            ordinary_penalty_s: match self.ordinary_wanted() {
+        PlanLimits {
+            max_wait_s: self.ahead_s(now),
+            sample_size: options.queue_sample as usize,
+            max_bindings: machines.max(MIN_BINDINGS_LIMIT),
+            max_run_on_expensive_s: self.backlog_s() + options.fleet_horizon_s / 1.5,
+            on_demand_penalty_s: match self.ordinary_wanted() {
                 true => ORDINARY_PENALTY_S,
                 false => 0.0,
             },
--- a/src/leadership/binding/open_jobs.rs
+++ b/src/leadership/binding/open_jobs.rs
@@ -6,7 +6,7 @@
 use crate::controller::Controller;
 use crate::leadership::job_order::Rank;
 use crate::names::{JobId, TeamId};
-use crate::placement::{ROOM_TOLERANCE, Room};
+use crate::placement::{RESOURCE_TOLERANCE, Resources};
 use crate::protocol::JobStatus;
 use crate::replica::Job;
 use std::cmp::Ordering;
@@ -86,7 +86,7 @@
     pub(super) fn open_jobs(
         &self,
         in_flight: &TasksInFlight,
-        team_room: &HashMap<TeamId, Room>,
+        team_room: &HashMap<TeamId, Resources>,
         now: Timestamp,
     ) -> OpenJobs {
         let guarantees = self.guaranteed_left();
@@ -101,7 +101,7 @@
             // Whoever waits for the team's limit has nothing to gain from a machine.
             let within_limit = team_room
                 .get(&job.team)
-                .is_some_and(|room| job.room().cpus <= room.cpus + ROOM_TOLERANCE);
+                .is_some_and(|room| job.room().cpus <= room.cpus + RESOURCE_TOLERANCE);
             let waited_s = self.waited_s(job_id, job, now);
             if within_limit && waited_s > self.settings.options.queue_floor_s {
                 let this = StarvedJob {
@@ -115,7 +115,7 @@
             }
             let beyond_guarantee = guarantees
                 .get(&job.team)
-                .is_none_or(|left| job.spec.cpus > left + ROOM_TOLERANCE);
+                .is_none_or(|left| job.spec.cpus > left + RESOURCE_TOLERANCE);
             jobs.push(OpenJob {
                 job: job_id,
                 rank: self.rank(job_id, job),
--- a/src/leadership/capacity.rs
+++ b/src/leadership/capacity.rs
@@ -4,10 +4,10 @@
 use crate::collections::HashMap;
 use crate::controller::{Controller, needs_of};
 use crate::names::{Index, JobId, MachineId, TeamId, ZoneId};
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::protocol::JobStatus;
 use crate::replica::{Job, Machine};
-use crate::scaling::{CapacityPool, Demand, Offer, Rented};
+use crate::scaling::{CapacityPool, Demand, Offer, RentedMachine};
 
 /// Fewest CPUs that a task counts with.
 const MIN_TASK_CPUS: f64 = 1e-3;
@@ -47,7 +47,7 @@
     }
 
     /// The machines that serve demand: not those that leave, are cut off or dead.
-    pub(crate) fn fleet(&self, now: Timestamp) -> Vec<Rented> {
+    pub(crate) fn fleet(&self, now: Timestamp) -> Vec<RentedMachine> {
         let machines = self.replica.machines_sorted().into_iter();
         let rented = machines.filter_map(|machine_id| {
             self.rented(machine_id, &self.replica.machines[&machine_id], now)
@@ -55,7 +55,12 @@
         rented.collect()
     }
 
-    fn rented(&self, machine_id: MachineId, machine: &Machine, now: Timestamp) -> Option<Rented> {
+    fn rented(
+        &self,
+        machine_id: MachineId,
+        machine: &Machine,
+        now: Timestamp,
+    ) -> Option<RentedMachine> {
         let size = self.size(machine)?;
         let machine_type = self.machine_types.get(&machine.machine_type)?;
         let info = self.machine_info(machine_id, now);
@@ -72,7 +77,7 @@
         }
         let up = info.is_some_and(|info| info.age_ms.is_some());
         let idle_ms = self.leadership.machines.idle_for(machine_id, now);
-        Some(Rented {
+        Some(RentedMachine {
             machine: machine_id,
             machine_type: machine.machine_type,
             zone: machine.zone,
@@ -94,7 +99,7 @@
 
     /// The fleet together with what is on its way: asked for, or rented and not yet in a block.
     /// Asking for all zones at once must not ask for the same need again and again.
-    pub(super) fn with_coming(&self, mut fleet: Vec<Rented>) -> Vec<Rented> {
+    pub(super) fn with_coming(&self, mut fleet: Vec<RentedMachine>) -> Vec<RentedMachine> {
         let unplaced = self.leadership.inventory.to_place().values();
         let unplaced = unplaced.map(|new| (&new.machine_type, &new.zone, new.spot, 1));
         let asked = self.leadership.rent.pending();
@@ -114,13 +119,13 @@
                 continue;
             };
             for _ in 0..number {
-                fleet.push(Rented {
+                fleet.push(RentedMachine {
                     // It has no name yet, and nothing decides on it.
                     machine: MachineId::from_raw(u32::MAX),
                     machine_type,
                     zone,
                     spot,
-                    size: Room::from(catalog_entry),
+                    size: Resources::from(catalog_entry),
                     price: catalog_entry.price,
                     idle_s: None,
                     held_s: 0.0,
@@ -136,7 +141,7 @@
         let mut offers: Vec<Offer> = catalog
             .map(|(&machine_type, entry)| Offer {
                 machine_type,
-                size: Room::from(entry),
+                size: Resources::from(entry),
                 zones: entry
                     .zones
                     .iter()
--- a/src/leadership/job_dependencies.rs
+++ b/src/leadership/job_dependencies.rs
@@ -97,7 +97,7 @@
     fn waiting_priority(&self, job: JobId) -> Priority {
         let own = self.replica.waiting.jobs.get(&job);
         let own = own.map_or(Priority::BestEffort, |waiting| waiting.record.spec.priority);
-        let inherited = self.replica.dependencies.inherited(job);
+        let inherited = self.replica.dependencies.inherited_urgency(job);
         inherited.map_or(own, |importance| importance.priority.min(own))
     }
 
@@ -110,7 +110,7 @@
             waiting.cancelled
                 && !waiting.record.incomplete
                 && waiting.mod_revision <= self.replica.revision
-                && !self.replica.dependencies.is_needed(**job)
+                && !self.replica.dependencies.has_dependents(**job)
         });
         over.map(|(&job, waiting)| ArchivableJob {
             job,
--- a/src/leadership/job_order.rs
+++ b/src/leadership/job_order.rs
@@ -102,7 +102,7 @@
 
     /// Seconds until a job must be done so that those which need it can be done in time.
     fn dependents_due_in_s(&self, job_id: JobId) -> Option<f64> {
-        let inherited = self.replica.dependencies.inherited(job_id)?;
+        let inherited = self.replica.dependencies.inherited_urgency(job_id)?;
         let start_by_ms = inherited.start_by_ms?;
         Some((start_by_ms - self.day_ms as i64) as f64 / 1000.0)
     }
@@ -133,7 +133,7 @@
 
     /// A job's priority: its own, or that of a job which needs it, if that is higher.
     pub(crate) fn priority(&self, job_id: JobId, job: &Job) -> Priority {
-        let inherited = self.replica.dependencies.inherited(job_id);
+        let inherited = self.replica.dependencies.inherited_urgency(job_id);
         inherited.map_or(job.spec.priority, |importance| {
             importance.priority.min(job.spec.priority)
         })
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -8,7 +8,7 @@
 use crate::collections::HashMap;
 use crate::controller::Controller;
 use crate::names::{JobId, MachineId, TeamId};
-use crate::placement::{Candidate, Needs, ROOM_TOLERANCE, Room};
+use crate::placement::{CandidateJob, Needs, RESOURCE_TOLERANCE, Resources};
 use crate::protocol::Priority;
 use crate::replica::{Binding, Machine};
 use std::cmp::Ordering;
@@ -32,7 +32,7 @@
 
 /// A job with unbound tasks for which others may be stopped.
 struct PressingJob<'a> {
-    candidate: &'a Candidate,
+    candidate: &'a CandidateJob,
     priority: Priority,
     slack_s: f64,
 }
@@ -40,7 +40,7 @@
 impl PressingJob<'_> {
     /// CPUs of one of its tasks.
     fn task_cpus(&self) -> f64 {
-        self.candidate.needs.room.cpus.max(MIN_TASK_CPUS)
+        self.candidate.needs.resources.cpus.max(MIN_TASK_CPUS)
     }
 
     /// Whether a task is so much less pressing that it may be stopped for this job. Its job must
@@ -113,8 +113,8 @@
     /// Chooses tasks to be stopped, unless that was done a moment ago.
     pub(super) fn plan_due_evictions(
         &mut self,
-        candidates: &[Candidate],
-        team_room: &HashMap<TeamId, Room>,
+        candidates: &[CandidateJob],
+        team_room: &HashMap<TeamId, Resources>,
         interval_ms: u64,
         now: Timestamp,
     ) -> Evictions {
@@ -133,8 +133,8 @@
     /// team where the machines are full.
     fn plan_evictions(
         &self,
-        candidates: &[Candidate],
-        team_room: &HashMap<TeamId, Room>,
+        candidates: &[CandidateJob],
+        team_room: &HashMap<TeamId, Resources>,
     ) -> Evictions {
         let mut evictions = Evictions::default();
         let pressing = self.pressing_jobs(candidates);
@@ -152,7 +152,7 @@
             }
             let team = job.candidate.team;
             let team_cpus = team_room.get(&team).map_or(0.0, |room| room.cpus);
-            let shortage = match team_cpus + ROOM_TOLERANCE < job.task_cpus() {
+            let shortage = match team_cpus + RESOURCE_TOLERANCE < job.task_cpus() {
                 true => Shortage::TeamLimit,
                 // Where the whole fleet is full, only urgent work may push others out: otherwise the
                 // same lack moves from class to class, with stops and fetches on top.
@@ -161,7 +161,7 @@
             };
             let mut missing_cpus = incoming.missing(&job, team_cpus, shortage);
             victims.retain(|victim| {
-                let evicted = missing_cpus > ROOM_TOLERANCE
+                let evicted = missing_cpus > RESOURCE_TOLERANCE
                     && budget_cpus > 0.0
                     && job.outranks(victim)
                     && match shortage {
@@ -181,7 +181,7 @@
     }
 
     /// Jobs that found no room and have little time left, most pressing first.
-    fn pressing_jobs<'a>(&self, candidates: &'a [Candidate]) -> Vec<PressingJob<'a>> {
+    fn pressing_jobs<'a>(&self, candidates: &'a [CandidateJob]) -> Vec<PressingJob<'a>> {
         let waiting = candidates
             .iter()
             .filter(|candidate| !candidate.tasks.is_empty() && !candidate.beyond_share);
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -11,7 +11,8 @@
 use crate::protocol::{CloudMachine, RentRequest};
 use crate::replica::Term;
 use crate::scaling::{
-    self, BusyMachine, CapacityPool, Demand, MAX_MACHINES_PER_REQUEST, RentOrder, Rented, Rules,
+    self, CapacityPool, Demand, MAX_MACHINES_PER_REQUEST, MachineUsage, PlannedRental,
+    RentedMachine, ScalingParams,
 };
 use rand::Rng;
 use tracing::info;
@@ -75,11 +76,11 @@
         self.drain_quarantined(now);
         let demand = self.demand(now);
         let fleet = self.fleet(now);
-        let rules = Rules {
+        let rules = ScalingParams {
             horizon_s: self.settings.options.fleet_horizon_s,
             idle_s: self.settings.options.fleet_idle_s,
-            most: self.settings.options.fleet_most as usize,
-            charge_s: MIN_CHARGE_S,
+            max_machines: self.settings.options.fleet_most as usize,
+            min_charge_s: MIN_CHARGE_S,
         };
         // The replica must show what is bound before idleness means anything.
         if self.grace_over(now) {
@@ -99,10 +100,10 @@
     fn plan_rentals(
         &self,
         demand: &[Demand],
-        fleet: Vec<Rented>,
-        rules: &Rules,
+        fleet: Vec<RentedMachine>,
+        rules: &ScalingParams,
         now: Timestamp,
-    ) -> Vec<RentOrder> {
+    ) -> Vec<PlannedRental> {
         let offers = self.offers();
         let fleet = self.with_coming(fleet);
         let leadership = &self.leadership;
@@ -128,7 +129,13 @@
         })
     }
 
-    fn send_rental(&mut self, order: RentOrder, term: Term, now: Timestamp, out: &mut Vec<Effect>) {
+    fn send_rental(
+        &mut self,
+        order: PlannedRental,
+        term: Term,
+        now: Timestamp,
+        out: &mut Vec<Effect>,
+    ) {
         let names = &self.replica.names;
         let request = RentRequest {
             request_id: self.leadership.rent.next_request_id(term),
@@ -177,18 +184,18 @@
     fn cordon_machines(
         &mut self,
         demand: &[Demand],
-        fleet: &[Rented],
-        rules: &Rules,
+        fleet: &[RentedMachine],
+        rules: &ScalingParams,
         now: Timestamp,
     ) {
         let available = fleet
             .iter()
             .filter(|rented| self.available(rented.machine, now));
-        let busy = available.map(|rented| BusyMachine {
+        let busy = available.map(|rented| MachineUsage {
             machine: rented.clone(),
             used_cpus: self.used_on(rented.machine).cpus,
         });
-        let machines: Vec<BusyMachine> = busy.collect();
+        let machines: Vec<MachineUsage> = busy.collect();
         let cordoned = scaling::machines_to_cordon(demand, &machines, rules);
         self.leadership.scale_in.set_cordoned(cordoned);
         if !self.leadership.scale_in.consolidation_due(now) {
@@ -202,7 +209,7 @@
     /// The dearest cordoned machine whose tasks the others can take over.
     fn machine_to_consolidate(
         &self,
-        machines: &[BusyMachine],
+        machines: &[MachineUsage],
         now: Timestamp,
     ) -> Option<MachineId> {
         let scale_in = &self.leadership.scale_in;
@@ -221,7 +228,7 @@
 
     /// Whether emptying a machine saves something: its tasks take little of it, fit into the free
     /// CPUs of the others, would run for a while, and all save checkpoints.
-    fn may_consolidate(&self, busy: &BusyMachine, free_cpus: f64, now: Timestamp) -> bool {
+    fn may_consolidate(&self, busy: &MachineUsage, free_cpus: f64, now: Timestamp) -> bool {
         let used = busy.used_cpus;
         let cpus = busy.machine.size.cpus;
         let Some(machine) = self.replica.machines.get(&busy.machine.machine) else {
--- a/src/leadership/slots.rs
+++ b/src/leadership/slots.rs
@@ -4,7 +4,7 @@
 use crate::collections::{HashMap, HashSet};
 use crate::controller::Controller;
 use crate::names::MachineId;
-use crate::placement::{Room, Slot};
+use crate::placement::{CandidateMachine, Resources};
 use crate::protocol::MachineType;
 use crate::replica::{Binding, Machine};
 use crate::scaling::{EXPENSIVE_CPU_FACTOR, MIN_CPUS};
@@ -69,7 +69,7 @@
     }
 
     /// Machines that may take tasks now, if their blocks can be written.
-    pub(super) fn slots(&self, scope: SlotScope, now: Timestamp) -> Vec<Slot> {
+    pub(super) fn slots(&self, scope: SlotScope, now: Timestamp) -> Vec<CandidateMachine> {
         let open = self.writable_blocks(now);
         let early = match scope.ahead_of_turn {
             true => self.blocks_writable_ahead_of_turn(now),
@@ -92,9 +92,9 @@
             }
             let coming = coming.get(&machine_id).map_or(&[][..], Vec::as_slice);
             let slot = self.slot(machine_id, machine, coming, cheapest, now);
-            slots.extend(slot.map(|slot| Slot {
+            slots.extend(slot.map(|slot| CandidateMachine {
                 cordoned,
-                ahead_of_turn: !regular,
+                ahead_of_schedule: !regular,
                 ..slot
             }));
         }
@@ -110,11 +110,11 @@
         coming: &[Binding],
         cheapest: CheapestPrices,
         now: Timestamp,
-    ) -> Option<Slot> {
+    ) -> Option<CandidateMachine> {
         let size = self.size(machine)?;
         let machine_type = self.machine_types.get(&machine.machine_type)?;
         let images = self.leadership.machines.cached_images(machine_id);
-        Some(Slot {
+        Some(CandidateMachine {
             machine: machine_id,
             machine_type: machine.machine_type,
             zone: machine.zone,
@@ -126,7 +126,7 @@
             cached_images: images.iter().copied().collect(),
             expensive: cheapest.is_expensive(machine_type, machine.spot),
             cordoned: false,
-            ahead_of_turn: false,
+            ahead_of_schedule: false,
         })
     }
 
@@ -164,8 +164,8 @@
     }
 
     /// Room that tasks take.
-    fn used_by<'a>(&self, bindings: impl Iterator<Item = &'a Binding>) -> Room {
-        let mut used = Room::default();
+    fn used_by<'a>(&self, bindings: impl Iterator<Item = &'a Binding>) -> Resources {
+        let mut used = Resources::default();
         for binding in bindings {
             if let Some(job) = self.replica.jobs.get(&binding.task.job) {
                 used.add(&job.room(), 1.0);
@@ -175,7 +175,7 @@
     }
 
     /// Room that a machine's bound tasks take.
-    pub(crate) fn used_on(&self, machine_id: MachineId) -> Room {
+    pub(crate) fn used_on(&self, machine_id: MachineId) -> Resources {
         let machine = self.replica.machines.get(&machine_id);
         let queue = machine.map(|machine| machine.queue.iter());
         self.used_by(queue.into_iter().flatten())
--- a/src/names.rs
+++ b/src/names.rs
@@ -104,7 +104,7 @@
     }
 
     /// Most indices that were ever in use at one time; all are below it.
-    pub fn slots(&self) -> usize {
+    pub fn index_bound(&self) -> usize {
         self.names.len()
     }
 }
--- a/src/names/tests.rs
+++ b/src/names/tests.rs
@@ -13,5 +13,5 @@
     assert_eq!(names.get("wk-1"), None);
     assert_eq!(names.name(a), "");
     assert_eq!(names.intern("wk-3").raw(), 0);
-    assert_eq!(names.slots(), 2);
+    assert_eq!(names.index_bound(), 2);
 }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -5,11 +5,11 @@
 
 mod candidates;
 mod planner;
-mod room;
+mod resources;
 
-pub use candidates::{Candidate, Slot};
-pub use planner::{Limits, PlannedBinding, plan};
-pub use room::{Needs, ROOM_TOLERANCE, Room};
+pub use candidates::{CandidateJob, CandidateMachine};
+pub use planner::{PlanLimits, PlannedBinding, plan};
+pub use resources::{Needs, RESOURCE_TOLERANCE, Resources};
 
 #[cfg(test)]
 pub(crate) mod tests;
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -1,13 +1,13 @@
 //! The two sides of a placement: machines that may take tasks, and jobs whose tasks wait for one.
 
-use super::planner::Limits;
-use super::room::{Needs, ROOM_TOLERANCE, Room};
+use super::planner::PlanLimits;
+use super::resources::{Needs, RESOURCE_TOLERANCE, Resources};
 use crate::collections::{HashMap, HashSet};
 use crate::names::{ImageId, JobId, MachineId, MachineTypeId, TeamId, ZoneId};
 
 /// A machine that may take tasks.
 #[derive(Debug, Clone)]
-pub struct Slot {
+pub struct CandidateMachine {
     /// The machine.
     pub machine: MachineId,
     /// Its type.
@@ -17,9 +17,9 @@
     /// Whether it is a spot machine.
     pub spot: bool,
     /// What it has.
-    pub size: Room,
+    pub size: Resources,
     /// What its bound tasks take, started or not.
-    pub used: Room,
+    pub used: Resources,
     /// Seconds of work per CPU in its queue.
     pub load_s: f64,
     /// Rate at which it fetches images, gigabytes per second.
@@ -32,19 +32,19 @@
     pub cordoned: bool,
     /// Whether it takes only tasks that other jobs wait for: its block's regular turn to be written
     /// has not come yet.
-    pub ahead_of_turn: bool,
+    pub ahead_of_schedule: bool,
 }
 
-impl Slot {
+impl CandidateMachine {
     /// Expected seconds until the machine has room for a task. Work that is bound too early
     /// waits behind other jobs' tasks while room shows up elsewhere; work bound just in time starts
     /// in the very heartbeat acknowledgement that follows a completion.
-    pub fn wait_s(&self, need: &Room) -> f64 {
+    pub fn expected_wait_s(&self, need: &Resources) -> f64 {
         if need.fits(&self.size.minus(&self.used)) {
             return 0.0;
         }
         let missing_part = |need: f64, size: f64, used: f64| {
-            ((used + need - size) / used.max(ROOM_TOLERANCE)).max(0.0)
+            ((used + need - size) / used.max(RESOURCE_TOLERANCE)).max(0.0)
         };
         let part = missing_part(need.cpus, self.size.cpus, self.used.cpus)
             .max(missing_part(need.gpus, self.size.gpus, self.used.gpus))
@@ -55,12 +55,12 @@
             ));
         // What is left of a task is half its run time on average, so the part of the bound work
         // that ends within a time grows twice as fast as the average suggests.
-        let left_s = self.load_s * self.size.cpus / self.used.cpus.max(ROOM_TOLERANCE);
+        let left_s = self.load_s * self.size.cpus / self.used.cpus.max(RESOURCE_TOLERANCE);
         2.0 * left_s * part
     }
 
     /// Seconds until a job's image is there.
-    pub(super) fn fetch_s(&self, job: &Candidate) -> f64 {
+    pub(super) fn fetch_s(&self, job: &CandidateJob) -> f64 {
         match self.cached_images.contains(&job.image) {
             true => 0.0,
             false => job.image_gb / self.fetch_gb_per_s.max(0.01),
@@ -68,26 +68,27 @@
     }
 
     /// Whether a job's tasks may be bound here, room aside.
-    pub(super) fn admits(&self, job: &Candidate, limits: Limits) -> bool {
+    pub(super) fn admits(&self, job: &CandidateJob, limits: PlanLimits) -> bool {
         let needs = &job.needs;
         needs.suits(self.machine_type, self.zone, self.spot, &self.size)
-            && needs.zone_suits(self.zone, &job.bound_by_zone)
+            && needs.allows_zone(self.zone, &job.bound_by_zone)
             && !(self.expensive && job.avoids_expensive(limits))
             && (job.overdue || !self.cordoned)
-            && (job.ahead_of_turn || !self.ahead_of_turn)
+            && (job.ahead_of_schedule || !self.ahead_of_schedule)
     }
 
     /// Counts one more task of a job as bound here.
-    pub(super) fn take(&mut self, job: &Candidate) {
-        self.used.add(&job.needs.room, 1.0);
-        self.load_s += job.run_s * job.needs.room.cpus / self.size.cpus.max(ROOM_TOLERANCE);
+    pub(super) fn add_task(&mut self, job: &CandidateJob) {
+        self.used.add(&job.needs.resources, 1.0);
+        self.load_s +=
+            job.run_s * job.needs.resources.cpus / self.size.cpus.max(RESOURCE_TOLERANCE);
         self.cached_images.insert(job.image);
     }
 }
 
 /// A job with unbound tasks, most pressing first in the list given to [`plan`](super::plan).
 #[derive(Debug, Clone)]
-pub struct Candidate {
+pub struct CandidateJob {
     /// The job.
     pub job: JobId,
     /// Its team.
@@ -107,18 +108,18 @@
     /// Whether it has waited so long that any machine which fits will do, however expensive.
     pub overdue: bool,
     /// Whether its tasks may be bound ahead of the regular turns of blocks.
-    pub ahead_of_turn: bool,
+    pub ahead_of_schedule: bool,
     /// Whether its tasks exceed the job's share of the fleet: they get room that nobody else wants.
     pub beyond_share: bool,
 }
 
-impl Candidate {
+impl CandidateJob {
     /// Whether its tasks run too long for expensive machines. A job that may not go everywhere else
     /// is bound where it can.
-    pub(super) fn avoids_expensive(&self, limits: Limits) -> bool {
+    pub(super) fn avoids_expensive(&self, limits: PlanLimits) -> bool {
         let needs = &self.needs;
         !self.overdue
-            && self.run_s > limits.longest_on_expensive_s
+            && self.run_s > limits.max_run_on_expensive_s
             && needs.spot
             && needs.machine_types.is_none()
             && needs.zone.is_none()
@@ -126,8 +127,8 @@
 }
 
 /// The smallest room in every respect that a task of some job takes.
-pub(super) fn smallest_room(jobs: &[Candidate]) -> Room {
+pub(super) fn smallest_request(jobs: &[CandidateJob]) -> Resources {
     let waiting = jobs.iter().filter(|job| !job.tasks.is_empty());
-    let rooms = waiting.map(|job| job.needs.room);
-    rooms.reduce(Room::min).unwrap_or_default()
+    let rooms = waiting.map(|job| job.needs.resources);
+    rooms.reduce(Resources::min).unwrap_or_default()
 }
--- a/src/placement/room.rs
+++ b/src/placement/resources.rs
@@ -5,11 +5,11 @@
 use crate::protocol::MachineType;
 
 /// Amounts that differ by no more than this count as equal: sums of decimal amounts are inexact.
-pub const ROOM_TOLERANCE: f64 = 1e-6;
+pub const RESOURCE_TOLERANCE: f64 = 1e-6;
 
 /// CPUs, GPUs and memory.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Room {
+pub struct Resources {
     /// CPUs.
     pub cpus: f64,
     /// GPUs.
@@ -18,42 +18,42 @@
     pub memory_gb: f64,
 }
 
-impl Room {
+impl Resources {
     /// Whether `self` fits into `room`.
-    pub fn fits(&self, room: &Room) -> bool {
-        self.fits_quota(room) && self.memory_gb <= room.memory_gb + ROOM_TOLERANCE
+    pub fn fits(&self, room: &Resources) -> bool {
+        self.fits_quota(room) && self.memory_gb <= room.memory_gb + RESOURCE_TOLERANCE
     }
 
     /// Whether `self` fits into what is left of a team's quota, which does not limit memory.
-    pub(super) fn fits_quota(&self, left: &Room) -> bool {
-        self.cpus <= left.cpus + ROOM_TOLERANCE && self.gpus <= left.gpus + ROOM_TOLERANCE
+    pub(super) fn fits_quota(&self, left: &Resources) -> bool {
+        self.cpus <= left.cpus + RESOURCE_TOLERANCE && self.gpus <= left.gpus + RESOURCE_TOLERANCE
     }
 
     /// Room of so many CPUs, and of nothing else.
-    pub fn from_cpus(cpus: f64) -> Room {
-        Room {
+    pub fn from_cpus(cpus: f64) -> Resources {
+        Resources {
             cpus,
-            ..Room::default()
+            ..Resources::default()
         }
     }
 
     /// Adds `times` times `other`.
-    pub fn add(&mut self, other: &Room, times: f64) {
+    pub fn add(&mut self, other: &Resources, times: f64) {
         self.cpus += other.cpus * times;
         self.gpus += other.gpus * times;
         self.memory_gb += other.memory_gb * times;
     }
 
     /// What is left of `self` without `other`.
-    pub fn minus(&self, other: &Room) -> Room {
+    pub fn minus(&self, other: &Resources) -> Resources {
         let mut rest = *self;
         rest.add(other, -1.0);
         rest
     }
 
     /// The lesser amount of both in each respect.
-    pub(super) fn min(self, other: Room) -> Room {
-        Room {
+    pub(super) fn min(self, other: Resources) -> Resources {
+        Resources {
             cpus: self.cpus.min(other.cpus),
             gpus: self.gpus.min(other.gpus),
             memory_gb: self.memory_gb.min(other.memory_gb),
@@ -61,9 +61,9 @@
     }
 }
 
-impl From<&MachineType> for Room {
-    fn from(machine_type: &MachineType) -> Room {
-        Room {
+impl From<&MachineType> for Resources {
+    fn from(machine_type: &MachineType) -> Resources {
+        Resources {
             cpus: machine_type.cpus,
             gpus: machine_type.gpus,
             memory_gb: machine_type.memory_gb,
@@ -75,7 +75,7 @@
 #[derive(Debug, Clone)]
 pub struct Needs {
     /// Room of one task.
-    pub room: Room,
+    pub resources: Resources,
     /// Allowed machine types; none if all are.
     pub machine_types: Option<Vec<MachineTypeId>>,
     /// The only allowed zone; none if all are.
@@ -95,7 +95,7 @@
         machine_type: MachineTypeId,
         zone: ZoneId,
         spot: bool,
-        size: &Room,
+        size: &Resources,
     ) -> bool {
         (self.spot || !spot)
             && self.zone.is_none_or(|only| only == zone)
@@ -103,7 +103,7 @@
                 .machine_types
                 .as_ref()
                 .is_none_or(|allowed| allowed.contains(&machine_type))
-            && self.room.fits(size)
+            && self.resources.fits(size)
     }
 
     /// Whether a task's place depends on where the other tasks of its job are.
@@ -112,15 +112,15 @@
     }
 
     /// Whether whatever has room for `other` has room for this as well.
-    pub(super) fn covers(&self, other: &Needs) -> bool {
-        self.room.fits(&other.room)
+    pub(super) fn is_no_stricter_than(&self, other: &Needs) -> bool {
+        self.resources.fits(&other.resources)
             && (self.spot || !other.spot)
             && (self.zone.is_none() || self.zone == other.zone)
             && (self.machine_types.is_none() || self.machine_types == other.machine_types)
     }
 
     /// Whether a zone suits, given how many of the job's tasks are bound in each.
-    pub fn zone_suits(&self, zone: ZoneId, bound: &HashMap<ZoneId, u32>) -> bool {
+    pub fn allows_zone(&self, zone: ZoneId, bound: &HashMap<ZoneId, u32>) -> bool {
         let elsewhere = || {
             bound
                 .iter()
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,35 +1,35 @@
 //! Unit tests of `placement`.
 
-use super::{Candidate, Limits, Needs, PlannedBinding, Room, Slot, plan};
+use super::{CandidateJob, CandidateMachine, Needs, PlanLimits, PlannedBinding, Resources, plan};
 use crate::collections::{HashMap, HashSet};
 use crate::names::{ImageId, Index, JobId, MachineId, MachineTypeId, TeamId, ZoneId};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-pub(crate) fn slot(machine: u32, zone: u32, cpus: f64) -> Slot {
-    Slot {
+pub(crate) fn slot(machine: u32, zone: u32, cpus: f64) -> CandidateMachine {
+    CandidateMachine {
         machine: MachineId::from_raw(machine),
         machine_type: MachineTypeId::from_raw(0),
         zone: ZoneId::from_raw(zone),
         spot: false,
-        size: Room {
+        size: Resources {
             cpus,
             gpus: 0.0,
             memory_gb: cpus * 4.0,
         },
-        used: Room::default(),
+        used: Resources::default(),
         load_s: 0.0,
         fetch_gb_per_s: 0.5,
         cached_images: HashSet::default(),
         expensive: false,
         cordoned: false,
-        ahead_of_turn: false,
+        ahead_of_schedule: false,
     }
 }
 
 pub(crate) fn needs() -> Needs {
     Needs {
-        room: Room {
+        resources: Resources {
             cpus: 1.0,
             gpus: 0.0,
             memory_gb: 1.0,
@@ -42,8 +42,8 @@
     }
 }
 
-fn job(n: u32, needs: Needs) -> Candidate {
-    Candidate {
+fn job(n: u32, needs: Needs) -> CandidateJob {
+    CandidateJob {
         job: JobId::from_raw(0),
         team: TeamId::from_raw(0),
         image: ImageId::from_raw(0),
@@ -53,35 +53,39 @@
         tasks: (0..n).collect(),
         bound_by_zone: HashMap::default(),
         overdue: false,
-        ahead_of_turn: false,
+        ahead_of_schedule: false,
         beyond_share: false,
     }
 }
 
-const LIMITS: Limits = Limits {
-    ahead_s: 3.0,
-    sample: 16,
-    most: 100,
-    longest_on_expensive_s: f64::INFINITY,
-    ordinary_penalty_s: 0.0,
+const LIMITS: PlanLimits = PlanLimits {
+    max_wait_s: 3.0,
+    sample_size: 16,
+    max_bindings: 100,
+    max_run_on_expensive_s: f64::INFINITY,
+    on_demand_penalty_s: 0.0,
 };
 
 /// Plans for one team that may use so many CPUs more.
-fn plan_all(slots: &mut [Slot], jobs: &mut [Candidate], cpus: f64) -> Vec<PlannedBinding> {
-    let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Room::from_cpus(cpus))]);
+fn plan_all(
+    machines: &mut [CandidateMachine],
+    jobs: &mut [CandidateJob],
+    cpus: f64,
+) -> Vec<PlannedBinding> {
+    let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Resources::from_cpus(cpus))]);
     let mut rng = SmallRng::seed_from_u64(1);
-    plan(slots, jobs, &mut teams, LIMITS, &mut rng)
+    plan(machines, jobs, &mut teams, LIMITS, &mut rng)
 }
 
-fn run(slots: &mut [Slot], job: Candidate, cpus: f64) -> Vec<usize> {
-    let plan = plan_all(slots, &mut [job], cpus);
+fn run(machines: &mut [CandidateMachine], job: CandidateJob, cpus: f64) -> Vec<usize> {
+    let plan = plan_all(machines, &mut [job], cpus);
     plan.iter().map(|b| b.machine.raw()).collect()
 }
 
 /// A job of one task that needs two CPUs, and a later one of small tasks.
-fn big_before_small() -> [Candidate; 2] {
+fn big_before_small() -> [CandidateJob; 2] {
     let mut big = job(1, needs());
-    big.needs.room.cpus = 2.0;
+    big.needs.resources.cpus = 2.0;
     let mut small = job(4, needs());
     small.job = JobId::from_raw(1);
     [big, small]
@@ -89,14 +93,14 @@
 
 #[test]
 fn bound_tasks_count_against_the_team_limit() {
-    let mut slots = [slot(0, 0, 8.0), slot(1, 0, 8.0)];
-    assert_eq!(run(&mut slots, job(9, needs()), 3.0).len(), 3);
+    let mut machines = [slot(0, 0, 8.0), slot(1, 0, 8.0)];
+    assert_eq!(run(&mut machines, job(9, needs()), 3.0).len(), 3);
 }
 
 #[test]
 fn room_under_a_limit_is_kept_for_the_job_that_waits_for_it() {
-    let mut slots = [slot(0, 0, 8.0)];
-    assert!(plan_all(&mut slots, &mut big_before_small(), 1.0).is_empty());
+    let mut machines = [slot(0, 0, 8.0)];
+    assert!(plan_all(&mut machines, &mut big_before_small(), 1.0).is_empty());
 }
 
 #[test]
@@ -119,26 +123,26 @@
 
 #[test]
 fn tasks_go_where_their_image_is_and_then_to_the_lightest() {
-    let mut slots = [slot(0, 0, 2.0), slot(1, 0, 2.0)];
-    slots[1].cached_images.insert(ImageId::from_raw(0));
-    assert_eq!(run(&mut slots, job(3, needs()), 99.0), [1, 1, 0]);
+    let mut machines = [slot(0, 0, 2.0), slot(1, 0, 2.0)];
+    machines[1].cached_images.insert(ImageId::from_raw(0));
+    assert_eq!(run(&mut machines, job(3, needs()), 99.0), [1, 1, 0]);
 }
 
 #[test]
 fn long_tasks_avoid_expensive_machines_when_little_waits() {
     // A large expensive machine was held to the end of the day for the longest of its tasks.
-    let mut slots = [slot(0, 0, 2.0), slot(1, 0, 8.0)];
-    slots[1].expensive = true;
-    let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Room::from_cpus(99.0))]);
+    let mut machines = [slot(0, 0, 2.0), slot(1, 0, 8.0)];
+    machines[1].expensive = true;
+    let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Resources::from_cpus(99.0))]);
     let mut short = job(4, needs());
     (short.job, short.run_s) = (JobId::from_raw(1), 5.0);
     let mut jobs = [job(4, needs()), short];
-    let limits = Limits {
-        longest_on_expensive_s: 9.0,
+    let limits = PlanLimits {
+        max_run_on_expensive_s: 9.0,
         ..LIMITS
     };
     let mut rng = SmallRng::seed_from_u64(1);
-    let plan = plan(&mut slots, &mut jobs, &mut teams, limits, &mut rng);
+    let plan = plan(&mut machines, &mut jobs, &mut teams, limits, &mut rng);
     let at = |j| plan.iter().filter(move |b| b.job.raw() == j);
     assert!(at(0).count() == 2 && at(0).all(|b| b.machine.raw() == 0));
     assert_eq!(at(1).filter(|b| b.machine.raw() == 1).count(), 4);
@@ -147,21 +151,21 @@
 #[test]
 fn what_has_waited_for_long_goes_to_any_machine_that_fits() {
     // A machine cordoned to save money, or too expensive for long tasks, kept its room for nobody.
-    let limits = Limits {
-        longest_on_expensive_s: 9.0,
+    let limits = PlanLimits {
+        max_run_on_expensive_s: 9.0,
         ..LIMITS
     };
     let bound = |overdue, expensive, cordoned| {
-        let mut slots = [slot(0, 0, 8.0)];
-        (slots[0].expensive, slots[0].cordoned) = (expensive, cordoned);
+        let mut machines = [slot(0, 0, 8.0)];
+        (machines[0].expensive, machines[0].cordoned) = (expensive, cordoned);
         let mut waiting = job(3, needs());
         waiting.overdue = overdue;
-        let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Room::from_cpus(99.0))]);
+        let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Resources::from_cpus(99.0))]);
         let mut rng = SmallRng::seed_from_u64(1);
         // One that is not overdue has found nothing before it.
         let mut jobs = [job(3, needs()), waiting];
         jobs[1].job = JobId::from_raw(1);
-        let plan = plan(&mut slots, &mut jobs, &mut teams, limits, &mut rng);
+        let plan = plan(&mut machines, &mut jobs, &mut teams, limits, &mut rng);
         plan.iter().filter(|b| b.job.raw() == 1).count()
     };
     assert_eq!(
@@ -177,16 +181,16 @@
         one_zone: true,
         ..needs()
     };
-    let mut slots = [slot(0, 0, 2.0), slot(1, 1, 8.0)];
-    let at = run(&mut slots, job(6, same), 99.0);
+    let mut machines = [slot(0, 0, 2.0), slot(1, 1, 8.0)];
+    let at = run(&mut machines, job(6, same), 99.0);
     assert!(at.iter().all(|&m| m == at[0]), "{at:?}");
 
     let spread = Needs {
         max_per_zone: Some(2),
         ..needs()
     };
-    let mut slots = [slot(0, 0, 8.0), slot(1, 1, 1.0)];
-    let at = run(&mut slots, job(4, spread), 99.0);
+    let mut machines = [slot(0, 0, 8.0), slot(1, 1, 1.0)];
+    let at = run(&mut machines, job(4, spread), 99.0);
     assert_eq!(at.iter().filter(|&&m| m == 0).count(), 2);
 
     let mut spot = slot(0, 0, 8.0);
@@ -200,19 +204,19 @@
 
 #[test]
 fn a_machine_whose_turn_has_not_come_takes_only_what_others_wait_for() {
-    let mut slots = [slot(0, 0, 4.0), slot(1, 0, 4.0)];
-    slots[0].ahead_of_turn = true;
+    let mut machines = [slot(0, 0, 4.0), slot(1, 0, 4.0)];
+    machines[0].ahead_of_schedule = true;
     let ordinary = job(8, needs());
     let mut chained = job(2, needs());
-    (chained.job, chained.ahead_of_turn) = (JobId::from_raw(1), true);
-    let limits = Limits {
-        ahead_s: 0.0,
+    (chained.job, chained.ahead_of_schedule) = (JobId::from_raw(1), true);
+    let limits = PlanLimits {
+        max_wait_s: 0.0,
         ..LIMITS
     };
-    let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Room::from_cpus(100.0))]);
+    let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Resources::from_cpus(100.0))]);
     let mut rng = SmallRng::seed_from_u64(1);
     let bound = plan(
-        &mut slots,
+        &mut machines,
         &mut [ordinary, chained],
         &mut teams,
         limits,
@@ -228,18 +232,18 @@
 
 #[test]
 fn tasks_that_may_run_on_spot_machines_leave_ordinary_ones_to_those_that_may_not() {
-    let mut slots = [slot(0, 0, 4.0), slot(1, 0, 4.0)];
-    slots[1].spot = true;
-    slots[0].load_s = 0.0;
-    slots[1].load_s = 9.0;
-    let limits = Limits {
-        ordinary_penalty_s: 2.0,
+    let mut machines = [slot(0, 0, 4.0), slot(1, 0, 4.0)];
+    machines[1].spot = true;
+    machines[0].load_s = 0.0;
+    machines[1].load_s = 9.0;
+    let limits = PlanLimits {
+        on_demand_penalty_s: 2.0,
         ..LIMITS
     };
-    let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Room::from_cpus(100.0))]);
+    let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Resources::from_cpus(100.0))]);
     let mut rng = SmallRng::seed_from_u64(1);
     let bound = plan(
-        &mut slots,
+        &mut machines,
         &mut [job(2, needs())],
         &mut teams,
         limits,
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -201,7 +201,7 @@
         fleet: Some(FleetSummary {
             machines: vec![machine],
             running: vec![("wk-1".into(), 3)],
-            done: vec![("wk-2".into(), RangeSet::all(4))],
+            done: vec![("wk-2".into(), RangeSet::below(4))],
         }),
         unowned_machines: vec![unowned],
         steal_messages: vec![hint, steal],
--- a/src/ranges/bitmap.rs
+++ b/src/ranges/bitmap.rs
@@ -11,16 +11,16 @@
 /// What a bitmap's text begins with; no list of ranges does.
 const MARK: char = 'b';
 /// Longest text of what precedes the bits: the mark, a number of 32 bits and the separator.
-const PREFIX_BYTES: usize = 12;
+const MAX_PREFIX_BYTES: usize = 12;
 /// Tasks whose bits fill whole characters: three bytes are four characters.
-const GROUP_TASKS: usize = 24;
+const TASKS_PER_GROUP: usize = 24;
 /// Characters of such a group.
-const GROUP_CHARACTERS: usize = 4;
+const CHARACTERS_PER_GROUP: usize = 4;
 
 /// Number of tasks, from the first missing one on, whose bits surely fit into so many bytes of text,
 /// whichever of them are in the set.
-pub fn tasks_within(bytes: usize) -> usize {
-    bytes.saturating_sub(PREFIX_BYTES) / GROUP_CHARACTERS * GROUP_TASKS
+pub fn tasks_that_fit(bytes: usize) -> usize {
+    bytes.saturating_sub(MAX_PREFIX_BYTES) / CHARACTERS_PER_GROUP * TASKS_PER_GROUP
 }
 
 /// Whether a text is a bitmap.
@@ -53,7 +53,7 @@
     if !fits {
         return Err(malformed());
     }
-    let mut set = RangeSet::all(first);
+    let mut set = RangeSet::below(first);
     for (at, byte) in (0u32..).zip(&bits) {
         for bit in (0..8).filter(|bit| byte & (1 << bit) != 0) {
             set.insert(first + at * 8 + bit);
--- a/src/ranges/mod.rs
+++ b/src/ranges/mod.rs
@@ -23,7 +23,7 @@
     }
 
     /// The set `0..end`.
-    pub fn all(end: u32) -> Self {
+    pub fn below(end: u32) -> Self {
         let mut set = Self::new();
         set.insert_range(0, end);
         set
@@ -40,7 +40,7 @@
     }
 
     /// Number of separate ranges, which decides how long the text is.
-    pub fn fragments(&self) -> usize {
+    pub fn range_count(&self) -> usize {
         self.parts.len()
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// The tasks of `0..end` that are absent from the set, in ascending order.
-    pub fn gaps(&self, end: u32) -> impl Iterator<Item = u32> + '_ {
+    pub fn missing_below(&self, end: u32) -> impl Iterator<Item = u32> + '_ {
         let starts = std::iter::once(0).chain(self.parts.iter().map(|&(_, hi)| hi));
         let ends = self
             .parts
--- a/src/ranges/tests.rs
+++ b/src/ranges/tests.rs
@@ -14,11 +14,11 @@
     assert_eq!(set.len(), 5);
     assert!(set.contains(7) && !set.contains(6) && !set.contains(8));
     assert_eq!(set.to_string().parse(), Ok(set.clone()));
-    assert_eq!(set.gaps(9).collect::<Vec<_>>(), [3, 4, 6, 8]);
-    assert_eq!(RangeSet::new().gaps(2).collect::<Vec<_>>(), [0, 1]);
+    assert_eq!(set.missing_below(9).collect::<Vec<_>>(), [3, 4, 6, 8]);
+    assert_eq!(RangeSet::new().missing_below(2).collect::<Vec<_>>(), [0, 1]);
     set.insert_range(3, 10);
     assert_eq!(set.to_string(), "0-9");
-    assert_eq!(set.gaps(9).count(), 0);
+    assert_eq!(set.missing_below(9).count(), 0);
 }
 
 #[test]
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_set_reads_back_from_whichever_text_is_shorter() {
-    let mut scattered = RangeSet::all(40);
+    let mut scattered = RangeSet::below(40);
     for task in (41..900).step_by(3) {
         scattered.insert(task);
     }
@@ -75,8 +75,8 @@
 fn bits_of_any_tasks_fit_into_the_bytes_that_are_kept_for_them() {
     for bytes in [0, 12, 40, 1000] {
         for first in [0, 99_000] {
-            let tasks = bitmap::tasks_within(bytes) as u32;
-            let mut set = RangeSet::all(first);
+            let tasks = bitmap::tasks_that_fit(bytes) as u32;
+            let mut set = RangeSet::below(first);
             for task in (first + 1..first + tasks).step_by(2) {
                 set.insert(task);
             }
--- a/src/ranges/text.rs
+++ b/src/ranges/text.rs
@@ -6,7 +6,7 @@
 use std::str::FromStr;
 
 /// Characters of a malformed text that an error shows.
-const SHOWN_CHARACTERS: usize = 40;
+const MAX_SHOWN_CHARACTERS: usize = 40;
 
 /// Text that is neither a list of ranges nor a bitmap.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
@@ -15,7 +15,7 @@
 
 impl MalformedRanges {
     pub(super) fn of(text: &str) -> Self {
-        Self(text.chars().take(SHOWN_CHARACTERS).collect())
+        Self(text.chars().take(MAX_SHOWN_CHARACTERS).collect())
     }
 }
 
--- a/src/records/job.rs
+++ b/src/records/job.rs
@@ -68,7 +68,7 @@
             return;
         }
         if self.status == JobStatus::Cancelled {
-            self.done.tasks = RangeSet::all(self.done.tasks.len());
+            self.done.tasks = RangeSet::below(self.done.tasks.len());
         }
         if too_large(self) {
             (self.spec.machine_types, self.spec.zone) = (None, None);
--- a/src/replica/job.rs
+++ b/src/replica/job.rs
@@ -75,7 +75,7 @@
             Encoding::Compatible => tasks,
             Encoding::Dense => {
                 let room = value_bytes.saturating_sub(self.bytes);
-                let window = bitmap::tasks_within(room).max(MIN_OPEN);
+                let window = bitmap::tasks_that_fit(room).max(MIN_OPEN);
                 let window = u32::try_from(window).unwrap_or(u32::MAX);
                 let end = self.done.first_missing().saturating_add(window);
                 end.min(tasks)
@@ -91,19 +91,21 @@
         encoding: Encoding,
     ) -> impl Iterator<Item = u32> + 'a {
         // Open tasks below the highest bound one are what fragments the done ranges.
-        let open = (taken.len() - self.done.len()) as usize + taken.fragments();
+        let open = (taken.len() - self.done.len()) as usize + taken.range_count();
         let most_open = self.most_open(value_bytes);
         let bounded = encoding == Encoding::Compatible && most_open < self.spec.task_count as usize;
         let limit = match bounded {
             true => most_open.saturating_sub(open),
             false => usize::MAX,
         };
-        taken.gaps(self.open_end(value_bytes, encoding)).take(limit)
+        taken
+            .missing_below(self.open_end(value_bytes, encoding))
+            .take(limit)
     }
 
     /// What one task takes of its machine.
-    pub fn room(&self) -> crate::placement::Room {
-        crate::placement::Room {
+    pub fn room(&self) -> crate::placement::Resources {
+        crate::placement::Resources {
             cpus: self.spec.cpus,
             gpus: self.spec.gpus,
             memory_gb: self.spec.memory_gb,
--- a/src/replica/jobs.rs
+++ b/src/replica/jobs.rs
@@ -136,7 +136,7 @@
     /// Whether some queue lists a task of the job, some block says that one is done, or some job waits
     /// for it. Until then it is not archived, so whoever looks at the waiting job sees this one too.
     pub fn is_mentioned(&self, job: JobId) -> bool {
-        self.job_index.is_in_blocks(job) || self.dependencies.is_needed(job)
+        self.job_index.is_in_blocks(job) || self.dependencies.has_dependents(job)
     }
 
     /// Releases the indices of jobs whose keys are gone and that nothing mentions; returns them. They may
@@ -145,7 +145,7 @@
         let dependencies = &self.dependencies;
         let released = self
             .job_index
-            .take_released(|job| dependencies.is_needed(job));
+            .take_released(|job| dependencies.has_dependents(job));
         for &job in &released {
             self.names.jobs.release(job);
         }
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -27,7 +27,7 @@
 fn longest_bitmap(job: &Job, value_bytes: usize) -> usize {
     let encoding = Encoding::Dense;
     let first = job.done.first_missing();
-    let mut tasks = RangeSet::all(first);
+    let mut tasks = RangeSet::below(first);
     for task in (first + 1..job.open_end(value_bytes, encoding)).step_by(2) {
         tasks.insert(task);
     }
@@ -54,7 +54,7 @@
             );
             assert!(open >= 16.min(task_count as usize));
             for done in [0, task_count / 3, task_count.saturating_sub(10)] {
-                let done = RangeSet::all(done);
+                let done = RangeSet::below(done);
                 let job = Job {
                     done,
                     ..job.clone()
--- a/src/replica/waiting.rs
+++ b/src/replica/waiting.rs
@@ -5,7 +5,7 @@
 
 use super::Replica;
 use crate::collections::HashMap;
-use crate::dependencies::OwnDemand;
+use crate::dependencies::OwnUrgency;
 use crate::names::JobId;
 use crate::protocol::{JobSpec, JobStatus};
 use crate::records::WaitingRecord;
@@ -42,9 +42,9 @@
     pub archived: HashMap<JobId, JobStatus>,
 }
 
-fn own_demand(spec: &JobSpec, submitted_ms: u64) -> OwnDemand {
+fn own_demand(spec: &JobSpec, submitted_ms: u64) -> OwnUrgency {
     let ms = |seconds: f64| (seconds * 1000.0) as i64;
-    OwnDemand {
+    OwnUrgency {
         priority: spec.priority,
         due_ms: spec.due_s.map(|due_s| submitted_ms as i64 + ms(due_s)),
         duration_ms: ms(spec.estimate_s),
@@ -90,7 +90,7 @@
         }
         let predecessors = self.dependencies.remove(job);
         for job in predecessors.into_iter().chain([job]) {
-            if !self.dependencies.is_needed(job) {
+            if !self.dependencies.has_dependents(job) {
                 self.waiting.archived.remove(&job);
             }
             if !self.holds(job) {
@@ -124,7 +124,7 @@
     /// Marks as cancelled all jobs that depend on one that was. That is not written before it counts:
     /// whoever sees the cancellation sees this as well.
     pub(super) fn cancel_descendants(&mut self, job: JobId) {
-        for descendant in self.dependencies.descendants(job) {
+        for descendant in self.dependencies.transitive_dependents(job) {
             if let Some(waiting) = self.waiting.jobs.get_mut(&descendant) {
                 waiting.cancelled = true;
             }
@@ -163,7 +163,7 @@
 
     /// Applies the final state, read from the archive, of a job that a waiting job depends on.
     pub fn note_archived(&mut self, job: JobId, status: JobStatus) {
-        if !self.dependencies.is_needed(job) || self.holds(job) {
+        if !self.dependencies.has_dependents(job) || self.holds(job) {
             return;
         }
         self.version += 1;
--- a/src/runtime/controller_actor.rs
+++ b/src/runtime/controller_actor.rs
@@ -62,7 +62,7 @@
 
     /// Lets the controller act, and starts the effects that it asks for.
     pub(super) fn tick(&mut self, ctx: &mut Context<Self>) {
-        let (now, day_ms) = (self.now(), self.shared.clock.day_ms());
+        let (now, day_ms) = (self.now(), self.shared.clock.unix_time_ms());
         let effects = self.shared.controller.lock().tick(now, day_ms);
         for effect in effects {
             self.carry_out(effect, ctx);
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -87,7 +87,8 @@
 fn new_shared(settings: &Settings) -> Arc<Shared> {
     let clock = SystemClock::default();
     // Random choices need to differ between incarnations of the process, not to be secret.
-    let seed = rand::rngs::SmallRng::from_os_rng().random::<u64>() ^ clock.day_ms().rotate_left(20);
+    let seed =
+        rand::rngs::SmallRng::from_os_rng().random::<u64>() ^ clock.unix_time_ms().rotate_left(20);
     let controller = Controller::new(settings.clone(), seed);
     Arc::new(Shared::new(controller, Box::new(clock)))
 }
--- a/src/scaling.rs
+++ b/src/scaling.rs
@@ -6,11 +6,11 @@
 mod scale_in;
 mod scale_out;
 
-pub use scale_in::{BusyMachine, machines_to_cordon, machines_to_return};
-pub use scale_out::{RentOrder, plan_rentals};
+pub use scale_in::{MachineUsage, machines_to_cordon, machines_to_return};
+pub use scale_out::{PlannedRental, plan_rentals};
 
 use crate::names::{MachineId, MachineTypeId, ZoneId};
-use crate::placement::{Needs, Room};
+use crate::placement::{Needs, Resources};
 
 /// Most machines in one rental request (PROTOCOL).
 pub(crate) const MAX_MACHINES_PER_REQUEST: u32 = 50;
@@ -39,7 +39,7 @@
     /// Type.
     pub machine_type: MachineTypeId,
     /// Size.
-    pub size: Room,
+    pub size: Resources,
     /// Zones.
     pub zones: Vec<ZoneId>,
     /// Price of an ordinary machine.
@@ -63,7 +63,7 @@
 
 impl Demand {
     /// Whether its tasks may run on machines of a pool.
-    fn suits(&self, pool: CapacityPool, size: &Room) -> bool {
+    fn can_run_on(&self, pool: CapacityPool, size: &Resources) -> bool {
         self.needs
             .suits(pool.machine_type, pool.zone, pool.spot, size)
     }
@@ -71,7 +71,7 @@
 
 /// A machine that is rented, or on its way.
 #[derive(Debug, Clone)]
-pub struct Rented {
+pub struct RentedMachine {
     /// Index of its name.
     pub machine: MachineId,
     /// Type.
@@ -81,7 +81,7 @@
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Size.
-    pub size: Room,
+    pub size: Resources,
     /// Price now.
     pub price: f64,
     /// Seconds without any bound task, none while it has some or boots.
@@ -90,7 +90,7 @@
     pub held_s: f64,
 }
 
-impl Rented {
+impl RentedMachine {
     /// Price of a CPU.
     fn price_per_cpu(&self) -> f64 {
         self.price / self.size.cpus.max(MIN_CPUS)
@@ -106,27 +106,29 @@
     }
 
     /// Whether tasks of a job may run on it.
-    fn serves(&self, demand: &Demand) -> bool {
-        demand.suits(self.pool(), &self.size)
+    fn can_run(&self, demand: &Demand) -> bool {
+        demand.can_run_on(self.pool(), &self.size)
     }
 }
 
 /// Parameters of a plan.
 #[derive(Debug, Clone, Copy)]
-pub struct Rules {
+pub struct ScalingParams {
     /// Seconds of work a rented CPU should find.
     pub horizon_s: f64,
     /// Seconds of idleness before a return.
     pub idle_s: f64,
     /// Most machines.
-    pub most: usize,
+    pub max_machines: usize,
     /// Shortest time charged, seconds.
-    pub charge_s: f64,
+    pub min_charge_s: f64,
 }
 
 /// CPUs that the tasks at hand can use at once.
 fn runnable_cpus(demand: &[Demand]) -> f64 {
-    let cpus = demand.iter().map(|job| job.tasks * job.needs.room.cpus);
+    let cpus = demand
+        .iter()
+        .map(|job| job.tasks * job.needs.resources.cpus);
     cpus.sum()
 }
 
@@ -143,9 +145,9 @@
 /// Guards against counting spot machines as room for it: the spot machines sufficed for all that
 /// could run, so the ordinary ones were cordoned and returned, and jobs with dependencies that may
 /// not run elsewhere waited for minutes.
-fn ordinary_only(demand: &[Demand]) -> Vec<Demand> {
-    let ordinary = demand.iter().filter(|job| !job.needs.spot);
-    ordinary.cloned().collect()
+fn on_demand_only(demand: &[Demand]) -> Vec<Demand> {
+    let on_demand = demand.iter().filter(|job| !job.needs.spot);
+    on_demand.cloned().collect()
 }
 
 #[cfg(test)]
--- a/src/scaling/scale_in.rs
+++ b/src/scaling/scale_in.rs
@@ -1,8 +1,8 @@
 //! Which machines to return, and which take no new tasks.
 
 use super::{
-    Demand, EXPENSIVE_CPU_FACTOR, MIN_CPUS, Rented, Rules, ordinary_only, runnable_cpus,
-    useful_cpus,
+    Demand, EXPENSIVE_CPU_FACTOR, MIN_CPUS, RentedMachine, ScalingParams, on_demand_only,
+    runnable_cpus, useful_cpus,
 };
 use crate::names::{Index, MachineId};
 
@@ -17,14 +17,14 @@
 
 /// A machine that is up, with the CPUs that its bound tasks take.
 #[derive(Debug, Clone)]
-pub struct BusyMachine {
+pub struct MachineUsage {
     /// The machine.
-    pub machine: Rented,
+    pub machine: RentedMachine,
     /// CPUs that its bound tasks take.
     pub used_cpus: f64,
 }
 
-impl BusyMachine {
+impl MachineUsage {
     /// What a CPU costs, weighted by how idle the machine is. Prices within a fifth count as
     /// equal: a warm and busy machine is worth more than that.
     fn weighted_price(&self) -> f64 {
@@ -34,21 +34,26 @@
 }
 
 /// Decides which idle machines are returned: the dearest per CPU first, while what stays suffices.
-pub fn machines_to_return(demand: &[Demand], fleet: &[Rented], rules: &Rules) -> Vec<MachineId> {
-    let wanted = useful_cpus(demand, rules.horizon_s);
+pub fn machines_to_return(
+    demand: &[Demand],
+    fleet: &[RentedMachine],
+    params: &ScalingParams,
+) -> Vec<MachineId> {
+    let wanted = useful_cpus(demand, params.horizon_s);
     let mut present: f64 = fleet.iter().map(|machine| machine.size.cpus).sum();
-    let ordinary_wanted = useful_cpus(&ordinary_only(demand), rules.horizon_s);
-    let ordinary = fleet.iter().filter(|machine| !machine.spot);
-    let mut ordinary_present: f64 = ordinary.map(|machine| machine.size.cpus).sum();
+    let on_demand_wanted = useful_cpus(&on_demand_only(demand), params.horizon_s);
+    let on_demand = fleet.iter().filter(|machine| !machine.spot);
+    let mut on_demand_present: f64 = on_demand.map(|machine| machine.size.cpus).sum();
     let mut returned = Vec::new();
-    for machine in idle_dearest_first(fleet, rules) {
+    for machine in idle_most_expensive_first(fleet, params) {
         let cpus = machine.size.cpus;
-        let ordinary_cpus = if machine.spot { 0.0 } else { cpus };
-        let ordinary_spare = machine.spot || ordinary_present - ordinary_cpus >= ordinary_wanted;
-        let only_one = is_only_one(machine, demand, fleet, &returned);
-        if !only_one && present - cpus >= wanted && ordinary_spare {
+        let on_demand_cpus = if machine.spot { 0.0 } else { cpus };
+        let on_demand_spare =
+            machine.spot || on_demand_present - on_demand_cpus >= on_demand_wanted;
+        let sole_machine = is_sole_machine_for_a_job(machine, demand, fleet, &returned);
+        if !sole_machine && present - cpus >= wanted && on_demand_spare {
             present -= cpus;
-            ordinary_present -= ordinary_cpus;
+            on_demand_present -= on_demand_cpus;
             returned.push(machine.machine);
         }
     }
@@ -56,12 +61,15 @@
 }
 
 /// Machines that have been idle for long enough and are paid for, the dearest per CPU first.
-fn idle_dearest_first<'a>(fleet: &'a [Rented], rules: &Rules) -> Vec<&'a Rented> {
-    let is_idle = |machine: &&Rented| {
-        let idle = machine.idle_s.is_some_and(|idle_s| idle_s >= rules.idle_s);
-        idle && machine.held_s >= rules.charge_s
+fn idle_most_expensive_first<'a>(
+    fleet: &'a [RentedMachine],
+    params: &ScalingParams,
+) -> Vec<&'a RentedMachine> {
+    let is_idle = |machine: &&RentedMachine| {
+        let idle = machine.idle_s.is_some_and(|idle_s| idle_s >= params.idle_s);
+        idle && machine.held_s >= params.min_charge_s
     };
-    let mut idle: Vec<&Rented> = fleet.iter().filter(is_idle).collect();
+    let mut idle: Vec<&RentedMachine> = fleet.iter().filter(is_idle).collect();
     idle.sort_by(|a, b| {
         b.price_per_cpu()
             .total_cmp(&a.price_per_cpu())
@@ -71,18 +79,19 @@
 }
 
 /// Whether some job that waits or runs could run on no other machine that stays.
-fn is_only_one(
-    machine: &Rented,
+fn is_sole_machine_for_a_job(
+    machine: &RentedMachine,
     demand: &[Demand],
-    fleet: &[Rented],
+    fleet: &[RentedMachine],
     returned: &[MachineId],
 ) -> bool {
-    let stays =
-        |other: &&Rented| other.machine != machine.machine && !returned.contains(&other.machine);
+    let stays = |other: &&RentedMachine| {
+        other.machine != machine.machine && !returned.contains(&other.machine)
+    };
     demand.iter().any(|job| {
         job.tasks > 0.0
-            && machine.serves(job)
-            && !fleet.iter().filter(stays).any(|other| other.serves(job))
+            && machine.can_run(job)
+            && !fleet.iter().filter(stays).any(|other| other.can_run(job))
     })
 }
 
@@ -93,27 +102,27 @@
 /// a horizon.
 pub fn machines_to_cordon(
     demand: &[Demand],
-    fleet: &[BusyMachine],
-    rules: &Rules,
+    fleet: &[MachineUsage],
+    params: &ScalingParams,
 ) -> Vec<MachineId> {
-    let mut order: Vec<&BusyMachine> = fleet.iter().collect();
+    let mut order: Vec<&MachineUsage> = fleet.iter().collect();
     order.sort_by(|a, b| {
         a.weighted_price()
             .total_cmp(&b.weighted_price())
             .then(a.machine.machine.raw().cmp(&b.machine.machine.raw()))
     });
     let wanted = runnable_cpus(demand) * SPARE_FACTOR + SPARE_CPUS;
-    let wanted_of_expensive = useful_cpus(demand, rules.horizon_s);
-    let mut ordinary_wanted = runnable_cpus(&ordinary_only(demand));
+    let wanted_of_expensive = useful_cpus(demand, params.horizon_s);
+    let mut on_demand_wanted = runnable_cpus(&on_demand_only(demand));
     let prices = fleet.iter().map(|busy| busy.machine.price_per_cpu());
     let cheapest = prices.fold(f64::INFINITY, f64::min);
     let mut present = 0.0;
-    let mut kept: Vec<&Rented> = Vec::new();
+    let mut kept: Vec<&RentedMachine> = Vec::new();
     let mut cordoned = Vec::new();
-    for BusyMachine { machine, used_cpus } in order {
-        let only_one = demand.iter().any(|job| {
-            let served = || kept.iter().any(|other| other.serves(job));
-            job.tasks > 0.0 && machine.serves(job) && !served()
+    for MachineUsage { machine, used_cpus } in order {
+        let sole_machine = demand.iter().any(|job| {
+            let served = || kept.iter().any(|other| other.can_run(job));
+            job.tasks > 0.0 && machine.can_run(job) && !served()
         });
         let expensive = machine.price_per_cpu() > cheapest * EXPENSIVE_CPU_FACTOR;
         let enough = present
@@ -123,11 +132,11 @@
                 wanted
             };
         // Spot machines are no use to tasks that may not run there.
-        let ordinary_needed = !machine.spot && ordinary_wanted > NEGLIGIBLE_CPUS;
-        if !enough || ordinary_needed || only_one {
+        let on_demand_needed = !machine.spot && on_demand_wanted > NEGLIGIBLE_CPUS;
+        if !enough || on_demand_needed || sole_machine {
             present += machine.size.cpus;
             if !machine.spot {
-                ordinary_wanted -= (machine.size.cpus - used_cpus).max(0.0);
+                on_demand_wanted -= (machine.size.cpus - used_cpus).max(0.0);
             }
             kept.push(machine);
         } else {
--- a/src/scaling/tests.rs
+++ b/src/scaling/tests.rs
@@ -1,23 +1,24 @@
 //! Unit tests of scaling out and in.
 
 use super::{
-    BusyMachine, Demand, Offer, Rented, Rules, machines_to_cordon, machines_to_return, plan_rentals,
+    Demand, MachineUsage, Offer, RentedMachine, ScalingParams, machines_to_cordon,
+    machines_to_return, plan_rentals,
 };
 use crate::names::{Index, MachineId, MachineTypeId, ZoneId};
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::placement::tests::needs;
 
-const RULES: Rules = Rules {
+const PARAMS: ScalingParams = ScalingParams {
     horizon_s: 60.0,
     idle_s: 10.0,
-    most: 100,
-    charge_s: 60.0,
+    max_machines: 100,
+    min_charge_s: 60.0,
 };
 
 fn offer(machine_type: u32, cpus: f64, price: f64) -> Offer {
     Offer {
         machine_type: MachineTypeId::from_raw(machine_type),
-        size: Room {
+        size: Resources {
             cpus,
             gpus: 0.0,
             memory_gb: cpus * 4.0,
@@ -37,8 +38,8 @@
     }
 }
 
-fn rented(machine: u32, cpus: f64, idle_s: Option<f64>, held_s: f64) -> Rented {
-    Rented {
+fn rented(machine: u32, cpus: f64, idle_s: Option<f64>, held_s: f64) -> RentedMachine {
+    RentedMachine {
         machine: MachineId::from_raw(machine),
         machine_type: MachineTypeId::from_raw(0),
         zone: ZoneId::from_raw(0),
@@ -50,20 +51,20 @@
     }
 }
 
-fn busy(machine: Rented, used_cpus: f64) -> BusyMachine {
-    BusyMachine { machine, used_cpus }
+fn busy(machine: RentedMachine, used_cpus: f64) -> MachineUsage {
+    MachineUsage { machine, used_cpus }
 }
 
 #[test]
 fn the_cheapest_kind_is_asked_first_and_refused_ones_are_passed_over() {
     let offers = [offer(0, 4.0, 1.0), offer(1, 64.0, 20.0)];
-    let orders = plan_rentals(&[demand(16.0, 4000.0)], &[], &offers, &RULES, |_| true);
+    let orders = plan_rentals(&[demand(16.0, 4000.0)], &[], &offers, &PARAMS, |_| true);
     let asked: Vec<_> = orders
         .iter()
         .map(|order| (order.pool.machine_type.raw(), order.pool.spot, order.number))
         .collect();
     assert_eq!(asked, [(0, true, 2), (0, true, 2)], "over both zones");
-    let orders = plan_rentals(&[demand(16.0, 9000.0)], &[], &offers, &RULES, |pool| {
+    let orders = plan_rentals(&[demand(16.0, 9000.0)], &[], &offers, &PARAMS, |pool| {
         !pool.spot && pool.zone.raw() == 1
     });
     assert_eq!((orders[0].pool.zone.raw(), orders[0].pool.spot), (1, false));
@@ -72,9 +73,9 @@
 #[test]
 fn little_work_is_not_worth_many_machines() {
     let offers = [offer(0, 4.0, 1.0)];
-    let orders = plan_rentals(&[demand(100.0, 600.0)], &[], &offers, &RULES, |_| true);
+    let orders = plan_rentals(&[demand(100.0, 600.0)], &[], &offers, &PARAMS, |_| true);
     assert_eq!(orders.iter().map(|order| order.number).sum::<u32>(), 3);
-    assert!(plan_rentals(&[], &[], &offers, &RULES, |_| true).is_empty());
+    assert!(plan_rentals(&[], &[], &offers, &PARAMS, |_| true).is_empty());
 }
 
 #[test]
@@ -86,7 +87,7 @@
         &[job],
         &[rented(0, 4.0, None, 0.0)],
         &offers,
-        &RULES,
+        &PARAMS,
         |_| true,
     );
     assert_eq!(
@@ -103,9 +104,9 @@
         rented(2, 4.0, Some(2.0), 100.0),
         rented(3, 4.0, None, 100.0),
     ];
-    let back = machines_to_return(&[], &fleet, &RULES);
+    let back = machines_to_return(&[], &fleet, &PARAMS);
     assert_eq!(back, [MachineId::from_raw(0)]);
-    assert!(machines_to_return(&[demand(16.0, 4000.0)], &fleet, &RULES).is_empty());
+    assert!(machines_to_return(&[demand(16.0, 4000.0)], &fleet, &PARAMS).is_empty());
 }
 
 #[test]
@@ -117,11 +118,11 @@
         busy(rented(1, 4.0, None, 100.0), 0.0),
         busy(rented(2, 4.0, None, 100.0), 3.0),
     ];
-    let closed = machines_to_cordon(&[demand(1.0, 50.0)], &fleet, &RULES);
+    let closed = machines_to_cordon(&[demand(1.0, 50.0)], &fleet, &PARAMS);
     assert_eq!(closed, [1, 0].map(MachineId::from_raw));
-    assert!(machines_to_cordon(&[demand(30.0, 5000.0)], &fleet, &RULES).is_empty());
+    assert!(machines_to_cordon(&[demand(30.0, 5000.0)], &fleet, &PARAMS).is_empty());
     // Little work is left for its number of tasks: the dear machine is closed, no other.
-    let closed = machines_to_cordon(&[demand(30.0, 400.0)], &fleet, &RULES);
+    let closed = machines_to_cordon(&[demand(30.0, 400.0)], &fleet, &PARAMS);
     assert_eq!(closed, [MachineId::from_raw(0)]);
 }
 
@@ -133,8 +134,8 @@
 }
 
 /// Machines on the spot market, and ordinary ones, all idle.
-fn mixed(spot: u32, ordinary: u32) -> Vec<Rented> {
-    let machines = (0..spot + ordinary).map(|n| Rented {
+fn mixed(spot: u32, on_demand: u32) -> Vec<RentedMachine> {
+    let machines = (0..spot + on_demand).map(|n| RentedMachine {
         spot: n < spot,
         price: if n < spot { 0.3 } else { 1.0 },
         ..rented(n, 4.0, Some(100.0), 100.0)
@@ -146,27 +147,30 @@
 fn spot_machines_are_no_room_for_what_may_not_run_there() {
     let work = [demand(8.0, 2000.0), lasting(10.0, 2000.0)];
     // Both sorts are closed only as far as each is not needed.
-    let fleet: Vec<BusyMachine> = mixed(10, 10).into_iter().map(|m| busy(m, 0.0)).collect();
-    let closed = machines_to_cordon(&work, &fleet, &RULES);
-    let ordinary_closed = closed.iter().filter(|m| m.raw() >= 10).count();
+    let fleet: Vec<MachineUsage> = mixed(10, 10).into_iter().map(|m| busy(m, 0.0)).collect();
+    let closed = machines_to_cordon(&work, &fleet, &PARAMS);
+    let on_demand_closed = closed.iter().filter(|m| m.raw() >= 10).count();
     assert_eq!(
-        ordinary_closed, 7,
+        on_demand_closed, 7,
         "12 of 40 CPUs stay for the 10 that need them"
     );
-    let returned = machines_to_return(&work, &mixed(10, 10), &RULES);
-    let ordinary_left = 10 - returned.iter().filter(|m| m.raw() >= 10).count();
-    assert!(ordinary_left >= 3, "{ordinary_left} ordinary machines stay");
-    let none = machines_to_return(&[], &mixed(0, 10), &RULES);
+    let returned = machines_to_return(&work, &mixed(10, 10), &PARAMS);
+    let on_demand_left = 10 - returned.iter().filter(|m| m.raw() >= 10).count();
+    assert!(
+        on_demand_left >= 3,
+        "{on_demand_left} on_demand machines stay"
+    );
+    let none = machines_to_return(&[], &mixed(0, 10), &PARAMS);
     assert_eq!(none.len(), 10);
     // And ordinary ones are rented although spot machines stand idle.
     let offers = [offer(0, 4.0, 1.0)];
-    let orders = plan_rentals(&work, &mixed(20, 0), &offers, &RULES, |_| true);
+    let orders = plan_rentals(&work, &mixed(20, 0), &offers, &PARAMS, |_| true);
     let asked: u32 = orders
         .iter()
         .filter(|order| !order.pool.spot)
         .map(|order| order.number)
         .sum();
     assert!((2..=4).contains(&asked), "{orders:?}");
-    let orders = plan_rentals(&work, &mixed(20, 4), &offers, &RULES, |_| true);
+    let orders = plan_rentals(&work, &mixed(20, 4), &offers, &PARAMS, |_| true);
     assert!(orders.iter().all(|order| order.pool.spot), "{orders:?}");
 }
--- a/src/spillover/serving.rs
+++ b/src/spillover/serving.rs
@@ -98,7 +98,10 @@
     fn finished_loan(&self, job_id: JobId) -> Option<Mutation> {
         let job = self.replica.jobs.get(&job_id)?;
         let mut record = job.record(Default::default(), JobStatus::Done);
-        record.bring_home(self.replica.done_tasks(RangeSet::all(job.spec.task_count)));
+        record.bring_home(
+            self.replica
+                .done_tasks(RangeSet::below(job.spec.task_count)),
+        );
         record.shorten(self.settings.value_bytes());
         let key = job_key(self.replica.names.jobs.name(job_id));
         Some(put(&key, &record, None))
--- a/src/stealing/messages.rs
+++ b/src/stealing/messages.rs
@@ -76,7 +76,8 @@
             if holder.host == self.me {
                 queue.extend(self.handle_steal_message(machine_id, message, now));
             } else {
-                self.work_stealing.send(holder.host, message, capacity);
+                self.work_stealing
+                    .enqueue_outgoing(holder.host, message, capacity);
             }
         }
     }
@@ -110,17 +111,17 @@
         now: Timestamp,
     ) -> Option<StealMessage> {
         match message {
-            StealMessage::Hint { from, .. } => self.steal_from(machine_id, &from),
+            StealMessage::Hint { from, .. } => self.steal_request(machine_id, &from),
             StealMessage::Steal {
                 thief, hops, route, ..
-            } => self.give_or_pass_on(machine_id, &thief, hops, &route, now),
+            } => self.grant_or_forward(machine_id, &thief, hops, &route, now),
         }
     }
 
     /// A thief that hears of a victim asks it at once, within its steals.
-    fn steal_from(&mut self, thief: MachineId, victim: &str) -> Option<StealMessage> {
+    fn steal_request(&mut self, thief: MachineId, victim: &str) -> Option<StealMessage> {
         let victim = self.replica.names.machines.get(victim)?;
-        if !self.work_stealing.round_mut()?.use_steal(thief) {
+        if !self.work_stealing.round_mut()?.consume_steal(thief) {
             return None;
         }
         Some(StealMessage::Steal {
@@ -132,7 +133,7 @@
     }
 
     /// A victim gives the thief a pack, or passes the steal on to another machine.
-    fn give_or_pass_on(
+    fn grant_or_forward(
         &mut self,
         victim: MachineId,
         thief: &str,
@@ -141,7 +142,7 @@
         now: Timestamp,
     ) -> Option<StealMessage> {
         let thief = self.replica.names.machines.get(thief)?;
-        if self.give_pack(victim, thief, now) {
+        if self.grant_pack(victim, thief, now) {
             return None;
         }
         let names = &self.replica.names.machines;
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -36,7 +36,7 @@
         };
         let last_first = machine.queue.iter().rev();
         last_first
-            .filter(|binding| self.may_move(machine_id, binding))
+            .filter(|binding| self.is_movable(machine_id, binding))
             .filter_map(|binding| {
                 let job = self.replica.jobs.get(&binding.task.job)?;
                 let load = self.run_s(job) * job.spec.cpus / size.cpus.max(MIN_CPUS);
@@ -47,7 +47,7 @@
 
     /// Whether a task may leave a machine's queue: it has surely not started, no other move has
     /// it, and its job still needs it.
-    fn may_move(&self, machine_id: MachineId, binding: &Binding) -> bool {
+    fn is_movable(&self, machine_id: MachineId, binding: &Binding) -> bool {
         let job = self.replica.jobs.get(&binding.task.job);
         let machine = self.replica.machines.get(&machine_id);
         self.unstarted(machine_id, binding)
@@ -58,7 +58,7 @@
     }
 
     /// Gives the smallest pack that fits the thief; returns whether there was one.
-    pub(super) fn give_pack(
+    pub(super) fn grant_pack(
         &mut self,
         victim: MachineId,
         thief: MachineId,
@@ -70,7 +70,7 @@
         };
         let fitting = packs.iter().position(|pack| {
             let tasks = &pack.tasks;
-            tasks.iter().all(|task| self.may_move(victim, task))
+            tasks.iter().all(|task| self.is_movable(victim, task))
                 && self.pack_fits(victim, thief, pack, now)
         });
         let given = fitting.map(|index| packs.remove(index));
@@ -118,11 +118,11 @@
             && pack
                 .tasks
                 .iter()
-                .all(|task| self.task_suits(task, from, to))
+                .all(|task| self.task_can_run_on(task, from, to))
     }
 
     /// Whether a task may run on `to`, where a job that is bound to zones keeps the one of `from`.
-    fn task_suits(&self, binding: &Binding, from: &Machine, to: &Machine) -> bool {
+    fn task_can_run_on(&self, binding: &Binding, from: &Machine, to: &Machine) -> bool {
         let Some(size) = self.size(to) else {
             return false;
         };
--- a/src/stealing/pack_steal.rs
+++ b/src/stealing/pack_steal.rs
@@ -25,7 +25,7 @@
 
 /// What a round knows: the mean and what follows from it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct Levels {
+pub(super) struct Thresholds {
     /// Mean load.
     pub(super) mean: f64,
     /// Tolerance (epsilon).
@@ -50,16 +50,16 @@
     Balanced,
 }
 
-impl Levels {
+impl Thresholds {
     /// Computes the levels from the sum of all machines' loads and their number.
-    pub(super) fn new(sum: f64, machines: usize, factors: &Factors) -> Option<Levels> {
+    pub(super) fn new(sum: f64, machines: usize, factors: &Factors) -> Option<Thresholds> {
         if machines == 0 {
             return None;
         }
         let mean = sum / machines as f64;
         let epsilon = mean * factors.tolerance;
         let pack = epsilon * factors.pack;
-        Some(Levels {
+        Some(Thresholds {
             mean,
             epsilon,
             pack,
@@ -156,14 +156,14 @@
     factors: &Factors,
     rng: &mut impl Rng,
 ) -> Option<MachineId> {
-    let may_ask = |machine: &&MachineLoad| {
+    let is_eligible = |machine: &&MachineLoad| {
         machine.machine_id != thief && !route.contains(&machine.machine_id)
     };
     let most = match selection {
         Selection::Constrained => factors.targets,
         Selection::Random => known.len(),
     };
-    let targets: Vec<&MachineLoad> = known.iter().filter(may_ask).take(most).collect();
+    let targets: Vec<&MachineLoad> = known.iter().filter(is_eligible).take(most).collect();
     targets.choose(rng).map(|machine| machine.machine_id)
 }
 
--- a/src/stealing/pack_steal/tests.rs
+++ b/src/stealing/pack_steal/tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of PackStealLB.
 
-use super::{Factors, Levels, MachineLoad, Role, Selection, choose_target};
+use super::{Factors, MachineLoad, Role, Selection, Thresholds, choose_target};
 use crate::names::{Index, MachineId};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -12,36 +12,40 @@
     hops: 0.25,
 };
 
-fn levels_of(loads: &[f64]) -> Option<Levels> {
-    Levels::new(loads.iter().sum(), loads.len(), &FACTORS)
+fn thresholds_of(loads: &[f64]) -> Option<Thresholds> {
+    Thresholds::new(loads.iter().sum(), loads.len(), &FACTORS)
 }
 
 #[test]
 fn roles_follow_the_mean() {
-    let levels = levels_of(&[0.0, 100.0, 200.0]).expect("loads");
+    let thresholds = thresholds_of(&[0.0, 100.0, 200.0]).expect("loads");
     assert_eq!(
-        (levels.mean, levels.epsilon, levels.pack),
+        (thresholds.mean, thresholds.epsilon, thresholds.pack),
         (100.0, 5.0, 2.0)
     );
-    assert_eq!(levels.role(105.0), Role::Victim);
-    assert_eq!(levels.role(104.9), Role::Balanced);
-    assert_eq!(levels.role(98.1), Role::Balanced);
-    assert_eq!(levels.role(98.0), Role::Thief { steals: 1 });
-    assert_eq!(levels.role(93.0), Role::Thief { steals: 4 });
-    let idle = levels_of(&[0.0, 0.0]).expect("loads");
+    assert_eq!(thresholds.role(105.0), Role::Victim);
+    assert_eq!(thresholds.role(104.9), Role::Balanced);
+    assert_eq!(thresholds.role(98.1), Role::Balanced);
+    assert_eq!(thresholds.role(98.0), Role::Thief { steals: 1 });
+    assert_eq!(thresholds.role(93.0), Role::Thief { steals: 4 });
+    let idle = thresholds_of(&[0.0, 0.0]).expect("loads");
     assert_eq!(idle.role(0.0), Role::Balanced, "nothing to steal anywhere");
-    assert_eq!(levels_of(&[]), None);
+    assert_eq!(thresholds_of(&[]), None);
 }
 
 #[test]
 fn packs_hold_the_surplus_and_leave_the_mean() {
-    let levels = levels_of(&[0.0, 200.0]).expect("loads");
+    let thresholds = thresholds_of(&[0.0, 200.0]).expect("loads");
     let small: Vec<(u32, f64)> = (0..200).map(|i| (i, 1.0)).collect();
-    let packs = levels.packs(200.0, &small);
+    let packs = thresholds.packs(200.0, &small);
     let moved: f64 = packs.iter().map(|p| p.load).sum();
     assert!((95.0..=100.0).contains(&moved), "{moved}");
-    assert!(packs.iter().all(|p| p.load <= levels.pack + levels.gamma));
-    let big = levels.packs(200.0, &[(1, 60.0), (2, 60.0), (3, 30.0)]);
+    assert!(
+        packs
+            .iter()
+            .all(|p| p.load <= thresholds.pack + thresholds.gamma)
+    );
+    let big = thresholds.packs(200.0, &[(1, 60.0), (2, 60.0), (3, 30.0)]);
     assert_eq!(big.iter().map(|p| p.tasks.len()).sum::<usize>(), 2);
     assert_eq!(big[0].tasks, [3], "the smallest is given first");
 }
--- a/src/stealing/rounds.rs
+++ b/src/stealing/rounds.rs
@@ -1,6 +1,6 @@
 //! Rounds of work stealing: when one begins, and what this controller knows in it.
 
-use super::pack_steal::{Factors, Levels, MachineLoad, Pack, Role, Selection};
+use super::pack_steal::{Factors, MachineLoad, Pack, Role, Selection, Thresholds};
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
 use crate::controller::{Controller, Effect};
@@ -50,7 +50,12 @@
     }
 
     /// Keeps a message for a peer; dropped when `capacity` of them wait already.
-    pub(super) fn send(&mut self, host: ControllerId, message: StealMessage, capacity: usize) {
+    pub(super) fn enqueue_outgoing(
+        &mut self,
+        host: ControllerId,
+        message: StealMessage,
+        capacity: usize,
+    ) {
         if self.outbox.len() < capacity {
             self.outbox.push((host, message));
         }
@@ -70,7 +75,7 @@
 }
 
 impl Round {
-    fn new(loads: &HashMap<MachineId, f64>, levels: &Levels) -> Self {
+    fn new(loads: &HashMap<MachineId, f64>, thresholds: &Thresholds) -> Self {
         let loads = loads.iter();
         let mut all: Vec<MachineLoad> = loads
             .map(|(&machine_id, &load)| MachineLoad { machine_id, load })
@@ -81,7 +86,7 @@
         });
         let victims = all
             .iter()
-            .filter(|machine| levels.role(machine.load) == Role::Victim);
+            .filter(|machine| thresholds.role(machine.load) == Role::Victim);
         Self {
             packs: HashMap::default(),
             steals: HashMap::default(),
@@ -104,7 +109,7 @@
     }
 
     /// Takes one of the steals that a machine may still begin.
-    pub(super) fn use_steal(&mut self, thief: MachineId) -> bool {
+    pub(super) fn consume_steal(&mut self, thief: MachineId) -> bool {
         let left = self.steals.get_mut(&thief).filter(|left| **left > 0);
         let Some(left) = left else { return false };
         *left -= 1;
@@ -162,11 +167,12 @@
         self.publish_loads(now, out);
         let own: Vec<MachineId> = self.held.ids().collect();
         let loads = self.fleet_loads(&own, now);
-        let Some(levels) = Levels::new(loads.sum, loads.count, &self.stealing_factors()) else {
+        let Some(thresholds) = Thresholds::new(loads.sum, loads.count, &self.stealing_factors())
+        else {
             return;
         };
-        let mut round = Round::new(&loads.machines, &levels);
-        let mut messages = self.assign_roles(&mut round, &own, &loads, &levels);
+        let mut round = Round::new(&loads.machines, &thresholds);
+        let mut messages = self.assign_roles(&mut round, &own, &loads, &thresholds);
         // Own machines that have nothing to give are known to be no victims.
         let packs = &round.packs;
         round.victims.retain(|victim| {
@@ -175,7 +181,7 @@
         let thieves = round.thieves();
         let most = round.victims.len() * STEALS_PER_VICTIM;
         self.work_stealing.round = Some(round);
-        messages.extend(self.first_steals(thieves, most));
+        messages.extend(self.initial_steals(thieves, most));
         self.deliver_steal_messages(messages, now);
     }
 
@@ -214,7 +220,7 @@
         round: &mut Round,
         own: &[MachineId],
         loads: &FleetLoads,
-        levels: &Levels,
+        thresholds: &Thresholds,
     ) -> Vec<StealMessage> {
         let lightest = round.all.last().copied();
         let mut hints = Vec::new();
@@ -222,9 +228,9 @@
             let Some(&load) = loads.machines.get(&machine_id) else {
                 continue;
             };
-            match levels.role(load) {
+            match thresholds.role(load) {
                 Role::Victim => {
-                    let packs = levels.packs(load, &self.movable_tasks(machine_id));
+                    let packs = thresholds.packs(load, &self.movable_tasks(machine_id));
                     if packs.is_empty() {
                         continue;
                     }
@@ -249,7 +255,7 @@
     }
 
     /// The lightest ask first, and no more is asked for than the victims may have to give.
-    fn first_steals(&mut self, thieves: Vec<(MachineId, u32)>, most: usize) -> Vec<StealMessage> {
+    fn initial_steals(&mut self, thieves: Vec<(MachineId, u32)>, most: usize) -> Vec<StealMessage> {
         let mut messages = Vec::new();
         for (thief, steals) in thieves {
             for _ in 0..steals.min(MAX_STEALS_PER_THIEF) {
