--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -1,43 +1,41 @@
-//! Which jobs need which others, and how pressing that makes them.
+//! Dependencies between jobs, and the urgency that jobs inherit from their dependents.
 //!
-//! Owns the graph of dependencies, and nothing else of a job. It is pure: what is done or cancelled is
-//! the replica's to say.
-//!
-//! The graph holds the jobs that wait and the jobs that they wait for. Users submit a chain from its
-//! beginning to its end, so what a new job asks of its predecessors is propagated upwards only as
-//! far as it changes something.
+//! Owns the dependency graph and no other state of jobs; the replica decides which jobs are done or
+//! cancelled. The graph contains the waiting jobs and their predecessors. Users submit a chain from
+//! its first job to its last, so the urgency of a new job is propagated to its predecessors only as
+//! far as it changes theirs.
 
 use crate::collections::{HashMap, HashSet};
 use crate::names::JobId;
 use crate::protocol::Priority;
 
-/// What a job asks for on its own account.
+/// Urgency of a job itself, without its dependents.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OwnUrgency {
-    /// Its priority.
+    /// Priority given by the user.
     pub priority: Priority,
-    /// Time of day at which it should be done, ms.
+    /// Time by which it should be done, milliseconds since the epoch; None without a deadline.
     pub due_ms: Option<i64>,
-    /// Estimated time that it takes once it is ready, ms.
+    /// Estimated duration once it is ready, milliseconds.
     pub duration_ms: i64,
 }
 
-/// How pressing a job is for the sake of the jobs that need it.
+/// Urgency that a job inherits from its dependents.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct InheritedUrgency {
-    /// The highest priority of any of them.
+    /// The highest priority of all direct and indirect dependents.
     pub priority: Priority,
-    /// Time of day, ms, at which the earliest of them must start to be done in time, or to let those
-    /// after it be.
+    /// Earliest time, milliseconds since the epoch, at which a direct dependent must start so that it
+    /// and its own dependents meet their deadlines; None without deadlines.
     pub start_by_ms: Option<i64>,
 }
 
 impl InheritedUrgency {
-    /// The more pressing of both in each respect.
+    /// The higher priority and the earlier start of both.
     fn combine(self, other: InheritedUrgency) -> InheritedUrgency {
         let start_by_ms = match (self.start_by_ms, other.start_by_ms) {
-            (Some(this), Some(that)) => Some(this.min(that)),
-            (this, that) => this.or(that),
+            (Some(a), Some(b)) => Some(a.min(b)),
+            (a, b) => a.or(b),
         };
         InheritedUrgency {
             priority: self.priority.min(other.priority),
@@ -46,25 +44,25 @@
     }
 }
 
-/// A job that waits.
+/// A job that waits for its predecessors.
 #[derive(Debug, Clone)]
 struct Waiting {
     own: OwnUrgency,
     predecessors: Vec<JobId>,
 }
 
-/// The dependency graph of all jobs that wait.
+/// The dependency graph of all waiting jobs.
 #[derive(Debug, Clone, Default)]
 pub struct DependencyGraph {
     waiting: HashMap<JobId, Waiting>,
-    /// Jobs that wait for a job, by that job.
+    /// Direct dependents of each job that has some.
     dependents: HashMap<JobId, Vec<JobId>>,
-    /// Of each job that others wait for, what they make of it.
+    /// Inherited urgency of each job that has dependents.
     inherited: HashMap<JobId, InheritedUrgency>,
 }
 
 impl DependencyGraph {
-    /// Adds a job that waits for others; one that is there already stays as it is.
+    /// Adds a job that waits for its predecessors; does nothing if the graph contains it already.
     pub fn insert(&mut self, job: JobId, own: OwnUrgency, predecessors: Vec<JobId>) {
         if self.waiting.contains_key(&job) {
             return;
@@ -77,7 +75,7 @@
         self.propagate(changed);
     }
 
-    /// Takes out a job that waits no longer; returns the jobs that it waited for.
+    /// Removes a job that no longer waits; returns its predecessors.
     pub fn remove(&mut self, job: JobId) -> Vec<JobId> {
         let Some(removed) = self.waiting.remove(&job) else {
             return Vec::new();
@@ -94,23 +92,23 @@
         removed.predecessors
     }
 
-    /// The jobs that a waiting job needs.
+    /// Predecessors of a waiting job; empty for other jobs.
     pub fn predecessors(&self, job: JobId) -> &[JobId] {
         let waiting = self.waiting.get(&job);
         waiting.map_or(&[], |waiting| &waiting.predecessors)
     }
 
-    /// Whether some job waits for this one.
+    /// Whether some waiting job has this one as a predecessor.
     pub fn has_dependents(&self, job: JobId) -> bool {
         self.dependents.contains_key(&job)
     }
 
-    /// What the jobs that need this one make of it.
+    /// Urgency inherited from dependents; None without dependents.
     pub fn inherited_urgency(&self, job: JobId) -> Option<InheritedUrgency> {
         self.inherited.get(&job).copied()
     }
 
-    /// All jobs that need this one, directly or through others.
+    /// Direct and indirect dependents of a job, each once.
     pub fn transitive_dependents(&self, job: JobId) -> Vec<JobId> {
         let mut found: HashSet<JobId> = HashSet::default();
         let mut order = Vec::new();
@@ -126,8 +124,8 @@
         order
     }
 
-    /// What a waiting job asks of each of its predecessors.
-    fn importance(&self, job: JobId) -> Option<InheritedUrgency> {
+    /// The urgency that a waiting job passes on to each of its predecessors.
+    fn urgency_for_predecessors(&self, job: JobId) -> Option<InheritedUrgency> {
         let own = self.waiting.get(&job)?.own;
         let done_by = InheritedUrgency {
             priority: own.priority,
@@ -143,18 +141,17 @@
         })
     }
 
-    /// Recomputes what others make of these jobs, and of those before them as far as that changes
-    /// anything.
+    /// Recomputes the inherited urgency of these jobs, and of their predecessors as far as it changes.
     fn propagate(&mut self, mut changed: Vec<JobId>) {
         while let Some(job) = changed.pop() {
             let dependents = self.dependents.get(&job).into_iter().flatten();
-            let all = dependents.filter_map(|&dependent| self.importance(dependent));
+            let all = dependents.filter_map(|&dependent| self.urgency_for_predecessors(dependent));
             let inherited = all.reduce(InheritedUrgency::combine);
             if inherited == self.inherited_urgency(job) {
                 continue;
             }
             match inherited {
-                Some(importance) => self.inherited.insert(job, importance),
+                Some(urgency) => self.inherited.insert(job, urgency),
                 None => self.inherited.remove(&job),
             };
             changed.extend_from_slice(self.predecessors(job));
--- a/src/dependencies/tests.rs
+++ b/src/dependencies/tests.rs
@@ -16,14 +16,14 @@
     }
 }
 
-/// Adds a job that waits for others and asks for little itself.
+/// Adds a job with the lowest priority and no deadline.
 fn add(graph: &mut DependencyGraph, n: u32, needs: &[u32]) {
     let needs = needs.iter().copied().map(job).collect();
     graph.insert(job(n), own(Priority::BestEffort, None, 10), needs);
 }
 
 #[test]
-fn the_last_jobs_priority_and_deadline_reach_all_before_it() {
+fn priority_and_deadline_propagate_to_all_predecessors() {
     let mut graph = DependencyGraph::default();
     add(&mut graph, 1, &[0]);
     add(&mut graph, 2, &[1]);
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn the_order_in_which_jobs_become_known_makes_no_difference() {
-    // A full read brings them in the order of their names.
+fn insertion_order_does_not_change_inherited_urgency() {
+    // A full read of the key-value store returns jobs in the order of their names.
     let edges: [(u32, &[u32]); 4] = [(1, &[0]), (2, &[0]), (3, &[1, 2]), (4, &[3])];
     let mut results = Vec::new();
     for order in [[0, 1, 2, 3], [3, 2, 1, 0], [2, 0, 3, 1]] {
@@ -68,7 +68,7 @@
     }
     assert_eq!(results[0], results[1]);
     assert_eq!(results[0], results[2]);
-    // Through 2, which takes longer than 1, and 3 and 4.
+    // The critical path runs through jobs 2, 3 and 4, because 2 takes longer than 1.
     assert_eq!(
         results[0][0].unwrap().start_by_ms,
         Some(500 - 400 - 300 - 200)
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_dependent_that_is_gone_no_longer_raises_the_priority() {
+fn a_removed_dependent_no_longer_raises_the_priority() {
     let mut graph = DependencyGraph::default();
     add(&mut graph, 1, &[0]);
     graph.insert(job(2), own(Priority::Critical, Some(50), 1), vec![job(1)]);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn descendants_are_found_once_each_through_every_path() {
+fn transitive_dependents_are_listed_once_each() {
     let mut graph = DependencyGraph::default();
     add(&mut graph, 1, &[0]);
     add(&mut graph, 2, &[0]);
@@ -114,8 +114,8 @@
 }
 
 #[test]
-fn a_chain_of_thousands_of_jobs_grows_without_visiting_all_of_it() {
-    // Each new job asks no more than the one before it, so nothing has to be passed on.
+fn appending_to_a_long_chain_does_not_visit_the_whole_chain() {
+    // Each new job is no more urgent than its predecessor, so nothing is propagated further.
     let mut graph = DependencyGraph::default();
     for n in 1..50_000 {
         add(&mut graph, n, &[n - 1]);
--- a/src/names.rs
+++ b/src/names.rs
@@ -1,16 +1,16 @@
-//! Names and their indices: names of the wire and of stored values are mapped to dense indices once, and
-//! decisions compare and count indices only.
+//! Interning of names: names in messages and stored values are mapped to dense indices once, and
+//! decisions use only indices.
 //!
-//! An index means nothing to another process, and nothing after its release: it must not be stored or sent.
+//! An index is valid only in this process and until its release, so it must not be stored or sent.
 
 use std::collections::HashMap;
 use std::marker::PhantomData;
 
-/// An index handed out by an [`Interner`].
+/// An index assigned by an [`Interner`].
 pub trait Index: Copy + Eq + std::hash::Hash {
-    /// Wraps a raw slot number.
+    /// Wraps a raw index.
     fn from_raw(raw: u32) -> Self;
-    /// The raw slot number.
+    /// The raw index.
     fn raw(self) -> usize;
 }
 
@@ -27,31 +27,31 @@
 }
 
 index! {
-    /// A job.
+    /// Index of a job.
     JobId;
-    /// A machine.
+    /// Index of a machine.
     MachineId;
-    /// A team.
+    /// Index of a team.
     TeamId;
-    /// A class of jobs.
+    /// Index of a job class.
     ClassId;
-    /// A machine type.
+    /// Index of a machine type.
     MachineTypeId;
-    /// A zone.
+    /// Index of a zone.
     ZoneId;
-    /// An image.
+    /// Index of an image.
     ImageId;
-    /// A controller.
+    /// Index of a controller.
     ControllerId;
 }
 
-/// Maps names to indices. Released indices are given out again, so memory is bounded by the names in use.
+/// Maps names to indices. Released indices are reused, so memory is bounded by the names in use.
 #[derive(Debug)]
 pub struct Interner<I> {
     by_name: HashMap<Box<str>, u32>,
-    /// By index; none for a released one.
+    /// Names by index; None for released indices.
     names: Vec<Option<Box<str>>>,
-    /// Released indices, of which the latest is given out next.
+    /// Released indices; the last released one is reused first.
     free: Vec<u32>,
     kind: PhantomData<I>,
 }
@@ -68,7 +68,7 @@
 }
 
 impl<I: Index> Interner<I> {
-    /// The index of `name`, which is given one if it has none.
+    /// Returns the index of `name` and assigns one if it has none.
     pub fn intern(&mut self, name: &str) -> I {
         if let Some(&raw) = self.by_name.get(name) {
             return I::from_raw(raw);
@@ -82,12 +82,12 @@
         I::from_raw(raw)
     }
 
-    /// The index of `name`, if it has one.
+    /// Returns the index of `name`, or None if it has none.
     pub fn get(&self, name: &str) -> Option<I> {
         self.by_name.get(name).map(|&raw| I::from_raw(raw))
     }
 
-    /// The name of an index; empty for a released one.
+    /// Returns the name of an index; empty for a released index.
     pub fn name(&self, id: I) -> &str {
         self.names
             .get(id.raw())
@@ -95,7 +95,8 @@
             .unwrap_or("")
     }
 
-    /// Releases an index. No copy of it may be used any more: it may become the index of another name.
+    /// Releases an index. Copies of it must not be used afterwards, because it may be assigned to
+    /// another name.
     pub fn release(&mut self, id: I) {
         if let Some(name) = self.names.get_mut(id.raw()).and_then(Option::take) {
             self.by_name.remove(&name);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Most indices that were ever in use at one time; all are below it.
+    /// Exclusive upper bound of all indices: the most that were ever in use at the same time.
     pub fn index_bound(&self) -> usize {
         self.names.len()
     }
--- a/src/names/tests.rs
+++ b/src/names/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn indices_are_dense_and_slots_come_back() {
+fn indices_are_dense_and_reused_after_release() {
     let mut names = Interner::<JobId>::default();
     let a = names.intern("wk-1");
     let b = names.intern("wk-2");
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,7 +1,7 @@
-//! Placement: which unbound task joins which machine's queue, by bin packing.
+//! Placement: assigns unbound tasks to machines' queues by bin packing.
 //!
-//! Owns the arithmetic of room and the choice of machines. It is pure: it sees only the machines,
-//! jobs and limits it is given, never the replica or the clock, and writes nothing.
+//! Owns the resource arithmetic and the choice of machines. It is pure: it sees only the machines,
+//! jobs and limits that it is given, never the replica or the clock, and writes nothing.
 
 mod candidates;
 mod planner;
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -1,65 +1,69 @@
-//! The two sides of a placement: machines that may take tasks, and jobs whose tasks wait for one.
+//! The inputs of a placement: machines that may take tasks, and jobs with unbound tasks.
 
 use super::planner::PlanLimits;
 use super::resources::{Needs, RESOURCE_TOLERANCE, Resources};
 use crate::collections::{HashMap, HashSet};
 use crate::names::{ImageId, JobId, MachineId, MachineTypeId, TeamId, ZoneId};
 
-/// A machine that may take tasks.
+/// A machine to which tasks may be bound.
 #[derive(Debug, Clone)]
 pub struct CandidateMachine {
-    /// The machine.
+    /// Index of the machine.
     pub machine: MachineId,
-    /// Its type.
+    /// Machine type, for jobs that allow only some types.
     pub machine_type: MachineTypeId,
-    /// Its zone.
+    /// Zone, for jobs that restrict zones.
     pub zone: ZoneId,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// What it has.
+    /// Total resources.
     pub size: Resources,
-    /// What its bound tasks take, started or not.
+    /// Resources of its bound tasks, started or not.
     pub used: Resources,
     /// Seconds of work per CPU in its queue.
     pub load_s: f64,
-    /// Rate at which it fetches images, gigabytes per second.
+    /// Image download rate, gigabytes per second.
     pub fetch_gb_per_s: f64,
-    /// Images that it is known to have.
+    /// Images known to be on the machine.
     pub cached_images: HashSet<ImageId>,
-    /// Whether a CPU here costs far more than on the cheap machines, which are most of the fleet.
+    /// Whether a CPU here costs far more than on cheap machines, which are most of the fleet.
     pub expensive: bool,
-    /// Whether it takes no new tasks but those of overdue jobs.
+    /// Whether it accepts only tasks of overdue jobs.
     pub cordoned: bool,
-    /// Whether it takes only tasks that other jobs wait for: its block's regular turn to be written
-    /// has not come yet.
+    /// Whether it accepts only tasks of jobs with [`CandidateJob::ahead_of_schedule`], because its
+    /// block's next scheduled write is not due yet.
     pub ahead_of_schedule: bool,
 }
 
 impl CandidateMachine {
-    /// Expected seconds until the machine has room for a task. Work that is bound too early
-    /// waits behind other jobs' tasks while room shows up elsewhere; work bound just in time starts
-    /// in the very heartbeat acknowledgement that follows a completion.
-    pub fn expected_wait_s(&self, need: &Resources) -> f64 {
-        if need.fits(&self.size.minus(&self.used)) {
+    /// Expected seconds until the machine has free resources for a task. A task bound too early waits
+    /// behind other jobs' tasks while resources become free elsewhere; a task bound just in time
+    /// starts with the acknowledgement of the heartbeat that reports a completion.
+    pub fn expected_wait_s(&self, needed: &Resources) -> f64 {
+        if needed.fits(&self.size.minus(&self.used)) {
             return 0.0;
         }
-        let missing_part = |need: f64, size: f64, used: f64| {
-            ((used + need - size) / used.max(RESOURCE_TOLERANCE)).max(0.0)
+        let missing_fraction = |needed: f64, size: f64, used: f64| {
+            ((used + needed - size) / used.max(RESOURCE_TOLERANCE)).max(0.0)
         };
-        let part = missing_part(need.cpus, self.size.cpus, self.used.cpus)
-            .max(missing_part(need.gpus, self.size.gpus, self.used.gpus))
-            .max(missing_part(
-                need.memory_gb,
+        let fraction = missing_fraction(needed.cpus, self.size.cpus, self.used.cpus)
+            .max(missing_fraction(
+                needed.gpus,
+                self.size.gpus,
+                self.used.gpus,
+            ))
+            .max(missing_fraction(
+                needed.memory_gb,
                 self.size.memory_gb,
                 self.used.memory_gb,
             ));
-        // What is left of a task is half its run time on average, so the part of the bound work
-        // that ends within a time grows twice as fast as the average suggests.
-        let left_s = self.load_s * self.size.cpus / self.used.cpus.max(RESOURCE_TOLERANCE);
-        2.0 * left_s * part
+        // On average half of a task's run time remains, so remaining times range up to twice their
+        // mean, and a fraction `f` of the bound work completes within `2 * f` times that mean.
+        let remaining_s = self.load_s * self.size.cpus / self.used.cpus.max(RESOURCE_TOLERANCE);
+        2.0 * remaining_s * fraction
     }
 
-    /// Seconds until a job's image is there.
+    /// Seconds to download a job's image; 0 if the machine has it.
     pub(super) fn fetch_s(&self, job: &CandidateJob) -> f64 {
         match self.cached_images.contains(&job.image) {
             true => 0.0,
@@ -67,7 +71,7 @@
         }
     }
 
-    /// Whether a job's tasks may be bound here, room aside.
+    /// Whether a job's tasks may be bound here, regardless of what is free now.
     pub(super) fn admits(&self, job: &CandidateJob, limits: PlanLimits) -> bool {
         let needs = &job.needs;
         needs.suits(self.machine_type, self.zone, self.spot, &self.size)
@@ -77,7 +81,7 @@
             && (job.ahead_of_schedule || !self.ahead_of_schedule)
     }
 
-    /// Counts one more task of a job as bound here.
+    /// Counts one more task of a job as bound here, with its image cached.
     pub(super) fn add_task(&mut self, job: &CandidateJob) {
         self.used.add(&job.needs.resources, 1.0);
         self.load_s +=
@@ -86,36 +90,37 @@
     }
 }
 
-/// A job with unbound tasks, most pressing first in the list given to [`plan`](super::plan).
+/// A job with unbound tasks. [`plan`](super::plan) takes these in order, the most urgent first.
 #[derive(Debug, Clone)]
 pub struct CandidateJob {
-    /// The job.
+    /// Index of the job.
     pub job: JobId,
-    /// Its team.
+    /// Team whose quota its tasks use.
     pub team: TeamId,
-    /// Its image.
+    /// Image that its tasks run.
     pub image: ImageId,
     /// Size of the image, gigabytes.
     pub image_gb: f64,
-    /// What one of its tasks demands.
+    /// Requirements of one task.
     pub needs: Needs,
-    /// Expected seconds of a task.
+    /// Expected run time of a task, seconds.
     pub run_s: f64,
-    /// Unbound tasks in ascending order, as many as may be bound now.
+    /// Unbound tasks that may be bound now, in ascending order.
     pub tasks: Vec<u32>,
-    /// Bound tasks by zone; empty if the zones make no difference.
+    /// Number of bound tasks by zone; empty if zones make no difference to the job.
     pub bound_by_zone: HashMap<ZoneId, u32>,
-    /// Whether it has waited so long that any machine which fits will do, however expensive.
+    /// Whether it has waited so long that expensive and cordoned machines are allowed too.
     pub overdue: bool,
-    /// Whether its tasks may be bound ahead of the regular turns of blocks.
+    /// Whether its tasks may go to blocks whose next scheduled write is not due yet.
     pub ahead_of_schedule: bool,
-    /// Whether its tasks exceed the job's share of the fleet: they get room that nobody else wants.
+    /// Whether its tasks exceed the job's share of the fleet. Such tasks only use resources that no
+    /// other job wants, so no machine is reserved for them.
     pub beyond_share: bool,
 }
 
 impl CandidateJob {
-    /// Whether its tasks run too long for expensive machines. A job that may not go everywhere else
-    /// is bound where it can.
+    /// Whether its tasks run too long for expensive machines. Jobs that are overdue or restricted to
+    /// some machines use expensive ones too.
     pub(super) fn avoids_expensive(&self, limits: PlanLimits) -> bool {
         let needs = &self.needs;
         !self.overdue
@@ -126,9 +131,9 @@
     }
 }
 
-/// The smallest room in every respect that a task of some job takes.
+/// The minimum of each resource over the tasks of all jobs with unbound tasks.
 pub(super) fn smallest_request(jobs: &[CandidateJob]) -> Resources {
     let waiting = jobs.iter().filter(|job| !job.tasks.is_empty());
-    let rooms = waiting.map(|job| job.needs.resources);
-    rooms.reduce(Resources::min).unwrap_or_default()
+    let requests = waiting.map(|job| job.needs.resources);
+    requests.reduce(Resources::min).unwrap_or_default()
 }
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -1,4 +1,5 @@
-//! The plan of one pass: jobs in their order, each task to the machine on which it starts first.
+//! Plans one placement pass: takes jobs in order and binds each task to the machine on which it is
+//! expected to start first.
 
 use super::candidates::{CandidateJob, CandidateMachine, smallest_request};
 use super::resources::{Needs, Resources};
@@ -8,40 +9,43 @@
 use rand::seq::index;
 use std::cmp::Ordering;
 
-/// Machines reserved for one job that found no room.
+/// Machines reserved for one job that found no machine with free resources.
 const RESERVED_PER_JOB: usize = 4;
-/// Most machines reserved in all, however many there are: each waiting job looks through the fleet.
+/// Most machines reserved in all. Bounds the cost on large fleets: each waiting job scans all
+/// machines.
 const MAX_RESERVED: usize = 40;
 
-/// A task that is to be bound to a machine.
+/// A decision to bind a task to a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlannedBinding {
-    /// The machine.
+    /// Machine to whose queue the task is added.
     pub machine: MachineId,
-    /// The task's job.
+    /// Job of the task.
     pub job: JobId,
-    /// The task's number.
+    /// Number of the task in its job.
     pub number: u32,
 }
 
 /// Bounds of one plan.
 #[derive(Debug, Clone, Copy)]
 pub struct PlanLimits {
-    /// Longest time that a bound task should wait for room on its machine, seconds.
+    /// Longest time that a bound task should wait for resources on its machine, seconds.
     pub max_wait_s: f64,
-    /// Machines looked at for one task when there are more.
+    /// Number of machines sampled for one task if there are more than this.
     pub sample_size: usize,
-    /// Most bindings.
+    /// Most bindings in the plan.
     pub max_bindings: usize,
-    /// Longest task that expensive machines still take, seconds: one that would run on when all
-    /// that waits is through would hold the whole machine for itself.
+    /// Longest task that expensive machines accept, seconds. A task that outlives the backlog would
+    /// keep a whole expensive machine for itself.
     pub max_run_on_expensive_s: f64,
-    /// What an ordinary machine must save a task that may run on a spot machine as well, seconds.
+    /// How much earlier, in seconds, a task that may run on spot machines must start on an on-demand
+    /// machine to be bound there.
     pub on_demand_penalty_s: f64,
 }
 
-/// Binds tasks to the machines on which they start first, while their teams have room. Takes the
-/// bound tasks out of `jobs`, and their room out of `slots` and `teams`.
+/// Binds tasks to the machines on which they start first, within their teams' quotas. Removes the
+/// bound tasks from `jobs`, counts them as used in `machines`, and subtracts their resources from
+/// `teams`, the unused quotas.
 pub fn plan(
     machines: &mut [CandidateMachine],
     jobs: &mut [CandidateJob],
@@ -52,9 +56,9 @@
     let mut planner = Planner::new(machines, smallest_request(jobs), limits, rng);
     let mut waiting_teams: HashSet<TeamId> = HashSet::default();
     for job in jobs {
-        // Room under a team's limit comes free a little at a time. It is kept for the first job
-        // that waits for it: otherwise smaller tasks of later jobs would take every bit, and a
-        // task that needs two CPUs would never start.
+        // A team's quota becomes free in small amounts. It is kept for the first job that waits for
+        // it: otherwise smaller tasks of later jobs would use every amount, and a task that needs
+        // two CPUs would never start.
         if waiting_teams.contains(&job.team) {
             continue;
         }
@@ -74,7 +78,7 @@
     planner.bindings
 }
 
-/// A search for a machine that found none.
+/// The conditions of a search that found no machine.
 struct FailedSearch {
     overdue: bool,
     ahead_of_schedule: bool,
@@ -82,8 +86,9 @@
 }
 
 impl FailedSearch {
-    /// Whether a job's tasks find no machine either. Where an overdue job finds nothing, nobody
-    /// else does, but not the reverse.
+    /// Whether this failure implies that a job's tasks find no machine either. Overdue and
+    /// ahead-of-schedule jobs may use more machines, so their failures apply to other jobs, but not
+    /// the reverse.
     fn rules_out(&self, job: &CandidateJob) -> bool {
         (self.overdue || !job.overdue)
             && (self.ahead_of_schedule || !job.ahead_of_schedule)
@@ -91,22 +96,22 @@
     }
 }
 
-/// What a plan has decided so far, and which machines are still worth a look. Machines are named by
-/// their position in the list of slots.
+/// The decisions of a plan so far and the machines still to be considered, which are identified by
+/// their index in `machines`.
 struct Planner<'a, R> {
     machines: &'a mut [CandidateMachine],
     limits: PlanLimits,
     rng: &'a mut R,
-    /// The smallest room that any task takes.
+    /// The minimum of each resource that any task requests.
     smallest: Resources,
-    /// Machines with room whose blocks' regular turn has come. Queues only fill up during a plan:
-    /// what has room for no job's tasks is not looked at again.
+    /// Machines that have resources soon enough and whose blocks' scheduled write is due. Queues only
+    /// grow during a plan, so a machine that cannot take the smallest task is not tried again.
     regular: Vec<usize>,
-    /// All machines with room, those whose blocks' turn has not come yet last.
+    /// All machines that have resources soon enough; those whose blocks' write is not due come last.
     all: Vec<usize>,
-    /// By position, whether a machine is reserved for a job that comes first.
+    /// By machine index, whether the machine is reserved for an earlier job.
     reserved: Vec<bool>,
-    /// A job that needs no less than one that found no room finds none either.
+    /// Failed searches. A job whose requirements are at least as strict finds no machine either.
     failed: Vec<FailedSearch>,
     bindings: Vec<PlannedBinding>,
 }
@@ -118,10 +123,10 @@
         limits: PlanLimits,
         rng: &'a mut R,
     ) -> Self {
-        let with_room = (0..machines.len())
+        let with_capacity = (0..machines.len())
             .filter(|&index| machines[index].expected_wait_s(&smallest) <= limits.max_wait_s);
         let (ahead_of_schedule, regular): (Vec<usize>, Vec<usize>) =
-            with_room.partition(|&index| machines[index].ahead_of_schedule);
+            with_capacity.partition(|&index| machines[index].ahead_of_schedule);
         let all = regular.iter().chain(&ahead_of_schedule).copied().collect();
         let reserved = vec![false; machines.len()];
         Self {
@@ -137,13 +142,13 @@
         }
     }
 
-    /// Binds a job's tasks in their order, up to the first that finds no machine.
+    /// Binds a job's tasks in order, up to the first that finds no machine.
     fn bind_tasks(&mut self, job: &mut CandidateJob, team_quota: &mut Resources) {
         let open_machines = match job.ahead_of_schedule {
             true => &self.all,
             false => &self.regular,
         };
-        // Machines that have the image are few among many, and a sample of all would miss them.
+        // Few machines of a large fleet have the image, and a sample of the fleet would miss them.
         let mut with_image: Vec<usize> = Vec::new();
         if open_machines.len() > self.limits.sample_size {
             let has_image =
@@ -182,7 +187,7 @@
         job.tasks.drain(..bound);
     }
 
-    /// No machine was found for a job's next task: later jobs need not search in vain.
+    /// Records that no machine was found for a job's next task, to skip searches that must fail too.
     fn record_failed_search(&mut self, job: &CandidateJob) {
         let (machines, reserved) = (&self.machines, &self.reserved);
         let (smallest, max_wait_s) = (self.smallest, self.limits.max_wait_s);
@@ -198,15 +203,15 @@
         }
     }
 
-    /// Reserves the machines that will soonest have room for a waiting job's tasks against the jobs
-    /// after it: on a full fleet, tasks of one CPU would take every bit that comes free, and a task
-    /// of two would never start.
+    /// Reserves for a waiting job the machines that are expected to have resources for its tasks
+    /// first. On a full fleet later jobs' tasks of one CPU would otherwise use every CPU that
+    /// becomes free, and a task of two would never start.
     fn reserve_machines(&mut self, job: &CandidateJob) {
         let reserved = self.reserved.iter().filter(|reserved| **reserved).count();
-        let spare = RESERVED_PER_JOB
+        let available = RESERVED_PER_JOB
             .max((self.machines.len() / 4).min(MAX_RESERVED))
             .saturating_sub(reserved);
-        if spare == 0 {
+        if available == 0 {
             return;
         }
         let machines = self.machines.iter().enumerate();
@@ -215,14 +220,14 @@
             .map(|(index, machine)| (machine.expected_wait_s(&job.needs.resources), index))
             .collect();
         waits.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let most = RESERVED_PER_JOB.min(job.tasks.len()).min(spare);
-        for &(_, index) in waits.iter().take(most) {
+        let count = RESERVED_PER_JOB.min(job.tasks.len()).min(available);
+        for &(_, index) in waits.iter().take(count) {
             self.reserved[index] = true;
         }
     }
 }
 
-/// The search for a machine for one task of a job.
+/// Searches for a machine for one task of a job.
 struct Search<'a> {
     machines: &'a [CandidateMachine],
     reserved: &'a [bool],
@@ -231,8 +236,8 @@
 }
 
 impl Search<'_> {
-    /// The machine on which the task starts first: of all `open` ones, or, if they are many, of a
-    /// sample of them and of those `with_image`.
+    /// The machine on which the task is expected to start first. If `open_machines` exceeds the
+    /// sample size, samples of these and of `with_image` are tried before all of them.
     fn choose(
         &self,
         open_machines: &[usize],
@@ -253,6 +258,7 @@
         self.cheapest(open_machines)
     }
 
+    /// The machine with the lowest cost that is not reserved.
     fn cheapest(&self, positions: &[usize]) -> Option<usize> {
         let free = positions.iter().filter(|index| !self.reserved[**index]);
         free.filter_map(|&index| Some((self.cost(&self.machines[index])?, index)))
@@ -260,8 +266,8 @@
             .map(|(_, index)| index)
     }
 
-    /// What a machine costs the task, the less the better: seconds until it starts there, then the
-    /// load. None if it may not or cannot soon start there.
+    /// The cost of a machine, lower is better: seconds until the task starts there, then the load.
+    /// None if the task may not run there or would wait too long.
     fn cost(&self, machine: &CandidateMachine) -> Option<(f64, f64)> {
         if !machine.admits(self.job, self.limits) {
             return None;
@@ -270,7 +276,7 @@
         if wait_s > self.limits.max_wait_s {
             return None;
         }
-        // Ordinary machines are few: tasks that may go elsewhere leave them to those that may not.
+        // On-demand machines are few and are left to tasks that may not run on spot machines.
         let penalty_s = match self.job.needs.spot && !machine.spot {
             true => self.limits.on_demand_penalty_s,
             false => 0.0,
--- a/src/placement/resources.rs
+++ b/src/placement/resources.rs
@@ -1,35 +1,36 @@
-//! Room on machines, and what the tasks of a job need of it. Must not know queues or jobs.
+//! Resource amounts, and the requirements of a job's tasks. Must not depend on queues or jobs.
 
 use crate::collections::HashMap;
 use crate::names::{MachineTypeId, ZoneId};
 use crate::protocol::MachineType;
 
-/// Amounts that differ by no more than this count as equal: sums of decimal amounts are inexact.
+/// Amounts that differ by no more than this are equal, because sums of decimal amounts are inexact.
 pub const RESOURCE_TOLERANCE: f64 = 1e-6;
 
-/// CPUs, GPUs and memory.
+/// An amount of CPUs, GPUs and memory.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Resources {
-    /// CPUs.
+    /// Number of CPUs; may be fractional.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
     /// Memory, gigabytes.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// Whether `self` fits into `room`.
-    pub fn fits(&self, room: &Resources) -> bool {
-        self.fits_quota(room) && self.memory_gb <= room.memory_gb + RESOURCE_TOLERANCE
+    /// Whether `self` fits into `available`.
+    pub fn fits(&self, available: &Resources) -> bool {
+        self.fits_quota(available) && self.memory_gb <= available.memory_gb + RESOURCE_TOLERANCE
     }
 
-    /// Whether `self` fits into what is left of a team's quota, which does not limit memory.
-    pub(super) fn fits_quota(&self, left: &Resources) -> bool {
-        self.cpus <= left.cpus + RESOURCE_TOLERANCE && self.gpus <= left.gpus + RESOURCE_TOLERANCE
+    /// Whether `self` fits into a team's unused quota, which does not limit memory.
+    pub(super) fn fits_quota(&self, unused: &Resources) -> bool {
+        self.cpus <= unused.cpus + RESOURCE_TOLERANCE
+            && self.gpus <= unused.gpus + RESOURCE_TOLERANCE
     }
 
-    /// Room of so many CPUs, and of nothing else.
+    /// The given number of CPUs, without GPUs and memory.
     pub fn from_cpus(cpus: f64) -> Resources {
         Resources {
             cpus,
@@ -37,21 +38,21 @@
         }
     }
 
-    /// Adds `times` times `other`.
-    pub fn add(&mut self, other: &Resources, times: f64) {
-        self.cpus += other.cpus * times;
-        self.gpus += other.gpus * times;
-        self.memory_gb += other.memory_gb * times;
+    /// Adds `other` multiplied by `factor`.
+    pub fn add(&mut self, other: &Resources, factor: f64) {
+        self.cpus += other.cpus * factor;
+        self.gpus += other.gpus * factor;
+        self.memory_gb += other.memory_gb * factor;
     }
 
-    /// What is left of `self` without `other`.
+    /// `self` minus `other`; amounts may become negative.
     pub fn minus(&self, other: &Resources) -> Resources {
-        let mut rest = *self;
-        rest.add(other, -1.0);
-        rest
+        let mut remaining = *self;
+        remaining.add(other, -1.0);
+        remaining
     }
 
-    /// The lesser amount of both in each respect.
+    /// The minimum of each resource.
     pub(super) fn min(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
@@ -71,25 +72,26 @@
     }
 }
 
-/// What a job demands of the machines of its tasks.
+/// What the tasks of a job require of their machines.
 #[derive(Debug, Clone)]
 pub struct Needs {
-    /// Room of one task.
+    /// Resources of one task.
     pub resources: Resources,
-    /// Allowed machine types; none if all are.
+    /// Allowed machine types; None allows all.
     pub machine_types: Option<Vec<MachineTypeId>>,
-    /// The only allowed zone; none if all are.
+    /// The only allowed zone; None allows all.
     pub zone: Option<ZoneId>,
     /// Whether spot machines are allowed.
     pub spot: bool,
-    /// Whether all tasks must run in one zone, whichever it is.
+    /// Whether all tasks must run in the same zone, which may be any.
     pub one_zone: bool,
-    /// Most tasks in one zone, for a job that is to be spread.
+    /// Most tasks in one zone, for a job to be spread over zones; None sets no limit.
     pub max_per_zone: Option<u32>,
 }
 
 impl Needs {
-    /// Whether type, zone, kind and size of a machine suit a task, its job's other tasks aside.
+    /// Whether a task may run on a machine of this type, zone, market and size, regardless of the
+    /// job's other tasks.
     pub fn suits(
         &self,
         machine_type: MachineTypeId,
@@ -106,12 +108,12 @@
             && self.resources.fits(size)
     }
 
-    /// Whether a task's place depends on where the other tasks of its job are.
+    /// Whether the allowed zones of a task depend on where other tasks of its job run.
     pub fn depends_on_other_tasks(&self) -> bool {
         self.one_zone || self.max_per_zone.is_some()
     }
 
-    /// Whether whatever has room for `other` has room for this as well.
+    /// Whether every machine that satisfies `other` satisfies these requirements too.
     pub(super) fn is_no_stricter_than(&self, other: &Needs) -> bool {
         self.resources.fits(&other.resources)
             && (self.spot || !other.spot)
@@ -119,7 +121,7 @@
             && (self.machine_types.is_none() || self.machine_types == other.machine_types)
     }
 
-    /// Whether a zone suits, given how many of the job's tasks are bound in each.
+    /// Whether a task may run in `zone`, given the number of the job's tasks bound in each zone.
     pub fn allows_zone(&self, zone: ZoneId, bound: &HashMap<ZoneId, u32>) -> bool {
         let elsewhere = || {
             bound
@@ -127,6 +129,6 @@
                 .any(|(&other, &tasks)| other != zone && tasks > 0)
         };
         let here = || bound.get(&zone).copied().unwrap_or(0);
-        !(self.one_zone && elsewhere()) && self.max_per_zone.is_none_or(|most| here() < most)
+        !(self.one_zone && elsewhere()) && self.max_per_zone.is_none_or(|max| here() < max)
     }
 }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -6,9 +6,9 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-pub(crate) fn slot(machine: u32, zone: u32, cpus: f64) -> CandidateMachine {
+pub(crate) fn machine(id: u32, zone: u32, cpus: f64) -> CandidateMachine {
     CandidateMachine {
-        machine: MachineId::from_raw(machine),
+        machine: MachineId::from_raw(id),
         machine_type: MachineTypeId::from_raw(0),
         zone: ZoneId::from_raw(zone),
         spot: false,
@@ -66,7 +66,7 @@
     on_demand_penalty_s: 0.0,
 };
 
-/// Plans for one team that may use so many CPUs more.
+/// Plans for one team with an unused quota of `cpus`.
 fn plan_all(
     machines: &mut [CandidateMachine],
     jobs: &mut [CandidateJob],
@@ -92,46 +92,50 @@
 }
 
 #[test]
-fn bound_tasks_count_against_the_team_limit() {
-    let mut machines = [slot(0, 0, 8.0), slot(1, 0, 8.0)];
+fn bound_tasks_count_against_the_team_quota() {
+    let mut machines = [machine(0, 0, 8.0), machine(1, 0, 8.0)];
     assert_eq!(run(&mut machines, job(9, needs()), 3.0).len(), 3);
 }
 
 #[test]
-fn room_under_a_limit_is_kept_for_the_job_that_waits_for_it() {
-    let mut machines = [slot(0, 0, 8.0)];
+fn team_quota_is_kept_for_the_first_job_that_needs_it() {
+    let mut machines = [machine(0, 0, 8.0)];
     assert!(plan_all(&mut machines, &mut big_before_small(), 1.0).is_empty());
 }
 
 #[test]
-fn a_machine_is_kept_for_the_job_that_waits_for_room() {
-    let mut full = slot(0, 0, 4.0);
+fn a_machine_is_reserved_for_the_first_job_that_needs_it() {
+    let mut full = machine(0, 0, 4.0);
     full.used.cpus = 3.0;
     full.load_s = 20.0;
     assert!(plan_all(&mut [full], &mut big_before_small(), 99.0).is_empty());
 }
 
 #[test]
-fn a_queue_takes_what_starts_at_once_and_a_little_ahead() {
-    // Ten seconds of work on each CPU: of four tasks none ends soon enough, of forty some.
-    assert_eq!(run(&mut [slot(0, 0, 4.0)], job(20, needs()), 99.0).len(), 4);
+fn a_queue_accepts_tasks_that_start_now_or_soon() {
+    // Tasks run for ten seconds. With 4 CPUs none ends within the wait limit, with 40 some do.
     assert_eq!(
-        run(&mut [slot(0, 0, 40.0)], job(90, needs()), 99.0).len(),
+        run(&mut [machine(0, 0, 4.0)], job(20, needs()), 99.0).len(),
+        4
+    );
+    assert_eq!(
+        run(&mut [machine(0, 0, 40.0)], job(90, needs()), 99.0).len(),
         46
     );
 }
 
 #[test]
-fn tasks_go_where_their_image_is_and_then_to_the_lightest() {
-    let mut machines = [slot(0, 0, 2.0), slot(1, 0, 2.0)];
+fn tasks_prefer_machines_with_their_image_then_the_least_loaded() {
+    let mut machines = [machine(0, 0, 2.0), machine(1, 0, 2.0)];
     machines[1].cached_images.insert(ImageId::from_raw(0));
     assert_eq!(run(&mut machines, job(3, needs()), 99.0), [1, 1, 0]);
 }
 
 #[test]
-fn long_tasks_avoid_expensive_machines_when_little_waits() {
-    // A large expensive machine was held to the end of the day for the longest of its tasks.
-    let mut machines = [slot(0, 0, 2.0), slot(1, 0, 8.0)];
+fn long_tasks_avoid_expensive_machines_when_the_backlog_is_short() {
+    // Guards against a large expensive machine that stays rented until the end of the day
+    // for the longest of its tasks.
+    let mut machines = [machine(0, 0, 2.0), machine(1, 0, 8.0)];
     machines[1].expensive = true;
     let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Resources::from_cpus(99.0))]);
     let mut short = job(4, needs());
@@ -149,20 +153,20 @@
 }
 
 #[test]
-fn what_has_waited_for_long_goes_to_any_machine_that_fits() {
-    // A machine cordoned to save money, or too expensive for long tasks, kept its room for nobody.
+fn overdue_tasks_run_on_any_machine_that_fits() {
+    // Guards against tasks that wait although a cordoned or expensive machine has free resources.
     let limits = PlanLimits {
         max_run_on_expensive_s: 9.0,
         ..LIMITS
     };
     let bound = |overdue, expensive, cordoned| {
-        let mut machines = [slot(0, 0, 8.0)];
+        let mut machines = [machine(0, 0, 8.0)];
         (machines[0].expensive, machines[0].cordoned) = (expensive, cordoned);
         let mut waiting = job(3, needs());
         waiting.overdue = overdue;
         let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Resources::from_cpus(99.0))]);
         let mut rng = SmallRng::seed_from_u64(1);
-        // One that is not overdue has found nothing before it.
+        // The first job is not overdue and finds no machine.
         let mut jobs = [job(3, needs()), waiting];
         jobs[1].job = JobId::from_raw(1);
         let plan = plan(&mut machines, &mut jobs, &mut teams, limits, &mut rng);
@@ -176,12 +180,12 @@
 }
 
 #[test]
-fn places_that_a_job_forbids_stay_empty() {
+fn zone_and_spot_restrictions_are_observed() {
     let same = Needs {
         one_zone: true,
         ..needs()
     };
-    let mut machines = [slot(0, 0, 2.0), slot(1, 1, 8.0)];
+    let mut machines = [machine(0, 0, 2.0), machine(1, 1, 8.0)];
     let at = run(&mut machines, job(6, same), 99.0);
     assert!(at.iter().all(|&m| m == at[0]), "{at:?}");
 
@@ -189,22 +193,22 @@
         max_per_zone: Some(2),
         ..needs()
     };
-    let mut machines = [slot(0, 0, 8.0), slot(1, 1, 1.0)];
+    let mut machines = [machine(0, 0, 8.0), machine(1, 1, 1.0)];
     let at = run(&mut machines, job(4, spread), 99.0);
     assert_eq!(at.iter().filter(|&&m| m == 0).count(), 2);
 
-    let mut spot = slot(0, 0, 8.0);
+    let mut spot = machine(0, 0, 8.0);
     spot.spot = true;
-    let ordinary = Needs {
+    let on_demand = Needs {
         spot: false,
         ..needs()
     };
-    assert!(run(&mut [spot], job(1, ordinary), 99.0).is_empty());
+    assert!(run(&mut [spot], job(1, on_demand), 99.0).is_empty());
 }
 
 #[test]
-fn a_machine_whose_turn_has_not_come_takes_only_what_others_wait_for() {
-    let mut machines = [slot(0, 0, 4.0), slot(1, 0, 4.0)];
+fn a_machine_ahead_of_schedule_accepts_only_jobs_with_dependents() {
+    let mut machines = [machine(0, 0, 4.0), machine(1, 0, 4.0)];
     machines[0].ahead_of_schedule = true;
     let ordinary = job(8, needs());
     let mut chained = job(2, needs());
@@ -226,13 +230,17 @@
         let of = |b: &&PlannedBinding| b.machine.raw() == machine && b.job.raw() == job;
         bound.iter().filter(of).count()
     };
-    assert_eq!((on(0, 0), on(1, 0)), (0, 4), "of the ordinary job");
-    assert_eq!(on(0, 1), 2, "of the job that others wait for");
+    assert_eq!(
+        (on(0, 0), on(1, 0)),
+        (0, 4),
+        "tasks of the ordinary job on machines 0 and 1"
+    );
+    assert_eq!(on(0, 1), 2, "tasks of the job with dependents on machine 0");
 }
 
 #[test]
-fn tasks_that_may_run_on_spot_machines_leave_ordinary_ones_to_those_that_may_not() {
-    let mut machines = [slot(0, 0, 4.0), slot(1, 0, 4.0)];
+fn tasks_allowed_on_spot_machines_leave_on_demand_machines_free() {
+    let mut machines = [machine(0, 0, 4.0), machine(1, 0, 4.0)];
     machines[1].spot = true;
     machines[0].load_s = 0.0;
     machines[1].load_s = 9.0;
--- a/src/scaling.rs
+++ b/src/scaling.rs
@@ -1,7 +1,7 @@
-//! Scaling out and in: how many machines of which kind to rent, and which to return.
+//! Scaling out and in: decides how many machines of which type to rent and which to return.
 //!
-//! Pure: the leader feeds in demand, machines and offers, and sends the requests. Nothing here
-//! decides that a machine is dead, or when a request is repeated.
+//! Pure: the leader supplies demand, machines and offers, and sends the requests. Failure detection
+//! and request retries are decided elsewhere.
 
 mod scale_in;
 mod scale_out;
@@ -14,89 +14,89 @@
 
 /// Most machines in one rental request (PROTOCOL).
 pub(crate) const MAX_MACHINES_PER_REQUEST: u32 = 50;
-/// A CPU that costs this many times what the cheapest one does is expensive.
+/// A CPU is expensive if its price exceeds this multiple of the cheapest CPU's price.
 pub(crate) const EXPENSIVE_CPU_FACTOR: f64 = 1.8;
-/// Fewest CPUs that a machine counts with when its price is divided by them.
+/// Lower bound for a machine's CPUs when its price is divided by them; avoids a division by zero.
 pub(crate) const MIN_CPUS: f64 = 1e-6;
-/// CPUs that tasks which can run now may always have, however little work they are.
+/// CPUs that are always useful to tasks that can run now, however little work they have.
 const MIN_USEFUL_CPUS: f64 = 4.0;
 
-/// Machines of one type, in one zone, on the spot market or not: what the cloud grants or refuses
-/// together.
+/// Machines of one type, in one zone, either spot or on-demand. The cloud decides on rental requests
+/// by pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct CapacityPool {
-    /// Type.
+    /// Machine type.
     pub machine_type: MachineTypeId,
-    /// Zone.
+    /// Zone of the machines.
     pub zone: ZoneId,
     /// Whether these are spot machines.
     pub spot: bool,
 }
 
-/// A type that can be rented.
+/// A machine type that the cloud offers for rent.
 #[derive(Debug, Clone)]
 pub struct Offer {
-    /// Type.
+    /// Machine type.
     pub machine_type: MachineTypeId,
-    /// Size.
+    /// Resources of one machine.
     pub size: Resources,
-    /// Zones.
+    /// Zones in which it is offered.
     pub zones: Vec<ZoneId>,
-    /// Price of an ordinary machine.
+    /// Price of one on-demand machine.
     pub price: f64,
-    /// Price of a spot machine.
+    /// Price of one spot machine.
     pub spot_price: f64,
-    /// Boot time, seconds.
+    /// Time to boot, seconds.
     pub boot_s: f64,
 }
 
-/// Work of one job that waits or runs.
+/// Work of one job that is waiting or running.
 #[derive(Debug, Clone)]
 pub struct Demand {
-    /// Demands of its tasks.
+    /// Requirements of its tasks.
     pub needs: Needs,
-    /// Tasks that could run now if there were machines, the team's limit observed.
+    /// Tasks that could run now if there were machines, within the team's quota.
     pub tasks: f64,
-    /// CPU seconds of work left in all.
+    /// Total remaining work, CPU seconds.
     pub work: f64,
 }
 
 impl Demand {
-    /// Whether its tasks may run on machines of a pool.
+    /// Whether its tasks may run on machines of a pool with the given size.
     fn can_run_on(&self, pool: CapacityPool, size: &Resources) -> bool {
         self.needs
             .suits(pool.machine_type, pool.zone, pool.spot, size)
     }
 }
 
-/// A machine that is rented, or on its way.
+/// A machine that is rented or has been requested.
 #[derive(Debug, Clone)]
 pub struct RentedMachine {
-    /// Index of its name.
+    /// Index of the machine.
     pub machine: MachineId,
-    /// Type.
+    /// Machine type.
     pub machine_type: MachineTypeId,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: ZoneId,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Size.
+    /// Total resources.
     pub size: Resources,
-    /// Price now.
+    /// Current price.
     pub price: f64,
-    /// Seconds without any bound task, none while it has some or boots.
+    /// Seconds without a bound task; None while it has one or boots.
     pub idle_s: Option<f64>,
-    /// Seconds since the rental.
+    /// Seconds since it was rented.
     pub held_s: f64,
 }
 
 impl RentedMachine {
-    /// Price of a CPU.
+    /// Price divided by the number of CPUs.
     fn price_per_cpu(&self) -> f64 {
         self.price / self.size.cpus.max(MIN_CPUS)
     }
 
-    /// The pool that it was rented from.
+    /// The pool from which it was rented.
     fn pool(&self) -> CapacityPool {
         CapacityPool {
             machine_type: self.machine_type,
@@ -105,26 +105,26 @@
         }
     }
 
-    /// Whether tasks of a job may run on it.
+    /// Whether the job's tasks may run on this machine.
     fn can_run(&self, demand: &Demand) -> bool {
         demand.can_run_on(self.pool(), &self.size)
     }
 }
 
-/// Parameters of a plan.
+/// Parameters of a scaling plan.
 #[derive(Debug, Clone, Copy)]
 pub struct ScalingParams {
-    /// Seconds of work a rented CPU should find.
+    /// Seconds of work that there should be for each rented CPU.
     pub horizon_s: f64,
-    /// Seconds of idleness before a return.
+    /// Idle time before a machine is returned, seconds.
     pub idle_s: f64,
-    /// Most machines.
+    /// Most machines in the fleet.
     pub max_machines: usize,
-    /// Shortest time charged, seconds.
+    /// Shortest time that the cloud charges for a machine, seconds.
     pub min_charge_s: f64,
 }
 
-/// CPUs that the tasks at hand can use at once.
+/// CPUs that all runnable tasks would use together.
 fn runnable_cpus(demand: &[Demand]) -> f64 {
     let cpus = demand
         .iter()
@@ -132,19 +132,19 @@
     cpus.sum()
 }
 
-/// CPUs that the work at hand is worth: never more than can run at once, and fewer when the
-/// work would be over before a machine had paid for its boot.
+/// CPUs that are worth renting for a demand: at most what can run at once, and fewer when the work
+/// would end before a machine has paid off its boot time.
 fn useful_cpus(demand: &[Demand], horizon_s: f64) -> f64 {
     let runnable = runnable_cpus(demand);
     let work: f64 = demand.iter().map(|job| job.work).sum();
     runnable.min((work / horizon_s).max(runnable.min(MIN_USEFUL_CPUS)))
 }
 
-/// The work that may not run on spot machines.
+/// The demand that may not run on spot machines.
 ///
-/// Guards against counting spot machines as room for it: the spot machines sufficed for all that
-/// could run, so the ordinary ones were cordoned and returned, and jobs with dependencies that may
-/// not run elsewhere waited for minutes.
+/// It is planned separately because spot machines are no capacity for it. When they were counted,
+/// on-demand machines were cordoned and returned as superfluous, and jobs with dependencies that
+/// require on-demand machines waited for minutes.
 fn on_demand_only(demand: &[Demand]) -> Vec<Demand> {
     let on_demand = demand.iter().filter(|job| !job.needs.spot);
     on_demand.cloned().collect()
--- a/src/scaling/scale_in.rs
+++ b/src/scaling/scale_in.rs
@@ -1,4 +1,4 @@
-//! Which machines to return, and which take no new tasks.
+//! Scaling in: decides which machines to return and which to cordon, so that they take no new tasks.
 
 use super::{
     Demand, EXPENSIVE_CPU_FACTOR, MIN_CPUS, RentedMachine, ScalingParams, on_demand_only,
@@ -6,34 +6,37 @@
 };
 use crate::names::{Index, MachineId};
 
-/// What a machine without tasks counts for in times of its price, and what less it does when full.
+/// Multiple of its price at which a machine without tasks is ranked.
 const IDLE_WEIGHT: f64 = 1.2;
+/// By how much this multiple is lower for a fully used machine.
 const BUSY_DISCOUNT: f64 = 0.2;
-/// Room that stays open beyond what could run at once: a factor, and some CPUs on top.
+/// Factor by which open capacity exceeds what could run at once.
 const SPARE_FACTOR: f64 = 1.1;
+/// CPUs that stay open on top of that.
 const SPARE_CPUS: f64 = 2.0;
-/// Less than this of a CPU is nothing.
+/// A demand of fewer CPUs counts as none.
 const NEGLIGIBLE_CPUS: f64 = 1e-6;
 
-/// A machine that is up, with the CPUs that its bound tasks take.
+/// A running machine with the CPUs that its bound tasks use.
 #[derive(Debug, Clone)]
 pub struct MachineUsage {
-    /// The machine.
+    /// The rented machine.
     pub machine: RentedMachine,
-    /// CPUs that its bound tasks take.
+    /// CPUs that its bound tasks use.
     pub used_cpus: f64,
 }
 
 impl MachineUsage {
-    /// What a CPU costs, weighted by how idle the machine is. Prices within a fifth count as
-    /// equal: a warm and busy machine is worth more than that.
+    /// Price per CPU, weighted by how idle the machine is: a busy machine with cached images is
+    /// preferred to an idle one even if it costs up to a fifth more.
     fn weighted_price(&self) -> f64 {
         let used = self.used_cpus / self.machine.size.cpus.max(MIN_CPUS);
         self.machine.price_per_cpu() * (IDLE_WEIGHT - BUSY_DISCOUNT * used)
     }
 }
 
-/// Decides which idle machines are returned: the dearest per CPU first, while what stays suffices.
+/// Decides which idle machines to return: the most expensive per CPU first, as long as the remaining
+/// machines cover the demand.
 pub fn machines_to_return(
     demand: &[Demand],
     fleet: &[RentedMachine],
@@ -60,7 +63,8 @@
     returned
 }
 
-/// Machines that have been idle for long enough and are paid for, the dearest per CPU first.
+/// Machines that have been idle for long enough and held for the shortest time charged, the most
+/// expensive per CPU first.
 fn idle_most_expensive_first<'a>(
     fleet: &'a [RentedMachine],
     params: &ScalingParams,
@@ -78,7 +82,7 @@
     idle
 }
 
-/// Whether some job that waits or runs could run on no other machine that stays.
+/// Whether some job with runnable tasks could run on this machine but on no other remaining one.
 fn is_sole_machine_for_a_job(
     machine: &RentedMachine,
     demand: &[Demand],
@@ -95,11 +99,11 @@
     })
 }
 
-/// Decides which machines take no new tasks because the cheaper and fuller ones suffice for
-/// all that could run. Queues empty out there, and the machines can be returned.
+/// Decides which machines to cordon because cheaper and busier ones suffice for all tasks that could
+/// run. Cordoned machines drain and can then be returned.
 ///
-/// Expensive machines are cordoned earlier: as soon as the cheap ones can do what is left within
-/// a horizon.
+/// Expensive machines are cordoned earlier: as soon as the cheap ones can finish the remaining work
+/// within the horizon.
 pub fn machines_to_cordon(
     demand: &[Demand],
     fleet: &[MachineUsage],
@@ -121,8 +125,8 @@
     let mut cordoned = Vec::new();
     for MachineUsage { machine, used_cpus } in order {
         let sole_machine = demand.iter().any(|job| {
-            let served = || kept.iter().any(|other| other.can_run(job));
-            job.tasks > 0.0 && machine.can_run(job) && !served()
+            let served_by_kept = || kept.iter().any(|other| other.can_run(job));
+            job.tasks > 0.0 && machine.can_run(job) && !served_by_kept()
         });
         let expensive = machine.price_per_cpu() > cheapest * EXPENSIVE_CPU_FACTOR;
         let enough = present
@@ -131,7 +135,7 @@
             } else {
                 wanted
             };
-        // Spot machines are no use to tasks that may not run there.
+        // Only on-demand machines count as capacity for tasks that may not run on spot machines.
         let on_demand_needed = !machine.spot && on_demand_wanted > NEGLIGIBLE_CPUS;
         if !enough || on_demand_needed || sole_machine {
             present += machine.size.cpus;
--- a/src/scaling/scale_out.rs
+++ b/src/scaling/scale_out.rs
@@ -1,4 +1,4 @@
-//! What to rent.
+//! Scaling out: decides which machines to rent.
 
 use super::{
     CapacityPool, Demand, EXPENSIVE_CPU_FACTOR, MAX_MACHINES_PER_REQUEST, MIN_CPUS, Offer,
@@ -7,19 +7,19 @@
 use crate::names::ZoneId;
 use crate::placement::Resources;
 
-/// Expensive machines are rented only for this many horizons of work.
+/// Expensive machines are rented only if there is work for this many horizons.
 const EXPENSIVE_HORIZONS: f64 = 2.5;
-/// A machine that would fill less than this part is left to smaller types.
+/// A machine of which less than this fraction would be used is not rented; smaller types are.
 const MIN_FILL: f64 = 0.5;
 
-/// Machines to ask the cloud for.
+/// Machines of one pool to request from the cloud.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannedRental {
-    /// What kind of machines.
+    /// Pool of the machines.
     pub pool: CapacityPool,
-    /// Size of each.
+    /// Resources of each machine.
     pub size: Resources,
-    /// How many.
+    /// Number of machines.
     pub number: u32,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// An offer on one of its two markets.
+/// An offer on the spot or on the on-demand market.
 #[derive(Debug, Clone, Copy)]
 struct MarketOffer<'a> {
     offer: &'a Offer,
@@ -38,7 +38,7 @@
 }
 
 impl<'a> MarketOffer<'a> {
-    /// The spot and the ordinary market of an offer.
+    /// An offer on its spot market and on its on-demand market.
     fn markets(offer: &'a Offer) -> [Self; 2] {
         let on = |spot, price| Self { offer, spot, price };
         [on(true, offer.spot_price), on(false, offer.price)]
@@ -57,7 +57,7 @@
     }
 }
 
-/// Decides what to rent. `can_request` says whether the cloud may be asked for a pool now.
+/// Decides which machines to rent. `can_request` returns whether a pool may be requested now.
 pub fn plan_rentals(
     demand: &[Demand],
     fleet: &[RentedMachine],
@@ -71,8 +71,8 @@
         params,
         orders: Vec::new(),
     };
-    // Markets are asked in the order of what a CPU costs; a job that cannot use one leaves its
-    // part of the demand to the next ones.
+    // Markets are tried from the cheapest CPU on. Demand of jobs that cannot use a market remains for
+    // the next ones.
     let mut markets: Vec<MarketOffer<'_>> = offers.iter().flat_map(MarketOffer::markets).collect();
     markets.sort_by(|a, b| a.price_per_cpu().total_cmp(&b.price_per_cpu()));
     let cheapest = markets.first().map_or(0.0, MarketOffer::price_per_cpu);
@@ -102,13 +102,15 @@
     plan.orders
 }
 
-/// CPUs that are wanted of a pool, and those that serve the same demand already.
+/// Demand that a pool can serve, and the capacity for it.
 struct PoolDemand {
+    /// CPUs that the demand is worth.
     wanted: f64,
+    /// CPUs, rented or ordered, that serve the same demand.
     present: f64,
 }
 
-/// What is ordered so far.
+/// A rental plan in progress.
 struct RentalPlan<'a> {
     demand: &'a [Demand],
     fleet: &'a [RentedMachine],
@@ -117,15 +119,15 @@
 }
 
 impl RentalPlan<'_> {
-    /// Orders what is missing of a pool. `zones_left` counts the zones of the same market that
-    /// are not asked yet, this one included.
+    /// Orders the missing machines of a pool. `zones_left` is the number of zones of the same market
+    /// not processed yet, including this one.
     fn order(&mut self, pool: CapacityPool, size: Resources, horizon_s: f64, zones_left: usize) {
-        let need = self.need(pool, &size, horizon_s);
-        // Spread over the zones that may be asked: capacity is not published, and a zone that
-        // is lost then takes only its part along.
-        let missing = (need.wanted - need.present) / zones_left as f64;
-        // A machine that would stay mostly empty is left to smaller types.
-        let number = if need.wanted - need.present >= size.cpus * MIN_FILL {
+        let demand = self.pool_demand(pool, &size, horizon_s);
+        // Spread over the zones that may be requested, because the cloud does not publish capacity
+        // and the loss of a zone should take only its share of the machines.
+        let missing = (demand.wanted - demand.present) / zones_left as f64;
+        // Smaller types serve a demand that would leave most of this machine unused.
+        let number = if demand.wanted - demand.present >= size.cpus * MIN_FILL {
             (missing / size.cpus).round().max(1.0) as u32
         } else {
             0
@@ -138,14 +140,15 @@
         }
     }
 
-    /// Machines that may still be rented.
+    /// Number of machines that may still be ordered without exceeding the fleet limit.
     fn machines_left(&self) -> u32 {
         let ordered = self.orders.iter().map(|order| order.number as usize);
         let machines = self.fleet.len() + ordered.sum::<usize>();
         self.params.max_machines.saturating_sub(machines) as u32
     }
 
-    fn need(&self, pool: CapacityPool, size: &Resources, horizon_s: f64) -> PoolDemand {
+    /// The demand that a pool of the given machine size can serve.
+    fn pool_demand(&self, pool: CapacityPool, size: &Resources, horizon_s: f64) -> PoolDemand {
         let served = self.demand.iter().filter(|job| job.can_run_on(pool, size));
         let served: Vec<Demand> = served.cloned().collect();
         let wanted = useful_cpus(&served, horizon_s);
@@ -153,7 +156,7 @@
         if pool.spot {
             return PoolDemand { wanted, present };
         }
-        // Whichever lacks more: room for everything, or for what needs ordinary machines.
+        // The larger shortage counts: of all demand, or of that for on-demand machines only.
         let on_demand_wanted = useful_cpus(&on_demand_only(&served), self.params.horizon_s);
         let on_demand_missing = on_demand_wanted - self.on_demand_cpus();
         PoolDemand {
@@ -162,7 +165,7 @@
         }
     }
 
-    /// CPUs of machines, rented or ordered, on which any of these jobs may run.
+    /// CPUs of machines, rented or ordered, on which at least one of these jobs may run.
     fn serving_cpus(&self, served: &[Demand]) -> f64 {
         let serves = |pool: CapacityPool, size: &Resources| {
             let mut jobs = served.iter();
@@ -176,7 +179,7 @@
             + ordered.map(PlannedRental::cpus).sum::<f64>()
     }
 
-    /// CPUs of the machines, rented or ordered, that are no spot machines.
+    /// CPUs of on-demand machines, rented or ordered.
     fn on_demand_cpus(&self) -> f64 {
         let rented = self.fleet.iter().filter(|machine| !machine.spot);
         let ordered = self.orders.iter().filter(|order| !order.pool.spot);
@@ -184,7 +187,8 @@
             + ordered.map(PlannedRental::cpus).sum::<f64>()
     }
 
-    /// What nothing rounds up to: the cheapest machine for a job that no machine suits.
+    /// The cheapest machine for the first waiting job that can run on no machine. Its demand may be
+    /// too small to round up to a machine.
     fn rental_for_unserved_job(
         &self,
         offers: &[Offer],
@@ -200,7 +204,8 @@
     }
 }
 
-/// One machine of the cheapest pool that a job's tasks may run on.
+/// One machine of the cheapest pool on which a job's tasks may run; None if no such pool can be
+/// requested.
 fn cheapest_rental(
     job: &Demand,
     offers: &[Offer],
--- a/src/scaling/tests.rs
+++ b/src/scaling/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of scaling out and in.
+//! Unit tests of `scaling`.
 
 use super::{
     Demand, MachineUsage, Offer, RentedMachine, ScalingParams, machines_to_cordon,
@@ -56,14 +56,18 @@
 }
 
 #[test]
-fn the_cheapest_kind_is_asked_first_and_refused_ones_are_passed_over() {
+fn the_cheapest_pool_is_requested_first_and_unavailable_pools_are_skipped() {
     let offers = [offer(0, 4.0, 1.0), offer(1, 64.0, 20.0)];
     let orders = plan_rentals(&[demand(16.0, 4000.0)], &[], &offers, &PARAMS, |_| true);
     let asked: Vec<_> = orders
         .iter()
         .map(|order| (order.pool.machine_type.raw(), order.pool.spot, order.number))
         .collect();
-    assert_eq!(asked, [(0, true, 2), (0, true, 2)], "over both zones");
+    assert_eq!(
+        asked,
+        [(0, true, 2), (0, true, 2)],
+        "spread over both zones"
+    );
     let orders = plan_rentals(&[demand(16.0, 9000.0)], &[], &offers, &PARAMS, |pool| {
         !pool.spot && pool.zone.raw() == 1
     });
@@ -79,7 +83,7 @@
 }
 
 #[test]
-fn a_job_that_no_machine_suits_gets_one_even_if_it_is_small() {
+fn a_job_that_no_machine_can_run_gets_one_even_if_it_is_small() {
     let offers = [offer(0, 4.0, 1.0), offer(1, 64.0, 20.0)];
     let mut job = demand(1.0, 10.0);
     job.needs.machine_types = Some(vec![MachineTypeId::from_raw(1)]);
@@ -97,44 +101,44 @@
 }
 
 #[test]
-fn idle_machines_go_back_when_they_are_paid_for_and_not_wanted() {
+fn idle_machines_are_returned_after_the_shortest_time_charged_if_not_needed() {
     let fleet = [
         rented(0, 4.0, Some(20.0), 100.0),
         rented(1, 4.0, Some(20.0), 30.0),
         rented(2, 4.0, Some(2.0), 100.0),
         rented(3, 4.0, None, 100.0),
     ];
-    let back = machines_to_return(&[], &fleet, &PARAMS);
-    assert_eq!(back, [MachineId::from_raw(0)]);
+    let returned = machines_to_return(&[], &fleet, &PARAMS);
+    assert_eq!(returned, [MachineId::from_raw(0)]);
     assert!(machines_to_return(&[demand(16.0, 4000.0)], &fleet, &PARAMS).is_empty());
 }
 
 #[test]
 fn expensive_empty_machines_are_cordoned_when_the_rest_suffices() {
-    let mut dear = rented(0, 4.0, None, 100.0);
-    dear.price = 3.0;
+    let mut expensive = rented(0, 4.0, None, 100.0);
+    expensive.price = 3.0;
     let fleet = [
-        busy(dear, 2.0),
+        busy(expensive, 2.0),
         busy(rented(1, 4.0, None, 100.0), 0.0),
         busy(rented(2, 4.0, None, 100.0), 3.0),
     ];
-    let closed = machines_to_cordon(&[demand(1.0, 50.0)], &fleet, &PARAMS);
-    assert_eq!(closed, [1, 0].map(MachineId::from_raw));
+    let cordoned = machines_to_cordon(&[demand(1.0, 50.0)], &fleet, &PARAMS);
+    assert_eq!(cordoned, [1, 0].map(MachineId::from_raw));
     assert!(machines_to_cordon(&[demand(30.0, 5000.0)], &fleet, &PARAMS).is_empty());
-    // Little work is left for its number of tasks: the dear machine is closed, no other.
-    let closed = machines_to_cordon(&[demand(30.0, 400.0)], &fleet, &PARAMS);
-    assert_eq!(closed, [MachineId::from_raw(0)]);
+    // With little work per task only the expensive machine is cordoned.
+    let cordoned = machines_to_cordon(&[demand(30.0, 400.0)], &fleet, &PARAMS);
+    assert_eq!(cordoned, [MachineId::from_raw(0)]);
 }
 
 /// Work that may not run on spot machines.
-fn lasting(tasks: f64, work: f64) -> Demand {
+fn on_demand_work(tasks: f64, work: f64) -> Demand {
     let mut demand = demand(tasks, work);
     demand.needs.spot = false;
     demand
 }
 
-/// Machines on the spot market, and ordinary ones, all idle.
-fn mixed(spot: u32, on_demand: u32) -> Vec<RentedMachine> {
+/// A fleet of idle machines: `spot` spot machines, then `on_demand` on-demand ones.
+fn mixed_fleet(spot: u32, on_demand: u32) -> Vec<RentedMachine> {
     let machines = (0..spot + on_demand).map(|n| RentedMachine {
         spot: n < spot,
         price: if n < spot { 0.3 } else { 1.0 },
@@ -144,33 +148,36 @@
 }
 
 #[test]
-fn spot_machines_are_no_room_for_what_may_not_run_there() {
-    let work = [demand(8.0, 2000.0), lasting(10.0, 2000.0)];
-    // Both sorts are closed only as far as each is not needed.
-    let fleet: Vec<MachineUsage> = mixed(10, 10).into_iter().map(|m| busy(m, 0.0)).collect();
-    let closed = machines_to_cordon(&work, &fleet, &PARAMS);
-    let on_demand_closed = closed.iter().filter(|m| m.raw() >= 10).count();
+fn spot_machines_do_not_count_as_capacity_for_on_demand_work() {
+    let work = [demand(8.0, 2000.0), on_demand_work(10.0, 2000.0)];
+    // Each kind of machine is cordoned only as far as its own demand allows.
+    let fleet: Vec<MachineUsage> = mixed_fleet(10, 10)
+        .into_iter()
+        .map(|m| busy(m, 0.0))
+        .collect();
+    let cordoned = machines_to_cordon(&work, &fleet, &PARAMS);
+    let on_demand_cordoned = cordoned.iter().filter(|m| m.raw() >= 10).count();
     assert_eq!(
-        on_demand_closed, 7,
-        "12 of 40 CPUs stay for the 10 that need them"
+        on_demand_cordoned, 7,
+        "12 of 40 on-demand CPUs remain for the 10 tasks that need them"
     );
-    let returned = machines_to_return(&work, &mixed(10, 10), &PARAMS);
+    let returned = machines_to_return(&work, &mixed_fleet(10, 10), &PARAMS);
     let on_demand_left = 10 - returned.iter().filter(|m| m.raw() >= 10).count();
     assert!(
         on_demand_left >= 3,
-        "{on_demand_left} on_demand machines stay"
+        "{on_demand_left} on-demand machines remain"
     );
-    let none = machines_to_return(&[], &mixed(0, 10), &PARAMS);
+    let none = machines_to_return(&[], &mixed_fleet(0, 10), &PARAMS);
     assert_eq!(none.len(), 10);
-    // And ordinary ones are rented although spot machines stand idle.
+    // On-demand machines are rented although spot machines are idle.
     let offers = [offer(0, 4.0, 1.0)];
-    let orders = plan_rentals(&work, &mixed(20, 0), &offers, &PARAMS, |_| true);
+    let orders = plan_rentals(&work, &mixed_fleet(20, 0), &offers, &PARAMS, |_| true);
     let asked: u32 = orders
         .iter()
         .filter(|order| !order.pool.spot)
         .map(|order| order.number)
         .sum();
     assert!((2..=4).contains(&asked), "{orders:?}");
-    let orders = plan_rentals(&work, &mixed(20, 4), &offers, &PARAMS, |_| true);
+    let orders = plan_rentals(&work, &mixed_fleet(20, 4), &offers, &PARAMS, |_| true);
     assert!(orders.iter().all(|order| order.pool.spot), "{orders:?}");
 }
--- a/src/stealing/messages.rs
+++ b/src/stealing/messages.rs
@@ -1,6 +1,6 @@
-//! Hints and steals: their way from machine to machine, within this controller and to peers.
+//! Delivery of hints and steal requests between machines, within this controller and to peers.
 //!
-//! Nothing here may fail when a message is lost, late or repeated: the next round asks again.
+//! Messages may be lost, delayed or repeated without harm: the next round asks again.
 
 use super::pack_steal::{Selection, choose_target};
 use crate::clock::Timestamp;
@@ -9,14 +9,14 @@
 use crate::protocol::StealMessage;
 use std::collections::VecDeque;
 
-/// Messages that a controller handles at a time, within itself, for each machine; and to other
-/// controllers one for each machine. What is more is dropped: the next round asks again.
+/// Messages that one delivery handles within this controller, per machine. Messages to other
+/// controllers are limited to one per machine. The rest are dropped: the next round asks again.
 const MESSAGES_PER_MACHINE: usize = 4;
-/// A small fleet counts as so many machines.
+/// Smallest number of machines that the message limits are computed for.
 const MIN_MESSAGE_CAPACITY: usize = 500;
 
 impl StealMessage {
-    /// The machine that it goes to.
+    /// Name of the machine that the message is addressed to.
     fn recipient(&self) -> &str {
         match self {
             StealMessage::Hint { to, .. } | StealMessage::Steal { to, .. } => to,
@@ -25,15 +25,16 @@
 }
 
 impl Controller {
-    /// The next hop of a steal: known non-victims are skipped until the cutoff.
+    /// Builds the next hop of a steal. Until the hop cutoff only known victims are candidates;
+    /// returns None if the steal ends here.
     pub(super) fn next_steal(
         &mut self,
         thief: MachineId,
         hops: u32,
         route: &[MachineId],
     ) -> Option<StealMessage> {
-        // In a large fleet nobody who has nothing learns of it before hundreds have been asked:
-        // hops without end would take the controllers more time than all heartbeats together.
+        // In a large fleet a steal that finds no work could visit hundreds of machines. Without
+        // this limit the hops would cost the controllers more time than all heartbeats together.
         if f64::from(hops) > self.settings.options.balance_hops_most {
             return None;
         }
@@ -44,8 +45,8 @@
             true => Selection::Random,
             false => Selection::Constrained,
         };
-        let known = round.candidates(selection);
-        let to = choose_target(known, selection, thief, route, &factors, &mut self.rng)?;
+        let candidates = round.candidates(selection);
+        let to = choose_target(candidates, selection, thief, route, &factors, &mut self.rng)?;
         Some(StealMessage::Steal {
             to: self.machine_name(to),
             thief: self.machine_name(thief),
@@ -57,7 +58,8 @@
         })
     }
 
-    /// Carries messages: within this controller at once, to others with the next peer message.
+    /// Delivers messages: immediately within this controller, to other controllers with the next
+    /// peer message.
     pub(super) fn deliver_steal_messages(&mut self, messages: Vec<StealMessage>, now: Timestamp) {
         let mut queue: VecDeque<StealMessage> = messages.into();
         let capacity = self.replica.machines.len().max(MIN_MESSAGE_CAPACITY);
@@ -90,7 +92,7 @@
         }
     }
 
-    /// A message from a machine that another controller holds.
+    /// Handles a message from a machine that another controller holds.
     pub(crate) fn on_steal_message(&mut self, message: StealMessage, now: Timestamp) {
         let recipient = message.recipient();
         let Some(machine_id) = self.replica.names.machines.get(recipient) else {
@@ -103,7 +105,8 @@
         self.deliver_steal_messages(replies.into_iter().collect(), now);
     }
 
-    /// A machine held here gets a message; returns what follows from it.
+    /// Handles a message to a machine that this controller holds; returns the message to send
+    /// next, if any.
     fn handle_steal_message(
         &mut self,
         machine_id: MachineId,
@@ -118,7 +121,8 @@
         }
     }
 
-    /// A thief that hears of a victim asks it at once, within its steals.
+    /// Builds the thief's immediate request after a victim's hint, or None if the thief has used
+    /// up its steals of this round.
     fn steal_request(&mut self, thief: MachineId, victim: &str) -> Option<StealMessage> {
         let victim = self.replica.names.machines.get(victim)?;
         if !self.work_stealing.round_mut()?.consume_steal(thief) {
@@ -132,7 +136,8 @@
         })
     }
 
-    /// A victim gives the thief a pack, or passes the steal on to another machine.
+    /// Grants the thief a pack of the victim's tasks, or returns the steal to be forwarded to
+    /// another machine.
     fn grant_or_forward(
         &mut self,
         victim: MachineId,
@@ -146,8 +151,8 @@
             return None;
         }
         let names = &self.replica.names.machines;
-        let mut asked: Vec<MachineId> = route.iter().filter_map(|name| names.get(name)).collect();
-        asked.push(victim);
-        self.next_steal(thief, hops + 1, &asked)
+        let mut visited: Vec<MachineId> = route.iter().filter_map(|name| names.get(name)).collect();
+        visited.push(victim);
+        self.next_steal(thief, hops + 1, &visited)
     }
 }
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -1,7 +1,7 @@
-//! Which tasks may leave a queue, and where they fit.
+//! Decides which tasks may leave a queue and which machines they fit on.
 //!
-//! A task that moves must not start on the victim: from the moment its pack is given until the
-//! move is recorded or has failed it is reserved.
+//! A moving task must not start on the victim, so it is reserved from the moment its pack is
+//! granted until the move is recorded or has failed.
 
 use super::pack_steal::Pack;
 use crate::clock::Timestamp;
@@ -9,20 +9,21 @@
 use crate::names::MachineId;
 use crate::replica::{Binding, Machine};
 
-/// Free CPUs with which a machine may start more than its queue lists.
+/// Unused CPUs from which on a machine may steal further tasks.
 const MIN_FREE_CPUS: f64 = 0.5;
-/// Fewest CPUs that a machine counts with when work is divided by them.
+/// Lower bound for a machine's CPUs when work is divided by them; avoids a division by zero.
 const MIN_CPUS: f64 = 1e-6;
 
 impl Controller {
-    /// Whether a machine has room for more than its queue lists.
+    /// Whether a machine has unused CPUs beyond those of all tasks in its queue.
     pub(super) fn has_free_cpus(&self, machine_id: MachineId) -> bool {
         let machine = self.replica.machines.get(&machine_id);
         let size = machine.and_then(|machine| self.size(machine));
         size.is_some_and(|size| self.used_on(machine_id).cpus + MIN_FREE_CPUS <= size.cpus)
     }
 
-    /// Tasks that may move, with their loads, the last of the queue first.
+    /// Tasks that may move, with their loads in seconds of work per CPU, from the end of the queue
+    /// to its front.
     pub(super) fn movable_tasks(&self, machine_id: MachineId) -> Vec<(Binding, f64)> {
         let (Some(machine), Some(runtime)) = (
             self.replica.machines.get(&machine_id),
@@ -30,7 +31,7 @@
         ) else {
             return Vec::new();
         };
-        // Only a machine that obeys our fencing token is sure not to start what leaves its queue.
+        // Only a machine that accepts no token but ours cannot start a task that left its queue.
         let Some(size) = self.size(machine).filter(|_| runtime.is_fenced_and_alive()) else {
             return Vec::new();
         };
@@ -45,8 +46,8 @@
             .collect()
     }
 
-    /// Whether a task may leave a machine's queue: it has surely not started, no other move has
-    /// it, and its job still needs it.
+    /// Whether a task may leave a machine's queue: it is known not to have started, belongs to no
+    /// other move, has no completion to be recorded, and its job is unfinished.
     fn is_movable(&self, machine_id: MachineId, binding: &Binding) -> bool {
         let job = self.replica.jobs.get(&binding.task.job);
         let machine = self.replica.machines.get(&machine_id);
@@ -57,7 +58,7 @@
             && machine.is_some_and(|machine| machine.queue.contains(binding))
     }
 
-    /// Gives the smallest pack that fits the thief; returns whether there was one.
+    /// Grants the thief the smallest pack that fits it; returns whether there was one.
     pub(super) fn grant_pack(
         &mut self,
         victim: MachineId,
@@ -68,17 +69,17 @@
         let Some(mut packs) = round.and_then(|round| round.take_packs(victim)) else {
             return false;
         };
-        let fitting = packs.iter().position(|pack| {
+        let fitting_index = packs.iter().position(|pack| {
             let tasks = &pack.tasks;
             tasks.iter().all(|task| self.is_movable(victim, task))
                 && self.pack_fits(victim, thief, pack, now)
         });
-        let given = fitting.map(|index| packs.remove(index));
+        let granted = fitting_index.map(|index| packs.remove(index));
         if let Some(round) = self.work_stealing.round_mut() {
             round.put_back_packs(victim, packs);
         }
-        let Some(pack) = given else { return false };
-        // From here on the tasks are not started, until the move is recorded or has failed.
+        let Some(pack) = granted else { return false };
+        // Reserves the tasks: they are not started until the move is recorded or has failed.
         self.completions.plan_move(Move {
             victim,
             thief,
@@ -87,7 +88,8 @@
         true
     }
 
-    /// Whether all tasks of a pack can start on the thief.
+    /// Whether all tasks of a pack may run on the thief and fit beside what is bound or moving
+    /// there.
     fn pack_fits(
         &self,
         victim: MachineId,
@@ -108,8 +110,8 @@
             return false;
         };
         let mut used = self.used_on(thief);
-        let coming = self.completions.moving_to(thief);
-        for binding in coming.chain(&pack.tasks) {
+        let incoming = self.completions.moving_to(thief);
+        for binding in incoming.chain(&pack.tasks) {
             if let Some(job) = self.replica.jobs.get(&binding.task.job) {
                 used.add(&job.room(), 1.0);
             }
@@ -121,7 +123,8 @@
                 .all(|task| self.task_can_run_on(task, from, to))
     }
 
-    /// Whether a task may run on `to`, where a job that is bound to zones keeps the one of `from`.
+    /// Whether a task may run on `to`. A job that restricts the zones of its tasks relative to each
+    /// other stays in the zone of `from`.
     fn task_can_run_on(&self, binding: &Binding, from: &Machine, to: &Machine) -> bool {
         let Some(size) = self.size(to) else {
             return false;
--- a/src/stealing/pack_steal.rs
+++ b/src/stealing/pack_steal.rs
@@ -1,57 +1,60 @@
-//! PackStealLB over machines' queues, after the paper's section 4 and the values of section 5.
+//! PackStealLB over machines' queues, after section 4 of the paper with the values of section 5.
 //!
-//! Pure: the holder feeds in loads and carries the messages. Nothing here knows whether a task may
-//! move; the caller passes movable ones only.
+//! Pure: the holder supplies the loads and delivers the messages. Callers pass only tasks that may
+//! move; nothing here checks that.
 
 use crate::names::MachineId;
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-/// More steals than any machine begins in a round: keeps the conversion to an integer exact.
+/// Upper bound of a thief's steals, above what any machine sends in a round; keeps the conversion
+/// to an integer exact.
 const MAX_STEALS: f64 = 1e6;
 
-/// The factors of a round.
+/// Configured parameters of the algorithm, named after the paper's symbols.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Factors {
-    /// Imbalance tolerance (xi).
+    /// Imbalance tolerance as a fraction of the mean load (xi).
     pub(super) tolerance: f64,
-    /// Pack narrowing factor (delta).
+    /// Load of a pack as a fraction of the tolerance (delta, the pack narrowing factor).
     pub(super) pack: f64,
-    /// Targets of constrained selection (k).
+    /// Number of victims among which constrained selection chooses (k).
     pub(super) targets: usize,
-    /// Hops, as a part of the machines, after which selection is random (vsthreshold).
+    /// Hops, as a fraction of the number of machines, after which selection is random
+    /// (vsthreshold).
     pub(super) hops: f64,
 }
 
-/// What a round knows: the mean and what follows from it.
+/// The mean load of a round and the thresholds derived from it, in seconds of work per CPU.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Thresholds {
-    /// Mean load.
+    /// Mean load of all machines.
     pub(super) mean: f64,
-    /// Tolerance (epsilon).
+    /// Load above the mean from which on a machine is a victim (epsilon).
     pub(super) epsilon: f64,
-    /// Load of a pack.
+    /// Target load of a pack.
     pub(super) pack: f64,
-    /// Relaxation of a pack's load (gamma).
+    /// How far a pack may exceed its target load (gamma).
     pub(super) gamma: f64,
 }
 
-/// What a machine is in this round.
+/// Role of a machine in a round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Role {
-    /// Heavy: gives packs away.
+    /// Overloaded: gives packs away.
     Victim,
-    /// Light: asks this often.
+    /// Underloaded: sends steal requests.
     Thief {
-        /// Number of steals.
+        /// Number of steals that it may start.
         steals: u32,
     },
-    /// Neither.
+    /// Neither victim nor thief.
     Balanced,
 }
 
 impl Thresholds {
-    /// Computes the levels from the sum of all machines' loads and their number.
+    /// Computes the thresholds from the sum of all machines' loads and their number; None without
+    /// machines.
     pub(super) fn new(sum: f64, machines: usize, factors: &Factors) -> Option<Thresholds> {
         if machines == 0 {
             return None;
@@ -67,7 +70,7 @@
         })
     }
 
-    /// The role that a load gives.
+    /// The role of a machine with the given load.
     pub(super) fn role(&self, load: f64) -> Role {
         if self.mean <= 0.0 {
             Role::Balanced
@@ -83,41 +86,42 @@
         }
     }
 
-    /// Packs up a victim's surplus: `tasks` are the movable ones with their loads, last first
-    /// to be moved. A task larger than a pack is a pack of its own.
+    /// Divides a victim's surplus into packs, sorted by load from the smallest. `tasks` are the
+    /// movable tasks with their loads, in the order in which they are packed. A task larger than a
+    /// pack is a pack of its own.
     pub(super) fn packs<T: Copy>(&self, load: f64, tasks: &[(T, f64)]) -> Vec<Pack<T>> {
         let mut packs: Vec<Pack<T>> = Vec::new();
-        let mut open = Pack::default();
-        let mut left = load;
+        let mut current = Pack::default();
+        let mut remaining = load;
         for &(task, task_load) in tasks {
-            // Equation (4): what stays is not pressed below the mean.
-            if left < self.mean + self.epsilon || left - task_load < self.mean {
+            // Equation (4): the remaining load must not fall below the mean.
+            if remaining < self.mean + self.epsilon || remaining - task_load < self.mean {
                 continue;
             }
-            if !open.tasks.is_empty() && open.load + task_load > self.pack + self.gamma {
-                packs.push(std::mem::take(&mut open));
+            if !current.tasks.is_empty() && current.load + task_load > self.pack + self.gamma {
+                packs.push(std::mem::take(&mut current));
             }
-            open.tasks.push(task);
-            open.load += task_load;
-            left -= task_load;
-            if open.load >= self.pack {
-                packs.push(std::mem::take(&mut open));
+            current.tasks.push(task);
+            current.load += task_load;
+            remaining -= task_load;
+            if current.load >= self.pack {
+                packs.push(std::mem::take(&mut current));
             }
         }
-        if !open.tasks.is_empty() {
-            packs.push(open);
+        if !current.tasks.is_empty() {
+            packs.push(current);
         }
         packs.sort_by(|a, b| a.load.total_cmp(&b.load));
         packs
     }
 }
 
-/// Tasks that move together.
+/// Tasks that move together in one steal.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Pack<T> {
-    /// The tasks.
+    /// Its tasks, in the order in which they were packed.
     pub(super) tasks: Vec<T>,
-    /// Their load on the victim.
+    /// Their load on the victim, seconds of work per CPU.
     pub(super) load: f64,
 }
 
@@ -137,19 +141,19 @@
     pub(super) load: f64,
 }
 
-/// Among which machines a steal chooses its next target.
+/// Machines among which a steal chooses its next target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Selection {
-    /// Among the most loaded ones.
+    /// The most loaded victims.
     Constrained,
-    /// Among all, after too many hops (vsthreshold).
+    /// All machines, after too many hops (vsthreshold).
     Random,
 }
 
-/// Picks where a steal goes next among `known`, which has the heaviest first; never to the thief,
-/// nor to machines on the route, which proved to be no victims.
+/// Picks the next target of a steal among `candidates`, which are sorted from the most loaded. The
+/// thief and the machines on the route, which had no work to give, are excluded.
 pub(super) fn choose_target(
-    known: &[MachineLoad],
+    candidates: &[MachineLoad],
     selection: Selection,
     thief: MachineId,
     route: &[MachineId],
@@ -159,11 +163,15 @@
     let is_eligible = |machine: &&MachineLoad| {
         machine.machine_id != thief && !route.contains(&machine.machine_id)
     };
-    let most = match selection {
+    let max_targets = match selection {
         Selection::Constrained => factors.targets,
-        Selection::Random => known.len(),
+        Selection::Random => candidates.len(),
     };
-    let targets: Vec<&MachineLoad> = known.iter().filter(is_eligible).take(most).collect();
+    let targets: Vec<&MachineLoad> = candidates
+        .iter()
+        .filter(is_eligible)
+        .take(max_targets)
+        .collect();
     targets.choose(rng).map(|machine| machine.machine_id)
 }
 
--- a/src/stealing/pack_steal/tests.rs
+++ b/src/stealing/pack_steal/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn roles_follow_the_mean() {
+fn roles_depend_on_the_distance_from_the_mean() {
     let thresholds = thresholds_of(&[0.0, 100.0, 200.0]).expect("loads");
     assert_eq!(
         (thresholds.mean, thresholds.epsilon, thresholds.pack),
@@ -29,12 +29,12 @@
     assert_eq!(thresholds.role(98.0), Role::Thief { steals: 1 });
     assert_eq!(thresholds.role(93.0), Role::Thief { steals: 4 });
     let idle = thresholds_of(&[0.0, 0.0]).expect("loads");
-    assert_eq!(idle.role(0.0), Role::Balanced, "nothing to steal anywhere");
+    assert_eq!(idle.role(0.0), Role::Balanced, "there is no load to steal");
     assert_eq!(thresholds_of(&[]), None);
 }
 
 #[test]
-fn packs_hold_the_surplus_and_leave_the_mean() {
+fn packs_contain_the_surplus_above_the_mean() {
     let thresholds = thresholds_of(&[0.0, 200.0]).expect("loads");
     let small: Vec<(u32, f64)> = (0..200).map(|i| (i, 1.0)).collect();
     let packs = thresholds.packs(200.0, &small);
@@ -47,21 +47,21 @@
     );
     let big = thresholds.packs(200.0, &[(1, 60.0), (2, 60.0), (3, 30.0)]);
     assert_eq!(big.iter().map(|p| p.tasks.len()).sum::<usize>(), 2);
-    assert_eq!(big[0].tasks, [3], "the smallest is given first");
+    assert_eq!(big[0].tasks, [3], "the smallest pack comes first");
 }
 
 #[test]
-fn steals_go_to_the_heaviest_and_after_the_cutoff_anywhere() {
+fn steals_target_the_most_loaded_and_after_the_cutoff_any_machine() {
     let all: Vec<MachineLoad> = [9.0, 8.0, 7.0, 6.0, 5.0, 4.0, 3.0, 0.0]
         .into_iter()
         .zip([1, 2, 3, 4, 5, 6, 7, 0].map(MachineId::from_raw))
         .map(|(load, machine_id)| MachineLoad { machine_id, load })
         .collect();
-    let me = MachineId::from_raw(0);
+    let thief = MachineId::from_raw(0);
     let mut rng = SmallRng::seed_from_u64(3);
     let mut pick = |selection, route: &[MachineId]| {
         (0..200)
-            .filter_map(|_| choose_target(&all, selection, me, route, &FACTORS, &mut rng))
+            .filter_map(|_| choose_target(&all, selection, thief, route, &FACTORS, &mut rng))
             .map(|m| m.raw())
             .collect::<std::collections::BTreeSet<_>>()
     };
@@ -71,6 +71,6 @@
         pick(Selection::Constrained, &[MachineId::from_raw(1)]),
         [2, 3, 4, 5].into()
     );
-    let everyone: Vec<_> = all.iter().map(|machine| machine.machine_id).collect();
-    assert!(pick(Selection::Random, &everyone).is_empty());
+    let all_ids: Vec<_> = all.iter().map(|machine| machine.machine_id).collect();
+    assert!(pick(Selection::Random, &all_ids).is_empty());
 }
--- a/src/stealing/rounds.rs
+++ b/src/stealing/rounds.rs
@@ -1,4 +1,4 @@
-//! Rounds of work stealing: when one begins, and what this controller knows in it.
+//! Rounds of work stealing: when a round starts and the state that a controller keeps for it.
 
 use super::pack_steal::{Factors, MachineLoad, Pack, Role, Selection, Thresholds};
 use crate::clock::Timestamp;
@@ -8,48 +8,48 @@
 use crate::protocol::StealMessage;
 use crate::replica::Binding;
 
-/// Steals that a controller sends in a round for each victim that it knows.
+/// Steals that a controller sends at the start of a round, per known victim.
 const STEALS_PER_VICTIM: usize = 4;
-/// Most steals that one machine sends at the beginning of a round.
+/// Most steals that one machine sends at the start of a round.
 const MAX_STEALS_PER_THIEF: u32 = 16;
 
-/// The part that a controller plays in work stealing: its round, and messages on their way. It
-/// outlives the terms of leaders, for holders need none.
+/// A controller's state of work stealing: its current round and outgoing messages. It survives a
+/// change of leader, because holders steal work without one.
 #[derive(Debug, Default)]
 pub(crate) struct WorkStealing {
     round: Option<Round>,
     next_round: Timestamp,
-    /// Messages that wait for the next message to a peer.
+    /// Messages to be sent with the next peer message to each controller.
     outbox: Vec<(ControllerId, StealMessage)>,
 }
 
 impl WorkStealing {
-    /// Whether a round is due.
+    /// Whether the next round is due.
     fn is_due(&self, now: Timestamp) -> bool {
         now >= self.next_round
     }
 
-    /// The present round; none before the first.
+    /// The current round; None before the first.
     pub(super) fn round(&self) -> Option<&Round> {
         self.round.as_ref()
     }
 
-    /// The present round; none before the first.
+    /// The current round for changes; None before the first.
     pub(super) fn round_mut(&mut self) -> Option<&mut Round> {
         self.round.as_mut()
     }
 
-    /// Whether messages wait for peers.
+    /// Whether there are messages to send to peers.
     pub(crate) fn has_outgoing(&self) -> bool {
         !self.outbox.is_empty()
     }
 
-    /// Messages that wait for peers.
+    /// Takes the messages to send to peers, in the order in which they were enqueued.
     pub(crate) fn take_outgoing(&mut self) -> Vec<(ControllerId, StealMessage)> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// Keeps a message for a peer; dropped when `capacity` of them wait already.
+    /// Enqueues a message for a peer, or drops it if `capacity` messages are enqueued already.
     pub(super) fn enqueue_outgoing(
         &mut self,
         host: ControllerId,
@@ -62,15 +62,16 @@
     }
 }
 
-/// What a controller knows in a round.
+/// A controller's state of one round.
 #[derive(Debug, Clone)]
 pub(super) struct Round {
+    /// Packs that machines held here can still give away.
     packs: HashMap<MachineId, Vec<Pack<Binding>>>,
-    /// Steals that machines held here may still begin.
+    /// Steals that machines held here may still start.
     steals: HashMap<MachineId, u32>,
-    /// Machines known to be heavy, the heaviest first.
+    /// Machines known to be victims, the most loaded first.
     victims: Vec<MachineLoad>,
-    /// All machines, the heaviest first, for steals that go anywhere.
+    /// All machines, the most loaded first, for random selection.
     all: Vec<MachineLoad>,
 }
 
@@ -81,8 +82,8 @@
             .map(|(&machine_id, &load)| MachineLoad { machine_id, load })
             .collect();
         all.sort_by(|a, b| {
-            let heaviest_first = b.load.total_cmp(&a.load);
-            heaviest_first.then(a.machine_id.cmp(&b.machine_id))
+            let most_loaded_first = b.load.total_cmp(&a.load);
+            most_loaded_first.then(a.machine_id.cmp(&b.machine_id))
         });
         let victims = all
             .iter()
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Where steals may go: to known victims, or anywhere.
+    /// Machines among which a steal chooses its target, the most loaded first.
     pub(super) fn candidates(&self, selection: Selection) -> &[MachineLoad] {
         match selection {
             Selection::Constrained => &self.victims,
@@ -103,12 +104,12 @@
         }
     }
 
-    /// Machines of the round.
+    /// Number of machines that may give or take tasks in this round.
     pub(super) fn machine_count(&self) -> usize {
         self.all.len()
     }
 
-    /// Takes one of the steals that a machine may still begin.
+    /// Consumes one of the steals that a machine may still start; returns false if none is left.
     pub(super) fn consume_steal(&mut self, thief: MachineId) -> bool {
         let left = self.steals.get_mut(&thief).filter(|left| **left > 0);
         let Some(left) = left else { return false };
@@ -116,17 +117,17 @@
         true
     }
 
-    /// Takes out the packs that a machine has to give.
+    /// Takes out the packs that a machine can give away; None if it is no victim here.
     pub(super) fn take_packs(&mut self, victim: MachineId) -> Option<Vec<Pack<Binding>>> {
         self.packs.remove(&victim)
     }
 
-    /// Puts back the packs that a machine still has to give.
+    /// Puts back the packs that a machine can still give away.
     pub(super) fn put_back_packs(&mut self, victim: MachineId, packs: Vec<Pack<Binding>>) {
         self.packs.insert(victim, packs);
     }
 
-    /// Machines that steal and how often, the lightest first.
+    /// Thieves with their number of steals, the least loaded first.
     fn thieves(&self) -> Vec<(MachineId, u32)> {
         let steals = self.steals.iter();
         let mut thieves: Vec<(MachineId, u32)> =
@@ -136,13 +137,14 @@
     }
 }
 
-/// Loads at the beginning of a round.
+/// Loads of the fleet at the start of a round.
 #[derive(Default)]
 struct FleetLoads {
-    /// Of machines that may give and take tasks.
+    /// Loads of the machines that may give and take tasks.
     machines: HashMap<MachineId, f64>,
-    /// Number and sum of all loads, also of machines that are not named: for the mean.
+    /// Number of loads in `sum`.
     count: usize,
+    /// Sum of all loads, including machines that peers do not list individually; for the mean.
     sum: f64,
 }
 
@@ -157,7 +159,8 @@
         }
     }
 
-    /// Begins a round when it is due: publishes totals, takes the mean, packs up and steals.
+    /// Starts a round when one is due: publishes this controller's loads, computes the mean load,
+    /// prepares packs and sends the first hints and steals.
     pub(crate) fn tick_work_stealing(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if !self.work_stealing.is_due(now) || !self.catalog_known() {
             return;
@@ -173,19 +176,19 @@
         };
         let mut round = Round::new(&loads.machines, &thresholds);
         let mut messages = self.assign_roles(&mut round, &own, &loads, &thresholds);
-        // Own machines that have nothing to give are known to be no victims.
+        // Own machines without packs are no victims; those of peers may have some.
         let packs = &round.packs;
         round.victims.retain(|victim| {
             packs.contains_key(&victim.machine_id) || !self.held.contains(victim.machine_id)
         });
         let thieves = round.thieves();
-        let most = round.victims.len() * STEALS_PER_VICTIM;
+        let max_steals = round.victims.len() * STEALS_PER_VICTIM;
         self.work_stealing.round = Some(round);
-        messages.extend(self.initial_steals(thieves, most));
+        messages.extend(self.initial_steals(thieves, max_steals));
         self.deliver_steal_messages(messages, now);
     }
 
-    /// Loads of all machines, those of peers as they published them.
+    /// Loads of all machines; those of peers' machines as published.
     fn fleet_loads(&self, own: &[MachineId], now: Timestamp) -> FleetLoads {
         let mut loads = FleetLoads::default();
         for (host, totals) in &self.replica.loads {
@@ -213,8 +216,8 @@
         loads
     }
 
-    /// Packs up what the own heavy machines have to give and counts the steals of the light ones.
-    /// Returns the hints that victims send.
+    /// Prepares the packs of own victims and sets the number of steals of own thieves. Returns the
+    /// hints that victims send.
     fn assign_roles(
         &self,
         round: &mut Round,
@@ -222,7 +225,7 @@
         loads: &FleetLoads,
         thresholds: &Thresholds,
     ) -> Vec<StealMessage> {
-        let lightest = round.all.last().copied();
+        let least_loaded = round.all.last().copied();
         let mut hints = Vec::new();
         for &machine_id in own {
             let Some(&load) = loads.machines.get(&machine_id) else {
@@ -235,16 +238,16 @@
                         continue;
                     }
                     round.packs.insert(machine_id, packs);
-                    let lightest = lightest.filter(|lightest| lightest.machine_id != machine_id);
-                    if let Some(lightest) = lightest {
+                    let target = least_loaded.filter(|target| target.machine_id != machine_id);
+                    if let Some(target) = target {
                         hints.push(StealMessage::Hint {
-                            to: self.machine_name(lightest.machine_id),
+                            to: self.machine_name(target.machine_id),
                             from: self.machine_name(machine_id),
                             load,
                         });
                     }
                 }
-                // A machine without free room could start nothing of what it steals.
+                // A machine without free CPUs could not start the tasks that it steals.
                 Role::Thief { steals } if self.has_free_cpus(machine_id) => {
                     round.steals.insert(machine_id, steals);
                 }
@@ -254,12 +257,17 @@
         hints
     }
 
-    /// The lightest ask first, and no more is asked for than the victims may have to give.
-    fn initial_steals(&mut self, thieves: Vec<(MachineId, u32)>, most: usize) -> Vec<StealMessage> {
+    /// The steals that start a round, the least loaded thieves first. `max_steals` keeps thieves from
+    /// requesting more than the victims may have to give.
+    fn initial_steals(
+        &mut self,
+        thieves: Vec<(MachineId, u32)>,
+        max_steals: usize,
+    ) -> Vec<StealMessage> {
         let mut messages = Vec::new();
         for (thief, steals) in thieves {
             for _ in 0..steals.min(MAX_STEALS_PER_THIEF) {
-                let steal = match messages.len() < most {
+                let steal = match messages.len() < max_steals {
                     true => self.next_steal(thief, 0, &[]),
                     false => None,
                 };
