--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,39 +1,39 @@
-//! Time as the decisions see it: a monotonic clock and a time of day, both replaceable in tests.
+//! Monotonic and wall-clock time, both replaceable in tests.
 //!
-//! Decisions never read a clock: the moment of each event is passed to them. Times that other controllers
-//! see are differences, or times of day: a [`Timestamp`] means nothing outside its process.
+//! Decision code never reads a clock; it receives the time of each event. A [`Timestamp`] is valid only
+//! within its process, so other controllers are sent durations or wall-clock times.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A moment on a process's own monotonic clock, milliseconds.
+/// A time on the process's monotonic clock, milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// The moment `ms` milliseconds later.
+    /// The time `ms` milliseconds later.
     pub fn plus(self, ms: u64) -> Timestamp {
         Timestamp(self.0.saturating_add(ms))
     }
 
-    /// Milliseconds since `earlier`; 0 if that lies ahead.
+    /// Milliseconds since `earlier`; 0 if `earlier` is later than `self`.
     pub fn since(self, earlier: Timestamp) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 }
 
-/// Where the time comes from.
+/// Source of the current time.
 pub trait Clock {
-    /// The monotonic clock.
+    /// Current time of the monotonic clock.
     fn now(&self) -> Timestamp;
-    /// Time of day, milliseconds since the epoch.
+    /// Current wall-clock time, milliseconds since the Unix epoch.
     fn unix_time_ms(&self) -> u64;
 }
 
-/// What the monotonic clock shows at the start, milliseconds: moments of up to an hour before the start can
-/// be expressed.
+/// Time of the monotonic clock when the process starts, milliseconds. It makes times of up to one hour
+/// before the start representable.
 const INITIAL_TIMESTAMP_MS: u64 = 3_600_000;
 
-/// The clocks of the operating system.
+/// [`Clock`] backed by the operating system's clocks.
 #[derive(Debug)]
 pub struct SystemClock {
     start: Instant,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! quillbend: a cluster scheduler whose machines steal packs of work from one another.
+//! quillbend: a cluster scheduler that balances machines' queues by work stealing.
 //!
-//! Decisions are plain functions over plain data: the state machine in [`controller`] takes events and gives
-//! effects, and what it uses does no input or output and reads no clock. [`runtime`] carries the effects out,
-//! [`http`] serves users, workers, peers and operators, and [`store`] is the client of the state service. See
-//! `docs/design.md` for the safety argument.
+//! Decisions are pure functions: the state machine in [`controller`] takes events and returns effects; the
+//! code it uses performs no I/O and reads no clock. [`runtime`] executes the effects, [`http`] serves users,
+//! workers, peers and operators, and [`store`] is the client of the key-value store. See `docs/design.md`
+//! for the safety argument.
 
 pub mod clock;
 pub mod collections;
--- a/src/ranges/bitmap.rs
+++ b/src/ranges/bitmap.rs
@@ -1,34 +1,34 @@
-//! Sets of task numbers as a bitmap in text.
+//! Text format of task sets as a bitmap.
 //!
-//! While the tasks of a job end in no order, a list of ranges needs several characters for each range,
-//! and a bitmap a sixth of a character for each task. The text is `b12:` and, in base64, one bit for
-//! each task from number 12 on; all tasks below it are in the set, and none after the last bit.
+//! When the tasks of a job complete out of order, a list of ranges needs several characters per range,
+//! but a bitmap a sixth of a character per task. The text is `b12:` followed by base64 with one bit
+//! per task from number 12 on. All tasks below 12 are in the set, and none after the last bit.
 
 use super::{MalformedRanges, RangeSet};
 use base64::Engine;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 
-/// What a bitmap's text begins with; no list of ranges does.
+/// First character of a bitmap's text; no list of ranges starts with it.
 const MARK: char = 'b';
-/// Longest text of what precedes the bits: the mark, a number of 32 bits and the separator.
+/// Most bytes before the bits: the mark, a 32-bit number and the separator.
 const MAX_PREFIX_BYTES: usize = 12;
-/// Tasks whose bits fill whole characters: three bytes are four characters.
+/// Tasks in a group of three bytes, which base64 encodes as four characters.
 const TASKS_PER_GROUP: usize = 24;
-/// Characters of such a group.
+/// Base64 characters of such a group.
 const CHARACTERS_PER_GROUP: usize = 4;
 
-/// Number of tasks, from the first missing one on, whose bits surely fit into so many bytes of text,
-/// whichever of them are in the set.
+/// Number of tasks, counted from the first missing one, whose bitmap is guaranteed to fit into the
+/// given number of bytes, whichever of them are in the set.
 pub fn tasks_that_fit(bytes: usize) -> usize {
     bytes.saturating_sub(MAX_PREFIX_BYTES) / CHARACTERS_PER_GROUP * TASKS_PER_GROUP
 }
 
-/// Whether a text is a bitmap.
+/// Whether a text is in the bitmap format.
 pub(super) fn is_bitmap(text: &str) -> bool {
     text.starts_with(MARK)
 }
 
-/// Writes a set.
+/// Writes a set in the bitmap format.
 pub(super) fn write(set: &RangeSet) -> String {
     let first = set.first_missing();
     let end = set.end();
@@ -40,7 +40,7 @@
     format!("{MARK}{first}:{}", URL_SAFE_NO_PAD.encode(bits))
 }
 
-/// Reads what [`write()`] wrote.
+/// Parses the text that [`write()`] produces.
 pub(super) fn read(text: &str) -> Result<RangeSet, MalformedRanges> {
     let malformed = || MalformedRanges::of(text);
     let (first, bits) = text
@@ -49,8 +49,9 @@
         .ok_or_else(malformed)?;
     let first: u32 = first.parse().map_err(|_| malformed())?;
     let bits = URL_SAFE_NO_PAD.decode(bits).map_err(|_| malformed())?;
-    let fits = u32::try_from(bits.len() * 8).is_ok_and(|tasks| first.checked_add(tasks).is_some());
-    if !fits {
+    let in_range =
+        u32::try_from(bits.len() * 8).is_ok_and(|tasks| first.checked_add(tasks).is_some());
+    if !in_range {
         return Err(malformed());
     }
     let mut set = RangeSet::below(first);
--- a/src/ranges/mod.rs
+++ b/src/ranges/mod.rs
@@ -1,7 +1,7 @@
-//! Sets of task numbers kept as sorted, disjoint ranges, written as `0-3,7,9-12` or as a bitmap.
+//! Sets of task numbers, kept as sorted disjoint ranges and written as `0-3,7,9-12` or as a bitmap.
 //!
-//! Most of a job's tasks are done in runs, so a set of 100,000 tasks is mostly a few ranges. The texts are
-//! stored and sent, and every version reads them: they must not change.
+//! Most tasks of a job complete in runs, so a set of 100,000 tasks usually has few ranges. Both text
+//! formats are stored and sent and must be readable by every version, so they must not change.
 
 pub mod bitmap;
 mod text;
@@ -12,7 +12,7 @@
 /// A set of task numbers. Ranges are half-open in memory and inclusive in text.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RangeSet {
-    /// Half-open, ascending, and with a gap between any two.
+    /// Half-open, ascending ranges with a gap between any two.
     parts: Vec<(u32, u32)>,
 }
 
@@ -22,7 +22,7 @@
         Self::default()
     }
 
-    /// The set `0..end`.
+    /// The set of all tasks in `0..end`.
     pub fn below(end: u32) -> Self {
         let mut set = Self::new();
         set.insert_range(0, end);
@@ -34,22 +34,22 @@
         self.parts.iter().map(|&(lo, hi)| hi - lo).sum()
     }
 
-    /// Whether the set holds nothing.
+    /// Whether the set contains no task.
     pub fn is_empty(&self) -> bool {
         self.parts.is_empty()
     }
 
-    /// Number of separate ranges, which decides how long the text is.
+    /// Number of disjoint ranges, which determines the length of the text.
     pub fn range_count(&self) -> usize {
         self.parts.len()
     }
 
-    /// Its ranges, both ends included.
+    /// The ranges in ascending order, with inclusive ends.
     pub fn ranges(&self) -> Vec<(u32, u32)> {
         self.parts.iter().map(|&(lo, hi)| (lo, hi - 1)).collect()
     }
 
-    /// The lowest task that is absent.
+    /// The lowest task number that is not in the set.
     pub fn first_missing(&self) -> u32 {
         match self.parts.first() {
             Some(&(0, hi)) => hi,
@@ -57,12 +57,12 @@
         }
     }
 
-    /// One more than the highest task.
+    /// One more than the highest task; 0 for the empty set.
     pub fn end(&self) -> u32 {
         self.parts.last().map_or(0, |&(_, hi)| hi)
     }
 
-    /// Whether `task` belongs to the set.
+    /// Whether the set contains `task`.
     pub fn contains(&self, task: u32) -> bool {
         let at = self.parts.partition_point(|&(_, hi)| hi <= task);
         self.parts.get(at).is_some_and(|&(lo, _)| lo <= task)
@@ -73,7 +73,7 @@
         self.insert_range(task, task.saturating_add(1));
     }
 
-    /// Adds `lo..hi`.
+    /// Adds the tasks `lo..hi`; does nothing if that is empty.
     pub fn insert_range(&mut self, lo: u32, hi: u32) {
         if lo >= hi {
             return;
@@ -88,7 +88,7 @@
         self.parts.splice(first..last, [(lo, hi)]);
     }
 
-    /// Takes one task out.
+    /// Removes one task.
     pub fn remove(&mut self, task: u32) {
         let at = self.parts.partition_point(|&(_, hi)| hi <= task);
         let Some(&(lo, hi)) = self.parts.get(at) else {
@@ -102,14 +102,14 @@
             .splice(at..=at, rest.into_iter().filter(|(start, end)| start < end));
     }
 
-    /// Adds every task of `other`.
+    /// Adds all tasks of `other`.
     pub fn union(&mut self, other: &RangeSet) {
         for &(lo, hi) in &other.parts {
             self.insert_range(lo, hi);
         }
     }
 
-    /// Takes every task of `other` out.
+    /// Removes all tasks of `other`.
     pub fn subtract(&mut self, other: &RangeSet) {
         if self.is_empty() || other.is_empty() {
             return;
@@ -145,7 +145,7 @@
         self.parts.iter().flat_map(|&(lo, hi)| lo..hi)
     }
 
-    /// The tasks of `0..end` that are absent from the set, in ascending order.
+    /// The tasks in `0..end` that are not in the set, in ascending order.
     pub fn missing_below(&self, end: u32) -> impl Iterator<Item = u32> + '_ {
         let starts = std::iter::once(0).chain(self.parts.iter().map(|&(_, hi)| hi));
         let ends = self
--- a/src/ranges/tests.rs
+++ b/src/ranges/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn ranges_merge_split_and_read_back() {
+fn ranges_merge_split_and_round_trip_through_text() {
     let mut set = RangeSet::new();
     for task in [5, 1, 0, 7, 6, 2] {
         set.insert(task);
@@ -22,8 +22,8 @@
 }
 
 #[test]
-fn what_is_subtracted_is_gone_and_nothing_else() {
-    let set = |t: &str| t.parse::<RangeSet>().expect("good");
+fn subtract_removes_exactly_the_tasks_of_the_other_set() {
+    let set = |t: &str| t.parse::<RangeSet>().expect("valid ranges");
     for (from, what, left) in [
         ("0-9", "3-4,8", "0-2,5-7,9"),
         ("0-9", "0-20", ""),
@@ -38,14 +38,14 @@
 }
 
 #[test]
-fn text_that_is_no_range_is_refused() {
+fn malformed_ranges_are_rejected() {
     for text in ["x", "3-1", "1-", "-4", "4294967295"] {
         assert!(text.parse::<RangeSet>().is_err(), "{text}");
     }
 }
 
 #[test]
-fn a_set_reads_back_from_whichever_text_is_shorter() {
+fn sets_round_trip_through_the_shortest_text() {
     let mut scattered = RangeSet::below(40);
     for task in (41..900).step_by(3) {
         scattered.insert(task);
@@ -64,7 +64,7 @@
         "0-99999,100002",
     ];
     for text in sets {
-        let set: RangeSet = text.parse().expect("good");
+        let set: RangeSet = text.parse().expect("valid ranges");
         assert_eq!(set.shortest_text().parse(), Ok(set.clone()), "{text}");
         assert_eq!(bitmap::write(&set).parse(), Ok(set.clone()), "{text}");
         assert!(set.shortest_text().len() <= text.len());
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn bits_of_any_tasks_fit_into_the_bytes_that_are_kept_for_them() {
+fn a_bitmap_of_tasks_that_fit_never_exceeds_the_given_bytes() {
     for bytes in [0, 12, 40, 1000] {
         for first in [0, 99_000] {
             let tasks = bitmap::tasks_that_fit(bytes) as u32;
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn text_that_is_no_bitmap_is_refused() {
+fn malformed_bitmaps_are_rejected() {
     for text in [
         "b",
         "b1",
--- a/src/ranges/text.rs
+++ b/src/ranges/text.rs
@@ -1,14 +1,14 @@
-//! Sets of task numbers as text: as ranges, or as a bitmap where that is shorter.
+//! Text form of task sets: a list of ranges, or a bitmap where that is shorter.
 
 use super::{RangeSet, bitmap};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
 use std::fmt;
 use std::str::FromStr;
 
-/// Characters of a malformed text that an error shows.
+/// Most characters of a malformed text that an error message contains.
 const MAX_SHOWN_CHARACTERS: usize = 40;
 
-/// Text that is neither a list of ranges nor a bitmap.
+/// The error for text that is neither a list of ranges nor a bitmap.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("not a list of task ranges: {0:?}")]
 pub struct MalformedRanges(String);
@@ -19,7 +19,7 @@
     }
 }
 
-/// Writes a number in a base of up to 36.
+/// Appends a number to `out` in the given base, at most 36.
 pub(crate) fn write_number(number: u64, base: u32, out: &mut String) {
     let wide_base = u64::from(base);
     if number >= wide_base {
@@ -29,7 +29,7 @@
 }
 
 impl RangeSet {
-    /// About how many bytes its text has.
+    /// Approximate length of the text as a list of ranges, bytes.
     pub fn text_len(&self) -> usize {
         let digits = |number: u32| number.checked_ilog10().unwrap_or(0) as usize + 1;
         let part = |&(lo, hi): &(u32, u32)| match hi - lo {
@@ -39,10 +39,10 @@
         self.parts.iter().map(part).sum()
     }
 
-    /// The text as ranges or as a bitmap, whichever is shorter.
+    /// The text as a list of ranges or as a bitmap, whichever is shorter.
     pub fn shortest_text(&self) -> String {
         let bits = self.end().saturating_sub(self.first_missing()) as usize;
-        // Most sets are a few ranges: for these no bitmap is made.
+        // Most sets have few ranges; these skip building a bitmap, which has 6 tasks per character.
         if bits.div_ceil(6) >= self.text_len() {
             return self.to_string();
         }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Writes the ranges with numbers in a base of up to 36.
+    /// Appends the ranges to `out` with numbers in the given base, at most 36.
     pub(crate) fn write(&self, base: u32, out: &mut String) {
         for (at, &(lo, hi)) in self.parts.iter().enumerate() {
             if at > 0 {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Reads ranges with numbers in a base of up to 36.
+    /// Parses ranges with numbers in the given base, at most 36.
     pub(crate) fn read(text: &str, base: u32) -> Result<Self, MalformedRanges> {
         let malformed = || MalformedRanges::of(text);
         let mut set = RangeSet::new();
--- a/src/scaling/scale_in.rs
+++ b/src/scaling/scale_in.rs
@@ -6,13 +6,13 @@
 };
 use crate::names::{Index, MachineId};
 
-/// Multiple of its price at which a machine without tasks is ranked.
+/// Weight of the price of a machine without tasks.
 const IDLE_WEIGHT: f64 = 1.2;
-/// By how much this multiple is lower for a fully used machine.
+/// Reduction of this weight for a fully used machine.
 const BUSY_DISCOUNT: f64 = 0.2;
-/// Factor by which open capacity exceeds what could run at once.
+/// Capacity to keep uncordoned, relative to what could run at once.
 const SPARE_FACTOR: f64 = 1.1;
-/// CPUs that stay open on top of that.
+/// CPUs to keep uncordoned in addition.
 const SPARE_CPUS: f64 = 2.0;
 /// A demand of fewer CPUs counts as none.
 const NEGLIGIBLE_CPUS: f64 = 1e-6;
--- a/src/scaling/scale_out.rs
+++ b/src/scaling/scale_out.rs
@@ -9,7 +9,7 @@
 
 /// Expensive machines are rented only if there is work for this many horizons.
 const EXPENSIVE_HORIZONS: f64 = 2.5;
-/// A machine of which less than this fraction would be used is not rented; smaller types are.
+/// A machine is ordered only if at least this fraction of it would be used; smaller types serve less.
 const MIN_FILL: f64 = 0.5;
 
 /// Machines of one pool to request from the cloud.
@@ -104,7 +104,7 @@
 
 /// Demand that a pool can serve, and the capacity for it.
 struct PoolDemand {
-    /// CPUs that the demand is worth.
+    /// CPUs worth renting for the demand.
     wanted: f64,
     /// CPUs, rented or ordered, that serve the same demand.
     present: f64,
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -9,7 +9,7 @@
 use crate::names::MachineId;
 use crate::replica::{Binding, Machine};
 
-/// Unused CPUs from which on a machine may steal further tasks.
+/// Unused CPUs that a machine must have to steal tasks.
 const MIN_FREE_CPUS: f64 = 0.5;
 /// Lower bound for a machine's CPUs when work is divided by them; avoids a division by zero.
 const MIN_CPUS: f64 = 1e-6;
@@ -31,7 +31,7 @@
         ) else {
             return Vec::new();
         };
-        // Only a machine that accepts no token but ours cannot start a task that left its queue.
+        // Only a machine that is known to accept no token but ours cannot start what left its queue.
         let Some(size) = self.size(machine).filter(|_| runtime.is_fenced_and_alive()) else {
             return Vec::new();
         };
--- a/src/stealing/pack_steal.rs
+++ b/src/stealing/pack_steal.rs
@@ -30,7 +30,7 @@
 pub(super) struct Thresholds {
     /// Mean load of all machines.
     pub(super) mean: f64,
-    /// Load above the mean from which on a machine is a victim (epsilon).
+    /// Load above the mean at which a machine becomes a victim (epsilon).
     pub(super) epsilon: f64,
     /// Target load of a pack.
     pub(super) pack: f64,
--- a/src/stealing/rounds.rs
+++ b/src/stealing/rounds.rs
@@ -52,12 +52,12 @@
     /// Enqueues a message for a peer, or drops it if `capacity` messages are enqueued already.
     pub(super) fn enqueue_outgoing(
         &mut self,
-        host: ControllerId,
+        controller: ControllerId,
         message: StealMessage,
         capacity: usize,
     ) {
         if self.outbox.len() < capacity {
-            self.outbox.push((host, message));
+            self.outbox.push((controller, message));
         }
     }
 }
@@ -191,15 +191,15 @@
     /// Loads of all machines; those of peers' machines as published.
     fn fleet_loads(&self, own: &[MachineId], now: Timestamp) -> FleetLoads {
         let mut loads = FleetLoads::default();
-        for (host, totals) in &self.replica.loads {
-            if *host == self.me {
+        for (controller, totals) in &self.replica.loads {
+            if *controller == self.me {
                 continue;
             }
             loads.count += totals.count;
             loads.sum += totals.sum;
             for (&machine_id, &load) in &totals.machines {
                 let holder = self.replica.holder(machine_id);
-                let held = holder.is_some_and(|(_, grant)| grant.host == *host);
+                let held = holder.is_some_and(|(_, grant)| grant.host == *controller);
                 if held && self.available(machine_id, now) {
                     loads.machines.insert(machine_id, load);
                 }
