--- a/src/stealing/pack_steal.rs
+++ b/src/stealing/pack_steal.rs
@@ -11,7 +11,7 @@
 /// to an integer exact.
 const MAX_STEALS: f64 = 1e6;
 
-/// Configured parameters of the algorithm, named after the paper's symbols.
+/// Configured parameters of the algorithm, with the paper's symbols in parentheses.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Factors {
     /// Imbalance tolerance as a fraction of the mean load (xi).
