--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -111,8 +111,8 @@
     pub bound_by_zone: HashMap<ZoneId, u32>,
     /// Whether it has waited so long that expensive and cordoned machines are allowed too.
     pub overdue: bool,
-    /// Whether its tasks may go to blocks whose next scheduled write is not due yet, because other jobs
-    /// wait for them.
+    /// Whether its tasks may go to blocks whose next scheduled write is not due yet, because the job is
+    /// part of a dependency chain.
     pub ahead_of_schedule: bool,
     /// Whether its tasks exceed the job's share of the fleet. Such tasks only use resources that no
     /// other job wants, so no machine is reserved for them.
