--- a/src/controller/heartbeat/admission.rs
+++ b/src/controller/heartbeat/admission.rs
@@ -4,7 +4,7 @@
 use super::HeldMachine;
 use crate::clock::Timestamp;
 use crate::controller::{Controller, HeartbeatResponse};
-use crate::names::{HostId, MachineId};
+use crate::names::{ControllerId, MachineId};
 use crate::protocol::Heartbeat;
 use crate::replica::{FencingToken, Holder};
 
@@ -50,7 +50,7 @@
     }
 
     /// The other controller to which the machine's block has been granted since, as reported by a peer.
-    fn later_holder(&self, machine_id: MachineId) -> Option<HostId> {
+    fn later_holder(&self, machine_id: MachineId) -> Option<ControllerId> {
         let block = self.replica.machines.get(&machine_id)?.block;
         let holder = self.peers.reported_holder(block)?;
         (holder != self.me).then_some(holder)
@@ -84,11 +84,11 @@
         self.redirect(holder)
     }
 
-    fn is_reachable_peer(&self, host: HostId, now: Timestamp) -> bool {
+    fn is_reachable_peer(&self, host: ControllerId, now: Timestamp) -> bool {
         host != self.me && self.peers.hears(host, now)
     }
 
-    fn redirect(&mut self, to: Option<HostId>) -> HeartbeatResponse {
+    fn redirect(&mut self, to: Option<ControllerId>) -> HeartbeatResponse {
         self.counters.redirects += 1;
         let name = to.map(|host| self.replica.names.hosts.name(host).to_owned());
         HeartbeatResponse::Elsewhere(name)
--- a/src/controller/heartbeat/launch.rs
+++ b/src/controller/heartbeat/launch.rs
@@ -4,7 +4,7 @@
 use crate::controller::held_machines::MachineRuntime;
 use crate::controller::{Completion, Controller};
 use crate::names::MachineId;
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::protocol::Command;
 use crate::replica::{Binding, Machine};
 use quillbend_spillover::confirmation::Permission;
@@ -36,7 +36,7 @@
     /// It is freed and not started here.
     Free,
     /// It is started if the machine has these resources free.
-    Start(Room),
+    Start(Resources),
 }
 
 impl Controller {
@@ -46,7 +46,7 @@
         &self,
         machine_id: MachineId,
         runtime: &mut MachineRuntime,
-        mut used: Room,
+        mut used: Resources,
         queue_mode: QueueMode,
         now: Timestamp,
     ) -> Launches {
--- a/src/controller/heartbeat/outcomes.rs
+++ b/src/controller/heartbeat/outcomes.rs
@@ -22,7 +22,7 @@
                 runtime.failed_jobs.clear();
                 self.held.record_success(job);
                 // Other jobs depend on this one, so the leader should learn of its last completions soon.
-                if self.replica.dependencies.is_needed(job) {
+                if self.replica.dependencies.has_dependents(job) {
                     self.peers.request_urgent_update();
                 }
             }
--- a/src/controller/heartbeat/reconcile.rs
+++ b/src/controller/heartbeat/reconcile.rs
@@ -8,7 +8,7 @@
 use crate::controller::held_machines::{MachineRuntime, TaskRuntime};
 use crate::controller::{Completion, Controller, TaskOutcome};
 use crate::names::{ClassId, MachineId};
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::protocol::{ExitReason, Heartbeat, TaskPhase, TaskStatus};
 use crate::replica::{Binding, Job, Machine, TaskId};
 use tracing::debug;
@@ -45,7 +45,7 @@
     /// Tasks of the previous heartbeat.
     pub(super) previous_tasks: HashMap<TaskId, TaskRuntime>,
     /// Resources used by the tasks that have not ended.
-    pub(super) used: Room,
+    pub(super) used: Resources,
     /// Completions that this heartbeat reports for the first time.
     pub(super) completions: Vec<Completion>,
     /// Ratios of observed run times to their estimates.
--- a/src/dependencies/tests.rs
+++ b/src/dependencies/tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of `dependencies`.
 
-use super::{DependencyGraph, OwnDemand};
+use super::{DependencyGraph, OwnUrgency};
 use crate::names::{Index, JobId};
 use crate::protocol::Priority;
 
@@ -8,41 +8,44 @@
     JobId::from_raw(n)
 }
 
-fn own(priority: Priority, due_ms: Option<i64>, duration_ms: i64) -> OwnDemand {
-    OwnDemand {
+fn own(priority: Priority, due_ms: Option<i64>, duration_ms: i64) -> OwnUrgency {
+    OwnUrgency {
         priority,
         due_ms,
         duration_ms,
     }
 }
 
-/// Adds a job that waits for others and asks for little itself.
+/// Adds a job with the lowest priority and no deadline.
 fn add(graph: &mut DependencyGraph, n: u32, needs: &[u32]) {
     let needs = needs.iter().copied().map(job).collect();
     graph.insert(job(n), own(Priority::BestEffort, None, 10), needs);
 }
 
 #[test]
-fn the_last_jobs_priority_and_deadline_reach_all_before_it() {
+fn priority_and_deadline_propagate_to_all_predecessors() {
     let mut graph = DependencyGraph::default();
     add(&mut graph, 1, &[0]);
     add(&mut graph, 2, &[1]);
     assert_eq!(
-        graph.inherited(job(0)).unwrap().priority,
+        graph.inherited_urgency(job(0)).unwrap().priority,
         Priority::BestEffort
     );
     graph.insert(job(3), own(Priority::Urgent, Some(1000), 5), vec![job(2)]);
-    let start_by = |n| graph.inherited(job(n)).unwrap().start_by_ms;
+    let start_by = |n| graph.inherited_urgency(job(n)).unwrap().start_by_ms;
     assert_eq!(start_by(2), Some(995));
     assert_eq!(start_by(1), Some(985));
     assert_eq!(start_by(0), Some(975));
-    assert_eq!(graph.inherited(job(0)).unwrap().priority, Priority::Urgent);
-    assert_eq!(graph.inherited(job(3)), None);
+    assert_eq!(
+        graph.inherited_urgency(job(0)).unwrap().priority,
+        Priority::Urgent
+    );
+    assert_eq!(graph.inherited_urgency(job(3)), None);
 }
 
 #[test]
-fn the_order_in_which_jobs_become_known_makes_no_difference() {
-    // A full read brings them in the order of their names.
+fn insertion_order_does_not_change_inherited_urgency() {
+    // A full read of the key-value store returns jobs in the order of their names.
     let edges: [(u32, &[u32]); 4] = [(1, &[0]), (2, &[0]), (3, &[1, 2]), (4, &[3])];
     let mut results = Vec::new();
     for order in [[0, 1, 2, 3], [3, 2, 1, 0], [2, 0, 3, 1]] {
@@ -57,11 +60,15 @@
                 needs,
             );
         }
-        results.push((0..4).map(|n| graph.inherited(job(n))).collect::<Vec<_>>());
+        results.push(
+            (0..4)
+                .map(|n| graph.inherited_urgency(job(n)))
+                .collect::<Vec<_>>(),
+        );
     }
     assert_eq!(results[0], results[1]);
     assert_eq!(results[0], results[2]);
-    // Through 2, which takes longer than 1, and 3 and 4.
+    // The critical path runs through jobs 2, 3 and 4, because 2 takes longer than 1.
     assert_eq!(
         results[0][0].unwrap().start_by_ms,
         Some(500 - 400 - 300 - 200)
@@ -69,46 +76,46 @@
 }
 
 #[test]
-fn a_dependent_that_is_gone_no_longer_raises_the_priority() {
+fn a_removed_dependent_no_longer_raises_the_priority() {
     let mut graph = DependencyGraph::default();
     add(&mut graph, 1, &[0]);
     graph.insert(job(2), own(Priority::Critical, Some(50), 1), vec![job(1)]);
     graph.insert(job(3), own(Priority::Normal, Some(90), 1), vec![job(1)]);
     assert_eq!(
-        graph.inherited(job(0)).unwrap().priority,
+        graph.inherited_urgency(job(0)).unwrap().priority,
         Priority::Critical
     );
     assert_eq!(graph.remove(job(2)), [job(1)]);
-    let left = graph.inherited(job(0)).unwrap();
+    let left = graph.inherited_urgency(job(0)).unwrap();
     assert_eq!(
         (left.priority, left.start_by_ms),
         (Priority::Normal, Some(79))
     );
     graph.remove(job(3));
-    assert!(!graph.is_needed(job(1)) && graph.is_needed(job(0)));
+    assert!(!graph.has_dependents(job(1)) && graph.has_dependents(job(0)));
     graph.remove(job(1));
-    assert_eq!(graph.inherited(job(0)), None);
-    assert!(!graph.is_needed(job(0)));
+    assert_eq!(graph.inherited_urgency(job(0)), None);
+    assert!(!graph.has_dependents(job(0)));
     assert!(graph.remove(job(1)).is_empty());
 }
 
 #[test]
-fn descendants_are_found_once_each_through_every_path() {
+fn transitive_dependents_are_listed_once_each() {
     let mut graph = DependencyGraph::default();
     add(&mut graph, 1, &[0]);
     add(&mut graph, 2, &[0]);
     add(&mut graph, 3, &[1, 2]);
     add(&mut graph, 4, &[3]);
     add(&mut graph, 5, &[9]);
-    let mut all = graph.descendants(job(0));
+    let mut all = graph.transitive_dependents(job(0));
     all.sort();
     assert_eq!(all, [job(1), job(2), job(3), job(4)]);
-    assert!(graph.descendants(job(4)).is_empty());
+    assert!(graph.transitive_dependents(job(4)).is_empty());
 }
 
 #[test]
-fn a_chain_of_thousands_of_jobs_grows_without_visiting_all_of_it() {
-    // Each new job asks no more than the one before it, so nothing has to be passed on.
+fn appending_to_a_long_chain_does_not_visit_the_whole_chain() {
+    // Each new job is no more urgent than its predecessor, so nothing is propagated further.
     let mut graph = DependencyGraph::default();
     for n in 1..50_000 {
         add(&mut graph, n, &[n - 1]);
@@ -118,6 +125,9 @@
         own(Priority::Urgent, Some(0), 1),
         vec![job(49_999)],
     );
-    assert_eq!(graph.inherited(job(0)).unwrap().priority, Priority::Urgent);
-    assert_eq!(graph.descendants(job(0)).len(), 50_000);
+    assert_eq!(
+        graph.inherited_urgency(job(0)).unwrap().priority,
+        Priority::Urgent
+    );
+    assert_eq!(graph.transitive_dependents(job(0)).len(), 50_000);
 }
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -13,7 +13,7 @@
 use crate::collections::HashMap;
 use crate::controller::{Controller, needs_of};
 use crate::names::JobId;
-use crate::placement::{self, Candidate, PlannedBinding, Slot};
+use crate::placement::{self, CandidateJob, CandidateMachine, PlannedBinding};
 use crate::ranges::RangeSet;
 use crate::replica::Job;
 use bindable_jobs::{BindableJob, BindableJobs};
@@ -104,7 +104,11 @@
     }
 
     /// The machines that may take tasks of these jobs.
-    fn candidate_machines_for(&self, bindable_jobs: &BindableJobs, now: Timestamp) -> Vec<Slot> {
+    fn candidate_machines_for(
+        &self,
+        bindable_jobs: &BindableJobs,
+        now: Timestamp,
+    ) -> Vec<CandidateMachine> {
         let jobs = &bindable_jobs.in_order;
         let scope = CandidateMachineScope {
             include_cordoned: jobs.iter().any(|bindable_job| bindable_job.overdue),
@@ -121,11 +125,11 @@
         &self,
         bindable_jobs: &BindableJobs,
         in_flight: &TasksInFlight,
-    ) -> Vec<Candidate> {
+    ) -> Vec<CandidateJob> {
         let fleet_cpus = self.fleet_cpus();
         let mut bound_by_zone = None;
-        let mut candidate_jobs: Vec<Candidate> = Vec::new();
-        let mut beyond_share: Vec<Candidate> = Vec::new();
+        let mut candidate_jobs: Vec<CandidateJob> = Vec::new();
+        let mut beyond_share: Vec<CandidateJob> = Vec::new();
         for bindable_job in bindable_jobs.in_order.iter().take(MAX_JOBS_PER_PLAN) {
             let job = &self.replica.jobs[&bindable_job.job];
             let mut taken = job.done.clone();
@@ -157,7 +161,7 @@
                 let within_share = share_left.min(candidate_job.tasks.len());
                 let rest = candidate_job.tasks.split_off(within_share);
                 if !rest.is_empty() {
-                    beyond_share.push(Candidate {
+                    beyond_share.push(CandidateJob {
                         tasks: rest,
                         beyond_share: true,
                         ..candidate_job.clone()
@@ -178,10 +182,10 @@
         job: &Job,
         taken: &RangeSet,
         max_tasks: usize,
-    ) -> Candidate {
+    ) -> CandidateJob {
         let value_bytes = self.settings.value_bytes();
         let bindable = job.bindable(taken, value_bytes, self.replica.encoding());
-        Candidate {
+        CandidateJob {
             job: bindable_job.job,
             team: job.team,
             image: job.image,
@@ -191,7 +195,7 @@
             tasks: bindable.take(max_tasks).collect(),
             bound_by_zone: HashMap::default(),
             overdue: bindable_job.overdue,
-            ahead_of_turn: self.may_bind_early(bindable_job.job, job),
+            ahead_of_schedule: self.may_bind_early(bindable_job.job, job),
             beyond_share: false,
         }
     }
@@ -200,13 +204,13 @@
     /// to a dependency chain, whose last result a user is waiting for, and is small enough that
     /// this costs few writes.
     fn may_bind_early(&self, job_id: JobId, job: &Job) -> bool {
-        let chained = job.ready_ms.is_some() || self.replica.dependencies.is_needed(job_id);
+        let chained = job.ready_ms.is_some() || self.replica.dependencies.has_dependents(job_id);
         chained && job.spec.task_count <= MAX_TASKS_FOR_EARLY_BINDING
     }
 }
 
 /// CPUs of these machines that no bound task uses.
-fn free_cpus(candidate_machines: &[Slot]) -> f64 {
+fn free_cpus(candidate_machines: &[CandidateMachine]) -> f64 {
     candidate_machines
         .iter()
         .map(|slot| slot.size.cpus - slot.used.cpus)
--- a/src/leadership/candidate_machines.rs
+++ b/src/leadership/candidate_machines.rs
@@ -4,7 +4,7 @@
 use crate::collections::{HashMap, HashSet};
 use crate::controller::Controller;
 use crate::names::MachineId;
-use crate::placement::{Room, Slot};
+use crate::placement::{CandidateMachine, Resources};
 use crate::protocol::MachineType;
 use crate::replica::{Binding, Machine};
 use crate::scaling::{EXPENSIVE_CPU_FACTOR, MIN_CPUS};
@@ -77,7 +77,7 @@
         &self,
         scope: CandidateMachineScope,
         now: Timestamp,
-    ) -> Vec<Slot> {
+    ) -> Vec<CandidateMachine> {
         let regular_blocks = self.writable_blocks(now);
         let early_blocks = match scope.include_early {
             true => self.blocks_writable_early(now),
@@ -100,9 +100,9 @@
             }
             let pending = pending.get(&machine_id).map_or(&[][..], Vec::as_slice);
             let candidate = self.candidate_machine(machine_id, machine, pending, cheapest, now);
-            candidates.extend(candidate.map(|candidate| Slot {
+            candidates.extend(candidate.map(|candidate| CandidateMachine {
                 cordoned,
-                ahead_of_turn: !regular,
+                ahead_of_schedule: !regular,
                 ..candidate
             }));
         }
@@ -118,11 +118,11 @@
         pending: &[Binding],
         cheapest: CheapestPrices,
         now: Timestamp,
-    ) -> Option<Slot> {
+    ) -> Option<CandidateMachine> {
         let size = self.size(machine)?;
         let machine_type = self.machine_types.get(&machine.machine_type)?;
         let images = self.leadership.machines.cached_images(machine_id);
-        Some(Slot {
+        Some(CandidateMachine {
             machine: machine_id,
             machine_type: machine.machine_type,
             zone: machine.zone,
@@ -134,7 +134,7 @@
             cached_images: images.iter().copied().collect(),
             expensive: cheapest.is_expensive(machine_type, machine.spot),
             cordoned: false,
-            ahead_of_turn: false,
+            ahead_of_schedule: false,
         })
     }
 
@@ -172,8 +172,8 @@
     }
 
     /// Resources used by the tasks of these bindings.
-    fn used_resources<'a>(&self, bindings: impl Iterator<Item = &'a Binding>) -> Room {
-        let mut used = Room::default();
+    fn used_resources<'a>(&self, bindings: impl Iterator<Item = &'a Binding>) -> Resources {
+        let mut used = Resources::default();
         for binding in bindings {
             if let Some(job) = self.replica.jobs.get(&binding.task.job) {
                 used.add(&job.room(), 1.0);
@@ -183,7 +183,7 @@
     }
 
     /// Resources used by the tasks that are bound to a machine.
-    pub(crate) fn used_on(&self, machine_id: MachineId) -> Room {
+    pub(crate) fn used_on(&self, machine_id: MachineId) -> Resources {
         let machine = self.replica.machines.get(&machine_id);
         let queue = machine.map(|machine| machine.queue.iter());
         self.used_resources(queue.into_iter().flatten())
--- a/src/leadership/capacity.rs
+++ b/src/leadership/capacity.rs
@@ -5,10 +5,10 @@
 use crate::collections::HashMap;
 use crate::controller::{Controller, needs_of};
 use crate::names::{Index, JobId, MachineId, TeamId, ZoneId};
-use crate::placement::Room;
+use crate::placement::Resources;
 use crate::protocol::JobStatus;
 use crate::replica::{Job, Machine};
-use crate::scaling::{CapacityPool, Demand, Offer, Rented};
+use crate::scaling::{CapacityPool, Demand, Offer, RentedMachine};
 
 /// Minimum CPUs that a task counts for.
 const MIN_TASK_CPUS: f64 = 1e-3;
@@ -50,7 +50,7 @@
 
     /// The machines that serve demand, excluding those that are leaving, partitioned off or
     /// presumed dead.
-    pub(crate) fn fleet(&self, now: Timestamp) -> Vec<Rented> {
+    pub(crate) fn fleet(&self, now: Timestamp) -> Vec<RentedMachine> {
         let machines = self.replica.machines_sorted().into_iter();
         let rented = machines.filter_map(|machine_id| {
             self.rented(machine_id, &self.replica.machines[&machine_id], now)
@@ -58,7 +58,12 @@
         rented.collect()
     }
 
-    fn rented(&self, machine_id: MachineId, machine: &Machine, now: Timestamp) -> Option<Rented> {
+    fn rented(
+        &self,
+        machine_id: MachineId,
+        machine: &Machine,
+        now: Timestamp,
+    ) -> Option<RentedMachine> {
         let size = self.size(machine)?;
         let machine_type = self.machine_types.get(&machine.machine_type)?;
         let info = self.machine_health(machine_id, now);
@@ -75,7 +80,7 @@
         }
         let up = info.is_some_and(|info| info.since_last_heartbeat_ms.is_some());
         let idle_ms = self.leadership.machines.idle_for_ms(machine_id, now);
-        Some(Rented {
+        Some(RentedMachine {
             machine: machine_id,
             machine_type: machine.machine_type,
             zone: machine.zone,
@@ -97,7 +102,10 @@
 
     /// The fleet including pending machines, both requested ones and those rented but not yet in a
     /// block. Without them, concurrent requests to several zones would repeat the same demand.
-    pub(super) fn with_pending_machines(&self, mut fleet: Vec<Rented>) -> Vec<Rented> {
+    pub(super) fn with_pending_machines(
+        &self,
+        mut fleet: Vec<RentedMachine>,
+    ) -> Vec<RentedMachine> {
         let unplaced = self.leadership.inventory.to_place().values();
         let unplaced = unplaced.map(|new| (&new.machine_type, &new.zone, new.spot, 1));
         let requested = self.leadership.rental_requests.pending();
@@ -117,13 +125,13 @@
                 continue;
             };
             for _ in 0..number {
-                fleet.push(Rented {
+                fleet.push(RentedMachine {
                     // Placeholder: the machine has no name yet, and no decision depends on it.
                     machine: MachineId::from_raw(u32::MAX),
                     machine_type,
                     zone,
                     spot,
-                    size: Room::from(catalog_entry),
+                    size: Resources::from(catalog_entry),
                     price: catalog_entry.price,
                     idle_s: None,
                     held_s: 0.0,
@@ -139,7 +147,7 @@
         let mut offers: Vec<Offer> = catalog
             .map(|(&machine_type, entry)| Offer {
                 machine_type,
-                size: Room::from(entry),
+                size: Resources::from(entry),
                 zones: entry
                     .zones
                     .iter()
--- a/src/leadership/grant_observations.rs
+++ b/src/leadership/grant_observations.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
-use crate::names::HostId;
+use crate::names::ControllerId;
 use crate::replica::{BlockId, Replica};
 
 /// How long a holder that does not reach its workers gets no more blocks, ms.
@@ -26,9 +26,9 @@
 pub(super) struct GrantObservations {
     grants: HashMap<BlockId, ObservedGrant>,
     /// Until when controllers that do not reach their workers get no more blocks.
-    avoid_until: HashMap<HostId, Timestamp>,
+    avoid_until: HashMap<ControllerId, Timestamp>,
     /// Since when each controller has been seen in another incarnation than its grants name.
-    restarted_since: HashMap<HostId, Timestamp>,
+    restarted_since: HashMap<ControllerId, Timestamp>,
     next_rebalance: Timestamp,
 }
 
@@ -68,16 +68,16 @@
     }
 
     /// Removes avoided controllers from `holders`, unless that would leave none.
-    pub(super) fn exclude_avoided(&mut self, holders: &mut Vec<HostId>, now: Timestamp) {
+    pub(super) fn exclude_avoided(&mut self, holders: &mut Vec<ControllerId>, now: Timestamp) {
         self.avoid_until.retain(|_, until| now < *until);
-        let avoided = |host: &HostId| self.avoid_until.contains_key(host);
+        let avoided = |host: &ControllerId| self.avoid_until.contains_key(host);
         if !holders.iter().all(avoided) {
             holders.retain(|host| !avoided(host));
         }
     }
 
     /// Excludes a controller that does not reach its workers from new grants for a while.
-    pub(super) fn avoid(&mut self, holder: HostId, now: Timestamp) {
+    pub(super) fn avoid(&mut self, holder: ControllerId, now: Timestamp) {
         self.avoid_until.insert(holder, now.plus(AVOID_HOLDER_MS));
     }
 
@@ -85,9 +85,9 @@
     /// those that have done so for long enough.
     pub(super) fn observe_restarted(
         &mut self,
-        restarted: &HashSet<HostId>,
+        restarted: &HashSet<ControllerId>,
         now: Timestamp,
-    ) -> HashSet<HostId> {
+    ) -> HashSet<ControllerId> {
         let since = &mut self.restarted_since;
         since.retain(|host, _| restarted.contains(host));
         for &host in restarted {
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -8,7 +8,7 @@
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
 use crate::controller::{Controller, put};
-use crate::names::{HostId, MachineId};
+use crate::names::{ControllerId, MachineId};
 use crate::protocol::Transaction;
 use crate::records::HolderRecord;
 use crate::replica::{BlockId, Holder, Replica, grant_key};
@@ -63,21 +63,21 @@
 #[derive(Debug, Clone, Copy)]
 struct PlannedGrant {
     block: BlockId,
-    to: HostId,
+    to: ControllerId,
     reason: GrantReason,
 }
 
 /// The controllers that may hold blocks, and the load of each holder.
 struct HolderLoads {
     /// Sorted by index.
-    usable: Vec<HostId>,
+    usable: Vec<ControllerId>,
     /// Load by holder, as the sum of [`block_weight`] over its blocks.
-    loads: HashMap<HostId, usize>,
+    loads: HashMap<ControllerId, usize>,
 }
 
 impl HolderLoads {
-    fn new(usable: Vec<HostId>, replica: &Replica) -> Self {
-        let mut loads: HashMap<HostId, usize> = HashMap::default();
+    fn new(usable: Vec<ControllerId>, replica: &Replica) -> Self {
+        let mut loads: HashMap<ControllerId, usize> = HashMap::default();
         for (id, grant) in &replica.grants {
             if let Some(block) = replica.blocks.get(id) {
                 *loads.entry(grant.host).or_default() += block_weight(block.machines.len());
@@ -86,22 +86,22 @@
         Self { usable, loads }
     }
 
-    fn load_of(&self, host: HostId) -> usize {
+    fn load_of(&self, host: ControllerId) -> usize {
         self.loads.get(&host).copied().unwrap_or(0)
     }
 
-    fn add_load(&mut self, host: HostId, weight: usize) {
+    fn add_load(&mut self, host: ControllerId, weight: usize) {
         *self.loads.entry(host).or_default() += weight;
     }
 
     /// The usable controller with the lowest load, excluding `except`.
-    fn least_loaded_except(&self, except: Option<HostId>) -> Option<HostId> {
+    fn least_loaded_except(&self, except: Option<ControllerId>) -> Option<ControllerId> {
         let usable = self.usable.iter().copied();
         let others = usable.filter(|&host| Some(host) != except);
         others.min_by_key(|&host| self.load_of(host))
     }
 
-    fn most_loaded(&self) -> Option<HostId> {
+    fn most_loaded(&self) -> Option<ControllerId> {
         let usable = self.usable.iter().copied();
         usable.max_by_key(|&host| self.load_of(host))
     }
@@ -115,10 +115,10 @@
 /// Holders that do not serve their blocks although their keys exist.
 struct HolderFaults {
     /// Controllers seen for long enough in another incarnation than the one in their grants.
-    restarted: HashSet<HostId>,
+    restarted: HashSet<ControllerId>,
     /// Blocks whose holder does not answer its workers, with the controller that receives their
     /// heartbeats.
-    unreachable: HashMap<BlockId, HostId>,
+    unreachable: HashMap<BlockId, ControllerId>,
 }
 
 impl Controller {
@@ -134,7 +134,7 @@
     }
 
     /// Whether a controller may be granted blocks.
-    pub(super) fn is_eligible_holder(&self, host: HostId, now: Timestamp) -> bool {
+    pub(super) fn is_eligible_holder(&self, host: ControllerId, now: Timestamp) -> bool {
         let Some(controller) = self.replica.live_controllers.get(&host) else {
             return false;
         };
@@ -175,10 +175,10 @@
     }
 
     /// Controllers that may be granted blocks, sorted by index.
-    fn usable_controllers(&mut self, now: Timestamp) -> Vec<HostId> {
+    fn usable_controllers(&mut self, now: Timestamp) -> Vec<ControllerId> {
         let live = self.replica.live_controllers.keys().copied();
         let usable = live.filter(|&host| self.is_eligible_holder(host, now));
-        let mut usable: Vec<HostId> = usable.collect();
+        let mut usable: Vec<ControllerId> = usable.collect();
         usable.sort();
         if !usable.is_empty() {
             self.leadership.grants.exclude_avoided(&mut usable, now);
@@ -191,7 +191,7 @@
         let grants = self.replica.grants.values();
         let restarted =
             grants.filter(|grant| self.peers.restarted(grant.host, grant.incarnation, now));
-        let restarted: HashSet<HostId> = restarted.map(|grant| grant.host).collect();
+        let restarted: HashSet<ControllerId> = restarted.map(|grant| grant.host).collect();
         let seen = &mut self.leadership.grants;
         HolderFaults {
             restarted: seen.observe_restarted(&restarted, now),
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -8,7 +8,7 @@
 use crate::collections::HashMap;
 use crate::controller::Controller;
 use crate::names::{JobId, MachineId, TeamId};
-use crate::placement::{Candidate, Needs, ROOM_TOLERANCE, Room};
+use crate::placement::{CandidateJob, Needs, RESOURCE_TOLERANCE, Resources};
 use crate::protocol::Priority;
 use crate::replica::{Binding, Machine};
 use std::cmp::Ordering;
@@ -33,7 +33,7 @@
 
 /// A job with unbound tasks for which other tasks may be preempted.
 struct Preemptor<'a> {
-    candidate: &'a Candidate,
+    candidate: &'a CandidateJob,
     priority: Priority,
     slack_s: f64,
 }
@@ -41,7 +41,7 @@
 impl Preemptor<'_> {
     /// CPUs of one of its tasks.
     fn task_cpus(&self) -> f64 {
-        self.candidate.needs.room.cpus.max(MIN_TASK_CPUS)
+        self.candidate.needs.resources.cpus.max(MIN_TASK_CPUS)
     }
 
     /// Whether a task may be preempted for this job. The victim's job must have clearly more slack,
@@ -115,8 +115,8 @@
     /// Selects tasks to preempt if a plan is due.
     pub(super) fn plan_due_preemptions(
         &mut self,
-        candidate_jobs: &[Candidate],
-        team_room: &HashMap<TeamId, Room>,
+        candidate_jobs: &[CandidateJob],
+        team_room: &HashMap<TeamId, Resources>,
         interval_ms: u64,
         now: Timestamp,
     ) -> Preemptions {
@@ -137,8 +137,8 @@
     /// to any team if the machines are full.
     fn plan_preemptions(
         &self,
-        candidate_jobs: &[Candidate],
-        team_room: &HashMap<TeamId, Room>,
+        candidate_jobs: &[CandidateJob],
+        team_room: &HashMap<TeamId, Resources>,
     ) -> Preemptions {
         let mut preemptions = Preemptions::default();
         let preemptors = self.preemptors(candidate_jobs);
@@ -158,7 +158,7 @@
             }
             let team = job.candidate.team;
             let team_cpus = team_room.get(&team).map_or(0.0, |room| room.cpus);
-            let shortage = match team_cpus + ROOM_TOLERANCE < job.task_cpus() {
+            let shortage = match team_cpus + RESOURCE_TOLERANCE < job.task_cpus() {
                 true => Shortage::TeamLimit,
                 // When the whole fleet is full, only urgent work may preempt other tasks. Otherwise
                 // the shortage would move from class to class and cost extra stops and fetches.
@@ -167,7 +167,7 @@
             };
             let mut missing_cpus = being_freed.missing_cpus(&job, team_cpus, shortage);
             victims.retain(|victim| {
-                let preempted = missing_cpus > ROOM_TOLERANCE
+                let preempted = missing_cpus > RESOURCE_TOLERANCE
                     && budget_cpus > 0.0
                     && job.may_preempt(victim)
                     && match shortage {
@@ -187,7 +187,7 @@
     }
 
     /// Jobs that found no room and have little slack, in serving order.
-    fn preemptors<'a>(&self, candidate_jobs: &'a [Candidate]) -> Vec<Preemptor<'a>> {
+    fn preemptors<'a>(&self, candidate_jobs: &'a [CandidateJob]) -> Vec<Preemptor<'a>> {
         let waiting = candidate_jobs
             .iter()
             .filter(|candidate| !candidate.tasks.is_empty() && !candidate.beyond_share);
--- a/src/leadership/unreachable_holders.rs
+++ b/src/leadership/unreachable_holders.rs
@@ -4,7 +4,7 @@
 use crate::clock::Timestamp;
 use crate::collections::{HashMap, HashSet};
 use crate::controller::Controller;
-use crate::names::{HostId, MachineId};
+use crate::names::{ControllerId, MachineId};
 use crate::protocol::UnownedMachine;
 use crate::replica::BlockId;
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
     total: usize,
     /// The highest number of them at one controller, and that controller.
     max_machines: usize,
-    max_received_by: HostId,
+    max_received_by: ControllerId,
 }
 
 impl Controller {
@@ -31,7 +31,10 @@
     ///
     /// A single machine out of many is no evidence against its holder: a machine that receives no
     /// answers at all tries every controller, whichever holds its block.
-    pub(super) fn blocks_of_unreachable_holders(&self, now: Timestamp) -> HashMap<BlockId, HostId> {
+    pub(super) fn blocks_of_unreachable_holders(
+        &self,
+        now: Timestamp,
+    ) -> HashMap<BlockId, ControllerId> {
         let mut blocks = HashMap::default();
         if !self.peer_silence_is_conclusive(now) {
             return blocks;
@@ -48,7 +51,7 @@
     }
 
     fn unanswered_by_block(&self, now: Timestamp) -> BTreeMap<BlockId, UnansweredMachines> {
-        let mut received: BTreeMap<(BlockId, HostId), HashSet<MachineId>> = BTreeMap::new();
+        let mut received: BTreeMap<(BlockId, ControllerId), HashSet<MachineId>> = BTreeMap::new();
         let own = self.held.unowned.to_report(now);
         let own = own.iter().map(|machine| (self.me, machine));
         let of_peers = self.peers.unowned_machines();
@@ -81,7 +84,7 @@
     /// none.
     fn unanswered(
         &self,
-        host: HostId,
+        host: ControllerId,
         machine: &UnownedMachine,
         now: Timestamp,
     ) -> Option<(BlockId, MachineId)> {
--- a/src/names/tests.rs
+++ b/src/names/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn indices_are_dense_and_slots_come_back() {
+fn indices_are_dense_and_reused_after_release() {
     let mut names = Interner::<JobId>::default();
     let a = names.intern("wk-1");
     let b = names.intern("wk-2");
@@ -13,5 +13,5 @@
     assert_eq!(names.get("wk-1"), None);
     assert_eq!(names.name(a), "");
     assert_eq!(names.intern("wk-3").raw(), 0);
-    assert_eq!(names.slots(), 2);
+    assert_eq!(names.index_bound(), 2);
 }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,15 +1,15 @@
-//! Placement: which unbound task joins which machine's queue, by bin packing.
+//! Placement: assigns unbound tasks to machines' queues by bin packing.
 //!
-//! Owns the arithmetic of room and the choice of machines. It is pure: it sees only the machines,
-//! jobs and limits it is given, never the replica or the clock, and writes nothing.
+//! Owns the resource arithmetic and the choice of machines. It is pure: it sees only the machines,
+//! jobs and limits that it is given, never the replica or the clock, and writes nothing.
 
 mod candidates;
 mod planner;
-mod room;
+mod resources;
 
-pub use candidates::{Candidate, Slot};
-pub use planner::{Limits, PlannedBinding, plan};
-pub use room::{Needs, ROOM_TOLERANCE, Room};
+pub use candidates::{CandidateJob, CandidateMachine};
+pub use planner::{PlanLimits, PlannedBinding, plan};
+pub use resources::{Needs, RESOURCE_TOLERANCE, Resources};
 
 #[cfg(test)]
 pub(crate) mod tests;
--- a/src/scaling/scale_out.rs
+++ b/src/scaling/scale_out.rs
@@ -1,35 +1,35 @@
-//! What to rent.
+//! Scaling out: decides which machines to rent.
 
 use super::{
-    CapacityPool, Demand, EXPENSIVE_CPU_FACTOR, MAX_MACHINES_PER_REQUEST, MIN_CPUS, Offer, Rented,
-    Rules, ordinary_only, useful_cpus,
+    CapacityPool, Demand, EXPENSIVE_CPU_FACTOR, MAX_MACHINES_PER_REQUEST, MIN_CPUS, Offer,
+    RentedMachine, ScalingParams, on_demand_only, useful_cpus,
 };
 use crate::names::ZoneId;
-use crate::placement::Room;
+use crate::placement::Resources;
 
-/// Expensive machines are rented only for this many horizons of work.
+/// Expensive machines are rented only if there is work for this many horizons.
 const EXPENSIVE_HORIZONS: f64 = 2.5;
-/// A machine that would fill less than this part is left to smaller types.
+/// A machine is ordered only if at least this fraction of it would be used; smaller types serve less.
 const MIN_FILL: f64 = 0.5;
 
-/// Machines to ask the cloud for.
+/// Machines of one pool to request from the cloud.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RentOrder {
-    /// What kind of machines.
+pub struct PlannedRental {
+    /// Pool of the machines.
     pub pool: CapacityPool,
-    /// Size of each.
-    pub size: Room,
-    /// How many.
+    /// Resources of each machine.
+    pub size: Resources,
+    /// Number of machines.
     pub number: u32,
 }
 
-impl RentOrder {
+impl PlannedRental {
     fn cpus(&self) -> f64 {
         self.size.cpus * f64::from(self.number)
     }
 }
 
-/// An offer on one of its two markets.
+/// An offer on the spot or on the on-demand market.
 #[derive(Debug, Clone, Copy)]
 struct MarketOffer<'a> {
     offer: &'a Offer,
@@ -38,7 +38,7 @@
 }
 
 impl<'a> MarketOffer<'a> {
-    /// The spot and the ordinary market of an offer.
+    /// An offer on its spot market and on its on-demand market.
     fn markets(offer: &'a Offer) -> [Self; 2] {
         let on = |spot, price| Self { offer, spot, price };
         [on(true, offer.spot_price), on(false, offer.price)]
@@ -57,33 +57,35 @@
     }
 }
 
-/// Decides what to rent. `may_ask` says whether the cloud may be asked for a pool now.
+/// Decides which machines to rent. `can_request` returns whether a pool may be requested now.
 pub fn plan_rentals(
     demand: &[Demand],
-    fleet: &[Rented],
+    fleet: &[RentedMachine],
     offers: &[Offer],
-    rules: &Rules,
-    may_ask: impl Fn(CapacityPool) -> bool,
-) -> Vec<RentOrder> {
-    let mut plan = RentPlan {
+    params: &ScalingParams,
+    can_request: impl Fn(CapacityPool) -> bool,
+) -> Vec<PlannedRental> {
+    let mut plan = RentalPlan {
         demand,
         fleet,
-        rules,
+        params,
         orders: Vec::new(),
     };
-    // Markets are asked in the order of what a CPU costs; a job that cannot use one leaves its
-    // part of the demand to the next ones.
+    // Markets are tried from the cheapest CPU on. Demand of jobs that cannot use a market remains for
+    // the next ones.
     let mut markets: Vec<MarketOffer<'_>> = offers.iter().flat_map(MarketOffer::markets).collect();
     markets.sort_by(|a, b| a.price_per_cpu().total_cmp(&b.price_per_cpu()));
     let cheapest = markets.first().map_or(0.0, MarketOffer::price_per_cpu);
     for market in markets {
         let expensive = market.price_per_cpu() > cheapest * EXPENSIVE_CPU_FACTOR;
         let horizon_s = match expensive {
-            true => rules.horizon_s * EXPENSIVE_HORIZONS,
-            false => rules.horizon_s,
+            true => params.horizon_s * EXPENSIVE_HORIZONS,
+            false => params.horizon_s,
         };
         let zones = market.offer.zones.iter().copied();
-        let zones: Vec<ZoneId> = zones.filter(|&zone| may_ask(market.pool(zone))).collect();
+        let zones: Vec<ZoneId> = zones
+            .filter(|&zone| can_request(market.pool(zone)))
+            .collect();
         for (index, &zone) in zones.iter().enumerate() {
             plan.order(
                 market.pool(zone),
@@ -94,36 +96,38 @@
         }
     }
     if plan.orders.is_empty() {
-        let order = plan.order_for_unserved(offers, may_ask);
+        let order = plan.rental_for_unserved_job(offers, can_request);
         plan.orders.extend(order);
     }
     plan.orders
 }
 
-/// CPUs that are wanted of a pool, and those that serve the same demand already.
-struct Need {
+/// Demand that a pool can serve, and the capacity for it.
+struct PoolDemand {
+    /// CPUs worth renting for the demand.
     wanted: f64,
+    /// CPUs, rented or ordered, that serve the same demand.
     present: f64,
 }
 
-/// What is ordered so far.
-struct RentPlan<'a> {
+/// A rental plan in progress.
+struct RentalPlan<'a> {
     demand: &'a [Demand],
-    fleet: &'a [Rented],
-    rules: &'a Rules,
-    orders: Vec<RentOrder>,
+    fleet: &'a [RentedMachine],
+    params: &'a ScalingParams,
+    orders: Vec<PlannedRental>,
 }
 
-impl RentPlan<'_> {
-    /// Orders what is missing of a pool. `zones_left` counts the zones of the same market that
-    /// are not asked yet, this one included.
-    fn order(&mut self, pool: CapacityPool, size: Room, horizon_s: f64, zones_left: usize) {
-        let need = self.need(pool, &size, horizon_s);
-        // Spread over the zones that may be asked: capacity is not published, and a zone that
-        // is lost then takes only its part along.
-        let missing = (need.wanted - need.present) / zones_left as f64;
-        // A machine that would stay mostly empty is left to smaller types.
-        let number = if need.wanted - need.present >= size.cpus * MIN_FILL {
+impl RentalPlan<'_> {
+    /// Orders the missing machines of a pool. `zones_left` is the number of zones of the same market
+    /// not processed yet, including this one.
+    fn order(&mut self, pool: CapacityPool, size: Resources, horizon_s: f64, zones_left: usize) {
+        let demand = self.pool_demand(pool, &size, horizon_s);
+        // Spread over the zones that may be requested, because the cloud does not publish capacity
+        // and the loss of a zone should take only its share of the machines.
+        let missing = (demand.wanted - demand.present) / zones_left as f64;
+        // Smaller types serve a demand that would leave most of this machine unused.
+        let number = if demand.wanted - demand.present >= size.cpus * MIN_FILL {
             (missing / size.cpus).round().max(1.0) as u32
         } else {
             0
@@ -132,78 +136,81 @@
             .min(MAX_MACHINES_PER_REQUEST)
             .min(self.machines_left());
         if number > 0 {
-            self.orders.push(RentOrder { pool, size, number });
+            self.orders.push(PlannedRental { pool, size, number });
         }
     }
 
-    /// Machines that may still be rented.
+    /// Number of machines that may still be ordered without exceeding the fleet limit.
     fn machines_left(&self) -> u32 {
         let ordered = self.orders.iter().map(|order| order.number as usize);
         let machines = self.fleet.len() + ordered.sum::<usize>();
-        self.rules.most.saturating_sub(machines) as u32
+        self.params.max_machines.saturating_sub(machines) as u32
     }
 
-    fn need(&self, pool: CapacityPool, size: &Room, horizon_s: f64) -> Need {
-        let served = self.demand.iter().filter(|job| job.suits(pool, size));
+    /// The demand that a pool of the given machine size can serve.
+    fn pool_demand(&self, pool: CapacityPool, size: &Resources, horizon_s: f64) -> PoolDemand {
+        let served = self.demand.iter().filter(|job| job.can_run_on(pool, size));
         let served: Vec<Demand> = served.cloned().collect();
         let wanted = useful_cpus(&served, horizon_s);
         let present = self.serving_cpus(&served);
         if pool.spot {
-            return Need { wanted, present };
+            return PoolDemand { wanted, present };
         }
-        // Whichever lacks more: room for everything, or for what needs ordinary machines.
-        let ordinary_wanted = useful_cpus(&ordinary_only(&served), self.rules.horizon_s);
-        let ordinary_missing = ordinary_wanted - self.ordinary_cpus();
-        Need {
-            wanted: wanted.max(present + ordinary_missing),
+        // The larger shortage counts: of all demand, or of that for on-demand machines only.
+        let on_demand_wanted = useful_cpus(&on_demand_only(&served), self.params.horizon_s);
+        let on_demand_missing = on_demand_wanted - self.on_demand_cpus();
+        PoolDemand {
+            wanted: wanted.max(present + on_demand_missing),
             present,
         }
     }
 
-    /// CPUs of machines, rented or ordered, on which any of these jobs may run.
+    /// CPUs of machines, rented or ordered, on which at least one of these jobs may run.
     fn serving_cpus(&self, served: &[Demand]) -> f64 {
-        let serves = |pool: CapacityPool, size: &Room| {
+        let serves = |pool: CapacityPool, size: &Resources| {
             let mut jobs = served.iter();
-            jobs.any(|job| job.suits(pool, size))
+            jobs.any(|job| job.can_run_on(pool, size))
         };
         let rented = self.fleet.iter();
         let rented = rented.filter(|machine| serves(machine.pool(), &machine.size));
         let ordered = self.orders.iter();
         let ordered = ordered.filter(|order| serves(order.pool, &order.size));
         rented.map(|machine| machine.size.cpus).sum::<f64>()
-            + ordered.map(RentOrder::cpus).sum::<f64>()
+            + ordered.map(PlannedRental::cpus).sum::<f64>()
     }
 
-    /// CPUs of the machines, rented or ordered, that are no spot machines.
-    fn ordinary_cpus(&self) -> f64 {
+    /// CPUs of on-demand machines, rented or ordered.
+    fn on_demand_cpus(&self) -> f64 {
         let rented = self.fleet.iter().filter(|machine| !machine.spot);
         let ordered = self.orders.iter().filter(|order| !order.pool.spot);
         rented.map(|machine| machine.size.cpus).sum::<f64>()
-            + ordered.map(RentOrder::cpus).sum::<f64>()
+            + ordered.map(PlannedRental::cpus).sum::<f64>()
     }
 
-    /// What nothing rounds up to: the cheapest machine for a job that no machine suits.
-    fn order_for_unserved(
+    /// The cheapest machine for the first waiting job that can run on no machine. Its demand may be
+    /// too small to round up to a machine.
+    fn rental_for_unserved_job(
         &self,
         offers: &[Offer],
-        may_ask: impl Fn(CapacityPool) -> bool,
-    ) -> Option<RentOrder> {
-        if self.fleet.len() >= self.rules.most {
+        can_request: impl Fn(CapacityPool) -> bool,
+    ) -> Option<PlannedRental> {
+        if self.fleet.len() >= self.params.max_machines {
             return None;
         }
         let waiting = self.demand.iter().filter(|job| job.tasks > 0.0);
         let mut unserved =
-            waiting.filter(|job| !self.fleet.iter().any(|machine| machine.serves(job)));
-        unserved.find_map(|job| cheapest_order(job, offers, &may_ask))
+            waiting.filter(|job| !self.fleet.iter().any(|machine| machine.can_run(job)));
+        unserved.find_map(|job| cheapest_rental(job, offers, &can_request))
     }
 }
 
-/// One machine of the cheapest pool that a job's tasks may run on.
-fn cheapest_order(
+/// One machine of the cheapest pool on which a job's tasks may run; None if no such pool can be
+/// requested.
+fn cheapest_rental(
     job: &Demand,
     offers: &[Offer],
-    may_ask: impl Fn(CapacityPool) -> bool,
-) -> Option<RentOrder> {
+    can_request: impl Fn(CapacityPool) -> bool,
+) -> Option<PlannedRental> {
     let in_zones = offers
         .iter()
         .flat_map(|offer| offer.zones.iter().map(move |&zone| (offer, zone)));
@@ -211,9 +218,9 @@
         MarketOffer::markets(offer).map(|market| (market, market.pool(zone)))
     });
     let (market, pool) = pools
-        .filter(|(market, pool)| job.suits(*pool, &market.offer.size) && may_ask(*pool))
+        .filter(|(market, pool)| job.can_run_on(*pool, &market.offer.size) && can_request(*pool))
         .min_by(|(a, _), (b, _)| a.price.total_cmp(&b.price))?;
-    Some(RentOrder {
+    Some(PlannedRental {
         pool,
         size: market.offer.size,
         number: 1,
