--- a/src/controller/archive_queries.rs
+++ b/src/controller/archive_queries.rs
@@ -1,20 +1,20 @@
-//! Questions to the archive about jobs that others need and that left the watched keys too early.
+//! Archive queries for predecessors that left the watched keys too early.
 //!
-//! Guards against an older version that leads for a moment: it knows nothing of jobs that wait, and
-//! archives those that they need.
+//! An older version that leads briefly does not know of jobs with predecessors, and archives the
+//! predecessors while others still need them.
 
 use super::{Controller, Effect};
 use crate::clock::Timestamp;
 use crate::protocol::JobStatus;
 
-/// Interval of questions to the archive, ms.
+/// Interval between archive queries, ms.
 const QUERY_INTERVAL_MS: u64 = 2000;
-/// Jobs asked for at a time.
+/// Maximum number of jobs per query.
 const MAX_JOBS_PER_QUERY: usize = 4;
 
 impl Controller {
-    /// Asks the archive for the final states of jobs that others wait for and that no watched key
-    /// shows, if that is due.
+    /// Queries the archive, if that is due, for the final states of predecessors that no watched
+    /// key shows.
     pub(crate) fn ask_archive(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if now < self.schedule.next_archive_query || self.replica.waiting.jobs.is_empty() {
             return;
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The archive shows the final state of a job.
+    /// Handles the final state of an archived job.
     pub fn on_archived(&mut self, name: &str, status: JobStatus) {
         if let Some(job) = self.replica.names.jobs.get(name) {
             self.replica.note_archived(job, status);
--- a/src/controller/blocks/merging.rs
+++ b/src/controller/blocks/merging.rs
@@ -1,10 +1,10 @@
-//! Blocks that have become so small that two of them fit into one value.
+//! Merges blocks that are so small that two of them fit into one value.
 //!
-//! Each block is written in its own turn, and a turn is the longer the more blocks there are: fewer and
-//! fuller blocks let completions and bindings wait for less time.
+//! The write interval of a block grows with the number of blocks, so fewer and fuller blocks
+//! shorten the wait of completions and bindings.
 //!
-//! Must never move machines to a block with a lower fencing token than their own: their workers would drop
-//! every answer.
+//! Machines never move to a block with a lower fencing token than their own, because their workers
+//! would ignore every answer.
 
 use crate::clock::Timestamp;
 use crate::controller::writes::WriteIntent;
@@ -14,12 +14,13 @@
 use crate::replica::{BlockEdit, BlockId, block_key, grant_key};
 use tracing::info;
 
-/// Part of the largest value that the machines of a merged block may be expected to fill.
+/// Fraction of the largest value that the machines of a merged block may be expected to fill.
 const MAX_EXPECTED_FILL: f64 = 0.55;
-/// Part of the largest value that a merged block may fill from the start.
+/// Fraction of the largest value that a merged block may fill initially.
 const MAX_INITIAL_FILL: f64 = 0.6;
-/// So many blocks for each change a second are no burden. With fewer of them the writes of a block's
-/// holder and of the leader meet more often, and one of the two fails.
+/// Number of blocks per change per second of the write budget that are not worth merging. With
+/// fewer blocks, writes of the holder and of the leader conflict more often, and one of the two
+/// fails.
 const BLOCKS_PER_WRITE_RATE: f64 = 0.75;
 
 /// A block that may be merged with another one.
@@ -36,14 +37,14 @@
         blocks.filter(|block| !block.machines.is_empty()).count()
     }
 
-    /// Number of blocks up to which merging gains nothing.
+    /// Number of blocks up to which merging has no benefit.
     fn bearable_blocks(&self) -> usize {
         let settings = &self.settings.platform.settings;
         let bearable = settings.state.write_rps * BLOCKS_PER_WRITE_RATE;
         (bearable as usize).max(settings.count)
     }
 
-    /// Writes two small blocks held here as one, now and then.
+    /// Merges two small blocks held here, if a merge is due.
     pub(crate) fn tick_merge(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if !self.block_upkeep.is_merge_due(now) || self.replica.encoding() != Encoding::Dense {
             return;
@@ -61,11 +62,11 @@
         }
     }
 
-    /// Two blocks held here that fit into one: the one that is kept, and the one that is emptied.
+    /// Selects two blocks held here that fit into one: the block to keep and the block to empty.
     ///
-    /// The machines of the one with the lower fencing token go to the one with the higher. The other way
-    /// round, workers would drop every answer, for they obey no token that is lower than one they have
-    /// seen (PROTOCOL, tokens).
+    /// Machines move from the block with the lower fencing token to the one with the higher.
+    /// Workers reject tokens lower than one that they have seen, so the reverse would make them
+    /// ignore every answer (PROTOCOL, tokens).
     fn choose_merge(&self, now: Timestamp) -> Option<(BlockId, BlockId)> {
         let room = (self.settings.value_bytes() as f64 * MAX_EXPECTED_FILL) as usize;
         let mut small = self.small_blocks(room, now);
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The blocks held here, with machines, that no write concerns and that leave room for more.
+    /// Blocks held here that have machines and free room and that no write in flight changes.
     fn small_blocks(&self, room: usize, now: Timestamp) -> Vec<SmallBlock> {
         let mut small = Vec::new();
         for (&id, block) in &self.replica.blocks {
@@ -105,9 +106,9 @@
         small
     }
 
-    /// Plans the transaction that moves all machines of a block, with their queues and what was done
-    /// on them, into another one. Its conditions are those of every write of a holder, on both blocks
-    /// and both grants.
+    /// Plans the transaction that moves all machines of a block into another one, with their queues
+    /// and completed tasks. It has the preconditions of every write by a holder, on both blocks and
+    /// both grants.
     fn plan_merge(&self, kept: BlockId, emptied: BlockId) -> Option<(Transaction, WriteIntent)> {
         let (mut edit, mut intent) = self.edit_without_completed(kept);
         let (other, other_intent) = self.edit_without_completed(emptied);
--- a/src/controller/blocks/mod.rs
+++ b/src/controller/blocks/mod.rs
@@ -1,11 +1,11 @@
-//! Upkeep of the blocks held here: which are too large, too small, or not granted to anybody.
+//! Maintenance of the blocks held here: those that are too large, too small, or not granted.
 //!
-//! * [`splitting`] writes a block as several when its value is or will be too large.
-//! * [`merging`] writes two small blocks as one.
-//! * [`upkeep`] owns what is remembered of blocks between ticks ([`BlockUpkeep`]).
+//! * [`splitting`] divides a block whose value is or will be too large.
+//! * [`merging`] combines two small blocks.
+//! * [`upkeep`] owns the state of blocks that is kept between ticks ([`BlockUpkeep`]).
 //!
-//! Nothing here writes by itself: each step plans a [`Transaction`](crate::protocol::Transaction) with the
-//! conditions of every write of a block's holder and hands it to the write pipeline.
+//! Nothing here writes directly: each step plans a [`Transaction`](crate::protocol::Transaction)
+//! with the preconditions of every write by a block's holder and submits it to the write pipeline.
 
 mod merging;
 mod splitting;
--- a/src/controller/blocks/splitting.rs
+++ b/src/controller/blocks/splitting.rs
@@ -1,6 +1,6 @@
-//! Blocks whose values are larger than the store takes, or will take.
+//! Splits blocks whose values exceed, or will exceed, the store's size limit.
 //!
-//! Must never write a part of a block without the others: its machines move between keys in one transaction.
+//! All parts of a block are written in one transaction, so that no machine is lost or listed twice.
 
 use crate::collections::HashSet;
 use crate::controller::Controller;
@@ -10,16 +10,16 @@
 use crate::replica::{Block, BlockEdit, BlockId, Machine, block_key, grant_key};
 use tracing::{debug, info};
 
-/// Part of the largest value that a part of a split block should fill at most: its holder and the
-/// leader need the rest.
+/// Fraction of the largest value that one part of a split block should fill at most; the rest is
+/// room for the holder's and the leader's changes.
 const TARGET_FILL: f64 = 0.6;
-/// A block is split too when its machines, all of them busy, may be expected to fill this part of
+/// A block is also split when its machines, if all are busy, are expected to fill this fraction of
 /// the largest value.
 const MAX_EXPECTED_FILL: f64 = 0.8;
-/// What machines may be expected to fill in dense encoding, as a part of the compatible one.
+/// Expected size of machines in dense encoding, relative to the compatible one.
 const DENSE_PART: f64 = 0.6;
 
-/// Two halves of a block's machines and of its list of done tasks.
+/// Divides a block's machines and its list of done tasks into two halves.
 fn halves(edit: BlockEdit) -> (BlockEdit, BlockEdit) {
     let mut first = BlockEdit::default();
     let mut second = BlockEdit::default();
@@ -42,9 +42,9 @@
 }
 
 impl Controller {
-    /// Notes whether a block that changed is held here and is to be split: its value is too large to be
-    /// written as it is, or too many machines share it. A version that does not know of lower limits to
-    /// come may have filled it.
+    /// Records whether a changed block is held here and has to be split because its value exceeds
+    /// the limit or it has too many machines. A version that does not know of an upcoming lower
+    /// limit may have filled it.
     pub(crate) fn note_size(&mut self, id: BlockId) {
         let grant = self.replica.grants.get(&id);
         let held = grant.is_some_and(|grant| self.holds(grant));
@@ -56,10 +56,10 @@
         }
     }
 
-    /// Whether a block is to be split.
+    /// Whether a block has to be split.
     ///
-    /// Guards against machines that stand idle because the value which lists their tasks is full:
-    /// half of a fleet did when values had to become much smaller.
+    /// Prevents machines from staying idle because the value that lists their tasks is full: this
+    /// happened to half of a fleet when values had to become much smaller.
     fn needs_split(&self, block: &Block) -> bool {
         let max_bytes = self.settings.value_bytes();
         let max_expected_bytes = (max_bytes as f64 * MAX_EXPECTED_FILL) as usize;
@@ -67,13 +67,13 @@
         block.bytes > max_bytes || (crowded && block.machines.len() > 1)
     }
 
-    /// Bytes that the machines of a block may come to fill in its value.
+    /// Bytes that the machines of a block are expected to fill in its value.
     pub(super) fn expected_block_bytes(&self, block: &Block) -> usize {
         let machines = block.machines.iter();
         self.expected_size(machines.filter_map(|id| self.replica.machines.get(id)))
     }
 
-    /// Bytes that machines may come to fill in their block's value.
+    /// Bytes that machines are expected to fill in their block's value.
     fn expected_size<'a>(&self, machines: impl Iterator<Item = &'a Machine>) -> usize {
         let bytes: usize = machines
             .map(|machine| self.expected_bytes(machine.machine_type))
@@ -84,14 +84,14 @@
         }
     }
 
-    /// Plans to write a block as several, each with a part of its machines; the new ones are the
-    /// leader's to grant. None if even that would not fit: then tasks must complete first, which makes
-    /// the block smaller.
+    /// Plans to write a block as several, each with a part of its machines; the leader grants the
+    /// new ones. Returns `None` if the parts still do not fit: then tasks must complete first,
+    /// which makes the block smaller.
     ///
-    /// Guards against completions, cancellations and steals that wait for ever behind a value which can
-    /// only be written whole. The conditions are those of every write of a holder, on the grant and
-    /// on the block, so the machines move between keys in one step and nobody else has them
-    /// meanwhile.
+    /// Prevents completions, cancellations and steals from waiting forever behind a value that can
+    /// only be written as a whole. The transaction has the preconditions of every write by a
+    /// holder, on the grant and on the block, so the machines move between keys atomically and no
+    /// other controller holds them in between.
     pub(crate) fn plan_split(
         &self,
         id: BlockId,
@@ -128,8 +128,8 @@
         Some((transaction, intent))
     }
 
-    /// Values of the parts of a block, each of so many bytes at most; none if one transaction has
-    /// no room for them.
+    /// Returns the values of the parts of a block, each of at most `max_bytes`, or `None` if they
+    /// do not fit into one transaction.
     fn divide(&self, edit: &BlockEdit, max_bytes: usize) -> Option<Vec<Json>> {
         let max_parts = self.settings.platform.settings.state.txn_ops;
         let mut values = Vec::new();
@@ -154,7 +154,7 @@
         Some(values)
     }
 
-    /// Numbers of blocks that do not exist and are not being made.
+    /// Numbers of blocks that neither exist nor are being created.
     fn unused_blocks(&self) -> impl Iterator<Item = BlockId> + '_ {
         let being_made: HashSet<BlockId> = self.writes.blocks_in_flight().collect();
         let all = (0..).map(BlockId);
--- a/src/controller/blocks/upkeep.rs
+++ b/src/controller/blocks/upkeep.rs
@@ -1,51 +1,51 @@
-//! Which blocks are to be split or merged, and whether many have no valid grant.
+//! Records which blocks have to be split or merged, and whether many have no valid grant.
 //!
-//! Owns what is remembered of that between ticks. Must never hold back grants: it only lets other writes give
-//! way to them, and that only for a while.
+//! Owns this state between ticks. Grants are never delayed: other writes yield to them, for a
+//! limited time.
 
 use crate::clock::Timestamp;
 use crate::controller::Controller;
 use crate::replica::{BlockId, Replica};
 use std::collections::BTreeSet;
 
-/// Batched writes give way to grants while so many blocks have no valid one.
+/// Number of blocks without a valid grant from which batched writes yield to grants.
 const MANY_UNGRANTED_BLOCKS: usize = 4;
-/// They do so for this long at most, ms: there may be nobody to grant anything.
+/// Maximum time for which they yield, ms, since there may be nobody who can grant anything.
 const MAX_GIVING_WAY_MS: u64 = 6000;
-/// Interval of merges of one controller, ms: each costs two changes, and machines that move to
-/// another block have to show its fencing token first.
+/// Interval between two merges by one controller, ms. Each merge costs two changes, and the moved
+/// machines must first report the fencing token of their new block.
 const MERGE_INTERVAL_MS: u64 = 1000;
 
-/// What is known of blocks that need attention.
+/// State of blocks that need maintenance.
 #[derive(Debug, Default)]
 pub(crate) struct BlockUpkeep {
-    /// Blocks held here that are to be split.
+    /// Blocks held here that have to be split.
     oversized: BTreeSet<BlockId>,
-    /// Since when many blocks have no valid grant.
+    /// Since when many blocks have had no valid grant.
     ungranted_since: Option<Timestamp>,
-    /// Version of the replica at which that was last looked at.
+    /// Version of the replica at which ungranted blocks were last counted.
     ungranted_checked_version: u64,
-    /// When two small blocks may be merged again.
+    /// Earliest time of the next merge.
     next_merge: Timestamp,
 }
 
 impl BlockUpkeep {
-    /// A block is to be split.
+    /// Marks a block as one that has to be split.
     pub(super) fn mark_oversized(&mut self, id: BlockId) {
         self.oversized.insert(id);
     }
 
-    /// A block need not be split, or is not held here.
+    /// Removes the mark from a block that need not be split or is not held here.
     pub(super) fn clear_oversized(&mut self, id: BlockId) {
         self.oversized.remove(&id);
     }
 
-    /// Whether a block is to be split.
+    /// Whether a block has to be split.
     pub(crate) fn is_oversized(&self, id: BlockId) -> bool {
         self.oversized.contains(&id)
     }
 
-    /// Blocks held here that are to be split, by their numbers.
+    /// Blocks held here that have to be split, in order of their numbers.
     pub(crate) fn oversized(&self) -> impl Iterator<Item = BlockId> + '_ {
         self.oversized.iter().copied()
     }
@@ -55,16 +55,17 @@
         now >= self.next_merge
     }
 
-    /// Lets an interval pass before the next merge.
+    /// Schedules the next merge one interval later.
     pub(super) fn schedule_merge(&mut self, now: Timestamp) {
         self.next_merge = now.plus(MERGE_INTERVAL_MS);
     }
 
-    /// Looks whether many blocks wait for a grant, if the replica has changed since the last look.
+    /// Checks whether many blocks lack a valid grant, if the replica has changed since the last
+    /// check.
     ///
-    /// Guards against completions and bindings that use up the budget after several controllers ended
-    /// at once: the grants of fifty blocks then took six seconds, and with the time of the restart
-    /// the leases of workers expired.
+    /// Prevents completions and bindings from using up the write budget after several controllers
+    /// fail at once: granting fifty blocks then took six seconds, and together with the restart
+    /// time the workers' leases expired.
     fn note_ungranted(&mut self, replica: &Replica, now: Timestamp) {
         let last_version = std::mem::replace(&mut self.ungranted_checked_version, replica.version);
         if last_version == replica.version {
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Whether batched writes give way to grants.
+    /// Whether batched writes yield to grants.
     pub(crate) fn grants_first(&self, now: Timestamp) -> bool {
         self.ungranted_since
             .is_some_and(|since| now.since(since) < MAX_GIVING_WAY_MS)
@@ -97,7 +98,7 @@
 }
 
 impl Controller {
-    /// Looks whether many blocks wait for a grant; see [`BlockUpkeep::grants_first`].
+    /// Checks whether many blocks lack a valid grant; see [`BlockUpkeep::grants_first`].
     pub(crate) fn note_ungranted_blocks(&mut self, now: Timestamp) {
         self.block_upkeep.note_ungranted(&self.replica, now);
     }
--- a/src/controller/candidacy.rs
+++ b/src/controller/candidacy.rs
@@ -1,8 +1,9 @@
-//! When this controller takes the leadership: nobody leads, or the leader is gone.
+//! Decides when this controller takes the leadership, that is, when there is no leader or the
+//! leader has failed.
 //!
-//! The decision is a pure function of what the replica and the peers show. It may be wrong: the
-//! write that takes the leadership has the old leader's key as its precondition, and a leader that
-//! lost it must stop by its own authority.
+//! The decision is a pure function of the replica and the peers' reports, and it may be wrong. The
+//! write that takes the leadership therefore has the old leader's key as its precondition, and a
+//! deposed leader stops when its own authority ends.
 
 use super::writes::WriteIntent;
 use super::{Controller, Effect, WriteKind, put};
@@ -13,18 +14,18 @@
 use crate::replica::{Holder, LEAD};
 use tracing::info;
 
-/// A leader that is heard in another incarnation is given so long, ms: what a peer says of its
-/// incarnation may lag behind its key by a message or two.
+/// Grace period for a leader that reports another incarnation, ms: the reported incarnation and its
+/// key may disagree for a message or two.
 const RESTARTED_PATIENCE_MS: u64 = 1500;
-/// Each candidate before this one is given so long to go first, ms.
+/// Delay for each candidate that precedes this controller, ms.
 const RANK_DELAY_MS: u64 = 600;
 
-/// Who leads, as this controller sees it.
+/// The leader, as seen by this controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum LeaderStatus {
-    /// Nobody.
+    /// There is no leader.
     None,
-    /// This controller, though the replica has not caught up with its taking the leadership yet.
+    /// This controller, though the replica has not yet reached the revision of its grant.
     ThisController,
     /// An earlier incarnation of this controller.
     EarlierIncarnation,
@@ -32,28 +33,28 @@
     Peer(PeerLeader),
 }
 
-/// What speaks against a leader that is another controller.
+/// Evidence that another controller no longer leads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct PeerLeader {
-    /// No key shows it in the incarnation that leads.
+    /// Its key is missing or shows another incarnation than the one that leads.
     replaced: bool,
-    /// It is silent, and others miss it as well.
+    /// It is unreachable from here and from other controllers.
     silent: bool,
-    /// The state service does not answer it, while it answers this controller.
+    /// It cannot reach the store, while this controller can.
     refused: bool,
-    /// It speaks in another incarnation than the one that leads.
+    /// It reports another incarnation than the one that leads.
     restarted: bool,
-    /// How many controllers that are heard go before this one: those with lower names.
+    /// Number of reachable controllers that precede this one, that is, have lower names.
     rank: u64,
 }
 
 impl PeerLeader {
-    /// Whether it surely does not lead any more, or soon will not.
+    /// Whether it no longer leads or is about to lose the leadership.
     fn is_gone(self) -> bool {
         self.replaced || self.silent || self.refused
     }
 
-    /// Whether this controller may come to lead in its place.
+    /// Whether this controller may have to replace it.
     fn is_suspect(self) -> bool {
         self.is_gone() || self.restarted
     }
@@ -66,13 +67,13 @@
     Campaign,
 }
 
-/// Decides whether to take the leadership. `suspect_ms`: how long another controller that leads has
-/// been suspect without a break, none if it is not.
+/// Decides whether to take the leadership. `suspect_ms` is the time for which another leader has
+/// been continuously suspect; `None` if it is not.
 fn candidacy(leader: LeaderStatus, suspect_ms: Option<u64>) -> Candidacy {
     let campaign = match leader {
         LeaderStatus::None => true,
         LeaderStatus::ThisController => false,
-        // Nobody else can be hurt.
+        // No other controller is affected.
         LeaderStatus::EarlierIncarnation => true,
         LeaderStatus::Peer(leader) => {
             let patience_ms = if leader.is_gone() {
@@ -90,12 +91,12 @@
 }
 
 impl Controller {
-    /// The term, while this controller leads.
+    /// The grant of the leadership, while this controller leads.
     pub fn leads(&self) -> Option<Holder> {
         self.replica.leader.filter(|leader| self.holds(leader))
     }
 
-    /// Takes the leadership if nobody leads, or the leader is gone.
+    /// Takes the leadership if there is no leader or the leader has failed.
     pub(crate) fn tick_leadership(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if self.leads().is_some() || !self.may_plan(WriteKind::TakeLeadership, now) {
             return;
--- a/src/controller/formats.rs
+++ b/src/controller/formats.rs
@@ -1,13 +1,12 @@
-//! Rolling upgrades: which formats of stored values the controllers read, and what may be written
-//! when.
+//! Rolling upgrades: which formats of stored values the controllers read, and which may be written.
 //!
-//! Each controller's messages and key say which format of stored values it reads. The leader records the
-//! format that all of them read, and from then on every controller may write it, whatever version
-//! comes back.
+//! Each controller's messages and key state the format of stored values that it reads. The leader
+//! records the format that all of them read; from then on every controller may write it, even if an
+//! older version joins later.
 //!
-//! Jobs that wait for others stand under keys that versions before [`CHAINS_FORMAT`] do not read.
-//! Such a version would never start one too early, but it would answer 404 to its user: no job is
-//! accepted as one that waits while a controller is known to run such a version. Done tasks are
+//! Jobs with unfinished predecessors are stored under keys that versions before [`CHAINS_FORMAT`]
+//! do not read. Such a version never starts one too early, but it answers 404 to the job's user; so
+//! no such job is accepted while a controller is known to run one of these versions. Done tasks are
 //! written as a bitmap only once [`DENSE_FORMAT`](crate::records::DENSE_FORMAT) is recorded.
 
 use super::{Controller, put};
@@ -19,34 +18,35 @@
 use crate::replica::{FORMAT, Replica};
 use tracing::{error, info};
 
-/// A controller that was seen to run an older version and shows nothing any more is given so long
-/// to come back, in whatever version, ms. One that stays away for ever holds nothing up.
+/// Time for which a controller of an older version that disappeared holds back newer formats, ms.
+/// It may come back in any version; one that stays away does not block the upgrade forever.
 const OLDER_GONE_MS: u64 = 60_000;
 
 /// A controller that was seen to read an older format than this one.
 #[derive(Debug, Clone, Copy)]
 struct OlderVersion {
-    /// The format that it reads.
+    /// Format that the controller reads.
     format: u32,
-    /// When it was last seen.
+    /// When the controller was last seen.
     seen: Timestamp,
 }
 
-/// Which format of stored values this controller and the others read.
+/// Formats of stored values that this and the other controllers read.
 #[derive(Debug)]
 pub(crate) struct FormatTracker {
-    /// This controller.
+    /// Id of this controller.
     me: HostId,
-    /// Format that this controller reads and writes at most.
+    /// Newest format that this controller reads and writes.
     own: u32,
-    /// Whether it was logged that this version is too old for what is stored.
+    /// Whether it was already logged that this version is too old for the stored values.
     outdated_logged: bool,
-    /// Controllers that were seen to run an older version.
+    /// Controllers that were seen to read an older format.
     older: HashMap<HostId, OlderVersion>,
 }
 
 impl FormatTracker {
-    /// A controller that reads format `own` and has seen no other one yet.
+    /// Creates a tracker for a controller that reads format `own` and has seen no other controller
+    /// yet.
     pub(crate) fn new(me: HostId, own: u32) -> Self {
         Self {
             me,
@@ -56,17 +56,17 @@
         }
     }
 
-    /// The format that this controller reads and writes at most.
+    /// Newest format that this controller reads and writes.
     pub(crate) fn own(&self) -> u32 {
         self.own
     }
 
-    /// Makes this controller read and write at most `format`, as an earlier version did.
+    /// Limits this controller to `format`, like an earlier version.
     pub(super) fn set_own(&mut self, format: u32) {
         self.own = format;
     }
 
-    /// Takes note of the format that a controller reads.
+    /// Records the format that a controller reads.
     pub(super) fn observe(&mut self, host: HostId, format: u32, now: Timestamp) {
         if format < self.own {
             let seen = now;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Takes note of the formats that the controllers' keys show.
+    /// Records the formats stated in the controllers' keys.
     pub(super) fn observe_keys(&mut self, replica: &Replica, now: Timestamp) {
         for (&host, controller) in &replica.live_controllers {
             if host != self.me {
@@ -85,15 +85,16 @@
         }
     }
 
-    /// Reads and writes from now on the format that is `recorded`, if it is newer than the one this
-    /// controller was started with: another controller has turned on what needs it.
+    /// Adopts the `recorded` format if it is newer than the one with which this controller started:
+    /// another controller has enabled a feature that needs it.
     pub(super) fn follow_recorded(&mut self, recorded: u32) {
         if recorded > self.own && self.own >= CURRENT_FORMAT && recorded <= NEWEST_FORMAT {
             self.own = recorded;
         }
     }
 
-    /// Logs, once, that this version cannot serve where values are stored in format `stored`.
+    /// Logs once that this version cannot serve because values are stored in the newer format
+    /// `stored`.
     pub(super) fn log_outdated(&mut self, stored: u32) {
         if !std::mem::replace(&mut self.outdated_logged, true) {
             error!(
@@ -104,7 +105,7 @@
         }
     }
 
-    /// The newest format that all controllers read which are there, or were a moment ago.
+    /// Newest format read by all controllers that are present or were recently.
     fn common(&self, replica: &Replica, now: Timestamp) -> u32 {
         let lately = self
             .older
@@ -124,25 +125,25 @@
 impl Controller {
     /// Whether values may be stored in a format that this version cannot read.
     ///
-    /// Guards against an earlier version that is started by mistake: it would see only a part of the
-    /// jobs and queues, and act on that. It does nothing at all, and the others replace it.
+    /// A version that is too old and was started by mistake would see only some of the jobs and
+    /// queues and act on them. It does nothing instead, and other controllers replace it.
     pub fn is_outdated(&self) -> bool {
         self.replica.format > NEWEST_FORMAT
     }
 
-    /// The newest format that all controllers read which are there, or were a moment ago.
+    /// Newest format read by all controllers that are present or were recently.
     pub fn common_format(&self, now: Timestamp) -> u32 {
         self.formats.common(&self.replica, now)
     }
 
-    /// Whether jobs may be accepted that wait for others. Once all controllers were seen to read
-    /// them this stays so, whatever comes back for a moment.
+    /// Whether jobs with unfinished predecessors may be accepted. Once all controllers were seen to
+    /// read them this stays true, even if an older version returns briefly.
     pub fn accepts_waiting(&self, now: Timestamp) -> bool {
         self.formats.own() >= CHAINS_FORMAT
             && (self.replica.format >= CHAINS_FORMAT || self.common_format(now) >= CHAINS_FORMAT)
     }
 
-    /// Records the format that all controllers read, as far as the operators let it be written.
+    /// Plans to record the format that all controllers read, limited by the operators' setting.
     pub(crate) fn plan_format(&mut self, now: Timestamp) -> Option<Transaction> {
         let most = self.settings.options.format_most as u32;
         let format = self.common_format(now).min(most);
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -1,8 +1,8 @@
-//! This controller's lease and incarnation, and the authority that rests on them.
+//! Lease and incarnation of this controller, and the authority that depends on them.
 //!
-//! Owns the lease at the state service, the key that makes this controller a member, and the times
-//! at which lease and replica were last confirmed. Must never let the authority outlast the lease:
-//! every time counts from when a request was *sent*, not from when its answer came.
+//! Owns the lease at the key-value store, the key that registers this controller, and the times at
+//! which lease and replica were last confirmed. Authority never outlasts the lease: every period
+//! starts when a request was *sent*, not when its answer arrived.
 
 use super::writes::WriteIntent;
 use super::{Controller, Effect, WriteKind, put};
@@ -16,57 +16,59 @@
 use rand::rngs::SmallRng;
 use tracing::{info, warn};
 
-/// Shortest and longest interval of renewals, ms.
+/// Shortest and longest interval between lease renewals, ms.
 const RENEWAL_INTERVAL_MS: (u64, u64) = (500, 3000);
-/// Pause before the next request for a lease after one that failed, ms.
+/// Pause after a failed lease request, ms; chosen at random from this range.
 const RETRY_MS: std::ops::Range<u64> = 250..500;
-/// Renewals may fail for so long before the state service counts as away, ms.
+/// Time for which renewals may fail before the store counts as unreachable, ms.
 const RENEWALS_FAILING_MS: u64 = 1200;
-/// Reads and watches may be without an answer for so long before it does, ms.
+/// Time for which reads and watches may remain unanswered before the store counts as unreachable,
+/// ms.
 const REPLICA_UNCONFIRMED_MS: u64 = 8000;
 
-/// A refusal of the state service is remembered for so long, ms.
+/// Time for which a rejection by the store counts as recent, ms.
 const REFUSED_LATELY_MS: u64 = 3000;
 
-/// This controller's lease and incarnation, and what its authority rests on.
+/// Lease and incarnation of this controller, and the confirmations that its authority depends on.
 #[derive(Debug)]
 pub(crate) struct Membership {
-    /// This controller.
+    /// Id of this controller.
     me: HostId,
-    /// Length of a lease, ms.
+    /// Duration of a lease, ms.
     lease_ms: u64,
-    /// Length of the authority after a confirmation, ms; less than that of the lease.
+    /// Duration of the authority after a confirmation, ms; shorter than the lease.
     authority_ms: u64,
-    /// The present incarnation of this controller.
+    /// Current incarnation of this controller.
     incarnation: Incarnation,
-    /// The lease held, or held last.
+    /// The current lease, or the last one if it has expired.
     lease_id: Option<u64>,
-    /// Whether the key of this controller was written under the present lease.
+    /// Whether this controller's key was written under the current lease.
     joined: bool,
-    /// When the last renewal that succeeded was sent; none once the lease has expired.
+    /// When the last successful lease request or renewal was sent; `None` once the lease has
+    /// expired.
     renewed_at: Option<Timestamp>,
-    /// When the last read or watch that was answered was sent.
+    /// When the last read or watch that succeeded was sent.
     replica_confirmed_at: Option<Timestamp>,
-    /// When the next request for a lease or a renewal is due.
+    /// When the next lease request or renewal is due.
     next_renewal: Timestamp,
-    /// Whether such a request is without an answer yet.
+    /// Whether a lease request or renewal is unanswered.
     renewal_in_flight: bool,
-    /// Since when such requests fail.
+    /// Since when lease requests and renewals have failed.
     store_failing_since: Option<Timestamp>,
 }
 
-/// What a granted lease means for the incarnation of this controller.
+/// Effect of a granted lease on the incarnation of this controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
 enum LeaseGranted {
-    /// The first lease of this process.
+    /// It is the first lease of this process.
     First,
-    /// An earlier one is lost, and the incarnation that held it is over.
+    /// An earlier lease was lost, which ended the incarnation that held it.
     NewIncarnation,
 }
 
 impl Membership {
-    /// A controller without a lease, with a random incarnation.
+    /// Creates the state of a controller without a lease, with a random incarnation.
     pub(crate) fn new(me: HostId, settings: &Settings, rng: &mut SmallRng) -> Self {
         Self {
             me,
@@ -83,41 +85,41 @@
         }
     }
 
-    /// The present incarnation of this controller.
+    /// Current incarnation of this controller.
     pub(crate) fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The lease held, or held last.
+    /// The current lease, or the last one if it has expired.
     pub(crate) fn lease_id(&self) -> Option<u64> {
         self.lease_id
     }
 
-    /// When the last read or watch that was answered was sent.
+    /// When the last read or watch that succeeded was sent.
     pub(crate) fn replica_confirmed_at(&self) -> Option<Timestamp> {
         self.replica_confirmed_at
     }
 
-    /// A read or watch that was sent at `sent` was answered.
+    /// Records that a read or watch sent at `sent` succeeded.
     pub(super) fn confirm_replica(&mut self, sent: Timestamp) {
         self.replica_confirmed_at = self.replica_confirmed_at.max(Some(sent));
     }
 
-    /// The key of this controller was written under the present lease.
+    /// Records that this controller's key was written under the current lease.
     pub(crate) fn on_joined(&mut self) {
         self.joined = true;
         info!(incarnation = self.incarnation.0, "controller joined");
     }
 
-    /// Whether a key names this controller in its present incarnation.
+    /// Whether a grant names this controller in its current incarnation.
     pub(crate) fn is_mine(&self, holder: &Holder) -> bool {
         holder.host == self.me && holder.incarnation == self.incarnation
     }
 
-    /// Until when this controller may act on what the replica shows.
+    /// Until when this controller may act on the state shown by the replica.
     ///
-    /// Guards against renewals that succeed while the watch hangs, and the reverse: both the
-    /// lease and the replica must have been confirmed by requests *sent* within the time.
+    /// Both the lease and the replica must have been confirmed by requests *sent* within this
+    /// period, which covers renewals that succeed while the watch hangs, and the reverse.
     fn authority_until(&self, replica: &Replica) -> Option<Timestamp> {
         if !self.joined || !replica.synced {
             return None;
@@ -126,7 +128,7 @@
         Some(basis.plus(self.authority_ms))
     }
 
-    /// Whether the state service has answered lately.
+    /// Whether the store answered recently.
     fn store_answers(&self, now: Timestamp) -> bool {
         self.store_failing_since
             .is_none_or(|since| now.since(since) < RENEWALS_FAILING_MS)
@@ -135,7 +137,7 @@
                 .is_some_and(|confirmed| now.since(confirmed) < REPLICA_UNCONFIRMED_MS)
     }
 
-    /// The request for a lease or a renewal that is due now.
+    /// Returns the lease request or renewal that is due, if any.
     fn next_request(&mut self, now: Timestamp) -> Option<Effect> {
         if self.renewal_in_flight || now < self.next_renewal {
             return None;
@@ -149,7 +151,7 @@
         })
     }
 
-    /// The lease under which this controller's key is still to be written.
+    /// The lease under which this controller's key still has to be written.
     fn lease_to_join(&self) -> Option<u64> {
         self.lease_id
             .filter(|_| !self.joined && self.renewed_at.is_some())
@@ -171,7 +173,7 @@
         rng: &mut SmallRng,
     ) -> LeaseGranted {
         self.on_request_answered();
-        // An incarnation ends with its lease, so that no grant to the earlier one counts any more.
+        // An incarnation ends with its lease, so that grants to the earlier one become invalid.
         let granted = if self.lease_id.is_some() {
             self.incarnation = random_incarnation(rng);
             LeaseGranted::NewIncarnation
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Gives whether it was the present lease that expired.
+    /// Returns whether the expired lease was the current one.
     fn on_lease_expired(&mut self, lease_id: u64, now: Timestamp) -> bool {
         self.renewal_in_flight = false;
         let present = self.lease_id == Some(lease_id);
@@ -212,14 +214,14 @@
     }
 }
 
-/// A random number of 52 bits: exact in JSON, whatever reads it.
+/// Returns a random number of 52 bits, which every JSON parser represents exactly.
 fn random_incarnation(rng: &mut SmallRng) -> Incarnation {
     Incarnation(rng.random::<u64>() >> 12)
 }
 
-/// The answers of the state service about the lease.
+/// Answers to lease requests.
 impl Controller {
-    /// A lease was granted to a request sent at `sent`.
+    /// Handles a lease that was granted to a request sent at `sent`.
     pub fn on_lease(&mut self, lease_id: u64, sent: Timestamp) {
         let granted = self
             .membership
@@ -231,12 +233,12 @@
         info!(lease_id, incarnation, "lease granted");
     }
 
-    /// A renewal sent at `sent` succeeded.
+    /// Handles a successful renewal sent at `sent`.
     pub fn on_renewed(&mut self, lease_id: u64, sent: Timestamp) {
         self.membership.on_lease_renewed(lease_id, sent);
     }
 
-    /// The lease has expired at the state service.
+    /// Handles the expiry of a lease at the store.
     pub fn on_lease_gone(&mut self, lease_id: u64, now: Timestamp) {
         if self.membership.on_lease_expired(lease_id, now) {
             warn!(lease_id, "lease expired");
@@ -244,7 +246,7 @@
         }
     }
 
-    /// Asking for a lease or a renewal did not succeed.
+    /// Handles a failed lease request or renewal.
     pub fn on_lease_failed(&mut self, now: Timestamp) {
         self.membership.on_request_failed(now, &mut self.rng);
     }
@@ -252,7 +254,7 @@
 
 /// What this controller may do now.
 impl Controller {
-    /// Until when this controller may act on what it knows.
+    /// Until when this controller may act on the state that it knows.
     pub fn authority_until(&self) -> Option<Timestamp> {
         self.membership.authority_until(&self.replica)
     }
@@ -262,48 +264,48 @@
         !self.is_outdated() && self.authority_until().is_some_and(|until| now < until)
     }
 
-    /// Whether a key names this controller in its present incarnation.
+    /// Whether a grant names this controller in its current incarnation.
     pub(crate) fn is_mine(&self, holder: &Holder) -> bool {
         self.membership.is_mine(holder)
     }
 
-    /// Whether this controller holds a block by this grant and its replica shows all that earlier
-    /// holders wrote.
+    /// Whether this controller holds a block by this grant and its replica includes everything that
+    /// earlier holders wrote.
     ///
-    /// Guards against an own grant that shows before the watch has brought what was written before
-    /// it: the queues would still list tasks that the former holder had given away, and starting
-    /// one needs no write that could fail.
+    /// An own grant may become visible before the watch has delivered earlier writes. The queues
+    /// would then still list tasks that the former holder had moved away, and starting one requires
+    /// no write that could fail.
     pub(crate) fn holds(&self, grant: &Holder) -> bool {
         self.is_mine(grant) && self.replica.revision >= grant.mod_revision
     }
 
-    /// Whether this controller knows the present state, if its event loop ever paused. Nothing is
-    /// concluded before.
+    /// Whether this controller has up-to-date state after any pause of its event loop. It draws no
+    /// conclusions before.
     pub(crate) fn caught_up_after_pause(&self, now: Timestamp) -> bool {
         let listen_ms = (self.settings.options.peers_period_ms * 2.0) as u64;
         let confirmed = self.membership.replica_confirmed_at();
         self.pauses.caught_up(confirmed, listen_ms, now)
     }
 
-    /// How old the replica may be, ms: every change that was made so long ago is in. None before it
-    /// is whole.
+    /// Upper bound of the replica's age, ms: every older change is included. `None` until the
+    /// replica is consistent.
     pub(crate) fn replica_age_ms(&self, now: Timestamp) -> Option<u64> {
         let whole = self.replica.synced && self.writes.is_whole(self.replica.revision);
         let confirmed = self.membership.replica_confirmed_at().filter(|_| whole)?;
         Some(now.since(confirmed))
     }
 
-    /// Whether the state service has answered lately.
+    /// Whether the store answered recently.
     pub fn state_ok(&self, now: Timestamp) -> bool {
         self.membership.store_answers(now)
     }
 
-    /// Whether the state service refused something for its budget a moment ago.
+    /// Whether the store recently rejected a write for its budget.
     pub(crate) fn refused_lately(&self, now: Timestamp) -> bool {
         self.writes.refused_within(REFUSED_LATELY_MS, now)
     }
 
-    /// Whether users should be sent here.
+    /// Whether users should be routed to this controller.
     pub fn ready(&self, now: Timestamp) -> bool {
         if !self.replica.synced || !self.catalog_known() || self.membership.lease_id().is_none() {
             return false;
@@ -311,12 +313,12 @@
         if self.is_outdated() {
             return false;
         }
-        // When nobody reaches the state service, being marked unhealthy would only keep users
-        // away for longer than the outage lasts.
+        // If no controller reaches the store, reporting unhealthy would only keep users away for
+        // longer than the outage lasts.
         self.state_ok(now) || self.peers.none_heard_has_store(now)
     }
 
-    /// Asks for a lease, or renews it, when that is due.
+    /// Requests or renews the lease when that is due.
     pub(crate) fn tick_lease(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         out.extend(self.membership.next_request(now));
     }
--- a/src/controller/metrics.rs
+++ b/src/controller/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of what this controller did since it started, for operators.
+//! Operational counters of this controller since it started.
 
 use super::Controller;
 use tracing::info;
@@ -13,19 +13,19 @@
     pub redirects: u64,
     /// Tasks launched.
     pub launches: u64,
-    /// Tasks recorded done.
+    /// Tasks recorded as done.
     pub done: u64,
-    /// Tasks that failed.
+    /// Tasks recorded as failed.
     pub failed: u64,
-    /// Tasks put back unbound.
+    /// Tasks returned to the unbound state.
     pub freed: u64,
-    /// Tasks that this controller bound as leader.
+    /// Tasks bound by this controller as leader.
     pub bound: u64,
-    /// Tasks that this controller, as leader, marked to be preempted.
+    /// Tasks marked for preemption by this controller as leader.
     pub evicted: u64,
     /// Steal messages sent.
     pub steals: u64,
-    /// Steal messages passed on to another machine.
+    /// Steal messages forwarded to another machine.
     pub hops: u64,
     /// Hint messages sent.
     pub hints: u64,
@@ -33,11 +33,11 @@
     pub packs: u64,
     /// Tasks moved in packs.
     pub stolen_tasks: u64,
-    /// Transactions a precondition of which failed.
+    /// Transactions that failed because of a precondition.
     pub conflicts: u64,
-    /// Transactions without an answer.
+    /// Transactions that remained unanswered.
     pub unanswered: u64,
-    /// Transactions refused for budget or outage.
+    /// Transactions rejected because the budget was exhausted or the store was unavailable.
     pub refused: u64,
     /// Machines presumed dead.
     #[serde(rename = "lost_machines")]
@@ -45,7 +45,7 @@
 }
 
 impl Controller {
-    /// Writes the counters to the log.
+    /// Logs the counters.
     pub(super) fn log_metrics(&self) {
         let counters = &self.counters;
         info!(
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,9 +1,9 @@
-//! One controller's deterministic state machine: events in, [`Effect`]s out.
+//! Deterministic state machine of one controller: it consumes events and returns [`Effect`]s.
 //!
-//! Owns the parts of the controller's state and passes events on to them. No input or output happens
-//! here: the runtime feeds in what arrived and when, and carries out the effects that come back;
-//! tests do the same with fakes. Must never read a clock or draw on randomness but its own seeded
-//! generator, so that a run can be replayed from its seed.
+//! Owns the controller's state and dispatches events to its parts. Performs no I/O: the runtime
+//! passes in what arrived and when, and executes the returned effects; tests do the same with
+//! fakes. It never reads a clock and uses only its own seeded random number generator, so that a
+//! run can be replayed from its seed.
 
 mod archive_queries;
 mod blocks;
@@ -55,69 +55,70 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// The state of one controller.
+/// State of one controller.
 pub struct Controller {
-    /// Platform and options files; fixed while the process runs.
+    /// Settings from the platform and options files; they do not change while the process runs.
     pub settings: Settings,
-    /// Replica of the shared keys.
+    /// Local copy of the keys that all controllers share.
     pub replica: Replica,
-    /// This controller.
+    /// Id of this controller.
     pub me: HostId,
-    /// Counters.
+    /// Counters shown to operators.
     pub counters: Counters,
-    /// Lease, incarnation and what the authority of this controller rests on.
+    /// Lease and incarnation of this controller, and the confirmations that its authority depends
+    /// on.
     pub(crate) membership: Membership,
-    /// Pauses of this process.
+    /// Detects pauses of this process.
     pub(crate) pauses: PauseDetector,
-    /// Which format of stored values each controller reads.
+    /// Format of stored values that each controller reads.
     pub(crate) formats: FormatTracker,
-    /// What the other controllers said, and which messages to them are due.
+    /// Last state reported by each other controller, and the schedule of peer messages.
     pub(crate) peers: Peers,
-    /// Machines that this controller holds, or that report to it.
+    /// Machines that this controller holds or that send heartbeats to it.
     pub(crate) held: HeldMachines,
-    /// Completions and moves that are still to be recorded.
+    /// Completions and moves that are not recorded in the store yet.
     pub(crate) completions: Completions,
-    /// Transactions that are planned, in flight or in doubt.
+    /// Transactions that are in flight or in doubt, and when the next ones may be planned.
     pub(crate) writes: WritePipeline,
-    /// Blocks that are to be split, merged or granted.
+    /// Blocks that have to be split, merged or granted.
     pub(crate) block_upkeep: BlockUpkeep,
-    /// When periodic duties are due.
+    /// Times at which periodic work is due.
     pub(crate) schedule: Schedule,
-    /// The only source of random choices.
+    /// The only source of randomness.
     pub(crate) rng: SmallRng,
-    /// Machine types of the catalog by index, once known.
+    /// Machine types of the cloud's catalog; empty until the catalog has been read.
     pub(crate) machine_types: HashMap<MachineTypeId, MachineType>,
-    /// What this controller keeps while it leads.
+    /// State that is used only while this controller leads.
     pub(crate) leadership: LeaderState,
-    /// The part that this controller plays in work stealing.
+    /// This controller's state in work stealing.
     pub(crate) work_stealing: WorkStealing,
-    /// Milliseconds since the day began, by the wall clock.
+    /// Milliseconds since the start of the day, by the wall clock.
     pub(crate) day_ms: u64,
-    /// Jobs lent to other cells and borrowed from them.
+    /// Jobs lent to and borrowed from other cells.
     pub(crate) spillover: Spillover,
 }
 
-/// When the duties are due that follow no event.
+/// Times at which work is due that no event triggers.
 #[derive(Debug, Default)]
 pub(crate) struct Schedule {
-    /// When the catalog is read again.
+    /// When the catalog is read next.
     pub(crate) next_catalog: Timestamp,
     /// When the counters are logged next.
     next_metrics: Timestamp,
-    /// When the archive may be asked again for jobs that others need.
+    /// Earliest time of the next archive query for predecessors.
     pub(crate) next_archive_query: Timestamp,
 }
 
-/// Interval of the counters in the log, ms.
+/// Interval at which the counters are logged, ms.
 const METRICS_MS: u64 = 30_000;
-/// Interval at which the catalog is read again, ms.
+/// Interval at which the catalog is read once it is known, ms.
 const CATALOG_MS: u64 = 30_000;
-/// The same while it is not known, ms.
+/// Interval at which the catalog is read while it is unknown, ms.
 const UNKNOWN_CATALOG_MS: u64 = 1000;
 
 impl Controller {
-    /// A controller that knows nothing yet. `seed` determines its random choices and the number of
-    /// its incarnation.
+    /// Creates a controller with an empty replica. `seed` determines its random choices and its
+    /// incarnation.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut replica = Replica::default();
         let platform = &settings.platform;
@@ -161,12 +162,12 @@
         }
     }
 
-    /// Makes this controller behave as an earlier version did, for tests of upgrades.
+    /// Makes this controller use `format` like an earlier version, for tests of upgrades.
     pub fn run_as_format(&mut self, format: u32) {
         self.formats.set_own(format);
     }
 
-    /// This controller's name.
+    /// Name of this controller.
     pub fn my_name(&self) -> &str {
         &self.settings.platform.host_name
     }
@@ -176,7 +177,7 @@
         !self.machine_types.is_empty()
     }
 
-    /// Does all that is due.
+    /// Performs all work that is due and returns the resulting effects.
     pub fn tick(&mut self, now: Timestamp, day_ms: u64) -> Vec<Effect> {
         let mut out = Vec::new();
         self.day_ms = day_ms;
@@ -205,13 +206,13 @@
         out
     }
 
-    /// Does what only a controller with authority may do.
+    /// Performs the work that only a controller with authority may do.
     fn tick_with_authority(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         self.tick_leadership(now, out);
         self.find_presumed_dead(now);
         self.tick_completions(now, out);
-        // Others act in place of one that alone is refused; its machines go over to them,
-        // and would seem dead to it.
+        // If only this controller cannot reach the store, others act in its place and take over its
+        // machines, which would appear dead to it.
         if !self.alone_without_store(now) {
             self.tick_leader(now, out);
         }
@@ -236,7 +237,7 @@
         }
     }
 
-    /// The cloud's catalog arrived.
+    /// Handles the machine types read from the cloud's catalog.
     pub fn on_catalog(&mut self, catalog: crate::protocol::Catalog) {
         for machine_type in catalog.machine_types {
             for zone in &machine_type.zones {
@@ -245,7 +246,8 @@
             let names = &mut self.replica.names.machine_types;
             let id = names.intern(&machine_type.name);
             if self.machine_types.insert(id, machine_type).is_none() {
-                // How much the machines of a block may come to list is known only now.
+                // The expected size of a block depends on its machine types, which were unknown
+                // until now.
                 self.replica.mark_all_changed();
             }
         }
--- a/src/controller/pauses.rs
+++ b/src/controller/pauses.rs
@@ -1,30 +1,31 @@
-//! Pauses of this process: an event loop that falls behind, or a process that was stopped.
+//! Detection of pauses of this process, such as an overloaded event loop or a stopped process.
 //!
-//! Owns the times at which the event loop ran. After a pause nothing may be concluded from silence:
-//! the timers went on, the messages did not.
+//! Owns the times at which the event loop ran. After a pause silence proves nothing: timers
+//! advanced, but messages were not processed.
 
 use crate::clock::Timestamp;
 use tracing::warn;
 
-/// A gap between two runs of the event loop that shows that the controller cannot keep up, ms.
+/// Gap between two runs of the event loop from which the controller counts as overloaded, ms.
 const STALL_MS: u64 = 1000;
 
-/// Detects that this process did not run for a while.
+/// Detects that this process did not run for some time.
 #[derive(Debug, Default)]
 pub(crate) struct PauseDetector {
-    /// When the event loop ran first.
+    /// When the event loop first ran.
     started_at: Option<Timestamp>,
-    /// When it ran last.
+    /// When the event loop last ran.
     last_tick_at: Timestamp,
-    /// When it last ran late by more than [`STALL_MS`].
+    /// When the event loop last ran late by more than [`STALL_MS`].
     stalled_at: Option<Timestamp>,
-    /// When it went on after a pause so long that others may have acted in its place.
+    /// When the event loop resumed after a pause long enough for others to act in this controller's
+    /// place.
     resumed_at: Option<Timestamp>,
 }
 
 impl PauseDetector {
-    /// Notes that the event loop runs. A gap of more than `pause_ms` is a pause: the peers have
-    /// called this controller silent meanwhile.
+    /// Records a run of the event loop. A gap of more than `pause_ms` is a pause, during which the
+    /// peers have considered this controller unreachable.
     pub(crate) fn on_tick(&mut self, now: Timestamp, pause_ms: u64) {
         if self.started_at.is_some() {
             let gap_ms = now.since(self.last_tick_at);
@@ -40,7 +41,7 @@
         self.last_tick_at = now;
     }
 
-    /// Since when the event loop runs; `now` if it has not run yet.
+    /// When the event loop first ran; `now` if it has not run yet.
     pub(crate) fn started_at(&self, now: Timestamp) -> Timestamp {
         self.started_at.unwrap_or(now)
     }
@@ -50,12 +51,12 @@
         self.stalled_at.is_some_and(|at| now.since(at) < window_ms)
     }
 
-    /// Whether this controller knows the present state again, if it ever paused: a read or a watch
-    /// that was sent since has been answered (`replica_confirmed_at`), and the peers have had more
-    /// than `listen_ms` to send messages.
+    /// Whether this controller has up-to-date state after any pause: a read or watch sent since the
+    /// pause has succeeded (`replica_confirmed_at`), and the peers have had more than `listen_ms`
+    /// to send messages.
     ///
-    /// Guards against timers that went on during the pause: machines and peers seem silent that
-    /// were well, and the replica may show a leadership that is over.
+    /// Timers advance during a pause, so healthy machines and peers would appear silent, and the
+    /// replica may show a leadership that has ended.
     pub(crate) fn caught_up(
         &self,
         replica_confirmed_at: Option<Timestamp>,
--- a/src/controller/pauses/tests.rs
+++ b/src/controller/pauses/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the detection of pauses.
+//! Unit tests of the pause detection.
 
 use super::PauseDetector;
 use crate::clock::Timestamp;
@@ -6,7 +6,7 @@
 const PAUSE_MS: u64 = 2000;
 const LISTEN_MS: u64 = 1500;
 
-/// An event loop that ran at these times.
+/// Returns a detector whose event loop ran at these times.
 fn ran_at(times: &[u64]) -> PauseDetector {
     let mut pauses = PauseDetector::default();
     for &at in times {
--- a/src/controller/peers/messages.rs
+++ b/src/controller/peers/messages.rs
@@ -1,7 +1,7 @@
-//! Messages between controllers: when they are sent, what they say, and what is made of them.
+//! Messages between controllers: when they are sent, what they contain and how they are handled.
 //!
-//! A message is a request or the answer to one, and says the same in both. Cancellations and grants
-//! are passed on only to a peer that the state service does not answer.
+//! A request and its response have the same content. Cancellations and grants are included only for
+//! a peer that cannot reach the store.
 
 use crate::clock::Timestamp;
 use crate::controller::{Controller, Effect};
@@ -11,24 +11,24 @@
 
 use super::{LONG_MESSAGE_EVERY, ReportedGrant};
 
-/// Peers hear for so long that users were refused for the budget of changes, ms.
+/// Time for which peers are informed that users' writes were rejected for the write budget, ms.
 const SHORT_MS: u64 = 1000;
 
-/// How much a message says of the sender's machines.
+/// How much a message contains about the sender's machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageLength {
-    /// Nothing of them.
+    /// Nothing about the machines.
     Short,
-    /// The state of each, and the tasks that run and were done on them.
+    /// The state of each machine, and the tasks that are running and done.
     Long,
 }
 
-/// Sending.
+/// Sending messages.
 impl Controller {
     /// Sends the messages to peers that are due.
     pub(crate) fn tick_peers(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         let due = self.peers.take_due_messages(now);
-        // Machines that come up are of use only once the leader knows of them.
+        // Newly started machines are usable only once the leader knows of them.
         let leader = self.replica.leader.map(|leader| leader.host);
         let urgent_to = leader.filter(|_| due.urgent);
         let mut outbox = self.work_stealing.take_outgoing();
@@ -53,7 +53,7 @@
         self.peers.message_count += u32::from(due.periodic);
     }
 
-    /// The answer to a peer's message.
+    /// Handles a peer's message and returns the response.
     pub fn respond_to_peer(&mut self, message: PeerMessage, now: Timestamp) -> PeerMessage {
         let host = self.replica.names.hosts.get(&message.host);
         let only_stealing = !message.steal_messages.is_empty();
@@ -69,13 +69,14 @@
         answer
     }
 
-    /// Whether this controller sends the request to a peer, and not the peer to it. The answer
-    /// says as much as the request, so one of the two suffices, unless the peer is overdue.
+    /// Whether this controller sends requests to a peer, rather than the peer to it. A response
+    /// contains the same as a request, so one direction suffices unless the peer is overdue.
     fn speaks_first_to(&self, host: HostId, now: Timestamp) -> bool {
         self.my_name() < self.replica.names.hosts.name(host) || self.peers.is_overdue(host, now)
     }
 
-    /// The leader needs to know all machines well, the others roughly.
+    /// Returns the level of detail for a peer: the leader needs the current state of all machines,
+    /// the others only an approximate one.
     fn message_length_for(&self, host: HostId) -> MessageLength {
         let leads = self
             .replica
@@ -88,7 +89,7 @@
         }
     }
 
-    /// A message from this controller.
+    /// Creates a message from this controller.
     pub fn peer_message(&mut self, length: MessageLength, now: Timestamp) -> PeerMessage {
         self.held.unowned.forget_silent(now);
         let fleet = (length == MessageLength::Long).then(|| self.fleet_summary(now));
@@ -128,7 +129,7 @@
         }
     }
 
-    /// The machines that this controller holds, and the tasks that run and were done on them.
+    /// The machines that this controller holds, and the tasks that are running and done on them.
     fn fleet_summary(&self, now: Timestamp) -> FleetSummary {
         let jobs = &self.replica.names.jobs;
         FleetSummary {
@@ -151,20 +152,20 @@
         }
     }
 
-    /// Adds, for a peer that the state service does not answer, what it would read there.
+    /// Adds cancellations and grants for a peer that cannot read them from the store.
     ///
-    /// A controller that alone is refused goes on answering its machines while its authority
-    /// lasts. Its end is soon enough for every cancellation, but stops all tasks at once; a
-    /// controller that learns of a cancellation stops the tasks of that job alone, and right away.
-    /// And one that learns that its block was granted again sends the machines to the new holder,
-    /// without their waiting for the end of the old authority.
+    /// A controller that alone cannot reach the store keeps answering its machines until its
+    /// authority ends. That is early enough for every cancellation, but it stops all tasks at once;
+    /// a controller that learns of a cancellation stops only that job's tasks, and at once. A
+    /// controller that learns that its block was granted again redirects the machines to the new
+    /// holder before its own authority ends.
     fn add_facts_for_refused_peer(
         &mut self,
         host: HostId,
         message: &mut PeerMessage,
         now: Timestamp,
     ) {
-        // Own writes show in the replica before the next look at what a watch brought.
+        // Own writes show in the replica before the next watch response is handled.
         let newly_cancelled = std::mem::take(&mut self.replica.changes.cancelled);
         self.note_cancelled(newly_cancelled, now);
         let peer = self.peers.states.get(&host);
@@ -184,9 +185,9 @@
     }
 }
 
-/// Receiving.
+/// Receiving messages.
 impl Controller {
-    /// What a peer says, in a request or in the answer to one.
+    /// Handles a peer's message, whether it is a request or a response.
     pub fn on_peer_message(&mut self, mut message: PeerMessage, now: Timestamp) {
         let Some(host) = self.replica.names.hosts.get(&message.host) else {
             return;
@@ -208,7 +209,8 @@
         }
     }
 
-    /// A cancellation is final, so whoever knows of one may be believed.
+    /// Records cancellations reported by a peer. A cancellation is final, so a second-hand report
+    /// suffices.
     fn accept_cancellations(&mut self, job_names: &[String]) {
         for name in job_names {
             let Some(job_id) = self.replica.names.jobs.get(name) else {
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Notes grants that are newer than those by which this controller holds blocks.
+    /// Records reported grants that are newer than those by which this controller holds the blocks.
     fn accept_grants(&mut self, grants: Vec<(u32, u64, String)>) {
         for (block, fencing_token, holder) in grants {
             let block = BlockId(block);
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Peers' observations of run times count until there are some of our own.
+    /// Uses peers' run-time ratios until this controller has its own observations.
     fn adopt_run_time_ratios(&mut self, ratios: Vec<(String, f64)>) {
         for (class, ratio) in ratios {
             let class = self.replica.names.classes.intern(&class);
@@ -248,12 +250,12 @@
         }
     }
 
-    /// Takes note of cancellations that the replica shows.
+    /// Records cancellations that the replica shows.
     pub(crate) fn note_cancelled(&mut self, jobs: Vec<JobId>, now: Timestamp) {
         for job in jobs {
             self.peers.forget_reported_cancellation(job);
-            // A loan that was given up may come again, under another fencing token; whether it
-            // stands its lender says.
+            // A returned loan may be lent again under another fencing token; only its lender can
+            // report whether it still exists.
             if self.is_loan(job) {
                 continue;
             }
@@ -264,7 +266,7 @@
     }
 }
 
-/// Takes the messages to one peer out of the outbox, in order.
+/// Removes the messages to one peer from the outbox and returns them in order.
 fn take_messages_to(host: HostId, outbox: &mut Vec<(HostId, StealMessage)>) -> Vec<StealMessage> {
     outbox
         .extract_if(.., |(to, _)| *to == host)
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -1,7 +1,7 @@
-//! The other controllers: what each said and when, who is suspected, and which messages are due.
+//! State of the other controllers as reported in peer messages, and the schedule of these messages.
 //!
-//! Owns what is known at second hand. Must never make it count as proof: a write that rests on
-//! hearsay carries preconditions that the state service checks.
+//! Owns second-hand facts. They are never authoritative: a write that depends on them carries
+//! preconditions that the store checks.
 
 mod messages;
 mod state;
@@ -20,33 +20,36 @@
 use crate::settings::Settings;
 use std::collections::VecDeque;
 
-/// Least time between two messages to the leader about machines that came up, ms.
+/// Shortest interval between two messages to the leader about newly started machines, ms.
 const URGENT_UPDATE_INTERVAL_MS: u64 = 250;
-/// Most cancellations that are listed for a peer without the state service.
+/// Maximum number of cancellations listed for a peer that cannot reach the store.
 const MAX_RECENT_CANCELLATIONS: usize = 500;
-/// After a peer has said for so long that it alone is refused, others act in its place, ms.
+/// Time after which other controllers act in place of a peer that reports that only it cannot reach
+/// the store, ms.
 const REFUSED_MS: u64 = 2000;
-/// A peer says how long ago it heard from another one; that age may be short by so much, ms.
+/// Tolerance for the message ages that peers report, which may be too low by this much, ms.
 const HEARD_AGE_SLACK_MS: u64 = 300;
-/// Peers heard within this time decide whether a controller without the state service is cut off, ms.
+/// Maximum age of the peer messages that decide whether a controller without the store is cut off,
+/// ms.
 const HEARD_FOR_READINESS_MS: u64 = 3000;
-/// One in so many periodic messages lists all machines to all peers.
+/// One in this many periodic messages lists all machines to all peers.
 const LONG_MESSAGE_EVERY: u32 = 4;
 
-/// Times between messages and until silence counts, from the settings.
+/// Message intervals and silence timeouts, from the settings.
 #[derive(Debug, Clone, Copy)]
 struct Timing {
     /// Interval of the periodic messages, ms.
     period_ms: u64,
-    /// A peer that has not been heard for so long is spoken to out of turn, ms.
+    /// Silence after which a peer is contacted out of schedule, ms.
     overdue_ms: u64,
-    /// A peer that has not been heard for so long is silent, ms.
+    /// Silence after which a peer is unreachable, ms.
     silent_ms: u64,
-    /// A controller listens for so long before it calls others silent, ms.
+    /// Time for which a new controller waits for messages before it considers others unreachable,
+    /// ms.
     settling_ms: u64,
     /// Interval at which controllers publish their queue totals, ms.
     load_period_ms: u64,
-    /// A cancelled task has stopped after so long, ms.
+    /// Time after which a cancelled task has stopped, ms.
     cancel_ms: u64,
 }
 
@@ -65,52 +68,52 @@
     }
 }
 
-/// What the other controllers said, and which messages to them are due.
+/// Last state reported by each other controller, and the schedule of peer messages.
 #[derive(Debug)]
 pub(crate) struct Peers {
-    /// This controller.
+    /// Id of this controller.
     me: HostId,
-    /// The other controllers.
+    /// Ids of the other controllers.
     others: Vec<HostId>,
     timing: Timing,
-    /// What is known of each peer.
+    /// Last reported state of each peer.
     states: HashMap<HostId, PeerState>,
-    /// When each controller's queue totals last arrived by way of the state service.
+    /// When each controller's queue totals were last seen in the store.
     last_load_seen: HashMap<HostId, Timestamp>,
-    /// Jobs that were cancelled lately, and when that became known here.
+    /// Recently cancelled jobs, with the time at which the cancellation became known here.
     recent_cancellations: VecDeque<(Timestamp, String)>,
-    /// Jobs that the replica shows as pending and a peer knows to be cancelled.
+    /// Jobs that are pending in the replica but that a peer reports as cancelled.
     reported_cancellations: HashSet<JobId>,
-    /// Blocks held here that a peer knows to be granted again.
+    /// Blocks held here that a peer reports as granted again.
     reported_grants: HashMap<BlockId, ReportedGrant>,
-    /// When the next periodic message is due.
+    /// When the next periodic messages are due.
     next_message: Timestamp,
-    /// Periodic messages so far.
+    /// Number of periodic messages so far.
     message_count: u32,
-    /// Whether machines can be used that the leader does not know of yet.
+    /// Whether there are usable machines that the leader does not know of yet.
     urgent_update: bool,
-    /// When the next message about them may be sent to the leader at the earliest.
+    /// Earliest time of the next message to the leader about such machines.
     next_urgent_update: Timestamp,
 }
 
-/// A grant that a peer knows of and the replica does not show yet.
+/// A grant that a peer reports and that the replica does not show yet.
 #[derive(Debug, Clone, Copy)]
 struct ReportedGrant {
     fencing_token: u64,
     holder: HostId,
 }
 
-/// Which messages are due.
+/// The messages that are due.
 #[derive(Debug, Clone, Copy)]
 struct DueMessages {
-    /// The periodic messages to all.
+    /// Whether the periodic messages to all peers are due.
     periodic: bool,
-    /// The one to the leader about machines that came up.
+    /// Whether the message to the leader about newly started machines is due.
     urgent: bool,
 }
 
 impl Peers {
-    /// Peers none of which has been heard yet.
+    /// Creates the state of peers from which no message has arrived yet.
     pub(crate) fn new(me: HostId, others: Vec<HostId>, settings: &Settings) -> Self {
         Self {
             me,
@@ -128,24 +131,25 @@
         }
     }
 
-    /// The other controllers.
+    /// Ids of the other controllers.
     pub(super) fn others(&self) -> &[HostId] {
         &self.others
     }
 
-    /// A peer that has not been heard for so long is silent, ms.
+    /// Silence after which a peer is unreachable, ms.
     pub(crate) fn silent_ms(&self) -> u64 {
         self.timing.silent_ms
     }
 
-    /// How long a controller that has just started listens before it calls others silent, ms. After
-    /// a restart of all, most of the workers' lease is used up already; and to suspect one that
-    /// only starts later costs no more than a change of holders.
+    /// Time for which a new controller waits for messages before it considers others unreachable,
+    /// ms. It is short because after a restart of all controllers most of the workers' lease is
+    /// already used up, and wrongly suspecting a controller that starts later costs only a change
+    /// of holders.
     pub(crate) fn settling_ms(&self) -> u64 {
         self.timing.settling_ms
     }
 
-    /// Whether a peer was heard lately; true of this controller itself.
+    /// Whether a message from a controller arrived recently; always true of this controller itself.
     pub(crate) fn hears(&self, host: HostId, now: Timestamp) -> bool {
         host == self.me
             || self
@@ -155,14 +159,14 @@
                 .is_some_and(|heard| now.since(heard) <= self.timing.silent_ms)
     }
 
-    /// Whether a message of this controller has ever come.
+    /// Whether any message from this controller has ever arrived.
     pub(crate) fn is_known(&self, host: HostId) -> bool {
         self.states.contains_key(&host)
     }
 
-    /// Whether a controller that is heard speaks in another incarnation than the one given. The
-    /// earlier one is over then, even if its keys are still there: a controller that comes back
-    /// without the state service cannot say so in any other way.
+    /// Whether a reachable controller reports another incarnation than the given one. The earlier
+    /// incarnation has then ended, even if its keys still exist: a controller that restarts without
+    /// access to the store cannot announce this otherwise.
     pub(crate) fn restarted(&self, host: HostId, incarnation: Incarnation, now: Timestamp) -> bool {
         host != self.me
             && self.hears(host, now)
@@ -173,12 +177,12 @@
                 .is_some_and(|spoken| spoken != incarnation)
     }
 
-    /// Whether somebody else that is heard does not hear `host` either.
+    /// Whether other reachable controllers do not reach `host` either.
     ///
-    /// Guards against a controller that is itself cut off, yet reaches the state service, and
-    /// would take over everything from peers that are well. Where those who miss it are no
-    /// majority of all controllers, the others may sit on the far side of a partition together
-    /// with it: then its totals must be missing from the state service as well.
+    /// Prevents a controller that is cut off from its peers but reaches the store from taking over
+    /// everything from healthy peers. If the controllers that miss `host` are no majority of all,
+    /// the others may be with it on the other side of a partition; then its queue totals must be
+    /// missing from the store as well.
     pub(crate) fn corroborated(&self, host: HostId, now: Timestamp) -> bool {
         let silent_ms = self.timing.silent_ms;
         let heard = || {
@@ -204,7 +208,7 @@
         (missing + 1) * 2 > self.others.len() + 1 || !published
     }
 
-    /// Whether the state service answers some other controller that is heard.
+    /// Whether some other reachable controller can reach the store.
     pub(super) fn some_heard_has_store(&self, now: Timestamp) -> bool {
         self.others.iter().any(|&host| {
             let peer = self.states.get(&host);
@@ -212,8 +216,8 @@
         })
     }
 
-    /// Whether a peer that is heard has said for a while that the state service does not answer it,
-    /// while it answered this controller.
+    /// Whether a reachable peer has reported for a while that it cannot reach the store, while this
+    /// controller could.
     pub(super) fn is_refused(&self, host: HostId, now: Timestamp) -> bool {
         self.hears(host, now)
             && self
@@ -223,8 +227,8 @@
                 .is_some_and(|since| now.since(since) >= REFUSED_MS)
     }
 
-    /// Whether the peers show that a state service which does not answer this controller answers
-    /// nobody. A controller that hears no peer is itself cut off, and the others may be well.
+    /// Whether the peers report that none of them can reach the store either. A controller that
+    /// hears from no peer is itself cut off, and the others may be healthy.
     pub(super) fn none_heard_has_store(&self, now: Timestamp) -> bool {
         let mut heard = self
             .others
@@ -238,7 +242,7 @@
         (self.others.is_empty() || heard.peek().is_some()) && heard.all(|peer| !peer.state_ok)
     }
 
-    /// What a machine's holder last said of it, and when.
+    /// A machine's summary as last reported by its holder, and when that was.
     pub(super) fn machine(
         &self,
         holder: HostId,
@@ -248,7 +252,7 @@
         Some((peer.machines.get(&machine_id)?, peer.machines_at?))
     }
 
-    /// Running tasks of a job on the machines of the peers, as far as they said.
+    /// Running tasks of a job on the peers' machines, as last reported.
     pub(super) fn running(&self, job: JobId) -> u32 {
         self.states
             .values()
@@ -256,18 +260,18 @@
             .sum()
     }
 
-    /// Tasks that were done on machines of the peers and that these have not recorded yet.
+    /// Tasks done on the peers' machines that the peers have not recorded yet.
     pub(crate) fn unrecorded_done(&self) -> impl Iterator<Item = (JobId, &RangeSet)> {
         let peers = self.states.values();
         peers.flat_map(|peer| peer.done.iter().map(|(&job, tasks)| (job, tasks)))
     }
 
-    /// Failures of jobs on the machines of the peers.
+    /// Failure streaks of jobs on the peers' machines.
     pub(crate) fn failure_streaks(&self) -> impl Iterator<Item = &ReportedFailureStreak> {
         self.states.values().flat_map(|peer| &peer.failure_streaks)
     }
 
-    /// Machines that report to a peer which does not hold them, with that peer.
+    /// Machines that send heartbeats to a peer that does not hold them, with that peer.
     pub(crate) fn unowned_machines(&self) -> impl Iterator<Item = (HostId, &UnownedMachine)> {
         self.states.iter().flat_map(|(&host, peer)| {
             let machines = peer.unowned_machines.iter();
@@ -275,7 +279,7 @@
         })
     }
 
-    /// Whether a peer had to refuse users for the budget of changes within the last `window_ms`.
+    /// Whether a peer had to reject users' writes for the write budget within the last `window_ms`.
     pub(crate) fn users_refused_within(&self, window_ms: u64, now: Timestamp) -> bool {
         self.states
             .values()
@@ -283,27 +287,27 @@
             .any(|at| now.since(at) < window_ms)
     }
 
-    /// Whether a peer knows a job to be cancelled that the replica shows as pending.
+    /// Whether a peer reports a job as cancelled that is pending in the replica.
     pub(super) fn reports_cancelled(&self, job: JobId) -> bool {
         self.reported_cancellations.contains(&job)
     }
 
-    /// Who holds a block now, as a peer knows, that the replica shows as granted to this controller.
+    /// Holder that a peer reports for a block that the replica shows as granted to this controller.
     pub(crate) fn reported_holder(&self, block: BlockId) -> Option<HostId> {
         self.reported_grants.get(&block).map(|grant| grant.holder)
     }
 
-    /// Machines came up: the leader gets a message out of turn.
+    /// Requests a message to the leader out of schedule, about newly started machines.
     pub(crate) fn request_urgent_update(&mut self) {
         self.urgent_update = true;
     }
 
-    /// Queue totals of a controller arrived by way of the state service.
+    /// Records that queue totals of a controller were seen in the store.
     pub(super) fn note_load(&mut self, host: HostId, now: Timestamp) {
         self.last_load_seen.insert(host, now);
     }
 
-    /// Forgets what peers said of grants that the replica shows meanwhile.
+    /// Drops reported grants that the replica shows in the meantime.
     pub(super) fn follow_grants(&mut self, grants: &HashMap<BlockId, Holder>) {
         self.reported_grants.retain(|block, reported| {
             grants
@@ -312,7 +316,7 @@
         });
     }
 
-    /// Forgets jobs whose index may come back as another job.
+    /// Drops jobs whose index may be reused for another job.
     pub(super) fn forget_jobs(&mut self, stays: impl Fn(&JobId) -> bool) {
         self.reported_cancellations.retain(&stays);
         for peer in self.states.values_mut() {
@@ -320,17 +324,17 @@
         }
     }
 
-    /// The replica shows that a job is cancelled: no peer's word is needed any more.
+    /// Drops a reported cancellation that the replica shows in the meantime.
     fn forget_reported_cancellation(&mut self, job: JobId) {
         self.reported_cancellations.remove(&job);
     }
 
-    /// Lists a cancellation for peers that the state service does not answer.
+    /// Adds a cancellation to the list for peers that cannot reach the store.
     fn list_cancellation(&mut self, job_name: String, now: Timestamp) {
         self.recent_cancellations.push_back((now, job_name));
     }
 
-    /// Drops cancellations whose tasks have stopped by now, and the oldest beyond the most.
+    /// Drops cancellations whose tasks have stopped by now, and the oldest ones above the maximum.
     fn trim_cancellations(&mut self, now: Timestamp) {
         let cancel_ms = self.timing.cancel_ms;
         let is_old = |(at, _): &(Timestamp, String)| now.since(*at) > cancel_ms;
@@ -341,7 +345,7 @@
         }
     }
 
-    /// Whether a message to some peer is due, whatever work stealing has to say.
+    /// Whether a message to some peer is due, regardless of work stealing.
     pub(super) fn is_message_due(&self, now: Timestamp) -> bool {
         now >= self.next_message || self.is_urgent_update_due(now)
     }
@@ -350,7 +354,7 @@
         self.urgent_update && now >= self.next_urgent_update
     }
 
-    /// Which messages are due now; they count as sent from here on.
+    /// Returns the messages that are due and schedules the next ones.
     fn take_due_messages(&mut self, now: Timestamp) -> DueMessages {
         let periodic = now >= self.next_message;
         if periodic {
@@ -364,24 +368,24 @@
         DueMessages { periodic, urgent }
     }
 
-    /// Whether a peer's regular message is overdue.
+    /// Whether a peer's periodic message is overdue.
     fn is_overdue(&self, host: HostId, now: Timestamp) -> bool {
         let heard_at = self.states.get(&host).and_then(|peer| peer.heard_at);
         heard_at.is_none_or(|at| now.since(at) > self.timing.overdue_ms)
     }
 }
 
-/// What the peers and the state service together show.
+/// Conclusions from the peers' reports and the state of the store connection.
 impl Controller {
-    /// Whether the state service answers some other controller that is heard, but not this one.
+    /// Whether this controller cannot reach the store while another reachable controller can.
     pub(crate) fn alone_without_store(&self, now: Timestamp) -> bool {
         !self.state_ok(now) && self.peers.some_heard_has_store(now)
     }
 
-    /// Whether the state service answers this and the other controllers, but not that one.
+    /// Whether a peer reports that it cannot reach the store, while this controller can.
     ///
-    /// It says so itself. While it leads, nothing is bound before its lease is over; what its
-    /// machines complete is not recorded, and what is bound to them is not started.
+    /// While such a peer leads, nothing is bound until its lease expires; completions of its
+    /// machines are not recorded, and tasks bound to them are not started.
     pub(crate) fn store_refuses_only(&self, host: HostId, now: Timestamp) -> bool {
         self.state_ok(now) && self.peers.is_refused(host, now)
     }
--- a/src/controller/peers/state.rs
+++ b/src/controller/peers/state.rs
@@ -1,5 +1,5 @@
-//! What one other controller said last, and when. Hearsay: nothing here is proof of what the state
-//! service holds.
+//! Last reported state of one other controller. It is second-hand and proves nothing about the
+//! contents of the store.
 
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
@@ -8,50 +8,49 @@
 use crate::ranges::RangeSet;
 use crate::replica::{Incarnation, Names};
 
-/// Failures of a job one after the other, as a peer sees them.
+/// Consecutive failures of a job, as reported by a peer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ReportedFailureStreak {
-    /// The job.
+    /// The job that failed.
     pub(crate) job: JobId,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub(crate) count: u32,
-    /// When the last one was, by this controller's clock.
+    /// Time of the last failure, by this controller's clock.
     pub(crate) last: Timestamp,
 }
 
-/// What is known of a peer.
+/// Last reported state of a peer.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PeerState {
-    /// When its last message came.
+    /// When its last message arrived.
     pub(super) heard_at: Option<Timestamp>,
-    /// The incarnation that sent it.
+    /// The incarnation that sent the last message.
     pub(super) incarnation: Option<Incarnation>,
-    /// Whether the state service answers it.
+    /// Whether the peer can reach the store.
     pub(super) state_ok: bool,
-    /// Since when it says that the state service does not answer it, while that answers this
-    /// controller.
+    /// Since when the peer has reported that it cannot reach the store, while this controller can.
     pub(super) refused_since: Option<Timestamp>,
-    /// When it last said that it had to refuse users for the budget of changes.
+    /// When the peer last reported that it rejected users' writes for the write budget.
     pub(super) short_at: Option<Timestamp>,
-    /// How long ago it had heard from others when it sent its last message, ms.
+    /// Ages of the messages that the peer had last received from others, ms.
     pub(super) heard_ages_ms: HashMap<HostId, u64>,
-    /// What it last said of its machines.
+    /// Last reported summaries of the peer's machines.
     pub(super) machines: HashMap<MachineId, MachineSummary>,
-    /// When it said that.
+    /// When the machines were last reported.
     pub(super) machines_at: Option<Timestamp>,
-    /// Tasks that run on them.
+    /// Number of running tasks of each job on the peer's machines.
     pub(super) running: HashMap<JobId, u32>,
-    /// Tasks that were done on them and that it has not recorded yet.
+    /// Tasks done on the peer's machines that the peer has not recorded yet.
     pub(super) done: HashMap<JobId, RangeSet>,
-    /// Machines that report to it and that it does not hold.
+    /// Machines that send heartbeats to the peer but that it does not hold.
     pub(super) unowned_machines: Vec<UnownedMachine>,
-    /// Jobs that fail on its machines.
+    /// Failure streaks of jobs on the peer's machines.
     pub(super) failure_streaks: Vec<ReportedFailureStreak>,
 }
 
 impl PeerState {
-    /// Takes over what the peer's newest message says of itself and its machines, which are moved
-    /// out of `message`. `state_ok`: whether the state service answers this controller.
+    /// Updates the state from the peer's latest message, moving machine data out of `message`.
+    /// `state_ok`: whether this controller can reach the store.
     pub(super) fn update(
         &mut self,
         message: &mut PeerMessage,
@@ -111,7 +110,7 @@
             .collect();
     }
 
-    /// Forgets jobs whose index may come back as another job.
+    /// Drops jobs whose index may be reused for another job.
     pub(super) fn forget_jobs(&mut self, stays: impl Fn(&JobId) -> bool) {
         self.failure_streaks.retain(|streak| stays(&streak.job));
         self.running.retain(|job, _| stays(job));
--- a/src/controller/queue_load.rs
+++ b/src/controller/queue_load.rs
@@ -1,6 +1,6 @@
-//! How much work the machines' queues hold, in expected seconds per CPU: for packing, for work
-//! stealing, and for the totals that the other controllers read. Changes no state but the pending
-//! write of the totals.
+//! Amount of work in the machines' queues, in expected seconds per CPU, for placement, work
+//! stealing and the totals published to other controllers. The only write planned here publishes
+//! these totals.
 
 use super::effects::{Effect, WriteKind, put};
 use super::writes::WriteIntent;
@@ -13,36 +13,36 @@
 use crate::replica::{Job, Machine, load_key};
 use std::collections::BTreeMap;
 
-/// A task counts with at least so many expected seconds.
+/// Minimum expected run time of a task, s.
 const LEAST_RUN_S: f64 = 0.5;
-/// A started task counts with at least this share of its expected run time, however late it is.
+/// Minimum remaining fraction of a started task's expected run time, however overdue it is.
 const LEAST_SHARE_LEFT: f64 = 0.1;
-/// Bytes of a value of queue totals that are kept for what is not the list of machines.
+/// Bytes of a queue-totals value reserved for everything but the list of machines.
 const LOAD_RECORD_RESERVE: usize = 100;
-/// Bytes of an entry of queue totals besides the machine's name: a number and what stands between,
-/// with 10 bytes to spare.
+/// Bytes of an entry of queue totals besides the machine's name: a number and separators, with 10
+/// bytes to spare.
 const LOAD_ENTRY_BYTES: usize = 14;
 
 impl Controller {
-    /// What one task of a job takes and where it may be.
+    /// Resources and placement constraints of one task of a job.
     pub fn needs(&self, job: &Job) -> Needs {
         needs_of(job)
     }
 
-    /// Size of a machine; none while its type is unknown.
+    /// Capacity of a machine; `None` while its type is unknown.
     pub(crate) fn size(&self, machine: &Machine) -> Option<Room> {
         self.machine_types
             .get(&machine.machine_type)
             .map(Room::from)
     }
 
-    /// Expected seconds of a task, the owners' estimates corrected by what was observed.
+    /// Expected run time of a task, s: the owner's estimate corrected by the observed ratio.
     pub(crate) fn run_s(&self, job: &Job) -> f64 {
         let ratio = self.held.run_time_ratio(job.class);
         (job.spec.estimate_s * ratio).max(LEAST_RUN_S)
     }
 
-    /// Seconds of work per CPU in a machine's queue, started tasks counted with what is left.
+    /// Queued work of a machine, in seconds per CPU; a started task counts with its remaining time.
     pub(crate) fn queue_load(&self, machine_id: MachineId, now: Timestamp) -> f64 {
         let Some(machine) = self.replica.machines.get(&machine_id) else {
             return 0.0;
@@ -63,7 +63,7 @@
         work / size.cpus.max(1e-6)
     }
 
-    /// Load of a machine's queue, as its holder sees it; 0 if that is unknown.
+    /// Queue load of a machine, as its holder reports it; 0 if unknown.
     pub(crate) fn known_load(&self, machine_id: MachineId, now: Timestamp) -> f64 {
         match self.replica.holder(machine_id) {
             Some((_, grant)) if grant.host == self.me => self.queue_load(machine_id, now),
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Publishes this controller's queue totals, for the mean of the next round of work stealing.
+    /// Publishes this controller's queue totals, from which the next round of work stealing
+    /// computes the mean load.
     pub(crate) fn publish_loads(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if !self.may_plan(WriteKind::QueueTotals, now) {
             return;
@@ -105,10 +106,10 @@
         );
     }
 
-    /// The value that publishes these loads, which are sorted.
+    /// Builds the record that publishes these sorted loads.
     ///
-    /// It names machines from both ends inwards, as far as the value has room: those in between
-    /// neither give nor take work.
+    /// Machines are listed alternately from the highest and the lowest load until the value is
+    /// full: those in between neither give nor receive work.
     fn load_record(&self, loads: &[(f64, MachineId)]) -> LoadRecord {
         let names = &self.replica.names.machines;
         let mut record = LoadRecord {
@@ -141,7 +142,7 @@
     }
 }
 
-/// Expected seconds that a queued task still takes, of `run_s` in all.
+/// Expected remaining time of a queued task, s. `run_s` is its whole run time.
 fn seconds_left(run_s: f64, task: Option<&TaskRuntime>, now: Timestamp) -> f64 {
     match task {
         Some(task) if task.status == TaskPhase::Ended => 0.0,
@@ -153,7 +154,7 @@
     }
 }
 
-/// What one task of a job takes and where it may be.
+/// Resources and placement constraints of one task of a job.
 pub(crate) fn needs_of(job: &Job) -> Needs {
     let spec = &job.spec;
     Needs {
--- a/src/controller/replica_changes.rs
+++ b/src/controller/replica_changes.rs
@@ -1,7 +1,7 @@
-//! What follows from a change of the replica, by a read, a watch or an own write.
+//! Reactions to changes of the replica caused by a read, a watch or an own write.
 //!
-//! Looks only at what changed. A machine's runtime lives as long as the fencing token under which
-//! this controller holds its block.
+//! Processes only what changed. A machine's runtime state lives as long as the fencing token under
+//! which this controller holds its block.
 
 use super::{Completion, Controller, MachineRuntime, TaskOutcome};
 use crate::clock::Timestamp;
@@ -13,8 +13,8 @@
 use tracing::info;
 
 impl Controller {
-    /// A full read, begun at `sent`, is complete. Its pages were read one after the other, from
-    /// `revision` on and up to `upto`.
+    /// Handles a complete read started at `sent`. Its pages were read one after another, at
+    /// revisions from `revision` to `upto`.
     pub fn on_load(
         &mut self,
         items: Vec<KeyValue>,
@@ -24,8 +24,8 @@
         now: Timestamp,
     ) {
         self.replica.load(items, revision);
-        // What moved from one page to another in between may be in neither: nothing is planned
-        // before the watch has made the replica whole.
+        // A key that moved between pages during the read may be missing from both, so nothing is
+        // planned until the watch has made the replica consistent.
         self.writes.plan_only_after(upto);
         self.membership.confirm_replica(sent);
         self.after_replica_change(now);
@@ -37,7 +37,7 @@
         );
     }
 
-    /// A watch opened at `sent` answered.
+    /// Handles the response to a watch opened at `sent`.
     pub fn on_watch_response(&mut self, response: WatchResponse, sent: Timestamp, now: Timestamp) {
         self.writes.note_changes(response.events.len());
         self.replica
@@ -46,7 +46,7 @@
         self.after_replica_change(now);
     }
 
-    /// Follows up every change of the replica.
+    /// Processes all changes of the replica.
     pub(crate) fn after_replica_change(&mut self, now: Timestamp) {
         let released: HashSet<JobId> = self.replica.release_departed().into_iter().collect();
         self.forget_jobs(&released);
@@ -62,12 +62,13 @@
         }
         self.drop_machines_without_block(changes.machines);
         let early_grants = self.follow_blocks(changes.blocks, now);
-        // Looked at again with the next change, until the watch has reached their grants.
+        // Processed again with the next change, until the watch has reached the revisions of their
+        // grants.
         self.replica.changes.blocks.extend(early_grants);
     }
 
-    /// Forgets jobs that left the replica. Their index may come back as another job: nothing may
-    /// remember it.
+    /// Drops all state of jobs that left the replica, because their index may be reused for another
+    /// job.
     fn forget_jobs(&mut self, released: &HashSet<JobId>) {
         if released.is_empty() {
             return;
@@ -79,8 +80,8 @@
         self.peers.forget_jobs(stays);
     }
 
-    /// Takes the catalog from the state service, where it is kept for controllers that start while
-    /// the cloud is away.
+    /// Uses the catalog kept in the store, for controllers that start while the cloud is
+    /// unavailable.
     fn adopt_stored_catalog(&mut self) {
         if self.machine_types.is_empty()
             && let Some(machine_types) = self.replica.catalog.clone()
@@ -97,8 +98,8 @@
         }
     }
 
-    /// Follows changes of blocks and of who holds them. Gives the blocks granted to this controller
-    /// by a revision that the replica has not reached yet.
+    /// Processes changes of blocks and of their holders. Returns the blocks granted to this
+    /// controller at a revision that the replica has not reached yet.
     fn follow_blocks(&mut self, blocks: BTreeSet<BlockId>, now: Timestamp) -> Vec<BlockId> {
         let mut early_grants = Vec::new();
         for id in blocks {
@@ -122,7 +123,8 @@
         early_grants
     }
 
-    /// Keeps a machine's runtime under one fencing token; none if this controller does not hold it.
+    /// Keeps a machine's runtime state under one fencing token; drops it if there is none, that is,
+    /// if this controller does not hold the machine.
     fn follow_machine(
         &mut self,
         machine_id: MachineId,
@@ -135,9 +137,10 @@
         };
         let runtime = self.held.get(machine_id);
         if runtime.is_none_or(|runtime| runtime.fencing_token != token) {
-            // Conclusions drawn under one fencing token are worth nothing under another: in between
-            // somebody else may have held the block and started what seemed unstarted here. The
-            // grants' revisions guard what is in flight already, not what still waits to be sent.
+            // Conclusions drawn under one fencing token are invalid under another: in between,
+            // another controller may have held the block and started tasks that seemed unstarted
+            // here. The preconditions on grants protect only writes already in flight, not those
+            // still to be sent.
             let completed = self.completed_in_queue(machine_id);
             self.drop_machine(machine_id);
             self.completions.set_pending(machine_id, completed);
@@ -152,10 +155,10 @@
 
     /// Completions of tasks that a machine's queue still lists.
     ///
-    /// What is done stays done under any fencing token. Guards against a task that is started once
-    /// more after its job is done: the leader records the completion on this holder's word, and a
-    /// holder that forgot its own word and whose replica does not show that completion yet would
-    /// find the task unstarted.
+    /// A completed task stays completed under any fencing token. Keeping these completions prevents
+    /// a second start of a task after its job is done: the leader records completions reported by
+    /// this holder, and if the holder forgot them before its replica showed them, the tasks would
+    /// appear unstarted.
     fn completed_in_queue(&self, machine_id: MachineId) -> Vec<Completion> {
         let machine = self.replica.machines.get(&machine_id);
         let is_listed = |completion: &&Completion| {
@@ -170,7 +173,7 @@
             .collect()
     }
 
-    /// Forgets what this controller knew of a machine as its holder.
+    /// Drops the state that this controller keeps of a machine as its holder.
     fn drop_machine(&mut self, machine_id: MachineId) {
         self.held.drop_machine(machine_id);
         self.completions.drop_machine(machine_id);
--- a/src/controller/status_page.rs
+++ b/src/controller/status_page.rs
@@ -1,6 +1,6 @@
-//! The status page of one controller, for operators. Reads only.
+//! Status page of one controller, for operators. Read-only.
 //!
-//! The names of its fields are part of the interface and stay as they are.
+//! The field names are part of the external interface and must not change.
 
 use super::{Controller, MachineRuntime};
 use crate::clock::Timestamp;
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 impl Controller {
-    /// The status page, as JSON.
+    /// Builds the status page as JSON.
     pub fn status_page(&self, now: Timestamp) -> serde_json::Value {
         let names = &self.replica.names;
         let machines: BTreeMap<&str, serde_json::Value> = self
@@ -44,7 +44,7 @@
         page
     }
 
-    /// A machine that this controller holds.
+    /// Status of a machine that this controller holds.
     fn machine_on_page(
         &self,
         machine_id: MachineId,
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Each job that waits for others, with those that it needs and that are not finally done.
+    /// Jobs with predecessors, each with its unfinished or unsuccessful predecessors.
     fn waiting_jobs(&self) -> BTreeMap<&str, Vec<&str>> {
         let names = &self.replica.names.jobs;
         let waiting = self.replica.waiting.jobs.keys();
@@ -77,7 +77,7 @@
             .collect()
     }
 
-    /// The format that each controller was last seen to write.
+    /// Format that each controller was last seen to write.
     fn versions(&self) -> BTreeMap<&str, u32> {
         let hosts = &self.replica.names.hosts;
         let controllers = self.replica.live_controllers.iter();
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -4,7 +4,7 @@
 use crate::clock::Timestamp;
 use crate::protocol::Heartbeat;
 
-/// The machine types that tests rent.
+/// Machine types that tests rent.
 pub(crate) fn catalog() -> crate::protocol::Catalog {
     serde_json::from_str(include_str!("../../tests/support/catalog.json")).expect("good")
 }
--- a/src/controller/usage.rs
+++ b/src/controller/usage.rs
@@ -1,4 +1,4 @@
-//! What bound tasks take: of their teams' limits, and of zones. Reads only.
+//! Resources of bound tasks, counted against team limits and by zone. Read-only.
 
 use super::Controller;
 use crate::collections::HashMap;
@@ -7,12 +7,13 @@
 use crate::settings::Team;
 
 impl Controller {
-    /// Room that a team may still use: its limit without everything bound.
+    /// Capacity that each team may still use: its limit minus all bound tasks.
     pub(crate) fn team_room(&self) -> HashMap<TeamId, Room> {
         self.team_room_of(|team| (team.cpus_max, team.gpus_max))
     }
 
-    /// What is left of so many CPUs and GPUs of each team without everything bound.
+    /// Remaining capacity of each team under the given limits (CPUs and GPUs), minus all bound
+    /// tasks.
     pub(crate) fn team_room_of(
         &self,
         limits: impl Fn(&Team) -> (f64, f64),
@@ -42,10 +43,10 @@
         room_by_team
     }
 
-    /// Bound tasks by job and zone, those included whose binding is under way.
+    /// Number of bound tasks by job and zone, including bindings in flight.
     ///
-    /// Guards against a write that has no answer yet: the rest of a job that must stay together
-    /// would be bound in another zone meanwhile.
+    /// Without bindings in flight, the rest of a job that must stay in one zone could be bound in
+    /// another zone while a write is unanswered.
     pub(crate) fn zones_of(&self) -> HashMap<JobId, HashMap<ZoneId, u32>> {
         let mut zones: HashMap<JobId, HashMap<ZoneId, u32>> = HashMap::default();
         let machines = self.replica.machines.values();
--- a/src/controller/writes/commits.rs
+++ b/src/controller/writes/commits.rs
@@ -1,4 +1,4 @@
-//! What follows the store's answer to a transaction, one step for each outcome.
+//! Handles the store's answers to transactions, one step for each outcome.
 
 use super::WriteIntent;
 use super::in_doubt::ResolvedWhen;
@@ -8,18 +8,18 @@
 use rand::Rng;
 use tracing::{debug, info};
 
-/// Pause before a transaction without an answer is sent again, ms.
+/// Pause before an unanswered transaction is resent, ms.
 const RESEND_PAUSE_MS: u64 = 300;
-/// Pause after a write that the store refused, ms.
+/// Pause after a write that the store rejected, ms.
 const REFUSED_PAUSE_MS: u64 = 200;
-/// Pause after a write that the store called malformed, ms. Such a write is never sent again as it is, and
-/// what takes its place may be no better.
+/// Pause after a write that the store rejected as malformed, ms. Such a write is not resent, but
+/// its replacement may be malformed too.
 const MALFORMED_PAUSE_MS: u64 = 3000;
-/// Each pause is longer by a random time below this, ms.
+/// Upper bound of the random time added to each pause, ms.
 const MAX_JITTER_MS: u64 = 200;
 
 impl Controller {
-    /// A transaction was answered, or was not (PROTOCOL, commit).
+    /// Handles the answer to a transaction, or its absence (PROTOCOL, commit).
     pub fn on_commit(&mut self, write_kind: WriteKind, outcome: CommitOutcome, now: Timestamp) {
         if !self.writes.is_in_flight(write_kind) {
             return;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A write was carried out at a revision.
+    /// Handles a write that was applied at `revision`.
     fn on_committed(&mut self, write_kind: WriteKind, revision: u64, now: Timestamp) {
         let Some(write) = self.writes.in_flight.remove(&write_kind) else {
             return;
@@ -68,7 +68,7 @@
         self.after_replica_change(now);
     }
 
-    /// A precondition of a write failed; the store was at a revision.
+    /// Handles a write of which a precondition failed while the store was at `revision`.
     fn on_commit_conflict(
         &mut self,
         write_kind: WriteKind,
@@ -85,25 +85,25 @@
             revision, "commit conflict: a precondition failed"
         );
         self.writes.awaited_revisions.insert(write_kind, revision);
-        // An unanswered copy may have made the moves, bound the tasks or placed the machines: until the
-        // replica shows whether it did, the tasks stay put, and nothing is bound or placed in another
-        // block. Other blocks need not wait for this one's failed precondition.
+        // An unanswered copy may have moved or bound the tasks or placed the machines. Until the
+        // replica shows whether it did, these tasks and machines are not moved, bound or placed
+        // elsewhere. Other blocks need not wait for the failed precondition.
         let resolved_when = ResolvedWhen::AtRevision(revision);
         self.writes.in_doubt.add(resolved_when, write.intent);
-        // Somebody else was faster; the next try need not wait for its turn.
+        // Another writer came first, so the retry need not wait for the regular time.
         let due = now.plus(jitter_ms / 4);
         self.writes.plan_not_before(write_kind, due);
         self.after_replica_change(now);
     }
 
-    /// The store did not carry out a write, and it is not sent again as it is.
+    /// Handles a write that the store rejected and that is not resent.
     fn on_commit_rejected(&mut self, write_kind: WriteKind, pause_ms: u64, now: Timestamp) {
         let Some(write) = self.writes.in_flight.remove(&write_kind) else {
             return;
         };
         self.counters.refused += 1;
         if write.in_doubt {
-            // The limits may have fallen since a copy that had no answer was carried out.
+            // The limits may have been lowered after an unanswered copy was applied.
             let resolved_when = ResolvedWhen::ByWatchSince(now);
             self.writes.in_doubt.add(resolved_when, write.intent);
         } else {
@@ -112,7 +112,7 @@
         self.writes.plan_not_before(write_kind, now.plus(pause_ms));
     }
 
-    /// Forgets the writes in doubt of which the replica shows whether they were carried out.
+    /// Drops the writes in doubt whose outcome the replica now shows.
     pub(crate) fn resolve_in_doubt_writes(&mut self) {
         let (revision, confirmed_at) = (
             self.replica.revision,
@@ -172,11 +172,11 @@
 }
 
 impl super::WritePipeline {
-    /// A write had no answer: it is in doubt, and sent again at a moment.
+    /// Marks an unanswered write as in doubt and schedules its resend.
     ///
-    /// Each transaction has a condition on a key that it changes, so sending the same again settles it: it
-    /// is carried out now, or its conditions fail because it was, or because something else made it
-    /// impossible for ever.
+    /// Each transaction has a precondition on a key that it changes, so resending it settles the
+    /// outcome: either it is applied now, or a precondition fails because it was applied before or
+    /// can never be applied.
     fn note_unanswered(&mut self, write_kind: WriteKind, resend_at: Timestamp) {
         if let Some(write) = self.in_flight.get_mut(&write_kind) {
             write.in_doubt = true;
@@ -184,7 +184,7 @@
         }
     }
 
-    /// A write in doubt was refused: it is sent again at a moment.
+    /// Schedules the resend of a write in doubt.
     fn resend_at(&mut self, write_kind: WriteKind, resend_at: Timestamp) {
         if let Some(write) = self.in_flight.get_mut(&write_kind) {
             write.resend_at = Some(resend_at);
--- a/src/controller/writes/in_doubt.rs
+++ b/src/controller/writes/in_doubt.rs
@@ -1,35 +1,35 @@
-//! Writes that failed, but of which a copy that had no answer may have been carried out.
+//! Failed writes of which an unanswered copy may have been applied.
 //!
-//! Owns their intents until the replica surely shows whether they were. Must never drop one earlier: the tasks
-//! that it moves would be started, or its bindings made, a second time.
+//! Owns their intents until the replica shows whether they were applied. Dropping one earlier could
+//! start the tasks that it moves, or make its bindings, a second time.
 
 use super::WriteIntent;
 use crate::clock::Timestamp;
 
-/// When the replica surely shows whether a write was carried out.
+/// When the replica is certain to show whether a write was applied.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum ResolvedWhen {
-    /// Once it has reached a revision.
+    /// Once the replica has reached this revision.
     AtRevision(u64),
-    /// Once a watch has answered that was opened then or later.
+    /// Once a watch opened at or after this time has answered.
     ByWatchSince(Timestamp),
 }
 
-/// What a write may have done by a copy that had no answer, although it can no longer be carried out.
+/// Possible effects of a failed write of which a copy remained unanswered.
 #[derive(Debug, Clone)]
 struct UnacknowledgedWrite {
     resolved_when: ResolvedWhen,
     intent: WriteIntent,
 }
 
-/// All writes in doubt, the oldest first.
+/// All writes in doubt, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct InDoubtWrites {
     writes: Vec<UnacknowledgedWrite>,
 }
 
 impl InDoubtWrites {
-    /// Keeps what a write may have done until the replica shows whether it did.
+    /// Keeps the intent of a write until the replica shows whether it was applied.
     pub(super) fn add(&mut self, resolved_when: ResolvedWhen, intent: WriteIntent) {
         self.writes.push(UnacknowledgedWrite {
             resolved_when,
@@ -37,13 +37,13 @@
         });
     }
 
-    /// What the writes in doubt may have done.
+    /// Intents of all writes in doubt.
     pub(super) fn intents(&self) -> impl Iterator<Item = &WriteIntent> {
         self.writes.iter().map(|write| &write.intent)
     }
 
-    /// Takes out the writes that a replica at `revision` shows, confirmed by a watch that was opened at
-    /// `confirmed_at`.
+    /// Removes and returns the writes whose outcome is shown by a replica at `revision` that was
+    /// confirmed by a watch opened at `confirmed_at`.
     pub(super) fn take_resolved(
         &mut self,
         revision: u64,
--- a/src/controller/writes/mod.rs
+++ b/src/controller/writes/mod.rs
@@ -1,12 +1,12 @@
-//! The write pipeline: transactions that are planned, in flight or in doubt.
+//! Write pipeline: transactions that are in flight or in doubt.
 //!
-//! Owns which kinds of write are in flight, what they do besides changing keys (their intents), and when the
-//! next one of each kind may be planned. Must never have two writes of one kind in flight, and must never forget
-//! a write of which an unanswered copy may have been carried out before the replica shows whether it was.
+//! Owns the writes in flight, their effects besides the changed keys (their intents), and when the
+//! next write of each kind may be planned. At most one write of each kind is in flight. An intent
+//! is kept until the replica shows whether an unanswered copy of the write was applied.
 //!
-//! * [`commits`] follows up each answer of the store.
-//! * [`in_doubt`] keeps failed writes that may have been carried out all the same.
-//! * [`pacing`] spreads batched writes over time, within the store's budget.
+//! * [`commits`] handles the store's answers.
+//! * [`in_doubt`] keeps failed writes that may have been applied nevertheless.
+//! * [`pacing`] spreads batched writes over time, within the store's write budget.
 
 mod commits;
 mod in_doubt;
@@ -21,30 +21,30 @@
 use in_doubt::InDoubtWrites;
 use pacing::{WritePace, WriteTurn};
 
-/// What a transaction does besides its changes of keys, kept until its outcome is certain.
+/// Effects of a transaction besides the changed keys, kept until its outcome is certain.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct WriteIntent {
-    /// Blocks that it writes.
+    /// Blocks that the transaction writes.
     pub blocks: Vec<BlockId>,
-    /// Task outcomes that it records.
+    /// Task outcomes that the transaction records.
     pub outcomes: Vec<(MachineId, Binding, TaskOutcome)>,
-    /// Moves that it makes.
+    /// Task moves that the transaction makes.
     pub moves: Vec<Move>,
-    /// Tasks that it binds.
+    /// Tasks that the transaction binds, with their machines.
     pub binds: Vec<(MachineId, Binding)>,
-    /// Machines that it puts into a block.
+    /// Machines that the transaction adds to a block.
     pub placed: Vec<MachineId>,
-    /// Jobs that it lends to another cell.
+    /// Jobs that the transaction lends to another cell.
     pub lent: Vec<JobId>,
 }
 
-/// A transaction whose outcome is not known.
+/// A transaction whose outcome is unknown.
 #[derive(Debug, Clone)]
 struct InFlightWrite {
     transaction: Transaction,
-    /// An unanswered copy may have been, or may yet be, carried out.
+    /// Whether an unanswered copy may have been applied or may still be applied.
     in_doubt: bool,
-    /// When to send it again; none while an answer is awaited.
+    /// When to resend the transaction; `None` while an answer is awaited.
     resend_at: Option<Timestamp>,
     intent: WriteIntent,
 }
@@ -55,15 +55,15 @@
     in_flight: HashMap<WriteKind, InFlightWrite>,
     in_doubt: InDoubtWrites,
     turns: HashMap<WriteKind, WriteTurn>,
-    /// How fast the turns of batched writes follow one another.
+    /// Adapts the interval between batched writes to the used budget.
     pace: WritePace,
     /// Revision that the replica must reach before the next write of a kind is planned.
     awaited_revisions: HashMap<WriteKind, u64>,
-    /// Nothing new is planned before the replica is at this revision.
+    /// Revision that the replica must reach before any write is planned.
     plan_after_revision: u64,
-    /// When the store last refused a write for its budget.
+    /// When the store last rejected a write because its budget was exhausted.
     refused_at: Option<Timestamp>,
-    /// When a user was last refused for it.
+    /// When a user's write was last rejected for that reason.
     user_refused_at: Option<Timestamp>,
 }
 
@@ -89,7 +89,7 @@
         self.in_flight.insert(write_kind, write);
     }
 
-    /// Sends again what had no answer and is due.
+    /// Resends the unanswered transactions that are due.
     pub(crate) fn resend_due(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         for (&write_kind, write) in &mut self.in_flight {
             if write.resend_at.is_some_and(|at| now >= at) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Forgets a write that can no longer be carried out: its lease has expired.
+    /// Forgets a write that can no longer be applied because its lease has expired.
     pub(crate) fn forget(&mut self, write_kind: WriteKind) {
         self.in_flight.remove(&write_kind);
     }
@@ -113,20 +113,21 @@
         self.in_flight.contains_key(&write_kind)
     }
 
-    /// Whether a write of this kind is in flight and an unanswered copy of it may have been carried out.
+    /// Whether a write of this kind is in flight of which an unanswered copy may have been applied.
     fn is_in_doubt(&self, write_kind: WriteKind) -> bool {
         let write = self.in_flight.get(&write_kind);
         write.is_some_and(|write| write.in_doubt)
     }
 
-    /// Whether a write of this kind may be planned from a replica at `revision`: none is in flight, its regular
-    /// turn has come, and the replica shows why the last one failed.
+    /// Whether a write of this kind may be planned from a replica at `revision`: none is in flight,
+    /// its regular time has come, and the replica includes the change that made the last one fail.
     pub(crate) fn may_plan(&self, write_kind: WriteKind, revision: u64, now: Timestamp) -> bool {
         let turn = self.turns.get(&write_kind);
         self.is_free(write_kind, revision) && turn.is_none_or(|turn| now >= turn.due)
     }
 
-    /// The same for what others wait for, which need not wait for the regular turn.
+    /// Like [`Self::may_plan`], for writes that others wait for and that need not wait for the
+    /// regular time.
     pub(crate) fn may_plan_early(
         &self,
         write_kind: WriteKind,
@@ -137,36 +138,39 @@
         self.is_free(write_kind, revision) && turn.is_none_or(|turn| now >= turn.early)
     }
 
-    /// Whether no write of this kind is in flight and a replica at `revision` shows why the last one failed.
+    /// Whether no write of this kind is in flight and a replica at `revision` includes the change
+    /// that made the last one fail.
     fn is_free(&self, write_kind: WriteKind, revision: u64) -> bool {
         let awaited = self.awaited_revisions.get(&write_kind);
         let awaited = awaited.copied().unwrap_or(0);
         !self.is_in_flight(write_kind) && revision >= self.plan_after_revision.max(awaited)
     }
 
-    /// Plans nothing before the replica has reached this revision.
+    /// Prevents planning until the replica has reached this revision.
     pub(crate) fn plan_only_after(&mut self, revision: u64) {
         self.plan_after_revision = self.plan_after_revision.max(revision);
     }
 
-    /// Whether a replica at `revision` is whole: it has reached what [`Self::plan_only_after`] asks for.
+    /// Whether a replica at `revision` is consistent, that is, has reached the revision given to
+    /// [`Self::plan_only_after`].
     pub(crate) fn is_whole(&self, revision: u64) -> bool {
         revision >= self.plan_after_revision
     }
 
-    /// Whether a write of this block is in flight: a second one would only make one of the two fail.
+    /// Whether a write to this block is in flight; a second one would make one of the two fail.
     pub(crate) fn writes_block(&self, id: BlockId) -> bool {
         let mut in_flight = self.in_flight.values();
         in_flight.any(|write| write.intent.blocks.contains(&id))
     }
 
-    /// Blocks that some write in flight touches, each as often as it is touched.
+    /// Blocks that the writes in flight change, once for each such write.
     pub(crate) fn blocks_in_flight(&self) -> impl Iterator<Item = BlockId> + '_ {
         let in_flight = self.in_flight.values();
         in_flight.flat_map(|write| &write.intent.blocks).copied()
     }
 
-    /// What writes do that are in flight, or that may have been carried out without the replica showing it yet.
+    /// Intents of the writes that are in flight, or that may have been applied although the replica
+    /// does not show it yet.
     fn pending_intents(&self) -> impl Iterator<Item = &WriteIntent> {
         let in_flight = self.in_flight.values().map(|write| &write.intent);
         in_flight.chain(self.in_doubt.intents())
@@ -179,30 +183,30 @@
 
     /// Jobs that are being lent to other cells.
     ///
-    /// Guards against binding tasks of a job by a replica that does not show yet that it was lent: a
-    /// binding has no condition on the job's key.
+    /// Prevents binding tasks of a job while the replica does not show yet that the job was lent: a
+    /// binding has no precondition on the job's key.
     pub(crate) fn jobs_being_lent(&self) -> HashSet<JobId> {
         let intents = self.pending_intents();
         intents.flat_map(|intent| &intent.lent).copied().collect()
     }
 
-    /// Machines that are being put into blocks.
+    /// Machines that are being added to blocks.
     pub(crate) fn machines_being_placed(&self) -> HashSet<MachineId> {
         let intents = self.pending_intents();
         intents.flat_map(|intent| &intent.placed).copied().collect()
     }
 
-    /// Plans no write of this kind before a moment.
+    /// Plans no write of this kind before `not_before`.
     fn plan_not_before(&mut self, write_kind: WriteKind, due: Timestamp) {
         self.turns.insert(write_kind, WriteTurn::at(due));
     }
 
-    /// Whether the store refused a write for its budget within the last so many ms.
+    /// Whether the store rejected a write for its budget within the last `window_ms`.
     pub(crate) fn refused_within(&self, ms: u64, now: Timestamp) -> bool {
         self.refused_at.is_some_and(|at| now.since(at) < ms)
     }
 
-    /// Whether a user was refused for the store's budget within the last so many ms.
+    /// Whether a user's write was rejected for the store's budget within the last `window_ms`.
     pub(crate) fn user_refused_within(&self, ms: u64, now: Timestamp) -> bool {
         self.user_refused_at.is_some_and(|at| now.since(at) < ms)
     }
@@ -215,13 +219,14 @@
         self.writes.may_plan(write_kind, revision, now)
     }
 
-    /// Whether a write of this kind for which others wait may be planned now.
+    /// Whether a write of this kind that others wait for may be planned now; see
+    /// [`WritePipeline::may_plan_early`].
     pub(crate) fn may_plan_early(&self, write_kind: WriteKind, now: Timestamp) -> bool {
         let revision = self.replica.revision;
         self.writes.may_plan_early(write_kind, revision, now)
     }
 
-    /// The condition that a key is as the replica shows it.
+    /// The precondition that a key is unchanged since the revision shown by the replica.
     pub(crate) fn precondition(&self, key: &str) -> Precondition {
         Precondition {
             key: key.to_owned(),
--- a/src/controller/writes/pacing.rs
+++ b/src/controller/writes/pacing.rs
@@ -1,71 +1,71 @@
-//! Pace of batched writes: each block has its turn, so that all controllers together stay within
-//! the store's budget of changes.
+//! Pacing of batched writes, so that all controllers together stay within the store's write budget.
 //!
-//! Owns how fast turns follow one another. Must never hold back what users or other controllers wait for: only
-//! completions and edits of blocks are paced.
+//! Owns the interval between the writes of each block. Only completions and block edits are paced;
+//! writes that users or other controllers wait for are not delayed.
 
 use super::WritePipeline;
 use crate::clock::Timestamp;
 use crate::controller::{Controller, WriteKind};
 
-/// Share of the store's budget of changes that the leader's edits of blocks may take.
+/// Share of the store's write budget for the leader's block edits.
 const EDIT_SHARE: f64 = 0.45;
-/// Share that all holders' completions together may take. What is left is for submissions,
-/// cancellations, grants, finished jobs and totals.
+/// Share of the store's write budget for the completions of all holders together. The rest is for
+/// submissions, cancellations, grants, finished jobs and queue totals.
 const COMPLETION_SHARE: f64 = 0.42;
 
-/// For so long batched writes go slowly after a user had to be refused, ms.
+/// Time for which batched writes are slowed down after a user's write was rejected, ms.
 const REFUSED_SLOWDOWN_MS: u64 = 1500;
-/// How much slower they go then.
+/// Pace factor during that time.
 const REFUSED_SLOWDOWN_FACTOR: f64 = 0.7;
 
-/// Interval at which the use of the budget is measured, ms.
+/// Interval at which the budget use is measured, ms.
 const MEASURE_INTERVAL_MS: u64 = 1000;
-/// Weight of the latest interval in the estimate of the use.
+/// Weight of the latest interval in the moving average of the change rate.
 const LATEST_WEIGHT: f64 = 0.3;
-/// Below this part of the budget turns become shorter.
+/// Fraction of the budget below which write intervals become shorter.
 const LOW_USE: f64 = 0.75;
-/// Above this part of the budget turns become longer.
+/// Fraction of the budget above which write intervals become longer.
 const HIGH_USE: f64 = 0.88;
-/// How many times shorter turns may be than if every block were written in each.
+/// Upper bound of the pace factor. At factor 1 the interval is long enough for every block to be
+/// written in each interval.
 const MAX_SPEED: f64 = 3.0;
-/// Speed is multiplied by this in an interval in which a write was refused.
+/// Multiplier of the pace factor after an interval in which a write was rejected.
 const STEP_REFUSED: f64 = 0.8;
-/// The same in an interval in which much of the budget was used.
+/// Multiplier of the pace factor after an interval with high budget use.
 const STEP_HIGH_USE: f64 = 0.95;
-/// The same in an interval in which little of the budget was used.
+/// Multiplier of the pace factor after an interval with low budget use.
 const STEP_LOW_USE: f64 = 1.08;
 
-/// Turns of so many kinds of write are kept before those in the past are forgotten.
+/// Number of schedules above which those in the past are dropped.
 const MAX_REMEMBERED_TURNS: usize = 1000;
 
 /// When a kind of write may be planned again.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WriteTurn {
-    /// The regular turn.
+    /// Earliest time of a regular write.
     pub due: Timestamp,
-    /// For what others wait for.
+    /// Earliest time of a write that others wait for.
     pub early: Timestamp,
 }
 
 impl WriteTurn {
-    /// A turn before which nothing is planned at all.
+    /// A schedule that allows no write before `not_before`.
     pub fn at(due: Timestamp) -> Self {
         Self { due, early: due }
     }
 }
 
-/// How fast turns follow one another, by the part of the budget that is really used.
+/// Adapts the interval between batched writes to the budget that is really used.
 ///
-/// A turn is as long as it has to be if every block were written in each. Most are not, and half of
-/// the budget lay idle while completions and bindings waited for their turn.
+/// The basic interval assumes that every block is written in each interval. Most blocks are not,
+/// which left half of the budget unused while completions and bindings waited.
 #[derive(Debug, Clone)]
 pub(crate) struct WritePace {
-    /// When the interval that is being measured began.
+    /// Start of the current measuring interval.
     interval_start: Timestamp,
-    /// Changes that the watch showed since then.
+    /// Changes shown by the watch since then.
     changes_seen: u64,
-    /// Estimate of the changes a second of all controllers.
+    /// Moving average of the changes per second of all controllers.
     changes_per_s: f64,
     factor: f64,
 }
@@ -82,12 +82,13 @@
 }
 
 impl WritePace {
-    /// The watch showed so many changes.
+    /// Counts changes shown by the watch.
     fn note_changes(&mut self, changes: usize) {
         self.changes_seen += changes as u64;
     }
 
-    /// Measures the use of a budget of so many changes a second, once an interval.
+    /// Updates the pace factor once per measuring interval. `budget_per_s` is in changes per
+    /// second.
     fn adjust(&mut self, budget_per_s: f64, refused: bool, now: Timestamp) {
         let elapsed_ms = now.since(self.interval_start);
         if elapsed_ms < MEASURE_INTERVAL_MS {
@@ -106,19 +107,19 @@
         self.factor = (self.factor * step).clamp(1.0, MAX_SPEED);
     }
 
-    /// How many times faster turns follow one another than the slowest.
+    /// How many times shorter the write intervals are than the basic ones.
     fn factor(&self) -> f64 {
         self.factor
     }
 }
 
 impl WritePipeline {
-    /// The watch showed so many changes of all controllers.
+    /// Counts changes of all controllers that the watch showed.
     pub(crate) fn note_changes(&mut self, changes: usize) {
         self.pace.note_changes(changes);
     }
 
-    /// Plans the next write of a kind at a turn. `revision` is the replica's.
+    /// Sets when the next write of a kind may be planned. `revision` is the replica's.
     fn schedule(&mut self, write_kind: WriteKind, turn: WriteTurn, revision: u64, now: Timestamp) {
         self.turns.insert(write_kind, turn);
         if self.turns.len() > MAX_REMEMBERED_TURNS {
@@ -130,7 +131,7 @@
 }
 
 impl Controller {
-    /// Adjusts the pace to how much of the budget of changes is used.
+    /// Adapts the pace to the measured use of the write budget.
     pub(crate) fn adjust_write_pace(&mut self, now: Timestamp) {
         let budget_per_s = self.settings.platform.settings.state.write_rps;
         let refused =
@@ -138,8 +139,8 @@
         self.writes.pace.adjust(budget_per_s, refused, now);
     }
 
-    /// Spreads writes over time: each block has its turn, and what comes in between is batched for
-    /// it.
+    /// Schedules the next batched write of a kind after one with this number of changes; what
+    /// happens until then is batched.
     pub(super) fn pace(&mut self, write_kind: WriteKind, changes: usize, now: Timestamp) {
         let share = match write_kind {
             WriteKind::Completions(_) => COMPLETION_SHARE,
@@ -147,7 +148,7 @@
             _ => return,
         };
         let least_ms = self.settings.options.flush_ms as u64;
-        // What users ask for comes before what is batched for them.
+        // Users' writes take precedence over batched writes.
         let speed = if self.users_refused(now) {
             REFUSED_SLOWDOWN_FACTOR
         } else {
@@ -162,25 +163,26 @@
         self.writes.schedule(write_kind, turn, revision, now);
     }
 
-    /// Length of the slowest turn of all blocks with such a share of the budget, ms.
+    /// Length of the basic write interval for this share of the budget, ms.
     fn turn_ms(&self, share: f64) -> f64 {
         let changes_per_s = self.settings.platform.settings.state.write_rps * share;
         self.used_blocks() as f64 / changes_per_s * 1000.0
     }
 
-    /// Seconds from one turn of a block's completions to the next, and from one of its edits to the
-    /// next, together.
+    /// Interval between two completion writes of a block plus the interval between two of its
+    /// edits, s.
     pub(crate) fn turns_s(&self) -> f64 {
         let slowest_ms = self.turn_ms(EDIT_SHARE) + self.turn_ms(COMPLETION_SHARE);
         slowest_ms / self.writes.pace.factor() / 1000.0
     }
 
-    /// A user's write was refused because the budget of changes was used up.
+    /// Handles the rejection of a user's write because the write budget was exhausted.
     pub fn on_user_refused(&mut self, now: Timestamp) {
         self.writes.user_refused_at = Some(now);
     }
 
-    /// Whether some controller had to refuse a user a moment ago, as far as is known here.
+    /// Whether this or another controller recently had to reject a user's write, as far as is known
+    /// here.
     pub(crate) fn users_refused(&self, now: Timestamp) -> bool {
         let refused_here = self.writes.user_refused_within(REFUSED_SLOWDOWN_MS, now);
         refused_here || self.peers.users_refused_within(REFUSED_SLOWDOWN_MS, now)
--- a/src/controller/writes/pacing/tests.rs
+++ b/src/controller/writes/pacing/tests.rs
@@ -1,9 +1,9 @@
-//! Unit tests of the pace of batched writes.
+//! Unit tests of the write pacing.
 
 use super::{MAX_SPEED, WritePace};
 use crate::clock::Timestamp;
 
-/// The factor after so many seconds with so many changes each.
+/// Returns the pace factor after some seconds with this number of changes in each.
 fn after(
     write_pace: &mut WritePace,
     from: u64,
