--- a/src/controller/archive_queries.rs
+++ b/src/controller/archive_queries.rs
@@ -15,7 +15,7 @@
 impl Controller {
     /// Queries the archive, if that is due, for the final states of predecessors that no watched
     /// key shows.
-    pub(crate) fn ask_archive(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+    pub(crate) fn query_archive(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if now < self.schedule.next_archive_query || self.replica.waiting.jobs.is_empty() {
             return;
         }
@@ -24,7 +24,7 @@
         let names = missing.map(|job| self.replica.names.jobs.name(job).to_owned());
         let names: Vec<String> = names.take(MAX_JOBS_PER_QUERY).collect();
         if !names.is_empty() {
-            out.push(Effect::Archived(names));
+            out.push(Effect::ReadArchive(names));
         }
     }
 
--- a/src/controller/blocks/merging.rs
+++ b/src/controller/blocks/merging.rs
@@ -21,7 +21,7 @@
 /// Number of blocks per change per second of the write budget that are not worth merging. With
 /// fewer blocks, writes of the holder and of the leader conflict more often, and one of the two
 /// fails.
-const BLOCKS_PER_WRITE_RATE: f64 = 0.75;
+const MERGE_THRESHOLD_PER_WRITE_RPS: f64 = 0.75;
 
 /// A block that may be merged with another one.
 struct SmallBlock {
@@ -38,10 +38,10 @@
     }
 
     /// Number of blocks up to which merging has no benefit.
-    fn bearable_blocks(&self) -> usize {
+    fn merge_threshold(&self) -> usize {
         let settings = &self.settings.platform.settings;
-        let bearable = settings.state.write_rps * BLOCKS_PER_WRITE_RATE;
-        (bearable as usize).max(settings.count)
+        let threshold = settings.state.write_rps * MERGE_THRESHOLD_PER_WRITE_RPS;
+        (threshold as usize).max(settings.count)
     }
 
     /// Merges two small blocks held here, if a merge is due.
@@ -50,10 +50,10 @@
             return;
         }
         self.block_upkeep.schedule_merge(now);
-        if self.used_blocks() <= self.bearable_blocks() {
+        if self.used_blocks() <= self.merge_threshold() {
             return;
         }
-        let Some((kept, emptied)) = self.choose_merge(now) else {
+        let Some((kept, emptied)) = self.select_merge(now) else {
             return;
         };
         if let Some((transaction, intent)) = self.plan_merge(kept, emptied) {
@@ -67,7 +67,7 @@
     /// Machines move from the block with the lower fencing token to the one with the higher.
     /// Workers reject tokens lower than one that they have seen, so the reverse would make them
     /// ignore every answer (PROTOCOL, tokens).
-    fn choose_merge(&self, now: Timestamp) -> Option<(BlockId, BlockId)> {
+    fn select_merge(&self, now: Timestamp) -> Option<(BlockId, BlockId)> {
         let room = (self.settings.value_bytes() as f64 * MAX_EXPECTED_FILL) as usize;
         let mut small = self.small_blocks(room, now);
         small.sort_by_key(|block| (block.expected_bytes, block.id));
@@ -91,11 +91,11 @@
             let Some(grant) = grant.filter(|grant| self.holds(grant)) else {
                 continue;
             };
-            let quiet = self.may_plan_early(WriteKind::Completions(id), now)
+            let is_idle = self.may_plan_urgent(WriteKind::Completions(id), now)
                 && !self.writes.writes_block(id)
                 && !self.block_upkeep.is_oversized(id);
             let expected_bytes = self.expected_block_bytes(block);
-            if quiet && !block.machines.is_empty() && expected_bytes < room {
+            if is_idle && !block.machines.is_empty() && expected_bytes < room {
                 small.push(SmallBlock {
                     id,
                     fencing_token: grant.mod_revision,
--- a/src/controller/blocks/splitting.rs
+++ b/src/controller/blocks/splitting.rs
@@ -17,10 +17,10 @@
 /// the largest value.
 const MAX_EXPECTED_FILL: f64 = 0.8;
 /// Expected size of machines in dense encoding, relative to the compatible one.
-const DENSE_PART: f64 = 0.6;
+const DENSE_SIZE_RATIO: f64 = 0.6;
 
 /// Divides a block's machines and its list of done tasks into two halves.
-fn halves(edit: BlockEdit) -> (BlockEdit, BlockEdit) {
+fn split_in_half(edit: BlockEdit) -> (BlockEdit, BlockEdit) {
     let mut first = BlockEdit::default();
     let mut second = BlockEdit::default();
     let (machine_count, done_count) = (edit.machines.len(), edit.done.len());
@@ -45,7 +45,7 @@
     /// Records whether a changed block is held here and has to be split because its value exceeds
     /// the limit or it has too many machines. A version that does not know of an upcoming lower
     /// limit may have filled it.
-    pub(crate) fn note_size(&mut self, id: BlockId) {
+    pub(crate) fn update_oversized(&mut self, id: BlockId) {
         let grant = self.replica.grants.get(&id);
         let held = grant.is_some_and(|grant| self.holds(grant));
         let block = self.replica.blocks.get(&id).filter(|_| held);
@@ -63,8 +63,8 @@
     fn needs_split(&self, block: &Block) -> bool {
         let max_bytes = self.settings.value_bytes();
         let max_expected_bytes = (max_bytes as f64 * MAX_EXPECTED_FILL) as usize;
-        let crowded = self.expected_block_bytes(block) > max_expected_bytes;
-        block.bytes > max_bytes || (crowded && block.machines.len() > 1)
+        let overfull = self.expected_block_bytes(block) > max_expected_bytes;
+        block.bytes > max_bytes || (overfull && block.machines.len() > 1)
     }
 
     /// Bytes that the machines of a block are expected to fill in its value.
@@ -80,7 +80,7 @@
             .sum();
         match self.replica.encoding() {
             Encoding::Compatible => bytes,
-            Encoding::Dense => (bytes as f64 * DENSE_PART) as usize,
+            Encoding::Dense => (bytes as f64 * DENSE_SIZE_RATIO) as usize,
         }
     }
 
@@ -140,15 +140,15 @@
             }
             let value = Json::of(&self.replica.seal(&edit));
             let expected_bytes = self.expected_size(edit.machines.values());
-            let crowded = expected_bytes > max_bytes && edit.machines.len() > 1;
-            if value.size() <= max_bytes && !crowded {
+            let overfull = expected_bytes > max_bytes && edit.machines.len() > 1;
+            if value.size() <= max_bytes && !overfull {
                 values.push(value);
                 continue;
             }
             if edit.machines.len() < 2 && edit.done.len() < 2 {
                 return None;
             }
-            let (first, second) = halves(edit);
+            let (first, second) = split_in_half(edit);
             rest.extend([second, first]);
         }
         Some(values)
@@ -156,8 +156,8 @@
 
     /// Numbers of blocks that neither exist nor are being created.
     fn unused_blocks(&self) -> impl Iterator<Item = BlockId> + '_ {
-        let being_made: HashSet<BlockId> = self.writes.blocks_in_flight().collect();
+        let being_created: HashSet<BlockId> = self.writes.blocks_in_flight().collect();
         let all = (0..).map(BlockId);
-        all.filter(move |id| !self.replica.blocks.contains_key(id) && !being_made.contains(id))
+        all.filter(move |id| !self.replica.blocks.contains_key(id) && !being_created.contains(id))
     }
 }
--- a/src/controller/blocks/upkeep.rs
+++ b/src/controller/blocks/upkeep.rs
@@ -11,7 +11,7 @@
 /// Number of blocks without a valid grant from which batched writes yield to grants.
 const MANY_UNGRANTED_BLOCKS: usize = 4;
 /// Maximum time for which they yield, ms, since there may be nobody who can grant anything.
-const MAX_GIVING_WAY_MS: u64 = 6000;
+const MAX_GRANT_PRIORITY_MS: u64 = 6000;
 /// Interval between two merges by one controller, ms. Each merge costs two changes, and the moved
 /// machines must first report the fencing token of their new block.
 const MERGE_INTERVAL_MS: u64 = 1000;
@@ -66,7 +66,7 @@
     /// Prevents completions and bindings from using up the write budget after several controllers
     /// fail at once: granting fifty blocks then took six seconds, and together with the restart
     /// time the workers' leases expired.
-    fn note_ungranted(&mut self, replica: &Replica, now: Timestamp) {
+    fn observe_ungranted(&mut self, replica: &Replica, now: Timestamp) {
         let last_version = std::mem::replace(&mut self.ungranted_checked_version, replica.version);
         if last_version == replica.version {
             return;
@@ -79,9 +79,9 @@
     }
 
     /// Whether batched writes yield to grants.
-    pub(crate) fn grants_first(&self, now: Timestamp) -> bool {
+    pub(crate) fn grants_have_priority(&self, now: Timestamp) -> bool {
         self.ungranted_since
-            .is_some_and(|since| now.since(since) < MAX_GIVING_WAY_MS)
+            .is_some_and(|since| now.since(since) < MAX_GRANT_PRIORITY_MS)
     }
 }
 
@@ -98,8 +98,8 @@
 }
 
 impl Controller {
-    /// Checks whether many blocks lack a valid grant; see [`BlockUpkeep::grants_first`].
-    pub(crate) fn note_ungranted_blocks(&mut self, now: Timestamp) {
-        self.block_upkeep.note_ungranted(&self.replica, now);
+    /// Checks whether many blocks lack a valid grant; see [`BlockUpkeep::grants_have_priority`].
+    pub(crate) fn observe_ungranted_blocks(&mut self, now: Timestamp) {
+        self.block_upkeep.observe_ungranted(&self.replica, now);
     }
 }
--- a/src/controller/candidacy.rs
+++ b/src/controller/candidacy.rs
@@ -16,7 +16,7 @@
 
 /// Grace period for a leader that reports another incarnation, ms: the reported incarnation and its
 /// key may disagree for a message or two.
-const RESTARTED_PATIENCE_MS: u64 = 1500;
+const RESTARTED_LEADER_GRACE_MS: u64 = 1500;
 /// Delay for each candidate that precedes this controller, ms.
 const RANK_DELAY_MS: u64 = 600;
 
@@ -41,7 +41,7 @@
     /// It is unreachable from here and from other controllers.
     silent: bool,
     /// It cannot reach the store, while this controller can.
-    refused: bool,
+    without_store: bool,
     /// It reports another incarnation than the one that leads.
     restarted: bool,
     /// Number of reachable controllers that precede this one, that is, have lower names.
@@ -51,7 +51,7 @@
 impl PeerLeader {
     /// Whether it no longer leads or is about to lose the leadership.
     fn is_gone(self) -> bool {
-        self.replaced || self.silent || self.refused
+        self.replaced || self.silent || self.without_store
     }
 
     /// Whether this controller may have to replace it.
@@ -76,12 +76,12 @@
         // No other controller is affected.
         LeaderStatus::EarlierIncarnation => true,
         LeaderStatus::Peer(leader) => {
-            let patience_ms = if leader.is_gone() {
+            let grace_ms = if leader.is_gone() {
                 0
             } else {
-                RESTARTED_PATIENCE_MS
+                RESTARTED_LEADER_GRACE_MS
             };
-            suspect_ms.is_some_and(|ms| ms >= patience_ms + leader.rank * RANK_DELAY_MS)
+            suspect_ms.is_some_and(|ms| ms >= grace_ms + leader.rank * RANK_DELAY_MS)
         }
     };
     match campaign {
@@ -114,34 +114,36 @@
     fn leader_status(&self, now: Timestamp) -> LeaderStatus {
         match self.replica.leader {
             None => LeaderStatus::None,
-            Some(leader) if self.is_mine(&leader) => LeaderStatus::ThisController,
-            Some(leader) if leader.host == self.me => LeaderStatus::EarlierIncarnation,
-            Some(leader) => LeaderStatus::Peer(self.judge_leader(leader, now)),
+            Some(leader) if self.is_own_grant(&leader) => LeaderStatus::ThisController,
+            Some(leader) if leader.host == self.own_id => LeaderStatus::EarlierIncarnation,
+            Some(leader) => LeaderStatus::Peer(self.assess_peer_leader(leader, now)),
         }
     }
 
-    fn judge_leader(&self, leader: Holder, now: Timestamp) -> PeerLeader {
+    fn assess_peer_leader(&self, leader: Holder, now: Timestamp) -> PeerLeader {
         let host = leader.host;
         let key = self.replica.live_controllers.get(&host);
-        let goes_first = |&&other: &&HostId| {
+        let precedes_this = |&&other: &&HostId| {
             let name = self.replica.names.hosts.name(other);
-            other != host && self.peers.hears(other, now) && name < self.my_name()
+            other != host && self.peers.is_reachable(other, now) && name < self.own_name()
         };
         PeerLeader {
             replaced: key.is_none_or(|shown| shown.incarnation != leader.incarnation),
-            silent: !self.peers.hears(host, now)
+            silent: !self.peers.is_reachable(host, now)
                 && self.listened(now)
-                && self.peers.corroborated(host, now),
-            refused: self.store_refuses_only(host, now),
-            restarted: self.peers.restarted(host, leader.incarnation, now),
-            rank: self.peers.others().iter().filter(goes_first).count() as u64,
+                && self.peers.is_silence_corroborated(host, now),
+            without_store: self.is_peer_without_store(host, now),
+            restarted: self
+                .peers
+                .has_restarted_since(host, leader.incarnation, now),
+            rank: self.peers.others().iter().filter(precedes_this).count() as u64,
         }
     }
 
     /// Writes this controller's name into the leader's key.
     fn campaign(&mut self, out: &mut Vec<Effect>) {
         let record = HolderRecord {
-            host: self.my_name().to_owned(),
+            host: self.own_name().to_owned(),
             incarnation: self.membership.incarnation().0,
         };
         let transaction = Transaction {
--- a/src/controller/candidacy/tests.rs
+++ b/src/controller/candidacy/tests.rs
@@ -5,7 +5,7 @@
 const HEALTHY: PeerLeader = PeerLeader {
     replaced: false,
     silent: false,
-    refused: false,
+    without_store: false,
     restarted: false,
     rank: 0,
 };
@@ -43,7 +43,7 @@
             ..HEALTHY
         },
         PeerLeader {
-            refused: true,
+            without_store: true,
             ..HEALTHY
         },
     ] {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_leader_that_only_speaks_in_another_incarnation_is_given_time() {
+fn a_leader_that_reports_another_incarnation_is_given_a_grace_period() {
     let restarted = PeerLeader {
         restarted: true,
         ..HEALTHY
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -26,7 +26,7 @@
 impl Controller {
     /// Records completions and moves of the blocks held, one write a block.
     pub(crate) fn tick_completions(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if self.block_upkeep.grants_first(now) {
+        if self.block_upkeep.grants_have_priority(now) {
             return;
         }
         let machines = self.completions.machines_to_record();
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -13,14 +13,14 @@
     /// Request a lease from the store; the answer goes to [`Controller::on_lease`].
     ///
     /// [`Controller::on_lease`]: super::Controller::on_lease
-    NewLease {
+    RequestLease {
         /// Duration of the lease, ms.
         lease_ms: u64,
     },
     /// Renew the lease; the answer goes to [`Controller::on_renewed`].
     ///
     /// [`Controller::on_renewed`]: super::Controller::on_renewed
-    Renew {
+    RenewLease {
         /// Lease to renew.
         lease_id: u64,
     },
@@ -32,24 +32,24 @@
         transaction: Transaction,
     },
     /// Send a message to another controller.
-    Peer {
+    SendPeerMessage {
         /// Recipient.
         host: HostId,
         /// Message to send.
         message: Box<PeerMessage>,
     },
     /// Read the cloud's catalog of machine types.
-    Catalog,
+    ReadCatalog,
     /// Read the cloud's list of machines.
-    List,
+    ListMachines,
     /// Read the final states of the named jobs from the archive.
-    Archived(Vec<String>),
+    ReadArchive(Vec<String>),
     /// Rent machines from the cloud.
-    Rent(RentRequest),
+    RentMachines(RentRequest),
     /// Return the named machines to the cloud.
-    Return(Vec<String>),
+    ReturnMachines(Vec<String>),
     /// Send a request to a controller of another cell.
-    Cell(Box<CellCall>),
+    CallCell(Box<CellCall>),
 }
 
 /// Purpose of a transaction. At most one transaction of each kind is in flight.
@@ -75,7 +75,7 @@
     /// Status 200.
     HeartbeatAck(HeartbeatAck),
     /// Status 421, with the name of a more suitable controller if one is known.
-    Elsewhere(Option<String>),
+    Redirect(Option<String>),
     /// Not decided yet: to be passed to [`Controller::on_confirmed_heartbeat`] once the replica
     /// shows everything that was written before the heartbeat arrived.
     ///
--- a/src/controller/formats.rs
+++ b/src/controller/formats.rs
@@ -20,7 +20,7 @@
 
 /// Time for which a controller of an older version that disappeared holds back newer formats, ms.
 /// It may come back in any version; one that stays away does not block the upgrade forever.
-const OLDER_GONE_MS: u64 = 60_000;
+const OLDER_VERSION_MEMORY_MS: u64 = 60_000;
 
 /// A controller that was seen to read an older format than this one.
 #[derive(Debug, Clone, Copy)]
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub(crate) struct FormatTracker {
     /// Id of this controller.
-    me: HostId,
+    own_id: HostId,
     /// Newest format that this controller reads and writes.
     own: u32,
     /// Whether it was already logged that this version is too old for the stored values.
@@ -47,9 +47,9 @@
 impl FormatTracker {
     /// Creates a tracker for a controller that reads format `own` and has seen no other controller
     /// yet.
-    pub(crate) fn new(me: HostId, own: u32) -> Self {
+    pub(crate) fn new(own_id: HostId, own: u32) -> Self {
         Self {
-            me,
+            own_id,
             own,
             outdated_logged: false,
             older: HashMap::default(),
@@ -79,7 +79,7 @@
     /// Records the formats stated in the controllers' keys.
     pub(super) fn observe_keys(&mut self, replica: &Replica, now: Timestamp) {
         for (&host, controller) in &replica.live_controllers {
-            if host != self.me {
+            if host != self.own_id {
                 self.observe(host, controller.format, now);
             }
         }
@@ -87,7 +87,7 @@
 
     /// Adopts the `recorded` format if it is newer than the one with which this controller started:
     /// another controller has enabled a feature that needs it.
-    pub(super) fn follow_recorded(&mut self, recorded: u32) {
+    pub(super) fn adopt_recorded(&mut self, recorded: u32) {
         if recorded > self.own && self.own >= CURRENT_FORMAT && recorded <= NEWEST_FORMAT {
             self.own = recorded;
         }
@@ -100,22 +100,22 @@
             error!(
                 stored,
                 read = NEWEST_FORMAT,
-                "values are stored in a newer format: this version cannot serve here"
+                "values are stored in a newer format than this version can read"
             );
         }
     }
 
     /// Newest format read by all controllers that are present or were recently.
     fn common(&self, replica: &Replica, now: Timestamp) -> u32 {
-        let lately = self
+        let recent = self
             .older
             .values()
-            .filter(|older| now.since(older.seen) < OLDER_GONE_MS);
+            .filter(|older| now.since(older.seen) < OLDER_VERSION_MEMORY_MS);
         let keys = replica
             .live_controllers
             .iter()
-            .filter(|(host, _)| **host != self.me);
-        lately
+            .filter(|(host, _)| **host != self.own_id);
+        recent
             .map(|older| older.format)
             .chain(keys.map(|(_, controller)| controller.format))
             .fold(self.own, u32::min)
@@ -138,20 +138,20 @@
 
     /// Whether jobs with unfinished predecessors may be accepted. Once all controllers were seen to
     /// read them this stays true, even if an older version returns briefly.
-    pub fn accepts_waiting(&self, now: Timestamp) -> bool {
+    pub fn accepts_dependent_jobs(&self, now: Timestamp) -> bool {
         self.formats.own() >= CHAINS_FORMAT
             && (self.replica.format >= CHAINS_FORMAT || self.common_format(now) >= CHAINS_FORMAT)
     }
 
     /// Plans to record the format that all controllers read, limited by the operators' setting.
     pub(crate) fn plan_format(&mut self, now: Timestamp) -> Option<Transaction> {
-        let most = self.settings.options.format_most as u32;
-        let format = self.common_format(now).min(most);
+        let max_format = self.settings.options.format_most as u32;
+        let format = self.common_format(now).min(max_format);
         if format <= self.replica.format || !self.listened(now) {
             return None;
         }
         let record = FormatRecord { format };
-        info!(format, "all controllers read this format");
+        info!(format, "recording the format that all controllers read");
         Some(Transaction {
             preconditions: Vec::new(),
             mutations: vec![put(FORMAT, &record, None)],
--- a/src/controller/heartbeat/admission.rs
+++ b/src/controller/heartbeat/admission.rs
@@ -18,7 +18,7 @@
         let Some((machine_id, grant)) = self.grant_of(&heartbeat.machine) else {
             return Err(self.redirect_to_leader(heartbeat, now));
         };
-        if !self.is_mine(&grant) {
+        if !self.is_own_grant(&grant) {
             return Err(self.redirect_to_holder(heartbeat, &grant, now));
         }
         if let Some(holder) = self.later_holder(machine_id) {
@@ -52,7 +52,7 @@
     fn later_holder(&self, machine_id: MachineId) -> Option<HostId> {
         let block = self.replica.machines.get(&machine_id)?.block;
         let holder = self.peers.reported_holder(block)?;
-        (holder != self.me).then_some(holder)
+        (holder != self.own_id).then_some(holder)
     }
 
     /// Nobody holds the machine: the leader is to hear of it.
@@ -81,12 +81,12 @@
     }
 
     fn is_heard_peer(&self, host: HostId, now: Timestamp) -> bool {
-        host != self.me && self.peers.hears(host, now)
+        host != self.own_id && self.peers.is_reachable(host, now)
     }
 
     fn redirect(&mut self, to: Option<HostId>) -> HeartbeatResponse {
         self.counters.redirects += 1;
         let name = to.map(|host| self.replica.names.hosts.name(host).to_owned());
-        HeartbeatResponse::Elsewhere(name)
+        HeartbeatResponse::Redirect(name)
     }
 }
--- a/src/controller/heartbeat/delayed.rs
+++ b/src/controller/heartbeat/delayed.rs
@@ -59,7 +59,7 @@
             return HeartbeatResponse::Unavailable;
         };
         if !self.holds(&grant) || !self.has_authority(now) {
-            return HeartbeatResponse::Elsewhere(None);
+            return HeartbeatResponse::Redirect(None);
         }
         let Some(mut runtime) = self.held.take(machine_id) else {
             return HeartbeatResponse::Unavailable;
--- a/src/controller/heartbeat/launch.rs
+++ b/src/controller/heartbeat/launch.rs
@@ -53,7 +53,7 @@
         let Some(machine) = self.replica.machines.get(&machine_id) else {
             return launches;
         };
-        let size = self.size(machine);
+        let size = self.machine_capacity(machine);
         let mut full = false;
         for binding in self.by_priority(machine) {
             match self.decide_binding(machine_id, machine, runtime, binding, queue_use, now) {
--- a/src/controller/heartbeat/stops.rs
+++ b/src/controller/heartbeat/stops.rs
@@ -83,6 +83,6 @@
     /// Expected seconds until a task is done, at least 1.
     fn rest_s(&self, job: &Job, task: &ReportedTask, now: Timestamp) -> f64 {
         let ran_ms = task.running_since.map_or(0, |since| now.since(since));
-        (self.run_s(job) - ran_ms as f64 / 1000.0).max(1.0)
+        (self.expected_run_s(job) - ran_ms as f64 / 1000.0).max(1.0)
     }
 }
--- a/src/controller/machine_status.rs
+++ b/src/controller/machine_status.rs
@@ -16,7 +16,7 @@
         now: Timestamp,
     ) -> Option<MachineInfo> {
         let (_, grant) = self.replica.holder(machine_id)?;
-        if grant.host == self.me {
+        if grant.host == self.own_id {
             let runtime = self.held.get(machine_id)?;
             return Some(MachineInfo {
                 age_ms: runtime.heard_at.map(|heard| now.since(heard)),
@@ -26,7 +26,7 @@
                 restarted: runtime.restarted,
             });
         }
-        let (summary, received_at) = self.peers.machine(grant.host, machine_id)?;
+        let (summary, received_at) = self.peers.reported_machine(grant.host, machine_id)?;
         let message_age = now.since(received_at);
         Some(MachineInfo {
             age_ms: summary.age_ms.map(|age| age + message_age),
@@ -68,11 +68,11 @@
     /// Running tasks of a job as far as this controller has heard, for display.
     pub fn running(&self, job: JobId) -> u32 {
         let mine = self.held.running(job);
-        mine + self.peers.running(job)
+        mine + self.peers.reported_running(job)
     }
 
     /// Whether no task of a job may run any more, as far as this controller knows.
     pub(crate) fn is_over(&self, job_id: JobId, job: &Job) -> bool {
-        job.status != JobStatus::Pending || self.peers.reports_cancelled(job_id)
+        job.status != JobStatus::Pending || self.peers.is_reported_cancelled(job_id)
     }
 }
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -19,21 +19,21 @@
 /// Shortest and longest interval between lease renewals, ms.
 const RENEWAL_INTERVAL_MS: (u64, u64) = (500, 3000);
 /// Pause after a failed lease request, ms; chosen at random from this range.
-const RETRY_MS: std::ops::Range<u64> = 250..500;
+const LEASE_RETRY_MS: std::ops::Range<u64> = 250..500;
 /// Time for which renewals may fail before the store counts as unreachable, ms.
-const RENEWALS_FAILING_MS: u64 = 1200;
+const MAX_RENEWAL_FAILURE_MS: u64 = 1200;
 /// Time for which reads and watches may remain unanswered before the store counts as unreachable,
 /// ms.
-const REPLICA_UNCONFIRMED_MS: u64 = 8000;
+const MAX_UNCONFIRMED_REPLICA_MS: u64 = 8000;
 
 /// Time for which a rejection by the store counts as recent, ms.
-const REFUSED_LATELY_MS: u64 = 3000;
+const STORE_REFUSAL_RECENT_MS: u64 = 3000;
 
 /// Lease and incarnation of this controller, and the confirmations that its authority depends on.
 #[derive(Debug)]
 pub(crate) struct Membership {
     /// Id of this controller.
-    me: HostId,
+    own_id: HostId,
     /// Duration of a lease, ms.
     lease_ms: u64,
     /// Duration of the authority after a confirmation, ms; shorter than the lease.
@@ -69,9 +69,9 @@
 
 impl Membership {
     /// Creates the state of a controller without a lease, with a random incarnation.
-    pub(crate) fn new(me: HostId, settings: &Settings, rng: &mut SmallRng) -> Self {
+    pub(crate) fn new(own_id: HostId, settings: &Settings, rng: &mut SmallRng) -> Self {
         Self {
-            me,
+            own_id,
             lease_ms: settings.block_lease_ms(),
             authority_ms: settings.authority_ms(),
             incarnation: random_incarnation(rng),
@@ -112,8 +112,8 @@
     }
 
     /// Whether a grant names this controller in its current incarnation.
-    pub(crate) fn is_mine(&self, holder: &Holder) -> bool {
-        holder.host == self.me && holder.incarnation == self.incarnation
+    pub(crate) fn is_own_grant(&self, holder: &Holder) -> bool {
+        holder.host == self.own_id && holder.incarnation == self.incarnation
     }
 
     /// Until when this controller may act on the state shown by the replica.
@@ -129,12 +129,12 @@
     }
 
     /// Whether the store answered recently.
-    fn store_answers(&self, now: Timestamp) -> bool {
+    fn is_store_reachable(&self, now: Timestamp) -> bool {
         self.store_failing_since
-            .is_none_or(|since| now.since(since) < RENEWALS_FAILING_MS)
+            .is_none_or(|since| now.since(since) < MAX_RENEWAL_FAILURE_MS)
             && self
                 .replica_confirmed_at
-                .is_some_and(|confirmed| now.since(confirmed) < REPLICA_UNCONFIRMED_MS)
+                .is_some_and(|confirmed| now.since(confirmed) < MAX_UNCONFIRMED_REPLICA_MS)
     }
 
     /// Returns the lease request or renewal that is due, if any.
@@ -144,8 +144,8 @@
         }
         self.renewal_in_flight = true;
         Some(match (self.lease_id, self.renewed_at) {
-            (Some(lease_id), Some(_)) => Effect::Renew { lease_id },
-            _ => Effect::NewLease {
+            (Some(lease_id), Some(_)) => Effect::RenewLease { lease_id },
+            _ => Effect::RequestLease {
                 lease_ms: self.lease_ms,
             },
         })
@@ -210,7 +210,7 @@
     fn on_request_failed(&mut self, now: Timestamp, rng: &mut SmallRng) {
         self.renewal_in_flight = false;
         self.store_failing_since.get_or_insert(now);
-        self.next_renewal = now.plus(rng.random_range(RETRY_MS));
+        self.next_renewal = now.plus(rng.random_range(LEASE_RETRY_MS));
     }
 }
 
@@ -239,7 +239,7 @@
     }
 
     /// Handles the expiry of a lease at the store.
-    pub fn on_lease_gone(&mut self, lease_id: u64, now: Timestamp) {
+    pub fn on_lease_expired(&mut self, lease_id: u64, now: Timestamp) {
         if self.membership.on_lease_expired(lease_id, now) {
             warn!(lease_id, "lease expired");
             self.writes.forget(WriteKind::Join);
@@ -265,8 +265,8 @@
     }
 
     /// Whether a grant names this controller in its current incarnation.
-    pub(crate) fn is_mine(&self, holder: &Holder) -> bool {
-        self.membership.is_mine(holder)
+    pub(crate) fn is_own_grant(&self, holder: &Holder) -> bool {
+        self.membership.is_own_grant(holder)
     }
 
     /// Whether this controller holds a block by this grant and its replica includes everything that
@@ -276,7 +276,7 @@
     /// would then still list tasks that the former holder had moved away, and starting one requires
     /// no write that could fail.
     pub(crate) fn holds(&self, grant: &Holder) -> bool {
-        self.is_mine(grant) && self.replica.revision >= grant.mod_revision
+        self.is_own_grant(grant) && self.replica.revision >= grant.mod_revision
     }
 
     /// Whether this controller has up-to-date state after any pause of its event loop. It draws no
@@ -290,19 +290,22 @@
     /// Upper bound of the replica's age, ms: every older change is included. `None` until the
     /// replica is consistent.
     pub(crate) fn replica_age_ms(&self, now: Timestamp) -> Option<u64> {
-        let whole = self.replica.synced && self.writes.is_whole(self.replica.revision);
-        let confirmed = self.membership.replica_confirmed_at().filter(|_| whole)?;
+        let consistent = self.replica.synced && self.writes.is_consistent(self.replica.revision);
+        let confirmed = self
+            .membership
+            .replica_confirmed_at()
+            .filter(|_| consistent)?;
         Some(now.since(confirmed))
     }
 
     /// Whether the store answered recently.
-    pub fn state_ok(&self, now: Timestamp) -> bool {
-        self.membership.store_answers(now)
+    pub fn is_store_reachable(&self, now: Timestamp) -> bool {
+        self.membership.is_store_reachable(now)
     }
 
     /// Whether the store recently rejected a write for its budget.
-    pub(crate) fn refused_lately(&self, now: Timestamp) -> bool {
-        self.writes.refused_within(REFUSED_LATELY_MS, now)
+    pub(crate) fn store_refused_recently(&self, now: Timestamp) -> bool {
+        self.writes.refused_within(STORE_REFUSAL_RECENT_MS, now)
     }
 
     /// Whether users should be routed to this controller.
@@ -315,7 +318,7 @@
         }
         // If no controller reaches the store, reporting unhealthy would only keep users away for
         // longer than the outage lasts.
-        self.state_ok(now) || self.peers.none_heard_has_store(now)
+        self.is_store_reachable(now) || self.peers.is_store_outage_reported(now)
     }
 
     /// Requests or renews the lease when that is due.
@@ -331,7 +334,7 @@
         if !self.may_plan(WriteKind::Join, now) {
             return;
         }
-        let key = controller_key(self.my_name());
+        let key = controller_key(self.own_name());
         let record = ControllerRecord {
             incarnation: self.membership.incarnation().0,
             lease: lease_id,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -62,7 +62,7 @@
     /// Local copy of the keys that all controllers share.
     pub replica: Replica,
     /// Id of this controller.
-    pub me: HostId,
+    pub own_id: HostId,
     /// Counters shown to operators.
     pub counters: Counters,
     /// Lease and incarnation of this controller, and the confirmations that its authority depends
@@ -102,19 +102,19 @@
 #[derive(Debug, Default)]
 pub(crate) struct Schedule {
     /// When the catalog is read next.
-    pub(crate) next_catalog: Timestamp,
+    pub(crate) next_catalog_read: Timestamp,
     /// When the counters are logged next.
-    next_metrics: Timestamp,
+    next_metrics_log: Timestamp,
     /// Earliest time of the next archive query for predecessors.
     pub(crate) next_archive_query: Timestamp,
 }
 
 /// Interval at which the counters are logged, ms.
-const METRICS_MS: u64 = 30_000;
+const METRICS_INTERVAL_MS: u64 = 30_000;
 /// Interval at which the catalog is read once it is known, ms.
-const CATALOG_MS: u64 = 30_000;
+const CATALOG_INTERVAL_MS: u64 = 30_000;
 /// Interval at which the catalog is read while it is unknown, ms.
-const UNKNOWN_CATALOG_MS: u64 = 1000;
+const UNKNOWN_CATALOG_INTERVAL_MS: u64 = 1000;
 
 impl Controller {
     /// Creates a controller with an empty replica. `seed` determines its random choices and its
@@ -122,12 +122,12 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut replica = Replica::default();
         let platform = &settings.platform;
-        let me = replica.names.hosts.intern(&platform.host_name);
+        let own_id = replica.names.hosts.intern(&platform.host_name);
         let others = platform
             .peers
             .iter()
             .map(|peer| replica.names.hosts.intern(&peer.host_name))
-            .filter(|&host| host != me)
+            .filter(|&host| host != own_id)
             .collect();
         for team in &platform.settings.teams {
             replica.names.teams.intern(&team.name);
@@ -140,12 +140,12 @@
             false => CURRENT_FORMAT,
         };
         Self {
-            membership: Membership::new(me, &settings, &mut rng),
-            peers: Peers::new(me, others, &settings),
-            formats: FormatTracker::new(me, format),
+            membership: Membership::new(own_id, &settings, &mut rng),
+            peers: Peers::new(own_id, others, &settings),
+            formats: FormatTracker::new(own_id, format),
             settings,
             replica,
-            me,
+            own_id,
             counters: Counters::default(),
             pauses: PauseDetector::default(),
             held: HeldMachines::default(),
@@ -168,7 +168,7 @@
     }
 
     /// Name of this controller.
-    pub fn my_name(&self) -> &str {
+    pub fn own_name(&self) -> &str {
         &self.settings.platform.host_name
     }
 
@@ -189,7 +189,7 @@
         self.tick_metrics(now);
         self.tick_catalog(now, &mut out);
         self.adjust_write_pace(now);
-        self.note_ungranted_blocks(now);
+        self.observe_ungranted_blocks(now);
         self.tick_lease(now, &mut out);
         self.writes.resend_due(now, &mut out);
         if self.replica.synced {
@@ -198,7 +198,7 @@
                 self.tick_with_authority(now, &mut out);
             }
         }
-        self.ask_archive(now, &mut out);
+        self.query_archive(now, &mut out);
         self.tick_spillover(now, &mut out);
         if self.work_stealing.has_outgoing() || self.peers.is_message_due(now) {
             self.tick_peers(now, &mut out);
@@ -213,27 +213,27 @@
         self.tick_completions(now, out);
         // If only this controller cannot reach the store, others act in its place and take over its
         // machines, which would appear dead to it.
-        if !self.alone_without_store(now) {
+        if !self.is_alone_without_store(now) {
             self.tick_leader(now, out);
         }
         self.tick_work_stealing(now, out);
     }
 
     fn tick_metrics(&mut self, now: Timestamp) {
-        if now >= self.schedule.next_metrics {
-            self.schedule.next_metrics = now.plus(METRICS_MS);
+        if now >= self.schedule.next_metrics_log {
+            self.schedule.next_metrics_log = now.plus(METRICS_INTERVAL_MS);
             self.log_metrics();
         }
     }
 
     fn tick_catalog(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if now >= self.schedule.next_catalog {
+        if now >= self.schedule.next_catalog_read {
             let wait = match self.catalog_known() {
-                true => CATALOG_MS,
-                false => UNKNOWN_CATALOG_MS,
+                true => CATALOG_INTERVAL_MS,
+                false => UNKNOWN_CATALOG_INTERVAL_MS,
             };
-            self.schedule.next_catalog = now.plus(wait);
-            out.push(Effect::Catalog);
+            self.schedule.next_catalog_read = now.plus(wait);
+            out.push(Effect::ReadCatalog);
         }
     }
 
--- a/src/controller/pauses.rs
+++ b/src/controller/pauses.rs
@@ -7,7 +7,7 @@
 use tracing::warn;
 
 /// Gap between two runs of the event loop from which the controller counts as overloaded, ms.
-const STALL_MS: u64 = 1000;
+const STALL_GAP_MS: u64 = 1000;
 
 /// Detects that this process did not run for some time.
 #[derive(Debug, Default)]
@@ -16,7 +16,7 @@
     started_at: Option<Timestamp>,
     /// When the event loop last ran.
     last_tick_at: Timestamp,
-    /// When the event loop last ran late by more than [`STALL_MS`].
+    /// When the event loop last ran late by more than [`STALL_GAP_MS`].
     stalled_at: Option<Timestamp>,
     /// When the event loop resumed after a pause long enough for others to act in this controller's
     /// place.
@@ -29,7 +29,7 @@
     pub(crate) fn on_tick(&mut self, now: Timestamp, pause_ms: u64) {
         if self.started_at.is_some() {
             let gap_ms = now.since(self.last_tick_at);
-            if gap_ms > STALL_MS {
+            if gap_ms > STALL_GAP_MS {
                 self.stalled_at = Some(now);
             }
             if gap_ms > pause_ms {
--- a/src/controller/peers/messages.rs
+++ b/src/controller/peers/messages.rs
@@ -9,10 +9,10 @@
 use crate::protocol::{FleetSummary, JobStatus, PeerMessage, StealMessage};
 use crate::replica::BlockId;
 
-use super::{LONG_MESSAGE_EVERY, ReportedGrant};
+use super::{LONG_MESSAGE_PERIOD, ReportedGrant};
 
 /// Time for which peers are informed that users' writes were rejected for the write budget, ms.
-const SHORT_MS: u64 = 1000;
+const USERS_REFUSED_REPORT_MS: u64 = 1000;
 
 /// How much a message contains about the sender's machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,7 +35,7 @@
         for host in self.peers.others.clone() {
             let steal_messages = take_messages_to(host, &mut outbox);
             let regular =
-                (due.periodic && self.speaks_first_to(host, now)) || urgent_to == Some(host);
+                (due.periodic && self.initiates_contact_with(host, now)) || urgent_to == Some(host);
             if regular || !steal_messages.is_empty() {
                 let length = match regular {
                     true => self.message_length_for(host),
@@ -44,7 +44,7 @@
                 let mut message = self.peer_message(length, now);
                 message.steal_messages = steal_messages;
                 self.add_facts_for_refused_peer(host, &mut message, now);
-                out.push(Effect::Peer {
+                out.push(Effect::SendPeerMessage {
                     host,
                     message: Box::new(message),
                 });
@@ -71,8 +71,8 @@
 
     /// Whether this controller sends requests to a peer, rather than the peer to it. A response
     /// contains the same as a request, so one direction suffices unless the peer is overdue.
-    fn speaks_first_to(&self, host: HostId, now: Timestamp) -> bool {
-        self.my_name() < self.replica.names.hosts.name(host) || self.peers.is_overdue(host, now)
+    fn initiates_contact_with(&self, host: HostId, now: Timestamp) -> bool {
+        self.own_name() < self.replica.names.hosts.name(host) || self.peers.is_overdue(host, now)
     }
 
     /// Returns the level of detail for a peer: the leader needs the current state of all machines,
@@ -82,7 +82,7 @@
             .replica
             .leader
             .is_some_and(|leader| leader.host == host);
-        if leads || self.peers.message_count.is_multiple_of(LONG_MESSAGE_EVERY) {
+        if leads || self.peers.message_count.is_multiple_of(LONG_MESSAGE_PERIOD) {
             MessageLength::Long
         } else {
             MessageLength::Short
@@ -97,13 +97,18 @@
         let age_ms = |at: Timestamp| now.since(at);
         let peers = self.peers.states.iter();
         PeerMessage {
-            host: self.my_name().to_owned(),
+            host: self.own_name().to_owned(),
             incarnation: self.membership.incarnation().0,
-            state_ok: self.state_ok(now),
-            short: self.writes.user_refused_within(SHORT_MS, now),
+            state_ok: self.is_store_reachable(now),
+            short: self
+                .writes
+                .user_refused_within(USERS_REFUSED_REPORT_MS, now),
             heard: peers
                 .filter_map(|(&host, peer)| {
-                    Some((names.hosts.name(host).to_owned(), age_ms(peer.heard_at?)))
+                    Some((
+                        names.hosts.name(host).to_owned(),
+                        age_ms(peer.last_message_at?),
+                    ))
                 })
                 .collect(),
             fleet,
@@ -167,9 +172,9 @@
     ) {
         // Own writes show in the replica before the next watch response is handled.
         let newly_cancelled = std::mem::take(&mut self.replica.changes.cancelled);
-        self.note_cancelled(newly_cancelled, now);
+        self.record_cancelled(newly_cancelled, now);
         let peer = self.peers.states.get(&host);
-        if peer.is_none_or(|peer| peer.state_ok) {
+        if peer.is_none_or(|peer| peer.store_reachable) {
             return;
         }
         let cancellations = self.peers.recent_cancellations.iter();
@@ -196,12 +201,12 @@
             return;
         }
         self.formats.observe(host, message.format, now);
-        let state_ok = self.state_ok(now);
+        let own_store_reachable = self.is_store_reachable(now);
         let names = &self.replica.names;
         let peer = self.peers.states.entry(host).or_default();
-        peer.update(&mut message, names, state_ok, now);
-        self.accept_cancellations(&message.cancelled);
-        self.accept_grants(message.grants);
+        peer.update(&mut message, names, own_store_reachable, now);
+        self.record_reported_cancellations(&message.cancelled);
+        self.record_reported_grants(message.grants);
         self.adopt_run_time_ratios(message.ratios);
         self.spillover.on_heard_loans(message.loans, now);
         for steal_message in message.steal_messages {
@@ -211,7 +216,7 @@
 
     /// Records cancellations reported by a peer. A cancellation is final, so a second-hand report
     /// suffices.
-    fn accept_cancellations(&mut self, job_names: &[String]) {
+    fn record_reported_cancellations(&mut self, job_names: &[String]) {
         for name in job_names {
             let Some(job_id) = self.replica.names.jobs.get(name) else {
                 continue;
@@ -225,14 +230,14 @@
     }
 
     /// Records reported grants that are newer than those by which this controller holds the blocks.
-    fn accept_grants(&mut self, grants: Vec<(u32, u64, String)>) {
+    fn record_reported_grants(&mut self, grants: Vec<(u32, u64, String)>) {
         for (block, fencing_token, holder) in grants {
             let block = BlockId(block);
             let Some(holder) = self.replica.names.hosts.get(&holder) else {
                 continue;
             };
             let held = self.replica.grants.get(&block);
-            if held.is_some_and(|g| g.host == self.me && g.mod_revision < fencing_token) {
+            if held.is_some_and(|g| g.host == self.own_id && g.mod_revision < fencing_token) {
                 let reported = ReportedGrant {
                     fencing_token,
                     holder,
@@ -251,7 +256,7 @@
     }
 
     /// Records cancellations that the replica shows.
-    pub(crate) fn note_cancelled(&mut self, jobs: Vec<JobId>, now: Timestamp) {
+    pub(crate) fn record_cancelled(&mut self, jobs: Vec<JobId>, now: Timestamp) {
         for job in jobs {
             self.peers.forget_reported_cancellation(job);
             // A returned loan may be lent again under another fencing token; only its lender can
@@ -260,7 +265,7 @@
                 continue;
             }
             let name = self.replica.names.jobs.name(job).to_owned();
-            self.peers.list_cancellation(name, now);
+            self.peers.record_cancellation(name, now);
         }
         self.peers.trim_cancellations(now);
     }
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -26,14 +26,14 @@
 const MAX_RECENT_CANCELLATIONS: usize = 500;
 /// Time after which other controllers act in place of a peer that reports that only it cannot reach
 /// the store, ms.
-const REFUSED_MS: u64 = 2000;
+const STORE_REFUSAL_PATIENCE_MS: u64 = 2000;
 /// Tolerance for the message ages that peers report, which may be too low by this much, ms.
-const HEARD_AGE_SLACK_MS: u64 = 300;
+const REPORTED_AGE_TOLERANCE_MS: u64 = 300;
 /// Maximum age of the peer messages that decide whether a controller without the store is cut off,
 /// ms.
-const HEARD_FOR_READINESS_MS: u64 = 3000;
+const READINESS_MESSAGE_AGE_MS: u64 = 3000;
 /// One in this many periodic messages lists all machines to all peers.
-const LONG_MESSAGE_EVERY: u32 = 4;
+const LONG_MESSAGE_PERIOD: u32 = 4;
 
 /// Message intervals and silence timeouts, from the settings.
 #[derive(Debug, Clone, Copy)]
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 pub(crate) struct Peers {
     /// Id of this controller.
-    me: HostId,
+    own_id: HostId,
     /// Ids of the other controllers.
     others: Vec<HostId>,
     timing: Timing,
@@ -114,9 +114,9 @@
 
 impl Peers {
     /// Creates the state of peers from which no message has arrived yet.
-    pub(crate) fn new(me: HostId, others: Vec<HostId>, settings: &Settings) -> Self {
+    pub(crate) fn new(own_id: HostId, others: Vec<HostId>, settings: &Settings) -> Self {
         Self {
-            me,
+            own_id,
             others,
             timing: Timing::new(settings),
             states: HashMap::default(),
@@ -149,56 +149,62 @@
         self.timing.settling_ms
     }
 
-    /// Whether a message from a controller arrived recently; always true of this controller itself.
-    pub(crate) fn hears(&self, host: HostId, now: Timestamp) -> bool {
-        host == self.me
+    /// Whether a message from `host` arrived recently; always true for this controller itself.
+    pub(crate) fn is_reachable(&self, host: HostId, now: Timestamp) -> bool {
+        host == self.own_id
             || self
                 .states
                 .get(&host)
-                .and_then(|peer| peer.heard_at)
-                .is_some_and(|heard| now.since(heard) <= self.timing.silent_ms)
+                .and_then(|peer| peer.last_message_at)
+                .is_some_and(|at| now.since(at) <= self.timing.silent_ms)
     }
 
-    /// Whether any message from this controller has ever arrived.
-    pub(crate) fn is_known(&self, host: HostId) -> bool {
+    /// Whether any message from `host` has ever arrived.
+    pub(crate) fn has_ever_sent_message(&self, host: HostId) -> bool {
         self.states.contains_key(&host)
     }
 
     /// Whether a reachable controller reports another incarnation than the given one. The earlier
     /// incarnation has then ended, even if its keys still exist: a controller that restarts without
     /// access to the store cannot announce this otherwise.
-    pub(crate) fn restarted(&self, host: HostId, incarnation: Incarnation, now: Timestamp) -> bool {
-        host != self.me
-            && self.hears(host, now)
+    pub(crate) fn has_restarted_since(
+        &self,
+        host: HostId,
+        incarnation: Incarnation,
+        now: Timestamp,
+    ) -> bool {
+        host != self.own_id
+            && self.is_reachable(host, now)
             && self
                 .states
                 .get(&host)
                 .and_then(|peer| peer.incarnation)
-                .is_some_and(|spoken| spoken != incarnation)
+                .is_some_and(|reported| reported != incarnation)
     }
 
-    /// Whether other reachable controllers do not reach `host` either.
+    /// Whether at least half of the other reachable controllers, and at least one, do not reach
+    /// `host` either.
     ///
     /// Prevents a controller that is cut off from its peers but reaches the store from taking over
     /// everything from healthy peers. If the controllers that miss `host` are no majority of all,
     /// the others may be with it on the other side of a partition; then its queue totals must be
     /// missing from the store as well.
-    pub(crate) fn corroborated(&self, host: HostId, now: Timestamp) -> bool {
+    pub(crate) fn is_silence_corroborated(&self, host: HostId, now: Timestamp) -> bool {
         let silent_ms = self.timing.silent_ms;
-        let heard = || {
+        let reachable = || {
             self.others
                 .iter()
-                .filter(|&&other| other != host && self.hears(other, now))
+                .filter(|&&other| other != host && self.is_reachable(other, now))
         };
         let misses = |other: &&HostId| {
             self.states.get(*other).is_some_and(|peer| {
-                peer.heard_ages_ms
+                peer.reported_message_ages_ms
                     .get(&host)
-                    .is_none_or(|&age| age + HEARD_AGE_SLACK_MS > silent_ms)
+                    .is_none_or(|&age| age + REPORTED_AGE_TOLERANCE_MS > silent_ms)
             })
         };
-        let missing = heard().filter(misses).count();
-        if missing == 0 || missing * 2 < heard().count() {
+        let missing = reachable().filter(misses).count();
+        if missing == 0 || missing * 2 < reachable().count() {
             return false;
         }
         let published = self
@@ -209,51 +215,52 @@
     }
 
     /// Whether some other reachable controller can reach the store.
-    pub(super) fn some_heard_has_store(&self, now: Timestamp) -> bool {
+    pub(super) fn any_reachable_peer_has_store(&self, now: Timestamp) -> bool {
         self.others.iter().any(|&host| {
             let peer = self.states.get(&host);
-            self.hears(host, now) && peer.is_some_and(|peer| peer.state_ok)
+            self.is_reachable(host, now) && peer.is_some_and(|peer| peer.store_reachable)
         })
     }
 
     /// Whether a reachable peer has reported for a while that it cannot reach the store, while this
     /// controller could.
-    pub(super) fn is_refused(&self, host: HostId, now: Timestamp) -> bool {
-        self.hears(host, now)
+    pub(super) fn is_refused_by_store(&self, host: HostId, now: Timestamp) -> bool {
+        self.is_reachable(host, now)
             && self
                 .states
                 .get(&host)
-                .and_then(|peer| peer.refused_since)
-                .is_some_and(|since| now.since(since) >= REFUSED_MS)
+                .and_then(|peer| peer.store_unreachable_since)
+                .is_some_and(|since| now.since(since) >= STORE_REFUSAL_PATIENCE_MS)
     }
 
     /// Whether the peers report that none of them can reach the store either. A controller that
     /// hears from no peer is itself cut off, and the others may be healthy.
-    pub(super) fn none_heard_has_store(&self, now: Timestamp) -> bool {
-        let mut heard = self
+    pub(super) fn is_store_outage_reported(&self, now: Timestamp) -> bool {
+        let mut recent = self
             .others
             .iter()
             .filter_map(|host| self.states.get(host))
             .filter(|peer| {
-                peer.heard_at
-                    .is_some_and(|at| now.since(at) < HEARD_FOR_READINESS_MS)
+                peer.last_message_at
+                    .is_some_and(|at| now.since(at) < READINESS_MESSAGE_AGE_MS)
             })
             .peekable();
-        (self.others.is_empty() || heard.peek().is_some()) && heard.all(|peer| !peer.state_ok)
+        (self.others.is_empty() || recent.peek().is_some())
+            && recent.all(|peer| !peer.store_reachable)
     }
 
     /// A machine's summary as last reported by its holder, and when that was.
-    pub(super) fn machine(
+    pub(super) fn reported_machine(
         &self,
         holder: HostId,
         machine_id: MachineId,
     ) -> Option<(&MachineSummary, Timestamp)> {
         let peer = self.states.get(&holder)?;
-        Some((peer.machines.get(&machine_id)?, peer.machines_at?))
+        Some((peer.machines.get(&machine_id)?, peer.machines_reported_at?))
     }
 
     /// Running tasks of a job on the peers' machines, as last reported.
-    pub(super) fn running(&self, job: JobId) -> u32 {
+    pub(super) fn reported_running(&self, job: JobId) -> u32 {
         self.states
             .values()
             .filter_map(|peer| peer.running.get(&job))
@@ -283,12 +290,12 @@
     pub(crate) fn users_refused_within(&self, window_ms: u64, now: Timestamp) -> bool {
         self.states
             .values()
-            .filter_map(|peer| peer.short_at)
+            .filter_map(|peer| peer.users_refused_at)
             .any(|at| now.since(at) < window_ms)
     }
 
     /// Whether a peer reports a job as cancelled that is pending in the replica.
-    pub(super) fn reports_cancelled(&self, job: JobId) -> bool {
+    pub(super) fn is_reported_cancelled(&self, job: JobId) -> bool {
         self.reported_cancellations.contains(&job)
     }
 
@@ -303,12 +310,12 @@
     }
 
     /// Records that queue totals of a controller were seen in the store.
-    pub(super) fn note_load(&mut self, host: HostId, now: Timestamp) {
+    pub(super) fn record_load_published(&mut self, host: HostId, now: Timestamp) {
         self.last_load_seen.insert(host, now);
     }
 
     /// Drops reported grants that the replica shows in the meantime.
-    pub(super) fn follow_grants(&mut self, grants: &HashMap<BlockId, Holder>) {
+    pub(super) fn drop_confirmed_grants(&mut self, grants: &HashMap<BlockId, Holder>) {
         self.reported_grants.retain(|block, reported| {
             grants
                 .get(block)
@@ -317,10 +324,10 @@
     }
 
     /// Drops jobs whose index may be reused for another job.
-    pub(super) fn forget_jobs(&mut self, stays: impl Fn(&JobId) -> bool) {
-        self.reported_cancellations.retain(&stays);
+    pub(super) fn forget_jobs(&mut self, is_kept: impl Fn(&JobId) -> bool) {
+        self.reported_cancellations.retain(&is_kept);
         for peer in self.states.values_mut() {
-            peer.forget_jobs(&stays);
+            peer.forget_jobs(&is_kept);
         }
     }
 
@@ -330,7 +337,7 @@
     }
 
     /// Adds a cancellation to the list for peers that cannot reach the store.
-    fn list_cancellation(&mut self, job_name: String, now: Timestamp) {
+    fn record_cancellation(&mut self, job_name: String, now: Timestamp) {
         self.recent_cancellations.push_back((now, job_name));
     }
 
@@ -370,23 +377,23 @@
 
     /// Whether a peer's periodic message is overdue.
     fn is_overdue(&self, host: HostId, now: Timestamp) -> bool {
-        let heard_at = self.states.get(&host).and_then(|peer| peer.heard_at);
-        heard_at.is_none_or(|at| now.since(at) > self.timing.overdue_ms)
+        let last_message_at = self.states.get(&host).and_then(|peer| peer.last_message_at);
+        last_message_at.is_none_or(|at| now.since(at) > self.timing.overdue_ms)
     }
 }
 
 /// Conclusions from the peers' reports and the state of the store connection.
 impl Controller {
     /// Whether this controller cannot reach the store while another reachable controller can.
-    pub(crate) fn alone_without_store(&self, now: Timestamp) -> bool {
-        !self.state_ok(now) && self.peers.some_heard_has_store(now)
+    pub(crate) fn is_alone_without_store(&self, now: Timestamp) -> bool {
+        !self.is_store_reachable(now) && self.peers.any_reachable_peer_has_store(now)
     }
 
     /// Whether a peer reports that it cannot reach the store, while this controller can.
     ///
     /// While such a peer leads, nothing is bound until its lease expires; completions of its
     /// machines are not recorded, and tasks bound to them are not started.
-    pub(crate) fn store_refuses_only(&self, host: HostId, now: Timestamp) -> bool {
-        self.state_ok(now) && self.peers.is_refused(host, now)
+    pub(crate) fn is_peer_without_store(&self, host: HostId, now: Timestamp) -> bool {
+        self.is_store_reachable(now) && self.peers.is_refused_by_store(host, now)
     }
 }
--- a/src/controller/peers/state.rs
+++ b/src/controller/peers/state.rs
@@ -23,21 +23,21 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct PeerState {
     /// When its last message arrived.
-    pub(super) heard_at: Option<Timestamp>,
+    pub(super) last_message_at: Option<Timestamp>,
     /// The incarnation that sent the last message.
     pub(super) incarnation: Option<Incarnation>,
     /// Whether the peer can reach the store.
-    pub(super) state_ok: bool,
+    pub(super) store_reachable: bool,
     /// Since when the peer has reported that it cannot reach the store, while this controller can.
-    pub(super) refused_since: Option<Timestamp>,
+    pub(super) store_unreachable_since: Option<Timestamp>,
     /// When the peer last reported that it rejected users' writes for the write budget.
-    pub(super) short_at: Option<Timestamp>,
+    pub(super) users_refused_at: Option<Timestamp>,
     /// Ages of the messages that the peer had last received from others, ms.
-    pub(super) heard_ages_ms: HashMap<HostId, u64>,
+    pub(super) reported_message_ages_ms: HashMap<HostId, u64>,
     /// Last reported summaries of the peer's machines.
     pub(super) machines: HashMap<MachineId, MachineSummary>,
     /// When the machines were last reported.
-    pub(super) machines_at: Option<Timestamp>,
+    pub(super) machines_reported_at: Option<Timestamp>,
     /// Number of running tasks of each job on the peer's machines.
     pub(super) running: HashMap<JobId, u32>,
     /// Tasks done on the peer's machines that the peer has not recorded yet.
@@ -50,26 +50,26 @@
 
 impl PeerState {
     /// Updates the state from the peer's latest message, moving machine data out of `message`.
-    /// `state_ok`: whether this controller can reach the store.
+    /// `own_store_reachable`: whether this controller can reach the store.
     pub(super) fn update(
         &mut self,
         message: &mut PeerMessage,
         names: &Names,
-        state_ok: bool,
+        own_store_reachable: bool,
         now: Timestamp,
     ) {
-        self.heard_at = Some(now);
+        self.last_message_at = Some(now);
         self.incarnation = Some(Incarnation(message.incarnation));
-        self.state_ok = message.state_ok;
-        if message.state_ok || !state_ok {
-            self.refused_since = None;
+        self.store_reachable = message.state_ok;
+        if message.state_ok || !own_store_reachable {
+            self.store_unreachable_since = None;
         } else {
-            self.refused_since.get_or_insert(now);
+            self.store_unreachable_since.get_or_insert(now);
         }
         if message.short {
-            self.short_at = Some(now);
+            self.users_refused_at = Some(now);
         }
-        self.heard_ages_ms = message
+        self.reported_message_ages_ms = message
             .heard
             .iter()
             .filter_map(|(host, age_ms)| Some((names.hosts.get(host)?, *age_ms)))
@@ -97,7 +97,7 @@
             .into_iter()
             .filter_map(|machine| Some((names.machines.get(&machine.machine)?, machine)))
             .collect();
-        self.machines_at = Some(now);
+        self.machines_reported_at = Some(now);
         self.running = fleet
             .running
             .iter()
@@ -111,9 +111,9 @@
     }
 
     /// Drops jobs whose index may be reused for another job.
-    pub(super) fn forget_jobs(&mut self, stays: impl Fn(&JobId) -> bool) {
-        self.failure_streaks.retain(|streak| stays(&streak.job));
-        self.running.retain(|job, _| stays(job));
-        self.done.retain(|job, _| stays(job));
+    pub(super) fn forget_jobs(&mut self, is_kept: impl Fn(&JobId) -> bool) {
+        self.failure_streaks.retain(|streak| is_kept(&streak.job));
+        self.running.retain(|job, _| is_kept(job));
+        self.done.retain(|job, _| is_kept(job));
     }
 }
--- a/src/controller/queue_load.rs
+++ b/src/controller/queue_load.rs
@@ -14,11 +14,11 @@
 use std::collections::BTreeMap;
 
 /// Minimum expected run time of a task, s.
-const LEAST_RUN_S: f64 = 0.5;
+const MIN_EXPECTED_RUN_S: f64 = 0.5;
 /// Minimum remaining fraction of a started task's expected run time, however overdue it is.
-const LEAST_SHARE_LEFT: f64 = 0.1;
+const MIN_REMAINING_SHARE: f64 = 0.1;
 /// Bytes of a queue-totals value reserved for everything but the list of machines.
-const LOAD_RECORD_RESERVE: usize = 100;
+const LOAD_RECORD_RESERVED_BYTES: usize = 100;
 /// Bytes of an entry of queue totals besides the machine's name: a number and separators, with 10
 /// bytes to spare.
 const LOAD_ENTRY_BYTES: usize = 14;
@@ -30,16 +30,16 @@
     }
 
     /// Capacity of a machine; `None` while its type is unknown.
-    pub(crate) fn size(&self, machine: &Machine) -> Option<Room> {
+    pub(crate) fn machine_capacity(&self, machine: &Machine) -> Option<Room> {
         self.machine_types
             .get(&machine.machine_type)
             .map(Room::from)
     }
 
     /// Expected run time of a task, s: the owner's estimate corrected by the observed ratio.
-    pub(crate) fn run_s(&self, job: &Job) -> f64 {
+    pub(crate) fn expected_run_s(&self, job: &Job) -> f64 {
         let ratio = self.held.run_time_ratio(job.class);
-        (job.spec.estimate_s * ratio).max(LEAST_RUN_S)
+        (job.spec.estimate_s * ratio).max(MIN_EXPECTED_RUN_S)
     }
 
     /// Queued work of a machine, in seconds per CPU; a started task counts with its remaining time.
@@ -47,7 +47,7 @@
         let Some(machine) = self.replica.machines.get(&machine_id) else {
             return 0.0;
         };
-        let Some(size) = self.size(machine) else {
+        let Some(size) = self.machine_capacity(machine) else {
             return 0.0;
         };
         let runtime = self.held.get(machine_id);
@@ -57,7 +57,7 @@
             .filter_map(|binding| {
                 let job = self.replica.jobs.get(&binding.task.job)?;
                 let task = runtime.and_then(|runtime| runtime.tasks.get(&binding.task));
-                Some(seconds_left(self.run_s(job), task, now) * job.spec.cpus)
+                Some(remaining_s(self.expected_run_s(job), task, now) * job.spec.cpus)
             })
             .sum();
         work / size.cpus.max(1e-6)
@@ -66,9 +66,9 @@
     /// Queue load of a machine, as its holder reports it; 0 if unknown.
     pub(crate) fn known_load(&self, machine_id: MachineId, now: Timestamp) -> f64 {
         match self.replica.holder(machine_id) {
-            Some((_, grant)) if grant.host == self.me => self.queue_load(machine_id, now),
+            Some((_, grant)) if grant.host == self.own_id => self.queue_load(machine_id, now),
             Some((_, grant)) => {
-                let summary = self.peers.machine(grant.host, machine_id);
+                let summary = self.peers.reported_machine(grant.host, machine_id);
                 summary.map_or(0.0, |(summary, _)| summary.load)
             }
             None => 0.0,
@@ -93,7 +93,7 @@
             .collect();
         loads.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let record = self.load_record(&loads);
-        let key = load_key(self.my_name());
+        let key = load_key(self.own_name());
         let transaction = Transaction {
             preconditions: Vec::new(),
             mutations: vec![put(&key, &record, self.membership.lease_id())],
@@ -120,7 +120,7 @@
         let mut room = self
             .settings
             .value_bytes()
-            .saturating_sub(LOAD_RECORD_RESERVE);
+            .saturating_sub(LOAD_RECORD_RESERVED_BYTES);
         let (mut low, mut high) = (0, loads.len());
         while low < high {
             let at = if (low + loads.len() - high).is_multiple_of(2) {
@@ -143,12 +143,12 @@
 }
 
 /// Expected remaining time of a queued task, s. `run_s` is its whole run time.
-fn seconds_left(run_s: f64, task: Option<&TaskRuntime>, now: Timestamp) -> f64 {
+fn remaining_s(run_s: f64, task: Option<&TaskRuntime>, now: Timestamp) -> f64 {
     match task {
         Some(task) if task.status == TaskPhase::Ended => 0.0,
         Some(task) => {
             let ran = task.running_since.map_or(0, |since| now.since(since));
-            (run_s - ran as f64 / 1000.0).max(run_s * LEAST_SHARE_LEFT)
+            (run_s - ran as f64 / 1000.0).max(run_s * MIN_REMAINING_SHARE)
         }
         None => run_s,
     }
--- a/src/controller/replica_changes.rs
+++ b/src/controller/replica_changes.rs
@@ -14,19 +14,19 @@
 
 impl Controller {
     /// Handles a complete read started at `sent`. Its pages were read one after another, at
-    /// revisions from `revision` to `upto`.
-    pub fn on_load(
+    /// revisions from `revision` to `last_revision`.
+    pub fn on_replica_read(
         &mut self,
         items: Vec<KeyValue>,
         revision: u64,
-        upto: u64,
+        last_revision: u64,
         sent: Timestamp,
         now: Timestamp,
     ) {
         self.replica.load(items, revision);
         // A key that moved between pages during the read may be missing from both, so nothing is
         // planned until the watch has made the replica consistent.
-        self.writes.plan_only_after(upto);
+        self.writes.require_revision(last_revision);
         self.membership.confirm_replica(sent);
         self.after_replica_change(now);
         info!(
@@ -39,7 +39,7 @@
 
     /// Handles the response to a watch opened at `sent`.
     pub fn on_watch_response(&mut self, response: WatchResponse, sent: Timestamp, now: Timestamp) {
-        self.writes.note_changes(response.events.len());
+        self.writes.observe_changes(response.events.len());
         self.replica
             .apply_watch_events(response.events, response.revision);
         self.membership.confirm_replica(sent);
@@ -52,16 +52,16 @@
         self.forget_jobs(&released);
         self.resolve_in_doubt_writes();
         self.adopt_stored_catalog();
-        self.formats.follow_recorded(self.replica.format);
+        self.formats.adopt_recorded(self.replica.format);
         self.formats.observe_keys(&self.replica, now);
         let changes = std::mem::take(&mut self.replica.changes);
-        self.note_cancelled(changes.cancelled, now);
-        self.peers.follow_grants(&self.replica.grants);
+        self.record_cancelled(changes.cancelled, now);
+        self.peers.drop_confirmed_grants(&self.replica.grants);
         for host in changes.loads {
-            self.peers.note_load(host, now);
+            self.peers.record_load_published(host, now);
         }
         self.drop_machines_without_block(changes.machines);
-        let early_grants = self.follow_blocks(changes.blocks, now);
+        let early_grants = self.update_blocks(changes.blocks, now);
         // Processed again with the next change, until the watch has reached the revisions of their
         // grants.
         self.replica.changes.blocks.extend(early_grants);
@@ -73,11 +73,11 @@
         if released.is_empty() {
             return;
         }
-        let stays = |job: &JobId| !released.contains(job);
-        self.held.forget_jobs(stays);
-        self.completions.forget_jobs(stays);
+        let is_kept = |job: &JobId| !released.contains(job);
+        self.held.forget_jobs(is_kept);
+        self.completions.forget_jobs(is_kept);
         self.leadership.forget_jobs(released);
-        self.peers.forget_jobs(stays);
+        self.peers.forget_jobs(is_kept);
     }
 
     /// Uses the catalog kept in the store, for controllers that start while the cloud is
@@ -100,21 +100,21 @@
 
     /// Processes changes of blocks and of their holders. Returns the blocks granted to this
     /// controller at a revision that the replica has not reached yet.
-    fn follow_blocks(&mut self, blocks: BTreeSet<BlockId>, now: Timestamp) -> Vec<BlockId> {
+    fn update_blocks(&mut self, blocks: BTreeSet<BlockId>, now: Timestamp) -> Vec<BlockId> {
         let mut early_grants = Vec::new();
         for id in blocks {
-            self.note_size(id);
+            self.update_oversized(id);
             let grant = self.replica.grants.get(&id).copied();
-            let mine = grant.filter(|grant| self.is_mine(grant));
-            let fencing_token = mine
+            let own_grant = grant.filter(|grant| self.is_own_grant(grant));
+            let fencing_token = own_grant
                 .filter(|grant| self.holds(grant))
                 .map(|grant| grant.mod_revision);
-            if mine.is_some() && fencing_token.is_none() {
+            if own_grant.is_some() && fencing_token.is_none() {
                 early_grants.push(id);
             }
             let machines = self.replica.blocks.get(&id).map(|b| b.machines.clone());
             for machine_id in machines.unwrap_or_default() {
-                self.follow_machine(machine_id, fencing_token, now);
+                self.update_machine(machine_id, fencing_token, now);
                 if self.replica.has_queued_tasks(machine_id) {
                     self.held.wake(machine_id);
                 }
@@ -125,7 +125,7 @@
 
     /// Keeps a machine's runtime state under one fencing token; drops it if there is none, that is,
     /// if this controller does not hold the machine.
-    fn follow_machine(
+    fn update_machine(
         &mut self,
         machine_id: MachineId,
         fencing_token: Option<u64>,
--- a/src/controller/status_page.rs
+++ b/src/controller/status_page.rs
@@ -17,12 +17,12 @@
             .iter()
             .map(|(machine, runtime)| {
                 let name = names.machines.name(machine);
-                (name, self.machine_on_page(machine, runtime, now))
+                (name, self.machine_status_json(machine, runtime, now))
             })
             .collect();
         let leader = self.replica.leader;
         let mut page = json!({
-            "host": self.my_name(),
+            "host": self.own_name(),
             "boot": self.membership.incarnation().0,
             "ready": self.ready(now),
             "authority": self.has_authority(now),
@@ -45,7 +45,7 @@
     }
 
     /// Status of a machine that this controller holds.
-    fn machine_on_page(
+    fn machine_status_json(
         &self,
         machine_id: MachineId,
         runtime: &MachineRuntime,
@@ -82,7 +82,7 @@
         let hosts = &self.replica.names.hosts;
         let controllers = self.replica.live_controllers.iter();
         let shown = controllers.map(|(&host, controller)| (hosts.name(host), controller.format));
-        let own = (self.my_name(), self.formats.own());
+        let own = (self.own_name(), self.formats.own());
         shown.chain([own]).collect()
     }
 }
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -6,7 +6,8 @@
 
 /// Machine types that tests rent.
 pub(crate) fn catalog() -> crate::protocol::Catalog {
-    serde_json::from_str(include_str!("../../tests/support/catalog.json")).expect("good")
+    serde_json::from_str(include_str!("../../tests/support/catalog.json"))
+        .expect("the test catalog is valid JSON")
 }
 
 #[test]
--- a/src/controller/usage.rs
+++ b/src/controller/usage.rs
@@ -9,12 +9,12 @@
 impl Controller {
     /// Capacity that each team may still use: its limit minus all bound tasks.
     pub(crate) fn team_room(&self) -> HashMap<TeamId, Room> {
-        self.team_room_of(|team| (team.cpus_max, team.gpus_max))
+        self.team_room_within(|team| (team.cpus_max, team.gpus_max))
     }
 
     /// Remaining capacity of each team under the given limits (CPUs and GPUs), minus all bound
     /// tasks.
-    pub(crate) fn team_room_of(
+    pub(crate) fn team_room_within(
         &self,
         limits: impl Fn(&Team) -> (f64, f64),
     ) -> HashMap<TeamId, Room> {
@@ -47,7 +47,7 @@
     ///
     /// Without bindings in flight, the rest of a job that must stay in one zone could be bound in
     /// another zone while a write is unanswered.
-    pub(crate) fn zones_of(&self) -> HashMap<JobId, HashMap<ZoneId, u32>> {
+    pub(crate) fn bound_tasks_by_zone(&self) -> HashMap<JobId, HashMap<ZoneId, u32>> {
         let mut zones: HashMap<JobId, HashMap<ZoneId, u32>> = HashMap::default();
         let machines = self.replica.machines.values();
         let listed = machines
--- a/src/controller/writes/commits.rs
+++ b/src/controller/writes/commits.rs
@@ -1,7 +1,7 @@
 //! Handles the store's answers to transactions, one step for each outcome.
 
 use super::WriteIntent;
-use super::in_doubt::ResolvedWhen;
+use super::in_doubt::ResolutionCondition;
 use crate::clock::Timestamp;
 use crate::controller::{CommitOutcome, Controller, TaskOutcome, WriteKind};
 use crate::replica::BlockId;
@@ -11,7 +11,7 @@
 /// Pause before an unanswered transaction is resent, ms.
 const RESEND_PAUSE_MS: u64 = 300;
 /// Pause after a write that the store rejected, ms.
-const REFUSED_PAUSE_MS: u64 = 200;
+const REJECTED_PAUSE_MS: u64 = 200;
 /// Pause after a write that the store rejected as malformed, ms. Such a write is not resent, but
 /// its replacement may be malformed too.
 const MALFORMED_PAUSE_MS: u64 = 3000;
@@ -33,7 +33,7 @@
             CommitOutcome::Unknown => {
                 self.counters.unanswered += 1;
                 let resend_at = now.plus(RESEND_PAUSE_MS + jitter_ms);
-                self.writes.note_unanswered(write_kind, resend_at);
+                self.writes.record_unanswered(write_kind, resend_at);
                 debug!(?write_kind, "commit unacknowledged, will resend");
             }
             CommitOutcome::Refused if self.writes.is_in_doubt(write_kind) => {
@@ -43,7 +43,7 @@
             }
             CommitOutcome::NoLease | CommitOutcome::Refused => {
                 self.writes.refused_at = Some(now);
-                self.on_commit_rejected(write_kind, REFUSED_PAUSE_MS + jitter_ms, now);
+                self.on_commit_rejected(write_kind, REJECTED_PAUSE_MS + jitter_ms, now);
             }
             CommitOutcome::Malformed => {
                 self.on_commit_rejected(write_kind, MALFORMED_PAUSE_MS + jitter_ms, now);
@@ -57,7 +57,7 @@
             return;
         };
         self.replica.apply_own(&write.transaction, revision);
-        self.pace(write_kind, write.transaction.mutations.len(), now);
+        self.schedule_next_write(write_kind, write.transaction.mutations.len(), now);
         match write_kind {
             WriteKind::Join => self.membership.on_joined(),
             WriteKind::TakeLeadership => info!(term = revision, "became leader"),
@@ -88,11 +88,11 @@
         // An unanswered copy may have moved or bound the tasks or placed the machines. Until the
         // replica shows whether it did, these tasks and machines are not moved, bound or placed
         // elsewhere. Other blocks need not wait for the failed precondition.
-        let resolved_when = ResolvedWhen::AtRevision(revision);
-        self.writes.in_doubt.add(resolved_when, write.intent);
+        let condition = ResolutionCondition::RevisionReached(revision);
+        self.writes.in_doubt.add(condition, write.intent);
         // Another writer came first, so the retry need not wait for the regular time.
-        let due = now.plus(jitter_ms / 4);
-        self.writes.plan_not_before(write_kind, due);
+        let not_before = now.plus(jitter_ms / 4);
+        self.writes.plan_not_before(write_kind, not_before);
         self.after_replica_change(now);
     }
 
@@ -104,8 +104,8 @@
         self.counters.refused += 1;
         if write.in_doubt {
             // The limits may have been lowered after an unanswered copy was applied.
-            let resolved_when = ResolvedWhen::ByWatchSince(now);
-            self.writes.in_doubt.add(resolved_when, write.intent);
+            let condition = ResolutionCondition::WatchOpenedSince(now);
+            self.writes.in_doubt.add(condition, write.intent);
         } else {
             self.completions.release(&write.intent.moves);
         }
@@ -124,7 +124,7 @@
     }
 
     fn on_block_edit_committed(&mut self, id: BlockId, intent: &WriteIntent) {
-        self.counters.bound += intent.binds.len() as u64;
+        self.counters.bound += intent.bindings.len() as u64;
         for &machine_id in &intent.placed {
             let Some(machine) = self.replica.machines.get(&machine_id) else {
                 continue;
@@ -177,7 +177,7 @@
     /// Each transaction has a precondition on a key that it changes, so resending it settles the
     /// outcome: either it is applied now, or a precondition fails because it was applied before or
     /// can never be applied.
-    fn note_unanswered(&mut self, write_kind: WriteKind, resend_at: Timestamp) {
+    fn record_unanswered(&mut self, write_kind: WriteKind, resend_at: Timestamp) {
         if let Some(write) = self.in_flight.get_mut(&write_kind) {
             write.in_doubt = true;
             write.resend_at = Some(resend_at);
--- a/src/controller/writes/in_doubt.rs
+++ b/src/controller/writes/in_doubt.rs
@@ -8,33 +8,30 @@
 
 /// When the replica is certain to show whether a write was applied.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum ResolvedWhen {
+pub(super) enum ResolutionCondition {
     /// Once the replica has reached this revision.
-    AtRevision(u64),
+    RevisionReached(u64),
     /// Once a watch opened at or after this time has answered.
-    ByWatchSince(Timestamp),
+    WatchOpenedSince(Timestamp),
 }
 
 /// Possible effects of a failed write of which a copy remained unanswered.
 #[derive(Debug, Clone)]
-struct UnacknowledgedWrite {
-    resolved_when: ResolvedWhen,
+struct InDoubtWrite {
+    condition: ResolutionCondition,
     intent: WriteIntent,
 }
 
 /// All writes in doubt, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct InDoubtWrites {
-    writes: Vec<UnacknowledgedWrite>,
+    writes: Vec<InDoubtWrite>,
 }
 
 impl InDoubtWrites {
     /// Keeps the intent of a write until the replica shows whether it was applied.
-    pub(super) fn add(&mut self, resolved_when: ResolvedWhen, intent: WriteIntent) {
-        self.writes.push(UnacknowledgedWrite {
-            resolved_when,
-            intent,
-        });
+    pub(super) fn add(&mut self, condition: ResolutionCondition, intent: WriteIntent) {
+        self.writes.push(InDoubtWrite { condition, intent });
     }
 
     /// Intents of all writes in doubt.
@@ -49,9 +46,11 @@
         revision: u64,
         confirmed_at: Option<Timestamp>,
     ) -> Vec<WriteIntent> {
-        let is_resolved = |write: &mut UnacknowledgedWrite| match write.resolved_when {
-            ResolvedWhen::AtRevision(awaited) => awaited <= revision,
-            ResolvedWhen::ByWatchSince(since) => confirmed_at.is_some_and(|at| at >= since),
+        let is_resolved = |write: &mut InDoubtWrite| match write.condition {
+            ResolutionCondition::RevisionReached(awaited) => awaited <= revision,
+            ResolutionCondition::WatchOpenedSince(since) => {
+                confirmed_at.is_some_and(|at| at >= since)
+            }
         };
         let resolved = self.writes.extract_if(.., is_resolved);
         resolved.map(|write| write.intent).collect()
--- a/src/controller/writes/mod.rs
+++ b/src/controller/writes/mod.rs
@@ -19,7 +19,7 @@
 use crate::protocol::{Precondition, Transaction};
 use crate::replica::{Binding, BlockId};
 use in_doubt::InDoubtWrites;
-use pacing::{WritePace, WriteTurn};
+use pacing::{WritePace, WriteSchedule};
 
 /// Effects of a transaction besides the changed keys, kept until its outcome is certain.
 #[derive(Debug, Clone, Default)]
@@ -31,7 +31,7 @@
     /// Task moves that the transaction makes.
     pub moves: Vec<Move>,
     /// Tasks that the transaction binds, with their machines.
-    pub binds: Vec<(MachineId, Binding)>,
+    pub bindings: Vec<(MachineId, Binding)>,
     /// Machines that the transaction adds to a block.
     pub placed: Vec<MachineId>,
     /// Jobs that the transaction lends to another cell.
@@ -54,13 +54,13 @@
 pub(crate) struct WritePipeline {
     in_flight: HashMap<WriteKind, InFlightWrite>,
     in_doubt: InDoubtWrites,
-    turns: HashMap<WriteKind, WriteTurn>,
+    schedules: HashMap<WriteKind, WriteSchedule>,
     /// Adapts the interval between batched writes to the used budget.
     pace: WritePace,
     /// Revision that the replica must reach before the next write of a kind is planned.
     awaited_revisions: HashMap<WriteKind, u64>,
     /// Revision that the replica must reach before any write is planned.
-    plan_after_revision: u64,
+    required_revision: u64,
     /// When the store last rejected a write because its budget was exhausted.
     refused_at: Option<Timestamp>,
     /// When a user's write was last rejected for that reason.
@@ -122,39 +122,41 @@
     /// Whether a write of this kind may be planned from a replica at `revision`: none is in flight,
     /// its regular time has come, and the replica includes the change that made the last one fail.
     pub(crate) fn may_plan(&self, write_kind: WriteKind, revision: u64, now: Timestamp) -> bool {
-        let turn = self.turns.get(&write_kind);
-        self.is_free(write_kind, revision) && turn.is_none_or(|turn| now >= turn.due)
+        let schedule = self.schedules.get(&write_kind);
+        self.is_unblocked(write_kind, revision)
+            && schedule.is_none_or(|schedule| now >= schedule.not_before)
     }
 
     /// Like [`Self::may_plan`], for writes that others wait for and that need not wait for the
     /// regular time.
-    pub(crate) fn may_plan_early(
+    pub(crate) fn may_plan_urgent(
         &self,
         write_kind: WriteKind,
         revision: u64,
         now: Timestamp,
     ) -> bool {
-        let turn = self.turns.get(&write_kind);
-        self.is_free(write_kind, revision) && turn.is_none_or(|turn| now >= turn.early)
+        let schedule = self.schedules.get(&write_kind);
+        self.is_unblocked(write_kind, revision)
+            && schedule.is_none_or(|schedule| now >= schedule.urgent_not_before)
     }
 
     /// Whether no write of this kind is in flight and a replica at `revision` includes the change
     /// that made the last one fail.
-    fn is_free(&self, write_kind: WriteKind, revision: u64) -> bool {
+    fn is_unblocked(&self, write_kind: WriteKind, revision: u64) -> bool {
         let awaited = self.awaited_revisions.get(&write_kind);
         let awaited = awaited.copied().unwrap_or(0);
-        !self.is_in_flight(write_kind) && revision >= self.plan_after_revision.max(awaited)
+        !self.is_in_flight(write_kind) && revision >= self.required_revision.max(awaited)
     }
 
     /// Prevents planning until the replica has reached this revision.
-    pub(crate) fn plan_only_after(&mut self, revision: u64) {
-        self.plan_after_revision = self.plan_after_revision.max(revision);
+    pub(crate) fn require_revision(&mut self, revision: u64) {
+        self.required_revision = self.required_revision.max(revision);
     }
 
     /// Whether a replica at `revision` is consistent, that is, has reached the revision given to
-    /// [`Self::plan_only_after`].
-    pub(crate) fn is_whole(&self, revision: u64) -> bool {
-        revision >= self.plan_after_revision
+    /// [`Self::require_revision`].
+    pub(crate) fn is_consistent(&self, revision: u64) -> bool {
+        revision >= self.required_revision
     }
 
     /// Whether a write to this block is in flight; a second one would make one of the two fail.
@@ -178,7 +180,7 @@
 
     /// Tasks that are being bound, with their machines.
     pub(crate) fn pending_bindings(&self) -> impl Iterator<Item = &(MachineId, Binding)> {
-        self.pending_intents().flat_map(|intent| &intent.binds)
+        self.pending_intents().flat_map(|intent| &intent.bindings)
     }
 
     /// Jobs that are being lent to other cells.
@@ -197,18 +199,20 @@
     }
 
     /// Plans no write of this kind before `not_before`.
-    fn plan_not_before(&mut self, write_kind: WriteKind, due: Timestamp) {
-        self.turns.insert(write_kind, WriteTurn::at(due));
+    fn plan_not_before(&mut self, write_kind: WriteKind, not_before: Timestamp) {
+        self.schedules
+            .insert(write_kind, WriteSchedule::uniform(not_before));
     }
 
     /// Whether the store rejected a write for its budget within the last `window_ms`.
-    pub(crate) fn refused_within(&self, ms: u64, now: Timestamp) -> bool {
-        self.refused_at.is_some_and(|at| now.since(at) < ms)
+    pub(crate) fn refused_within(&self, window_ms: u64, now: Timestamp) -> bool {
+        self.refused_at.is_some_and(|at| now.since(at) < window_ms)
     }
 
     /// Whether a user's write was rejected for the store's budget within the last `window_ms`.
-    pub(crate) fn user_refused_within(&self, ms: u64, now: Timestamp) -> bool {
-        self.user_refused_at.is_some_and(|at| now.since(at) < ms)
+    pub(crate) fn user_refused_within(&self, window_ms: u64, now: Timestamp) -> bool {
+        self.user_refused_at
+            .is_some_and(|at| now.since(at) < window_ms)
     }
 }
 
@@ -220,10 +224,10 @@
     }
 
     /// Whether a write of this kind that others wait for may be planned now; see
-    /// [`WritePipeline::may_plan_early`].
-    pub(crate) fn may_plan_early(&self, write_kind: WriteKind, now: Timestamp) -> bool {
+    /// [`WritePipeline::may_plan_urgent`].
+    pub(crate) fn may_plan_urgent(&self, write_kind: WriteKind, now: Timestamp) -> bool {
         let revision = self.replica.revision;
-        self.writes.may_plan_early(write_kind, revision, now)
+        self.writes.may_plan_urgent(write_kind, revision, now)
     }
 
     /// The precondition that a key is unchanged since the revision shown by the replica.
--- a/src/controller/writes/pacing.rs
+++ b/src/controller/writes/pacing.rs
@@ -8,50 +8,53 @@
 use crate::controller::{Controller, WriteKind};
 
 /// Share of the store's write budget for the leader's block edits.
-const EDIT_SHARE: f64 = 0.45;
+const BLOCK_EDIT_BUDGET_SHARE: f64 = 0.45;
 /// Share of the store's write budget for the completions of all holders together. The rest is for
 /// submissions, cancellations, grants, finished jobs and queue totals.
-const COMPLETION_SHARE: f64 = 0.42;
+const COMPLETION_BUDGET_SHARE: f64 = 0.42;
 
 /// Time for which batched writes are slowed down after a user's write was rejected, ms.
-const REFUSED_SLOWDOWN_MS: u64 = 1500;
+const USER_REFUSED_SLOWDOWN_MS: u64 = 1500;
 /// Pace factor during that time.
-const REFUSED_SLOWDOWN_FACTOR: f64 = 0.7;
+const USER_REFUSED_PACE_FACTOR: f64 = 0.7;
 
 /// Interval at which the budget use is measured, ms.
-const MEASURE_INTERVAL_MS: u64 = 1000;
+const BUDGET_USE_INTERVAL_MS: u64 = 1000;
 /// Weight of the latest interval in the moving average of the change rate.
-const LATEST_WEIGHT: f64 = 0.3;
+const LATEST_INTERVAL_WEIGHT: f64 = 0.3;
 /// Fraction of the budget below which write intervals become shorter.
-const LOW_USE: f64 = 0.75;
+const LOW_BUDGET_USE: f64 = 0.75;
 /// Fraction of the budget above which write intervals become longer.
-const HIGH_USE: f64 = 0.88;
+const HIGH_BUDGET_USE: f64 = 0.88;
 /// Upper bound of the pace factor. At factor 1 the interval is long enough for every block to be
 /// written in each interval.
-const MAX_SPEED: f64 = 3.0;
+const MAX_PACE_FACTOR: f64 = 3.0;
 /// Multiplier of the pace factor after an interval in which a write was rejected.
-const STEP_REFUSED: f64 = 0.8;
+const REFUSED_PACE_STEP: f64 = 0.8;
 /// Multiplier of the pace factor after an interval with high budget use.
-const STEP_HIGH_USE: f64 = 0.95;
+const HIGH_USE_PACE_STEP: f64 = 0.95;
 /// Multiplier of the pace factor after an interval with low budget use.
-const STEP_LOW_USE: f64 = 1.08;
+const LOW_USE_PACE_STEP: f64 = 1.08;
 
 /// Number of schedules above which those in the past are dropped.
-const MAX_REMEMBERED_TURNS: usize = 1000;
+const MAX_KEPT_SCHEDULES: usize = 1000;
 
 /// When a kind of write may be planned again.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct WriteTurn {
+pub(crate) struct WriteSchedule {
     /// Earliest time of a regular write.
-    pub due: Timestamp,
+    pub not_before: Timestamp,
     /// Earliest time of a write that others wait for.
-    pub early: Timestamp,
+    pub urgent_not_before: Timestamp,
 }
 
-impl WriteTurn {
+impl WriteSchedule {
     /// A schedule that allows no write before `not_before`.
-    pub fn at(due: Timestamp) -> Self {
-        Self { due, early: due }
+    pub fn uniform(not_before: Timestamp) -> Self {
+        Self {
+            not_before,
+            urgent_not_before: not_before,
+        }
     }
 }
 
@@ -83,7 +86,7 @@
 
 impl WritePace {
     /// Counts changes shown by the watch.
-    fn note_changes(&mut self, changes: usize) {
+    fn observe_changes(&mut self, changes: usize) {
         self.changes_seen += changes as u64;
     }
 
@@ -91,20 +94,20 @@
     /// second.
     fn adjust(&mut self, budget_per_s: f64, refused: bool, now: Timestamp) {
         let elapsed_ms = now.since(self.interval_start);
-        if elapsed_ms < MEASURE_INTERVAL_MS {
+        if elapsed_ms < BUDGET_USE_INTERVAL_MS {
             return;
         }
         let latest = self.changes_seen as f64 * 1000.0 / elapsed_ms as f64;
-        self.changes_per_s += (latest - self.changes_per_s) * LATEST_WEIGHT;
+        self.changes_per_s += (latest - self.changes_per_s) * LATEST_INTERVAL_WEIGHT;
         (self.interval_start, self.changes_seen) = (now, 0);
-        let use_of_budget = self.changes_per_s / budget_per_s;
-        let step = match (refused, use_of_budget) {
-            (true, _) => STEP_REFUSED,
-            (false, used) if used > HIGH_USE => STEP_HIGH_USE,
-            (false, used) if used < LOW_USE => STEP_LOW_USE,
+        let budget_use = self.changes_per_s / budget_per_s;
+        let step = match (refused, budget_use) {
+            (true, _) => REFUSED_PACE_STEP,
+            (false, used) if used > HIGH_BUDGET_USE => HIGH_USE_PACE_STEP,
+            (false, used) if used < LOW_BUDGET_USE => LOW_USE_PACE_STEP,
             _ => 1.0,
         };
-        self.factor = (self.factor * step).clamp(1.0, MAX_SPEED);
+        self.factor = (self.factor * step).clamp(1.0, MAX_PACE_FACTOR);
     }
 
     /// How many times shorter the write intervals are than the basic ones.
@@ -115,15 +118,22 @@
 
 impl WritePipeline {
     /// Counts changes of all controllers that the watch showed.
-    pub(crate) fn note_changes(&mut self, changes: usize) {
-        self.pace.note_changes(changes);
+    pub(crate) fn observe_changes(&mut self, changes: usize) {
+        self.pace.observe_changes(changes);
     }
 
     /// Sets when the next write of a kind may be planned. `revision` is the replica's.
-    fn schedule(&mut self, write_kind: WriteKind, turn: WriteTurn, revision: u64, now: Timestamp) {
-        self.turns.insert(write_kind, turn);
-        if self.turns.len() > MAX_REMEMBERED_TURNS {
-            self.turns.retain(|_, turn| now < turn.due);
+    fn set_schedule(
+        &mut self,
+        write_kind: WriteKind,
+        schedule: WriteSchedule,
+        revision: u64,
+        now: Timestamp,
+    ) {
+        self.schedules.insert(write_kind, schedule);
+        if self.schedules.len() > MAX_KEPT_SCHEDULES {
+            self.schedules
+                .retain(|_, schedule| now < schedule.not_before);
             self.awaited_revisions
                 .retain(|_, awaited| revision < *awaited);
         }
@@ -134,46 +144,53 @@
     /// Adapts the pace to the measured use of the write budget.
     pub(crate) fn adjust_write_pace(&mut self, now: Timestamp) {
         let budget_per_s = self.settings.platform.settings.state.write_rps;
-        let refused =
-            self.users_refused(now) || self.writes.refused_within(REFUSED_SLOWDOWN_MS, now);
+        let refused = self.users_refused_recently(now)
+            || self.writes.refused_within(USER_REFUSED_SLOWDOWN_MS, now);
         self.writes.pace.adjust(budget_per_s, refused, now);
     }
 
     /// Schedules the next batched write of a kind after one with this number of changes; what
     /// happens until then is batched.
-    pub(super) fn pace(&mut self, write_kind: WriteKind, changes: usize, now: Timestamp) {
+    pub(super) fn schedule_next_write(
+        &mut self,
+        write_kind: WriteKind,
+        changes: usize,
+        now: Timestamp,
+    ) {
         let share = match write_kind {
-            WriteKind::Completions(_) => COMPLETION_SHARE,
-            WriteKind::BlockEdit(_) => EDIT_SHARE,
+            WriteKind::Completions(_) => COMPLETION_BUDGET_SHARE,
+            WriteKind::BlockEdit(_) => BLOCK_EDIT_BUDGET_SHARE,
             _ => return,
         };
-        let least_ms = self.settings.options.flush_ms as u64;
+        let min_interval_ms = self.settings.options.flush_ms as u64;
         // Users' writes take precedence over batched writes.
-        let speed = if self.users_refused(now) {
-            REFUSED_SLOWDOWN_FACTOR
+        let factor = if self.users_refused_recently(now) {
+            USER_REFUSED_PACE_FACTOR
         } else {
             self.writes.pace.factor()
         };
-        let turn_ms = self.turn_ms(share) * changes as f64 / speed;
-        let turn = WriteTurn {
-            due: now.plus((turn_ms as u64).max(least_ms)),
-            early: now.plus(least_ms),
+        let interval_ms = self.basic_interval_ms(share) * changes as f64 / factor;
+        let schedule = WriteSchedule {
+            not_before: now.plus((interval_ms as u64).max(min_interval_ms)),
+            urgent_not_before: now.plus(min_interval_ms),
         };
         let revision = self.replica.revision;
-        self.writes.schedule(write_kind, turn, revision, now);
+        self.writes
+            .set_schedule(write_kind, schedule, revision, now);
     }
 
     /// Length of the basic write interval for this share of the budget, ms.
-    fn turn_ms(&self, share: f64) -> f64 {
+    fn basic_interval_ms(&self, share: f64) -> f64 {
         let changes_per_s = self.settings.platform.settings.state.write_rps * share;
         self.used_blocks() as f64 / changes_per_s * 1000.0
     }
 
     /// Interval between two completion writes of a block plus the interval between two of its
     /// edits, s.
-    pub(crate) fn turns_s(&self) -> f64 {
-        let slowest_ms = self.turn_ms(EDIT_SHARE) + self.turn_ms(COMPLETION_SHARE);
-        slowest_ms / self.writes.pace.factor() / 1000.0
+    pub(crate) fn block_write_intervals_s(&self) -> f64 {
+        let basic_ms = self.basic_interval_ms(BLOCK_EDIT_BUDGET_SHARE)
+            + self.basic_interval_ms(COMPLETION_BUDGET_SHARE);
+        basic_ms / self.writes.pace.factor() / 1000.0
     }
 
     /// Handles the rejection of a user's write because the write budget was exhausted.
@@ -183,9 +200,14 @@
 
     /// Whether this or another controller recently had to reject a user's write, as far as is known
     /// here.
-    pub(crate) fn users_refused(&self, now: Timestamp) -> bool {
-        let refused_here = self.writes.user_refused_within(REFUSED_SLOWDOWN_MS, now);
-        refused_here || self.peers.users_refused_within(REFUSED_SLOWDOWN_MS, now)
+    pub(crate) fn users_refused_recently(&self, now: Timestamp) -> bool {
+        let refused_here = self
+            .writes
+            .user_refused_within(USER_REFUSED_SLOWDOWN_MS, now);
+        refused_here
+            || self
+                .peers
+                .users_refused_within(USER_REFUSED_SLOWDOWN_MS, now)
     }
 }
 
--- a/src/http/chained_submission.rs
+++ b/src/http/chained_submission.rs
@@ -159,13 +159,16 @@
         job: &NewJob,
         named: &[(String, Predecessor)],
     ) -> Result<Plan, ChainRefusal> {
-        let (planned, accepts_waiting) = {
+        let (planned, accepts_dependent_jobs) = {
             let controller = self.shared.controller.lock();
             let planned = job.plan(named, &controller);
-            (planned, controller.accepts_waiting(self.shared.now()))
+            (
+                planned,
+                controller.accepts_dependent_jobs(self.shared.now()),
+            )
         };
         let plan = planned?;
-        if matches!(plan, Plan::Wait(_)) && !accepts_waiting {
+        if matches!(plan, Plan::Wait(_)) && !accepts_dependent_jobs {
             return Err(ChainRefusal::OlderVersion);
         }
         Ok(plan)
--- a/src/http/shared.rs
+++ b/src/http/shared.rs
@@ -94,6 +94,6 @@
     /// Whether the state service is likely to answer: otherwise a user is better answered at once.
     pub(super) fn state_up(&self) -> bool {
         let now = self.shared.now();
-        self.shared.controller.lock().state_ok(now)
+        self.shared.controller.lock().is_store_reachable(now)
     }
 }
--- a/src/http/workers.rs
+++ b/src/http/workers.rs
@@ -37,7 +37,7 @@
 fn into_http(response: HeartbeatResponse) -> HttpResponse {
     match response {
         HeartbeatResponse::HeartbeatAck(ack) => HttpResponse::Ok().json(ack),
-        HeartbeatResponse::Elsewhere(holder) => {
+        HeartbeatResponse::Redirect(holder) => {
             HttpResponse::MisdirectedRequest().json(match holder {
                 Some(holder) => serde_json::json!({ "dispatcher": holder }),
                 None => serde_json::json!({}),
--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -85,7 +85,7 @@
 
     /// Moves jobs that are over out of the watched part, while the budget is not needed for more.
     pub(super) fn plan_archive(&mut self, now: Timestamp) -> Option<Transaction> {
-        if now < self.leadership.next_archive || self.refused_lately(now) {
+        if now < self.leadership.next_archive || self.store_refused_recently(now) {
             return None;
         }
         // Each job that leaves costs two changes: those that wait to run come first.
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -133,7 +133,7 @@
             let mut candidate = self.candidate(open, job, &taken, most);
             if candidate.needs.depends_on_other_tasks() {
                 // Zones are counted for one candidate alone: such jobs have no share.
-                let all = bound_by_zone.get_or_insert_with(|| self.zones_of());
+                let all = bound_by_zone.get_or_insert_with(|| self.bound_tasks_by_zone());
                 candidate.bound_by_zone = all.remove(&open.job).unwrap_or_default();
             } else {
                 let open_tasks = (taken.len() - job.done.len()) as usize;
@@ -164,7 +164,7 @@
             image: job.image,
             image_gb: job.spec.image_gb,
             needs: needs_of(job),
-            run_s: self.run_s(job),
+            run_s: self.expected_run_s(job),
             tasks: bindable.take(most).collect(),
             bound_by_zone: HashMap::default(),
             overdue: open.overdue,
--- a/src/leadership/binding/limits.rs
+++ b/src/leadership/binding/limits.rs
@@ -37,7 +37,8 @@
     /// still coming up, the less: what is bound behind other jobs' tasks by a rough estimate would
     /// wait there while machines without tasks send their first heartbeat.
     fn ahead_s(&self, now: Timestamp) -> f64 {
-        let ahead_s = self.settings.options.queue_ahead_s + (self.turns_s() - 1.0).max(0.0);
+        let ahead_s =
+            self.settings.options.queue_ahead_s + (self.block_write_intervals_s() - 1.0).max(0.0);
         let machines = self.replica.machines.len().max(1);
         let known = self.replica.machines.keys();
         let infos = known.filter_map(|&machine_id| self.machine_info(machine_id, now));
@@ -62,7 +63,7 @@
             .map(|(&job_id, job)| {
                 let begun = job.done.len() + self.replica.bound_len(job_id);
                 let left = job.spec.task_count.saturating_sub(begun);
-                f64::from(left) * job.spec.cpus * self.run_s(job)
+                f64::from(left) * job.spec.cpus * self.expected_run_s(job)
             })
             .sum();
         waiting / cpus.max(1.0)
--- a/src/leadership/binding/open_jobs.rs
+++ b/src/leadership/binding/open_jobs.rs
@@ -172,7 +172,7 @@
 
     /// CPUs that each team may still use within its guarantee.
     pub(crate) fn guaranteed_left(&self) -> HashMap<TeamId, f64> {
-        self.team_room_of(|team| (team.cpus, 0.0))
+        self.team_room_within(|team| (team.cpus, 0.0))
             .into_iter()
             .map(|(team, left)| (team, left.cpus))
             .collect()
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -72,7 +72,7 @@
 
     /// Whether the leader may write a block ahead of its turn, for what others wait for.
     fn is_writable_ahead_of_turn(&self, id: BlockId, now: Timestamp) -> bool {
-        self.may_plan_early(WriteKind::BlockEdit(id), now) && !self.writes.writes_block(id)
+        self.may_plan_urgent(WriteKind::BlockEdit(id), now) && !self.writes.writes_block(id)
     }
 
     /// Blocks whose key the leader may write now.
@@ -90,7 +90,7 @@
 
     /// Puts machines into blocks, marks those that leave, drops those that are gone, binds tasks.
     pub(super) fn plan_edits(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if self.block_upkeep.grants_first(now) {
+        if self.block_upkeep.grants_have_priority(now) {
             return;
         }
         let mut edits = PlannedEdits::default();
@@ -115,7 +115,7 @@
         let PlannedEdit { edit, mut intent } = planned;
         let record = self.replica.seal(&edit);
         let mutation = put(&block_key(id), &record, None);
-        let part = match intent.binds.is_empty() {
+        let part = match intent.bindings.is_empty() {
             true => 1.0,
             false => MAX_QUEUED_PART,
         };
@@ -264,7 +264,7 @@
             let binding = Binding { task, attempt };
             if let Some(edited) = machines.get_mut(&machine) {
                 edited.queue.push(binding);
-                planned.intent.binds.push((machine, binding));
+                planned.intent.bindings.push((machine, binding));
             }
         }
         for (machine_id, tasks) in evictions {
--- a/src/leadership/capacity.rs
+++ b/src/leadership/capacity.rs
@@ -40,7 +40,7 @@
             demand.push(Demand {
                 needs: needs_of(job),
                 tasks,
-                work: tasks_left * cpus * self.run_s(job),
+                work: tasks_left * cpus * self.expected_run_s(job),
             });
         }
         demand
@@ -56,7 +56,7 @@
     }
 
     fn rented(&self, machine_id: MachineId, machine: &Machine, now: Timestamp) -> Option<Rented> {
-        let size = self.size(machine)?;
+        let size = self.machine_capacity(machine)?;
         let machine_type = self.machine_types.get(&machine.machine_type)?;
         let info = self.machine_info(machine_id, now);
         let unfit = info
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -135,15 +135,17 @@
         let Some(controller) = self.replica.live_controllers.get(&host) else {
             return false;
         };
-        if host == self.me {
+        if host == self.own_id {
             return controller.incarnation == self.membership.incarnation();
         }
-        if self.store_refuses_only(host, now) {
+        if self.is_peer_without_store(host, now) {
             return false;
         }
-        let restarted = self.peers.restarted(host, controller.incarnation, now);
-        (self.peers.hears(host, now) && !restarted)
-            || (!self.listened(now) && !self.peers.is_known(host))
+        let restarted = self
+            .peers
+            .has_restarted_since(host, controller.incarnation, now);
+        (self.peers.is_reachable(host, now) && !restarted)
+            || (!self.listened(now) && !self.peers.has_ever_sent_message(host))
     }
 
     /// Grants blocks that nobody holds, or whose holder is gone or silent, and evens them out.
@@ -163,7 +165,7 @@
         }
         // While the budget of changes is short, a transaction of many finds room last of all.
         let most = self.settings.platform.settings.state.txn_ops;
-        grants.truncate(match self.refused_lately(now) {
+        grants.truncate(match self.store_refused_recently(now) {
             true => GRANTS_WHEN_REFUSED,
             false => most,
         });
@@ -186,8 +188,10 @@
     fn holder_faults(&mut self, now: Timestamp) -> HolderFaults {
         let unreachable = self.blocks_of_unreachable_holders(now);
         let grants = self.replica.grants.values();
-        let restarted =
-            grants.filter(|grant| self.peers.restarted(grant.host, grant.incarnation, now));
+        let restarted = grants.filter(|grant| {
+            self.peers
+                .has_restarted_since(grant.host, grant.incarnation, now)
+        });
         let restarted: HashSet<HostId> = restarted.map(|grant| grant.host).collect();
         let seen = &mut self.leadership.grants;
         HolderFaults {
@@ -242,17 +246,19 @@
         if controller.is_none_or(|controller| controller.incarnation != grant.incarnation) {
             return Some(GrantReason::HolderReplaced);
         }
-        if host != self.me
-            && !self.peers.hears(host, now)
+        if host != self.own_id
+            && !self.peers.is_reachable(host, now)
             && self.listened(now)
-            && self.peers.corroborated(host, now)
+            && self.peers.is_silence_corroborated(host, now)
         {
             return Some(GrantReason::HolderSilent);
         }
-        if self.store_refuses_only(host, now) {
+        if self.is_peer_without_store(host, now) {
             return Some(GrantReason::HolderRefusedByStore);
         }
-        if faults.restarted.contains(&host) && self.peers.restarted(host, grant.incarnation, now) {
+        if faults.restarted.contains(&host)
+            && self.peers.has_restarted_since(host, grant.incarnation, now)
+        {
             return Some(GrantReason::HolderRestarted);
         }
         if self.has_restarted_worker(block, grant, now) {
--- a/src/leadership/job_order.rs
+++ b/src/leadership/job_order.rs
@@ -192,7 +192,7 @@
 
     /// A job's place in the order in which jobs are served.
     pub(crate) fn rank(&self, job_id: JobId, job: &Job) -> Rank {
-        self.job_order().rank(job_id, job, self.run_s(job))
+        self.job_order().rank(job_id, job, self.expected_run_s(job))
     }
 }
 
--- a/src/leadership/job_order/tests.rs
+++ b/src/leadership/job_order/tests.rs
@@ -28,7 +28,7 @@
 
 fn slack_at(seconds: u64, due_s: Option<f64>) -> f64 {
     let (controller, job) = at(seconds, due_s);
-    let run_s = controller.run_s(&job);
+    let run_s = controller.expected_run_s(&job);
     let slack = controller
         .job_order()
         .slack(JobId::from_raw(0), &job, run_s);
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -218,7 +218,7 @@
         let Some(machine) = self.replica.machines.get(&machine) else {
             return false;
         };
-        let size = self.size(machine);
+        let size = self.machine_capacity(machine);
         size.is_some_and(|size| {
             needs.suits(machine.machine_type, machine.zone, machine.spot, &size)
         })
@@ -252,7 +252,7 @@
     fn victim(&self, machine: MachineId, binding: Binding) -> Option<Victim> {
         let job_id = binding.task.job;
         let job = self.replica.jobs.get(&job_id)?;
-        let run_s = self.run_s(job);
+        let run_s = self.expected_run_s(job);
         if run_s >= MAX_VICTIM_RUN_S || job.spec.checkpoint_s <= 0.0 {
             return None;
         }
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -59,10 +59,10 @@
         let interval_s = lag_s.clamp(MIN_LIST_INTERVAL_S, MAX_LIST_INTERVAL_S);
         let inventory = &mut self.leadership.inventory;
         if inventory.begin_list((interval_s * 1000.0) as u64, now) {
-            out.push(Effect::List);
+            out.push(Effect::ListMachines);
         }
         let overdue = self.leadership.rent.take_overdue(now);
-        out.extend(overdue.into_iter().map(Effect::Rent));
+        out.extend(overdue.into_iter().map(Effect::RentMachines));
         if self.leadership.rent.review_due(now) {
             let next = now.plus(REVIEW_INTERVAL_MS);
             self.leadership.rent.review_at(next);
@@ -146,7 +146,7 @@
             "renting machines"
         );
         self.leadership.rent.begin_rent(request.clone(), now);
-        out.push(Effect::Rent(request));
+        out.push(Effect::RentMachines(request));
     }
 
     /// Returns machines that are drained or dead, one request at a time.
@@ -168,7 +168,7 @@
         if !names.is_empty() {
             info!(machines = names.join(" "), "returning machines");
             self.leadership.rent.begin_return();
-            out.push(Effect::Return(names));
+            out.push(Effect::ReturnMachines(names));
         }
     }
 
--- a/src/leadership/slots.rs
+++ b/src/leadership/slots.rs
@@ -111,7 +111,7 @@
         cheapest: CheapestPrices,
         now: Timestamp,
     ) -> Option<Slot> {
-        let size = self.size(machine)?;
+        let size = self.machine_capacity(machine)?;
         let machine_type = self.machine_types.get(&machine.machine_type)?;
         let images = self.leadership.machines.cached_images(machine_id);
         Some(Slot {
--- a/src/leadership/unreachable_holders.rs
+++ b/src/leadership/unreachable_holders.rs
@@ -49,9 +49,9 @@
     fn unanswered_by_block(&self, now: Timestamp) -> BTreeMap<BlockId, UnansweredMachines> {
         let mut heard: BTreeMap<(BlockId, HostId), HashSet<MachineId>> = BTreeMap::new();
         let own = self.held.unowned.to_report(now);
-        let own = own.iter().map(|machine| (self.me, machine));
+        let own = own.iter().map(|machine| (self.own_id, machine));
         let of_peers = self.peers.unowned_machines();
-        let of_peers = of_peers.filter(|&(host, _)| self.peers.hears(host, now));
+        let of_peers = of_peers.filter(|&(host, _)| self.peers.is_reachable(host, now));
         for (host, machine) in own.chain(of_peers) {
             if let Some((block, machine_id)) = self.unanswered(host, machine, now) {
                 heard.entry((block, host)).or_default().insert(machine_id);
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -27,19 +27,19 @@
     /// Starts what the controller asks for.
     pub(super) fn carry_out(&mut self, effect: Effect, ctx: &mut Context<Self>) {
         match effect {
-            Effect::NewLease { lease_ms } => self.request_lease(lease_ms, ctx),
-            Effect::Renew { lease_id } => self.renew_lease(lease_id, ctx),
+            Effect::RequestLease { lease_ms } => self.request_lease(lease_ms, ctx),
+            Effect::RenewLease { lease_id } => self.renew_lease(lease_id, ctx),
             Effect::Commit {
                 write_kind,
                 transaction,
             } => self.commit(write_kind, transaction, ctx),
-            Effect::Peer { host, message } => self.send_to_peer(host, &message, ctx),
-            Effect::Catalog => self.read_catalog(ctx),
-            Effect::List => self.list_machines(ctx),
-            Effect::Archived(jobs) => self.read_final_states(jobs, ctx),
-            Effect::Rent(request) => self.rent(request, ctx),
-            Effect::Return(machines) => self.return_machines(machines, ctx),
-            Effect::Cell(call) => self.call_cell(*call, ctx),
+            Effect::SendPeerMessage { host, message } => self.send_to_peer(host, &message, ctx),
+            Effect::ReadCatalog => self.read_catalog(ctx),
+            Effect::ListMachines => self.list_machines(ctx),
+            Effect::ReadArchive(jobs) => self.read_final_states(jobs, ctx),
+            Effect::RentMachines(request) => self.rent(request, ctx),
+            Effect::ReturnMachines(machines) => self.return_machines(machines, ctx),
+            Effect::CallCell(call) => self.call_cell(*call, ctx),
         }
     }
 
@@ -69,7 +69,7 @@
             let mut controller = actor.shared.controller.lock();
             match answer {
                 LeaseOutcome::Held(_) => controller.on_renewed(lease_id, sent_at),
-                LeaseOutcome::Expired => controller.on_lease_gone(lease_id, now),
+                LeaseOutcome::Expired => controller.on_lease_expired(lease_id, now),
                 LeaseOutcome::Failed => controller.on_lease_failed(now),
             }
         }));
--- a/src/runtime/watch_loop.rs
+++ b/src/runtime/watch_loop.rs
@@ -109,7 +109,7 @@
         let read = self.state.list(ROOT).await?;
         let first_revision = read.first_revision;
         let now = self.shared.now();
-        self.shared.controller.lock().on_load(
+        self.shared.controller.lock().on_replica_read(
             read.items,
             first_revision,
             read.last_revision,
--- a/src/spillover/borrowers.rs
+++ b/src/spillover/borrowers.rs
@@ -34,7 +34,7 @@
             };
             let contact = &mut self.spillover.cells[cell].borrower;
             if let Some(address) = contact.ask(now.0, period_ms) {
-                out.push(Effect::Cell(Box::new(CellCall {
+                out.push(Effect::CallCell(Box::new(CellCall {
                     address,
                     request: self.spillover.cell_request(body),
                     cell,
--- a/src/spillover/borrowing.rs
+++ b/src/spillover/borrowing.rs
@@ -68,7 +68,7 @@
                     origin: name.clone(),
                     loans: loans.clone(),
                 });
-                out.push(Effect::Cell(Box::new(CellCall {
+                out.push(Effect::CallCell(Box::new(CellCall {
                     address,
                     request,
                     cell,
--- a/src/spillover/load.rs
+++ b/src/spillover/load.rs
@@ -113,7 +113,7 @@
                 gpus: spec.gpus,
                 memory_gb: spec.memory_gb,
             },
-            run_s: self.run_s(job),
+            run_s: self.expected_run_s(job),
             image_gb: spec.image_gb,
             machine_types: spec.machine_types.clone(),
             zone: spec.zone.clone(),
@@ -134,7 +134,7 @@
         let queues = self.replica.machines.values().map(|machine| &machine.queue);
         for binding in queues.flatten() {
             if let Some(job) = self.replica.jobs.get(&binding.task.job) {
-                *bound_s.entry(job.team).or_default() += self.run_s(job) * job.spec.cpus;
+                *bound_s.entry(job.team).or_default() += self.expected_run_s(job) * job.spec.cpus;
             }
         }
         let room = self.team_room();
--- a/src/stealing/messages.rs
+++ b/src/stealing/messages.rs
@@ -73,7 +73,7 @@
             let Some((_, holder)) = self.replica.holder(machine_id) else {
                 continue;
             };
-            if holder.host == self.me {
+            if holder.host == self.own_id {
                 queue.extend(self.handle_steal_message(machine_id, message, now));
             } else {
                 self.work_stealing.send(holder.host, message, capacity);
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -18,7 +18,7 @@
     /// Whether a machine has room for more than its queue lists.
     pub(super) fn has_free_cpus(&self, machine_id: MachineId) -> bool {
         let machine = self.replica.machines.get(&machine_id);
-        let size = machine.and_then(|machine| self.size(machine));
+        let size = machine.and_then(|machine| self.machine_capacity(machine));
         size.is_some_and(|size| self.used_on(machine_id).cpus + MIN_FREE_CPUS <= size.cpus)
     }
 
@@ -31,7 +31,10 @@
             return Vec::new();
         };
         // Only a machine that obeys our fencing token is sure not to start what leaves its queue.
-        let Some(size) = self.size(machine).filter(|_| runtime.is_fenced_and_alive()) else {
+        let Some(size) = self
+            .machine_capacity(machine)
+            .filter(|_| runtime.is_fenced_and_alive())
+        else {
             return Vec::new();
         };
         let last_first = machine.queue.iter().rev();
@@ -39,7 +42,7 @@
             .filter(|binding| self.may_move(machine_id, binding))
             .filter_map(|binding| {
                 let job = self.replica.jobs.get(&binding.task.job)?;
-                let load = self.run_s(job) * job.spec.cpus / size.cpus.max(MIN_CPUS);
+                let load = self.expected_run_s(job) * job.spec.cpus / size.cpus.max(MIN_CPUS);
                 Some((*binding, load))
             })
             .collect()
@@ -104,7 +107,7 @@
         ) else {
             return false;
         };
-        let Some(size) = self.size(to) else {
+        let Some(size) = self.machine_capacity(to) else {
             return false;
         };
         let mut used = self.used_on(thief);
@@ -123,7 +126,7 @@
 
     /// Whether a task may run on `to`, where a job that is bound to zones keeps the one of `from`.
     fn task_suits(&self, binding: &Binding, from: &Machine, to: &Machine) -> bool {
-        let Some(size) = self.size(to) else {
+        let Some(size) = self.machine_capacity(to) else {
             return false;
         };
         let Some(job) = self.replica.jobs.get(&binding.task.job) else {
--- a/src/stealing/rounds.rs
+++ b/src/stealing/rounds.rs
@@ -183,7 +183,7 @@
     fn fleet_loads(&self, own: &[MachineId], now: Timestamp) -> FleetLoads {
         let mut loads = FleetLoads::default();
         for (host, totals) in &self.replica.loads {
-            if *host == self.me {
+            if *host == self.own_id {
                 continue;
             }
             loads.count += totals.count;
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -304,14 +304,14 @@
     newer.token += 1000;
     assert_eq!(
         node.controller.on_heartbeat(newer, now),
-        HeartbeatResponse::Elsewhere(None)
+        HeartbeatResponse::Redirect(None)
     );
-    let name = node.controller.my_name().to_owned();
+    let name = node.controller.own_name().to_owned();
     let heartbeat = w.workers[0].heartbeat();
     let other = w.controllers[(holder + 1) % 3].as_mut().expect("alive");
     assert_eq!(
         other.controller.on_heartbeat(heartbeat, now),
-        HeartbeatResponse::Elsewhere(Some(name))
+        HeartbeatResponse::Redirect(Some(name))
     );
 }
 
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -110,7 +110,7 @@
                 .machines
                 .get(machine)
                 .and_then(|m| v.holder(m))
-                .is_some_and(|h| h.1.host == n.controller.me)
+                .is_some_and(|h| h.1.host == n.controller.own_id)
                 && n.controller.has_authority(self.clock(i))
         })
     }
@@ -183,7 +183,8 @@
                 node.controller.on_watch_response(list, sent, now);
             } else {
                 let (items, revision) = self.state.list("qb/");
-                node.controller.on_load(items, revision, revision, now, now);
+                node.controller
+                    .on_replica_read(items, revision, revision, now, now);
                 node.loaded = true;
             }
         }
@@ -213,22 +214,26 @@
         let (now, fault) = (self.clock(i), self.link(i).state);
         let reachable = fault != StoreFault::Refuses;
         match effect {
-            Effect::NewLease { lease_ms } if reachable => {
+            Effect::RequestLease { lease_ms } if reachable => {
                 controller.on_lease(self.state.lease(lease_ms, self.now), now);
             }
-            Effect::Renew { lease_id } if reachable => match self.state.leases.get_mut(&lease_id) {
-                Some(l) => {
-                    l.1 = self.now + l.0;
-                    controller.on_renewed(lease_id, now);
+            Effect::RenewLease { lease_id } if reachable => {
+                match self.state.leases.get_mut(&lease_id) {
+                    Some(l) => {
+                        l.1 = self.now + l.0;
+                        controller.on_renewed(lease_id, now);
+                    }
+                    None => controller.on_lease_expired(lease_id, now),
                 }
-                None => controller.on_lease_gone(lease_id, now),
-            },
-            Effect::NewLease { .. } | Effect::Renew { .. } => controller.on_lease_failed(now),
+            }
+            Effect::RequestLease { .. } | Effect::RenewLease { .. } => {
+                controller.on_lease_failed(now)
+            }
             Effect::Commit {
                 write_kind,
                 transaction,
             } => return self.commit(i, controller, write_kind, transaction, fault),
-            Effect::Peer { host, message } => {
+            Effect::SendPeerMessage { host, message } => {
                 let name = controller.replica.names.hosts.name(host).to_owned();
                 let Some(j) = position(&name).filter(|j| *j < self.controllers.len()) else {
                     return false;
@@ -248,13 +253,13 @@
                     controller.on_peer_message(answer, now);
                 }
             }
-            Effect::Catalog if self.cloud_up => controller.on_catalog(catalog()),
-            Effect::Catalog => {}
-            Effect::List => {
+            Effect::ReadCatalog if self.cloud_up => controller.on_catalog(catalog()),
+            Effect::ReadCatalog => {}
+            Effect::ListMachines => {
                 let list = self.cloud_list();
                 controller.on_list(self.cloud_up.then_some(list), now);
             }
-            Effect::Archived(jobs) => {
+            Effect::ReadArchive(jobs) => {
                 for job in jobs.iter().filter(|_| reachable) {
                     let record = self.state.value(&past_key(job));
                     let record = record.and_then(|v| serde_json::from_value::<JobRecord>(v).ok());
@@ -263,8 +268,8 @@
                     }
                 }
             }
-            Effect::Cell(call) => self.cell_calls.push((i, *call)),
-            Effect::Rent(r) => {
+            Effect::CallCell(call) => self.cell_calls.push((i, *call)),
+            Effect::RentMachines(r) => {
                 if self.cloud_up && self.cloud_has_no_capacity {
                     controller.on_rented(&r, RentOutcome::Refused, now);
                     return false;
@@ -286,7 +291,7 @@
                     .insert(r.request_id.clone(), names.clone());
                 controller.on_rented(&r, RentOutcome::Rented(names), now);
             }
-            Effect::Return(machines) => {
+            Effect::ReturnMachines(machines) => {
                 if self.cloud_up {
                     self.workers.retain(|w| !machines.contains(&w.machine.name));
                     self.returned.extend(machines.iter().cloned());
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -155,22 +155,22 @@
         return;
     }
     let (kind, message) = match effect {
-        Effect::NewLease { lease_ms } => (Kind::LeaseRequest, json(lease_ms)),
-        Effect::Renew { lease_id } => (Kind::LeaseRenewal, json(lease_id)),
+        Effect::RequestLease { lease_ms } => (Kind::LeaseRequest, json(lease_ms)),
+        Effect::RenewLease { lease_id } => (Kind::LeaseRenewal, json(lease_id)),
         Effect::Commit { transaction, .. } => (Kind::Transaction, json(transaction)),
-        Effect::Peer { host, message } => {
+        Effect::SendPeerMessage { host, message } => {
             let name = controller.replica.names.hosts.name(*host);
             (Kind::PeerMessage, addressed(name, message))
         }
-        Effect::Catalog => (Kind::CatalogRequest, Vec::new()),
-        Effect::List => (Kind::MachineListRequest, Vec::new()),
-        Effect::Archived(jobs) => (Kind::ArchiveRequest, json(jobs)),
-        Effect::Rent(rental) => (Kind::RentRequest, json(rental)),
-        Effect::Return(machines) => {
+        Effect::ReadCatalog => (Kind::CatalogRequest, Vec::new()),
+        Effect::ListMachines => (Kind::MachineListRequest, Vec::new()),
+        Effect::ReadArchive(jobs) => (Kind::ArchiveRequest, json(jobs)),
+        Effect::RentMachines(rental) => (Kind::RentRequest, json(rental)),
+        Effect::ReturnMachines(machines) => {
             let machines = machines.clone();
             (Kind::ReturnRequest, json(&MachineNames { machines }))
         }
-        Effect::Cell(call) => {
+        Effect::CallCell(call) => {
             let message = addressed(&call.address, &call.request);
             (Kind::CellRequest, message)
         }
@@ -206,7 +206,7 @@
     }
     let (status, body) = match reply {
         HeartbeatResponse::HeartbeatAck(orders) => (200, json(orders)),
-        HeartbeatResponse::Elsewhere(controller) => (421, json(controller)),
+        HeartbeatResponse::Redirect(controller) => (421, json(controller)),
         HeartbeatResponse::Unconfirmed | HeartbeatResponse::Unavailable => (503, Vec::new()),
     };
     let message = [format!("{machine} {status} ").as_bytes(), &body].concat();
--- a/tests/support/machines.rs
+++ b/tests/support/machines.rs
@@ -259,11 +259,11 @@
                 self.execute(at, o.commands);
             }
             HeartbeatResponse::HeartbeatAck(_) => {}
-            HeartbeatResponse::Elsewhere(Some(to)) => {
+            HeartbeatResponse::Redirect(Some(to)) => {
                 w.at = position(&to).unwrap_or(0);
                 w.next_heartbeat = now + 100;
             }
-            HeartbeatResponse::Elsewhere(None)
+            HeartbeatResponse::Redirect(None)
             | HeartbeatResponse::Unavailable
             | HeartbeatResponse::Unconfirmed => {
                 w.at = (w.at + 1) % self.controllers.len();
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -109,7 +109,7 @@
         let record = jobs::new_record(spec, self.now);
         let accepted =
             plan_acceptance(&name, record, named.collect(), &controller.settings).ok()?;
-        if matches!(accepted, Acceptance::Waiting(_)) && !controller.accepts_waiting(clock) {
+        if matches!(accepted, Acceptance::Waiting(_)) && !controller.accepts_dependent_jobs(clock) {
             return None;
         }
         let transaction = accepted.transaction().clone();
