--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -10,16 +10,16 @@
 /// An action for the runtime to perform.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Request a lease from the store; the answer goes to [`Controller::on_lease`].
+    /// Request a lease from the store; the answer goes to [`Controller::on_lease_granted`].
     ///
-    /// [`Controller::on_lease`]: super::Controller::on_lease
+    /// [`Controller::on_lease_granted`]: super::Controller::on_lease_granted
     RequestLease {
         /// Duration of the lease, ms.
         lease_ms: u64,
     },
-    /// Renew the lease; the answer goes to [`Controller::on_renewed`].
+    /// Renew the lease; the answer goes to [`Controller::on_lease_renewed`].
     ///
-    /// [`Controller::on_renewed`]: super::Controller::on_renewed
+    /// [`Controller::on_lease_renewed`]: super::Controller::on_lease_renewed
     RenewLease {
         /// Lease to renew.
         lease_id: u64,
--- a/src/controller/formats.rs
+++ b/src/controller/formats.rs
@@ -37,7 +37,7 @@
     /// Id of this controller.
     own_id: HostId,
     /// Newest format that this controller reads and writes.
-    own: u32,
+    own_format: u32,
     /// Whether it was already logged that this version is too old for the stored values.
     outdated_logged: bool,
     /// Controllers that were seen to read an older format.
@@ -45,30 +45,30 @@
 }
 
 impl FormatTracker {
-    /// Creates a tracker for a controller that reads format `own` and has seen no other controller
+    /// Creates a tracker for a controller that reads `own_format` and has seen no other controller
     /// yet.
-    pub(crate) fn new(own_id: HostId, own: u32) -> Self {
+    pub(crate) fn new(own_id: HostId, own_format: u32) -> Self {
         Self {
             own_id,
-            own,
+            own_format,
             outdated_logged: false,
             older: HashMap::default(),
         }
     }
 
     /// Newest format that this controller reads and writes.
-    pub(crate) fn own(&self) -> u32 {
-        self.own
+    pub(crate) fn own_format(&self) -> u32 {
+        self.own_format
     }
 
     /// Limits this controller to `format`, like an earlier version.
-    pub(super) fn set_own(&mut self, format: u32) {
-        self.own = format;
+    pub(super) fn set_own_format(&mut self, format: u32) {
+        self.own_format = format;
     }
 
     /// Records the format that a controller reads.
     pub(super) fn observe(&mut self, host: HostId, format: u32, now: Timestamp) {
-        if format < self.own {
+        if format < self.own_format {
             let seen = now;
             self.older.insert(host, OlderVersion { format, seen });
         } else {
@@ -88,8 +88,11 @@
     /// Adopts the `recorded` format if it is newer than the one with which this controller started:
     /// another controller has enabled a feature that needs it.
     pub(super) fn adopt_recorded(&mut self, recorded: u32) {
-        if recorded > self.own && self.own >= CURRENT_FORMAT && recorded <= NEWEST_FORMAT {
-            self.own = recorded;
+        if recorded > self.own_format
+            && self.own_format >= CURRENT_FORMAT
+            && recorded <= NEWEST_FORMAT
+        {
+            self.own_format = recorded;
         }
     }
 
@@ -118,7 +121,7 @@
         recent
             .map(|older| older.format)
             .chain(keys.map(|(_, controller)| controller.format))
-            .fold(self.own, u32::min)
+            .fold(self.own_format, u32::min)
     }
 }
 
@@ -139,7 +142,7 @@
     /// Whether jobs with unfinished predecessors may be accepted. Once all controllers were seen to
     /// read them this stays true, even if an older version returns briefly.
     pub fn accepts_dependent_jobs(&self, now: Timestamp) -> bool {
-        self.formats.own() >= CHAINS_FORMAT
+        self.formats.own_format() >= CHAINS_FORMAT
             && (self.replica.format >= CHAINS_FORMAT || self.common_format(now) >= CHAINS_FORMAT)
     }
 
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -222,7 +222,7 @@
 /// Answers to lease requests.
 impl Controller {
     /// Handles a lease that was granted to a request sent at `sent`.
-    pub fn on_lease(&mut self, lease_id: u64, sent: Timestamp) {
+    pub fn on_lease_granted(&mut self, lease_id: u64, sent: Timestamp) {
         let granted = self
             .membership
             .on_lease_granted(lease_id, sent, &mut self.rng);
@@ -234,7 +234,7 @@
     }
 
     /// Handles a successful renewal sent at `sent`.
-    pub fn on_renewed(&mut self, lease_id: u64, sent: Timestamp) {
+    pub fn on_lease_renewed(&mut self, lease_id: u64, sent: Timestamp) {
         self.membership.on_lease_renewed(lease_id, sent);
     }
 
@@ -338,7 +338,7 @@
         let record = ControllerRecord {
             incarnation: self.membership.incarnation().0,
             lease: lease_id,
-            format: self.formats.own(),
+            format: self.formats.own_format(),
         };
         let transaction = Transaction {
             preconditions: vec![self.precondition(&key)],
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -164,7 +164,7 @@
 
     /// Makes this controller use `format` like an earlier version, for tests of upgrades.
     pub fn run_as_format(&mut self, format: u32) {
-        self.formats.set_own(format);
+        self.formats.set_own_format(format);
     }
 
     /// Name of this controller.
--- a/src/controller/peers/messages.rs
+++ b/src/controller/peers/messages.rs
@@ -43,7 +43,7 @@
                 };
                 let mut message = self.peer_message(length, now);
                 message.steal_messages = steal_messages;
-                self.add_facts_for_refused_peer(host, &mut message, now);
+                self.add_facts_for_peer_without_store(host, &mut message, now);
                 out.push(Effect::SendPeerMessage {
                     host,
                     message: Box::new(message),
@@ -64,7 +64,7 @@
         };
         let mut answer = self.peer_message(length, now);
         if let Some(host) = host {
-            self.add_facts_for_refused_peer(host, &mut answer, now);
+            self.add_facts_for_peer_without_store(host, &mut answer, now);
         }
         answer
     }
@@ -129,7 +129,7 @@
                 .collect(),
             cancelled: Vec::new(),
             grants: Vec::new(),
-            format: self.formats.own(),
+            format: self.formats.own_format(),
             loans: self.spillover.heard_loans(now),
         }
     }
@@ -164,7 +164,7 @@
     /// a controller that learns of a cancellation stops only that job's tasks, and at once. A
     /// controller that learns that its block was granted again redirects the machines to the new
     /// holder before its own authority ends.
-    fn add_facts_for_refused_peer(
+    fn add_facts_for_peer_without_store(
         &mut self,
         host: HostId,
         message: &mut PeerMessage,
--- a/src/controller/status_page.rs
+++ b/src/controller/status_page.rs
@@ -82,7 +82,7 @@
         let hosts = &self.replica.names.hosts;
         let controllers = self.replica.live_controllers.iter();
         let shown = controllers.map(|(&host, controller)| (hosts.name(host), controller.format));
-        let own = (self.own_name(), self.formats.own());
+        let own = (self.own_name(), self.formats.own_format());
         shown.chain([own]).collect()
     }
 }
--- a/src/leadership/job_dependencies.rs
+++ b/src/leadership/job_dependencies.rs
@@ -34,7 +34,7 @@
     /// A done job stays done, so the transaction needs no condition on it: the own key of the job
     /// that waits decides between this and its cancellation.
     pub(super) fn plan_ready(&mut self) -> Option<Transaction> {
-        if self.formats.own() < CHAINS_FORMAT {
+        if self.formats.own_format() < CHAINS_FORMAT {
             return None;
         }
         // Nothing becomes ready without a change of the replica.
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -52,7 +52,7 @@
             {
                 let mut controller = actor.shared.controller.lock();
                 match answer {
-                    LeaseOutcome::Held(lease_id) => controller.on_lease(lease_id, sent_at),
+                    LeaseOutcome::Held(lease_id) => controller.on_lease_granted(lease_id, sent_at),
                     LeaseOutcome::Expired | LeaseOutcome::Failed => controller.on_lease_failed(now),
                 }
             }
@@ -68,7 +68,7 @@
             let now = actor.now();
             let mut controller = actor.shared.controller.lock();
             match answer {
-                LeaseOutcome::Held(_) => controller.on_renewed(lease_id, sent_at),
+                LeaseOutcome::Held(_) => controller.on_lease_renewed(lease_id, sent_at),
                 LeaseOutcome::Expired => controller.on_lease_expired(lease_id, now),
                 LeaseOutcome::Failed => controller.on_lease_failed(now),
             }
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -215,13 +215,13 @@
         let reachable = fault != StoreFault::Refuses;
         match effect {
             Effect::RequestLease { lease_ms } if reachable => {
-                controller.on_lease(self.state.lease(lease_ms, self.now), now);
+                controller.on_lease_granted(self.state.lease(lease_ms, self.now), now);
             }
             Effect::RenewLease { lease_id } if reachable => {
                 match self.state.leases.get_mut(&lease_id) {
                     Some(l) => {
                         l.1 = self.now + l.0;
-                        controller.on_renewed(lease_id, now);
+                        controller.on_lease_renewed(lease_id, now);
                     }
                     None => controller.on_lease_expired(lease_id, now),
                 }
