--- a/src/controller/heartbeat/stops.rs
+++ b/src/controller/heartbeat/stops.rs
@@ -84,6 +84,6 @@
     /// Expected time until a task finishes, at least 1 second.
     fn remaining_run_time_s(&self, job: &Job, task: &ReportedTask, now: Timestamp) -> f64 {
         let ran_ms = task.running_since.map_or(0, |since| now.since(since));
-        (self.run_s(job) - ran_ms as f64 / 1000.0).max(1.0)
+        (self.expected_run_s(job) - ran_ms as f64 / 1000.0).max(1.0)
     }
 }
--- a/src/controller/machine_status.rs
+++ b/src/controller/machine_status.rs
@@ -17,7 +17,7 @@
         now: Timestamp,
     ) -> Option<MachineHealth> {
         let (_, grant) = self.replica.holder(machine_id)?;
-        if grant.host == self.me {
+        if grant.host == self.own_id {
             let runtime = self.held.get(machine_id)?;
             return Some(MachineHealth {
                 since_last_heartbeat_ms: runtime.last_heartbeat_at.map(|at| now.since(at)),
@@ -27,7 +27,7 @@
                 worker_restarted: runtime.worker_restarted,
             });
         }
-        let (summary, received_at) = self.peers.machine(grant.host, machine_id)?;
+        let (summary, received_at) = self.peers.reported_machine(grant.host, machine_id)?;
         let message_age = now.since(received_at);
         Some(MachineHealth {
             since_last_heartbeat_ms: summary.age_ms.map(|age| age + message_age),
@@ -69,12 +69,12 @@
     /// Number of running tasks of a job that this controller knows of, for display.
     pub fn running_task_count(&self, job: JobId) -> u32 {
         let own = self.held.running_task_count(job);
-        own + self.peers.running(job)
+        own + self.peers.reported_running(job)
     }
 
     /// Whether no task of a job may run any more: the job is in a final state, or a peer reports that it was
     /// cancelled.
     pub(crate) fn is_job_final(&self, job_id: JobId, job: &Job) -> bool {
-        job.status != JobStatus::Pending || self.peers.reports_cancelled(job_id)
+        job.status != JobStatus::Pending || self.peers.is_reported_cancelled(job_id)
     }
 }
--- a/src/controller/peers/state.rs
+++ b/src/controller/peers/state.rs
@@ -1,5 +1,5 @@
-//! What one other controller said last, and when. Hearsay: nothing here is proof of what the state
-//! service holds.
+//! Last reported state of one other controller. It is second-hand and proves nothing about the
+//! contents of the store.
 
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
@@ -8,69 +8,68 @@
 use crate::ranges::RangeSet;
 use crate::replica::{Incarnation, Names};
 
-/// Failures of a job one after the other, as a peer sees them.
+/// Consecutive failures of a job, as reported by a peer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ReportedFailureStreak {
-    /// The job.
+    /// The job that failed.
     pub(crate) job: JobId,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub(crate) count: u32,
-    /// When the last one was, by this controller's clock.
+    /// Time of the last failure, by this controller's clock.
     pub(crate) last: Timestamp,
 }
 
-/// What is known of a peer.
+/// Last reported state of a peer.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PeerState {
-    /// When its last message came.
-    pub(super) heard_at: Option<Timestamp>,
-    /// The incarnation that sent it.
+    /// When its last message arrived.
+    pub(super) last_message_at: Option<Timestamp>,
+    /// The incarnation that sent the last message.
     pub(super) incarnation: Option<Incarnation>,
-    /// Whether the state service answers it.
-    pub(super) state_ok: bool,
-    /// Since when it says that the state service does not answer it, while that answers this
-    /// controller.
-    pub(super) refused_since: Option<Timestamp>,
-    /// When it last said that it had to refuse users for the budget of changes.
-    pub(super) short_at: Option<Timestamp>,
-    /// How long ago it had heard from others when it sent its last message, ms.
-    pub(super) heard_ages_ms: HashMap<ControllerId, u64>,
-    /// What it last said of its machines.
+    /// Whether the peer can reach the store.
+    pub(super) store_reachable: bool,
+    /// Since when the peer has reported that it cannot reach the store, while this controller can.
+    pub(super) store_unreachable_since: Option<Timestamp>,
+    /// When the peer last reported that it rejected users' writes for the write budget.
+    pub(super) users_refused_at: Option<Timestamp>,
+    /// Ages of the messages that the peer had last received from others, ms.
+    pub(super) reported_message_ages_ms: HashMap<ControllerId, u64>,
+    /// Last reported summaries of the peer's machines.
     pub(super) machines: HashMap<MachineId, MachineSummary>,
-    /// When it said that.
-    pub(super) machines_at: Option<Timestamp>,
-    /// Tasks that run on them.
+    /// When the machines were last reported.
+    pub(super) machines_reported_at: Option<Timestamp>,
+    /// Number of running tasks of each job on the peer's machines.
     pub(super) running: HashMap<JobId, u32>,
-    /// Tasks that were done on them and that it has not recorded yet.
+    /// Tasks done on the peer's machines that the peer has not recorded yet.
     pub(super) done: HashMap<JobId, RangeSet>,
-    /// Machines that report to it and that it does not hold.
+    /// Machines that send heartbeats to the peer but that it does not hold.
     pub(super) unowned_machines: Vec<UnownedMachine>,
-    /// Jobs that fail on its machines.
+    /// Failure streaks of jobs on the peer's machines.
     pub(super) failure_streaks: Vec<ReportedFailureStreak>,
 }
 
 impl PeerState {
-    /// Takes over what the peer's newest message says of itself and its machines, which are moved
-    /// out of `message`. `state_ok`: whether the state service answers this controller.
+    /// Updates the state from the peer's latest message, moving machine data out of `message`.
+    /// `own_store_reachable`: whether this controller can reach the store.
     pub(super) fn update(
         &mut self,
         message: &mut PeerMessage,
         names: &Names,
-        state_ok: bool,
+        own_store_reachable: bool,
         now: Timestamp,
     ) {
-        self.heard_at = Some(now);
+        self.last_message_at = Some(now);
         self.incarnation = Some(Incarnation(message.incarnation));
-        self.state_ok = message.state_ok;
-        if message.state_ok || !state_ok {
-            self.refused_since = None;
+        self.store_reachable = message.state_ok;
+        if message.state_ok || !own_store_reachable {
+            self.store_unreachable_since = None;
         } else {
-            self.refused_since.get_or_insert(now);
+            self.store_unreachable_since.get_or_insert(now);
         }
         if message.short {
-            self.short_at = Some(now);
+            self.users_refused_at = Some(now);
         }
-        self.heard_ages_ms = message
+        self.reported_message_ages_ms = message
             .heard
             .iter()
             .filter_map(|(host, age_ms)| Some((names.hosts.get(host)?, *age_ms)))
@@ -98,7 +97,7 @@
             .into_iter()
             .filter_map(|machine| Some((names.machines.get(&machine.machine)?, machine)))
             .collect();
-        self.machines_at = Some(now);
+        self.machines_reported_at = Some(now);
         self.running = fleet
             .running
             .iter()
@@ -111,10 +110,10 @@
             .collect();
     }
 
-    /// Forgets jobs whose index may come back as another job.
-    pub(super) fn forget_jobs(&mut self, stays: impl Fn(&JobId) -> bool) {
-        self.failure_streaks.retain(|streak| stays(&streak.job));
-        self.running.retain(|job, _| stays(job));
-        self.done.retain(|job, _| stays(job));
+    /// Drops jobs whose index may be reused for another job.
+    pub(super) fn forget_jobs(&mut self, is_kept: impl Fn(&JobId) -> bool) {
+        self.failure_streaks.retain(|streak| is_kept(&streak.job));
+        self.running.retain(|job, _| is_kept(job));
+        self.done.retain(|job, _| is_kept(job));
     }
 }
--- a/src/controller/status_page.rs
+++ b/src/controller/status_page.rs
@@ -1,6 +1,6 @@
-//! The status page of one controller, for operators. Reads only.
+//! Status page of one controller, for operators. Read-only.
 //!
-//! The names of its fields are part of the interface and stay as they are.
+//! The field names are part of the external interface and must not change.
 
 use super::{Controller, MachineRuntime};
 use crate::clock::Timestamp;
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 impl Controller {
-    /// The status page, as JSON.
+    /// Builds the status page as JSON.
     pub fn status_page(&self, now: Timestamp) -> serde_json::Value {
         let names = &self.replica.names;
         let machines: BTreeMap<&str, serde_json::Value> = self
@@ -17,12 +17,12 @@
             .iter()
             .map(|(machine, runtime)| {
                 let name = names.machines.name(machine);
-                (name, self.machine_on_page(machine, runtime, now))
+                (name, self.machine_status_json(machine, runtime, now))
             })
             .collect();
         let leader = self.replica.leader;
         let mut page = json!({
-            "host": self.my_name(),
+            "host": self.own_name(),
             "boot": self.membership.incarnation().0,
             "ready": self.ready(now),
             "authority": self.has_authority(now),
@@ -44,8 +44,8 @@
         page
     }
 
-    /// A machine that this controller holds.
-    fn machine_on_page(
+    /// Status of a machine that this controller holds.
+    fn machine_status_json(
         &self,
         machine_id: MachineId,
         runtime: &MachineRuntime,
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Each job that waits for others, with those that it needs and that are not finally done.
+    /// Jobs with predecessors, each with its unfinished or unsuccessful predecessors.
     fn waiting_jobs(&self) -> BTreeMap<&str, Vec<&str>> {
         let names = &self.replica.names.jobs;
         let waiting = self.replica.waiting.jobs.keys();
@@ -77,12 +77,12 @@
             .collect()
     }
 
-    /// The format that each controller was last seen to write.
+    /// Format that each controller was last seen to write.
     fn versions(&self) -> BTreeMap<&str, u32> {
         let hosts = &self.replica.names.hosts;
         let controllers = self.replica.live_controllers.iter();
         let shown = controllers.map(|(&host, controller)| (hosts.name(host), controller.format));
-        let own = (self.my_name(), self.formats.own());
+        let own = (self.own_name(), self.formats.own_format());
         shown.chain([own]).collect()
     }
 }
--- a/src/controller/writes/in_doubt.rs
+++ b/src/controller/writes/in_doubt.rs
@@ -1,57 +1,56 @@
-//! Writes that failed, but of which a copy that had no answer may have been carried out.
+//! Failed writes of which an unanswered copy may have been applied.
 //!
-//! Owns their intents until the replica surely shows whether they were. Must never drop one earlier: the tasks
-//! that it moves would be started, or its bindings made, a second time.
+//! Owns their intents until the replica shows whether they were applied. Dropping one earlier could
+//! start the tasks that it moves, or make its bindings, a second time.
 
 use super::WriteIntent;
 use crate::clock::Timestamp;
 
-/// When the replica surely shows whether a write was carried out.
+/// When the replica is certain to show whether a write was applied.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum ResolvedWhen {
-    /// Once it has reached a revision.
-    AtRevision(u64),
-    /// Once a watch has answered that was opened then or later.
-    ByWatchSince(Timestamp),
+pub(super) enum ResolutionCondition {
+    /// Once the replica has reached this revision.
+    RevisionReached(u64),
+    /// Once a watch opened at or after this time has answered.
+    WatchOpenedSince(Timestamp),
 }
 
-/// What a write may have done by a copy that had no answer, although it can no longer be carried out.
+/// Possible effects of a failed write of which a copy remained unanswered.
 #[derive(Debug, Clone)]
-struct UnacknowledgedWrite {
-    resolved_when: ResolvedWhen,
+struct InDoubtWrite {
+    condition: ResolutionCondition,
     intent: WriteIntent,
 }
 
-/// All writes in doubt, the oldest first.
+/// All writes in doubt, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct InDoubtWrites {
-    writes: Vec<UnacknowledgedWrite>,
+    writes: Vec<InDoubtWrite>,
 }
 
 impl InDoubtWrites {
-    /// Keeps what a write may have done until the replica shows whether it did.
-    pub(super) fn add(&mut self, resolved_when: ResolvedWhen, intent: WriteIntent) {
-        self.writes.push(UnacknowledgedWrite {
-            resolved_when,
-            intent,
-        });
+    /// Keeps the intent of a write until the replica shows whether it was applied.
+    pub(super) fn add(&mut self, condition: ResolutionCondition, intent: WriteIntent) {
+        self.writes.push(InDoubtWrite { condition, intent });
     }
 
-    /// What the writes in doubt may have done.
+    /// Intents of all writes in doubt.
     pub(super) fn intents(&self) -> impl Iterator<Item = &WriteIntent> {
         self.writes.iter().map(|write| &write.intent)
     }
 
-    /// Takes out the writes that a replica at `revision` shows, confirmed by a watch that was opened at
-    /// `confirmed_at`.
+    /// Removes and returns the writes whose outcome is shown by a replica at `revision` that was
+    /// confirmed by a watch opened at `confirmed_at`.
     pub(super) fn take_resolved(
         &mut self,
         revision: u64,
         confirmed_at: Option<Timestamp>,
     ) -> Vec<WriteIntent> {
-        let is_resolved = |write: &mut UnacknowledgedWrite| match write.resolved_when {
-            ResolvedWhen::AtRevision(awaited) => awaited <= revision,
-            ResolvedWhen::ByWatchSince(since) => confirmed_at.is_some_and(|at| at >= since),
+        let is_resolved = |write: &mut InDoubtWrite| match write.condition {
+            ResolutionCondition::RevisionReached(awaited) => awaited <= revision,
+            ResolutionCondition::WatchOpenedSince(since) => {
+                confirmed_at.is_some_and(|at| at >= since)
+            }
         };
         let resolved = self.writes.extract_if(.., is_resolved);
         resolved.map(|write| write.intent).collect()
--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -87,7 +87,7 @@
     /// Plans moving finished jobs to the archive while the write budget is not needed for other
     /// work.
     pub(super) fn plan_archive(&mut self, now: Timestamp) -> Option<Transaction> {
-        if now < self.leadership.next_archive || self.refused_lately(now) {
+        if now < self.leadership.next_archive || self.store_refused_recently(now) {
             return None;
         }
         // Archiving a job costs two writes, so jobs that wait to run take precedence.
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -151,7 +151,7 @@
             if candidate_job.needs.depends_on_other_tasks() {
                 // Zones are counted for only one candidate per job, so such jobs are not split by
                 // share.
-                let all = bound_by_zone.get_or_insert_with(|| self.zones_of());
+                let all = bound_by_zone.get_or_insert_with(|| self.bound_tasks_by_zone());
                 candidate_job.bound_by_zone = all.remove(&bindable_job.job).unwrap_or_default();
             } else {
                 let bound_tasks = (taken.len() - job.done.len()) as usize;
@@ -191,7 +191,7 @@
             image: job.image,
             image_gb: job.spec.image_gb,
             needs: needs_of(job),
-            run_s: self.run_s(job),
+            run_s: self.expected_run_s(job),
             tasks: bindable.take(max_tasks).collect(),
             bound_by_zone: HashMap::default(),
             overdue: bindable_job.overdue,
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -74,7 +74,7 @@
     /// Whether the leader may write a block before its regular write time, for work that others
     /// wait for.
     fn is_writable_early(&self, id: BlockId, now: Timestamp) -> bool {
-        self.may_plan_early(WriteKind::BlockEdit(id), now) && !self.writes.writes_block(id)
+        self.may_plan_urgent(WriteKind::BlockEdit(id), now) && !self.writes.writes_block(id)
     }
 
     /// Blocks that the leader may write now.
@@ -92,7 +92,7 @@
     /// Plans and submits block writes: removes returned machines, marks leaving ones, places new
     /// ones and binds tasks.
     pub(super) fn plan_edits(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if self.block_upkeep.grants_first(now) {
+        if self.block_upkeep.grants_have_priority(now) {
             return;
         }
         let mut edits = PlannedEdits::default();
@@ -117,7 +117,7 @@
         let PlannedEdit { edit, mut intent } = planned;
         let record = self.replica.seal(&edit);
         let mutation = put(&block_key(id), &record, None);
-        let fraction = match intent.binds.is_empty() {
+        let fraction = match intent.bindings.is_empty() {
             true => 1.0,
             false => MAX_QUEUE_FRACTION,
         };
@@ -267,7 +267,7 @@
             let binding = Binding { task, attempt };
             if let Some(edited) = machines.get_mut(&machine) {
                 edited.queue.push(binding);
-                planned.intent.binds.push((machine, binding));
+                planned.intent.bindings.push((machine, binding));
             }
         }
         for (machine_id, tasks) in preemptions {
--- a/src/leadership/candidate_machines.rs
+++ b/src/leadership/candidate_machines.rs
@@ -119,7 +119,7 @@
         cheapest: CheapestPrices,
         now: Timestamp,
     ) -> Option<CandidateMachine> {
-        let size = self.size(machine)?;
+        let size = self.machine_capacity(machine)?;
         let machine_type = self.machine_types.get(&machine.machine_type)?;
         let images = self.leadership.machines.cached_images(machine_id);
         Some(CandidateMachine {
--- a/src/leadership/capacity.rs
+++ b/src/leadership/capacity.rs
@@ -42,7 +42,7 @@
             demand.push(Demand {
                 needs: needs_of(job),
                 tasks,
-                work: tasks_left * cpus * self.run_s(job),
+                work: tasks_left * cpus * self.expected_run_s(job),
             });
         }
         demand
@@ -64,7 +64,7 @@
         machine: &Machine,
         now: Timestamp,
     ) -> Option<RentedMachine> {
-        let size = self.size(machine)?;
+        let size = self.machine_capacity(machine)?;
         let machine_type = self.machine_types.get(&machine.machine_type)?;
         let info = self.machine_health(machine_id, now);
         let unusable = info
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -138,15 +138,17 @@
         let Some(controller) = self.replica.live_controllers.get(&host) else {
             return false;
         };
-        if host == self.me {
+        if host == self.own_id {
             return controller.incarnation == self.membership.incarnation();
         }
-        if self.store_refuses_only(host, now) {
+        if self.is_peer_without_store(host, now) {
             return false;
         }
-        let restarted = self.peers.restarted(host, controller.incarnation, now);
-        (self.peers.hears(host, now) && !restarted)
-            || (!self.peer_silence_is_conclusive(now) && !self.peers.is_known(host))
+        let restarted = self
+            .peers
+            .has_restarted_since(host, controller.incarnation, now);
+        (self.peers.is_reachable(host, now) && !restarted)
+            || (!self.peer_silence_is_conclusive(now) && !self.peers.has_ever_sent_message(host))
     }
 
     /// Plans grants for blocks without a working holder, or one grant that rebalances the load.
@@ -166,7 +168,7 @@
         }
         // While the write budget is short, large transactions are the last to be admitted.
         let max_grants = self.settings.platform.settings.state.txn_ops;
-        grants.truncate(match self.refused_lately(now) {
+        grants.truncate(match self.store_refused_recently(now) {
             true => MAX_GRANTS_WHEN_RATE_LIMITED,
             false => max_grants,
         });
@@ -189,8 +191,10 @@
     fn holder_faults(&mut self, now: Timestamp) -> HolderFaults {
         let unreachable = self.blocks_of_unreachable_holders(now);
         let grants = self.replica.grants.values();
-        let restarted =
-            grants.filter(|grant| self.peers.restarted(grant.host, grant.incarnation, now));
+        let restarted = grants.filter(|grant| {
+            self.peers
+                .has_restarted_since(grant.host, grant.incarnation, now)
+        });
         let restarted: HashSet<ControllerId> = restarted.map(|grant| grant.host).collect();
         let seen = &mut self.leadership.grants;
         HolderFaults {
@@ -245,17 +249,19 @@
         if controller.is_none_or(|controller| controller.incarnation != grant.incarnation) {
             return Some(GrantReason::HolderReplaced);
         }
-        if host != self.me
-            && !self.peers.hears(host, now)
+        if host != self.own_id
+            && !self.peers.is_reachable(host, now)
             && self.peer_silence_is_conclusive(now)
-            && self.peers.corroborated(host, now)
+            && self.peers.is_silence_corroborated(host, now)
         {
             return Some(GrantReason::HolderSilent);
         }
-        if self.store_refuses_only(host, now) {
+        if self.is_peer_without_store(host, now) {
             return Some(GrantReason::HolderCannotReachStore);
         }
-        if faults.restarted.contains(&host) && self.peers.restarted(host, grant.incarnation, now) {
+        if faults.restarted.contains(&host)
+            && self.peers.has_restarted_since(host, grant.incarnation, now)
+        {
             return Some(GrantReason::HolderRestarted);
         }
         if self.has_restarted_worker(block, grant, now) {
--- a/src/leadership/job_dependencies.rs
+++ b/src/leadership/job_dependencies.rs
@@ -35,7 +35,7 @@
     /// The final state of a predecessor never changes, so the transaction needs no precondition on
     /// it. The waiting job's own key decides between this write and a cancellation.
     pub(super) fn plan_ready_jobs(&mut self) -> Option<Transaction> {
-        if self.formats.own() < CHAINS_FORMAT {
+        if self.formats.own_format() < CHAINS_FORMAT {
             return None;
         }
         // No job becomes ready without a change of the replica.
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -63,10 +63,10 @@
         let interval_s = lag_s.clamp(MIN_LIST_INTERVAL_S, MAX_LIST_INTERVAL_S);
         let inventory = &mut self.leadership.inventory;
         if inventory.start_list_request((interval_s * 1000.0) as u64, now) {
-            out.push(Effect::List);
+            out.push(Effect::ListMachines);
         }
         let overdue = self.leadership.rental_requests.take_overdue(now);
-        out.extend(overdue.into_iter().map(Effect::Rent));
+        out.extend(overdue.into_iter().map(Effect::RentMachines));
         if self.leadership.rental_requests.review_due(now) {
             let next = now.plus(REVIEW_INTERVAL_MS);
             self.leadership.rental_requests.schedule_review(next);
@@ -158,7 +158,7 @@
         self.leadership
             .rental_requests
             .start_rental_request(request.clone(), now);
-        out.push(Effect::Rent(request));
+        out.push(Effect::RentMachines(request));
     }
 
     /// Returns machines that are drained or presumed dead, with at most one request in flight.
@@ -180,7 +180,7 @@
         if !names.is_empty() {
             info!(machines = names.join(" "), "returning machines");
             self.leadership.rental_requests.start_return_request();
-            out.push(Effect::Return(names));
+            out.push(Effect::ReturnMachines(names));
         }
     }
 
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -18,7 +18,7 @@
     /// Whether a machine has unused CPUs beyond those of all tasks in its queue.
     pub(super) fn has_free_cpus(&self, machine_id: MachineId) -> bool {
         let machine = self.replica.machines.get(&machine_id);
-        let size = machine.and_then(|machine| self.size(machine));
+        let size = machine.and_then(|machine| self.machine_capacity(machine));
         size.is_some_and(|size| self.used_on(machine_id).cpus + MIN_FREE_CPUS <= size.cpus)
     }
 
@@ -32,7 +32,10 @@
             return Vec::new();
         };
         // Only a machine that is known to accept no token but ours cannot start what left its queue.
-        let Some(size) = self.size(machine).filter(|_| runtime.is_fenced_and_alive()) else {
+        let Some(size) = self
+            .machine_capacity(machine)
+            .filter(|_| runtime.is_fenced_and_alive())
+        else {
             return Vec::new();
         };
         let last_first = machine.queue.iter().rev();
@@ -40,7 +43,7 @@
             .filter(|binding| self.is_movable(machine_id, binding))
             .filter_map(|binding| {
                 let job = self.replica.jobs.get(&binding.task.job)?;
-                let load = self.run_s(job) * job.spec.cpus / size.cpus.max(MIN_CPUS);
+                let load = self.expected_run_s(job) * job.spec.cpus / size.cpus.max(MIN_CPUS);
                 Some((*binding, load))
             })
             .collect()
@@ -106,7 +109,7 @@
         ) else {
             return false;
         };
-        let Some(size) = self.size(to) else {
+        let Some(size) = self.machine_capacity(to) else {
             return false;
         };
         let mut used = self.used_on(thief);
@@ -126,7 +129,7 @@
     /// Whether a task may run on `to`. A job that restricts the zones of its tasks relative to each
     /// other stays in the zone of `from`.
     fn task_can_run_on(&self, binding: &Binding, from: &Machine, to: &Machine) -> bool {
-        let Some(size) = self.size(to) else {
+        let Some(size) = self.machine_capacity(to) else {
             return false;
         };
         let Some(job) = self.replica.jobs.get(&binding.task.job) else {
--- a/src/stealing/rounds.rs
+++ b/src/stealing/rounds.rs
@@ -192,7 +192,7 @@
     fn fleet_loads(&self, own: &[MachineId], now: Timestamp) -> FleetLoads {
         let mut loads = FleetLoads::default();
         for (controller, totals) in &self.replica.loads {
-            if *controller == self.me {
+            if *controller == self.own_id {
                 continue;
             }
             loads.count += totals.count;
