--- a/src/controller/archive_queries.rs
+++ b/src/controller/archive_queries.rs
@@ -31,7 +31,7 @@
     /// The archive shows the final state of a job.
     pub fn on_archived(&mut self, name: &str, status: JobStatus) {
         if let Some(job) = self.replica.names.jobs.get(name) {
-            self.replica.note_archived(job, status);
+            self.replica.record_archived_status(job, status);
         }
     }
 }
--- a/src/controller/blocks/merging.rs
+++ b/src/controller/blocks/merging.rs
@@ -113,14 +113,14 @@
         let (other, other_intent) = self.edit_without_completed(emptied);
         edit.machines.extend(other.machines);
         for (job, tasks) in &other.done {
-            edit.absorb_done(*job, tasks);
+            edit.record_done_tasks(*job, tasks);
         }
         intent.blocks.extend(other_intent.blocks);
         intent.outcomes.extend(other_intent.outcomes);
         let max_bytes = (self.settings.value_bytes() as f64 * MAX_INITIAL_FILL) as usize;
         let mut transaction = Transaction::default();
         for (id, edit) in [(kept, &edit), (emptied, &BlockEdit::default())] {
-            let mutation = put(&block_key(id), &self.replica.seal(edit), None);
+            let mutation = put(&block_key(id), &self.replica.block_record(edit), None);
             if mutation.value_bytes() > max_bytes {
                 return None;
             }
--- a/src/controller/blocks/upkeep.rs
+++ b/src/controller/blocks/upkeep.rs
@@ -88,7 +88,7 @@
 fn count_ungranted(replica: &Replica) -> usize {
     let is_granted = |id: &BlockId| {
         replica.grants.get(id).is_some_and(|grant| {
-            let controller = replica.live_controllers.get(&grant.host);
+            let controller = replica.live_controllers.get(&grant.controller);
             controller.is_some_and(|live| live.incarnation == grant.incarnation)
         })
     };
--- a/src/controller/candidacy.rs
+++ b/src/controller/candidacy.rs
@@ -10,7 +10,7 @@
 use crate::names::HostId;
 use crate::protocol::Transaction;
 use crate::records::HolderRecord;
-use crate::replica::{Holder, LEAD};
+use crate::replica::{Holder, LEADER_KEY};
 use tracing::info;
 
 /// A leader that is heard in another incarnation is given so long, ms: what a peer says of its
@@ -114,16 +114,16 @@
         match self.replica.leader {
             None => LeaderStatus::None,
             Some(leader) if self.is_mine(&leader) => LeaderStatus::ThisController,
-            Some(leader) if leader.host == self.me => LeaderStatus::EarlierIncarnation,
+            Some(leader) if leader.controller == self.me => LeaderStatus::EarlierIncarnation,
             Some(leader) => LeaderStatus::Peer(self.judge_leader(leader, now)),
         }
     }
 
     fn judge_leader(&self, leader: Holder, now: Timestamp) -> PeerLeader {
-        let host = leader.host;
+        let host = leader.controller;
         let key = self.replica.live_controllers.get(&host);
         let goes_first = |&&other: &&HostId| {
-            let name = self.replica.names.hosts.name(other);
+            let name = self.replica.names.controllers.name(other);
             other != host && self.peers.hears(other, now) && name < self.my_name()
         };
         PeerLeader {
@@ -140,15 +140,18 @@
     /// Writes this controller's name into the leader's key.
     fn campaign(&mut self, out: &mut Vec<Effect>) {
         let record = HolderRecord {
-            host: self.my_name().to_owned(),
+            controller: self.my_name().to_owned(),
             incarnation: self.membership.incarnation().0,
         };
         let transaction = Transaction {
-            preconditions: vec![self.precondition(LEAD)],
-            mutations: vec![put(LEAD, &record, self.membership.lease_id())],
+            preconditions: vec![self.precondition(LEADER_KEY)],
+            mutations: vec![put(LEADER_KEY, &record, self.membership.lease_id())],
         };
-        let hosts = &self.replica.names.hosts;
-        let previous_leader = self.replica.leader.map(|l| hosts.name(l.host).to_owned());
+        let hosts = &self.replica.names.controllers;
+        let previous_leader = self
+            .replica
+            .leader
+            .map(|l| hosts.name(l.controller).to_owned());
         info!(?previous_leader, "campaigning for the leadership");
         self.writes.submit(
             WriteKind::TakeLeadership,
--- a/src/controller/completions.rs
+++ b/src/controller/completions.rs
@@ -65,7 +65,7 @@
             blocks: vec![id],
             ..WriteIntent::default()
         };
-        let mut edit = self.replica.edit(id);
+        let mut edit = self.replica.edit_block(id);
         for (&machine_id, machine) in &mut edit.machines {
             for &Completion { binding, outcome } in self.completions.pending_on(machine_id) {
                 let mut queue = machine.queue.iter();
@@ -77,7 +77,7 @@
         }
         for (_, binding, outcome) in &intent.outcomes {
             if *outcome == TaskOutcome::Done {
-                edit.note_done(binding.task);
+                edit.record_done(binding.task);
             }
         }
         (edit, intent)
--- a/src/controller/completions/done_lists.rs
+++ b/src/controller/completions/done_lists.rs
@@ -98,7 +98,7 @@
             JobStatus::Pending if done.len() >= job.spec.task_count => JobStatus::Done,
             status => status,
         };
-        let mut record = job.record(self.replica.done_tasks(done), status);
+        let mut record = job.to_record(self.replica.done_tasks(done), status);
         record.shorten(self.settings.value_bytes());
         let write = put(&job_key(name), &record, None);
         (write.value_bytes() <= self.settings.value_bytes()).then_some(write)
--- a/src/controller/completions/moves.rs
+++ b/src/controller/completions/moves.rs
@@ -33,7 +33,9 @@
                     if to != id && !intent.blocks.contains(&to) {
                         intent.blocks.push(to);
                     }
-                    edits.entry(to).or_insert_with(|| self.replica.edit(to));
+                    edits
+                        .entry(to)
+                        .or_insert_with(|| self.replica.edit_block(to));
                     move_bindings(id, to, edits, &task_move);
                     intent.moves.push(task_move);
                 }
@@ -53,7 +55,7 @@
             return MoveDecision::Later;
         }
         let thief = self.replica.machines.get(&task_move.thief);
-        let Some(thief) = thief.filter(|machine| !machine.leaving) else {
+        let Some(thief) = thief.filter(|machine| !machine.cordoned) else {
             return MoveDecision::Cancel;
         };
         let from = edits
--- a/src/controller/completions/plan.rs
+++ b/src/controller/completions/plan.rs
@@ -52,7 +52,7 @@
 
     fn seal_blocks(&self, edits: &BTreeMap<BlockId, BlockEdit>) -> Vec<SealedBlock> {
         let seal = |(&id, edit)| {
-            let record = self.replica.seal(edit);
+            let record = self.replica.block_record(edit);
             let value = Json::of(&record);
             SealedBlock { id, record, value }
         };
--- a/src/controller/formats.rs
+++ b/src/controller/formats.rs
@@ -5,7 +5,7 @@
 //! format that all of them read, and from then on every controller may write it, whatever version
 //! comes back.
 //!
-//! Jobs that wait for others stand under keys that versions before [`CHAINS_FORMAT`] do not read.
+//! Jobs that wait for others stand under keys that versions before [`DEPENDENCIES_FORMAT`] do not read.
 //! Such a version would never start one too early, but it would answer 404 to its user: no job is
 //! accepted as one that waits while a controller is known to run such a version. Done tasks are
 //! written as a bitmap only once [`DENSE_FORMAT`](crate::records::DENSE_FORMAT) is recorded.
@@ -15,8 +15,8 @@
 use crate::collections::HashMap;
 use crate::names::HostId;
 use crate::protocol::Transaction;
-use crate::records::{CHAINS_FORMAT, CURRENT_FORMAT, FormatRecord, NEWEST_FORMAT};
-use crate::replica::{FORMAT, Replica};
+use crate::records::{CURRENT_FORMAT, DEPENDENCIES_FORMAT, FormatRecord, NEWEST_FORMAT};
+use crate::replica::{FORMAT_KEY, Replica};
 use tracing::{error, info};
 
 /// A controller that was seen to run an older version and shows nothing any more is given so long
@@ -138,8 +138,9 @@
     /// Whether jobs may be accepted that wait for others. Once all controllers were seen to read
     /// them this stays so, whatever comes back for a moment.
     pub fn accepts_waiting(&self, now: Timestamp) -> bool {
-        self.formats.own() >= CHAINS_FORMAT
-            && (self.replica.format >= CHAINS_FORMAT || self.common_format(now) >= CHAINS_FORMAT)
+        self.formats.own() >= DEPENDENCIES_FORMAT
+            && (self.replica.format >= DEPENDENCIES_FORMAT
+                || self.common_format(now) >= DEPENDENCIES_FORMAT)
     }
 
     /// Records the format that all controllers read, as far as the operators let it be written.
@@ -153,7 +154,7 @@
         info!(format, "all controllers read this format");
         Some(Transaction {
             preconditions: Vec::new(),
-            mutations: vec![put(FORMAT, &record, None)],
+            mutations: vec![put(FORMAT_KEY, &record, None)],
         })
     }
 }
--- a/src/controller/heartbeat/admission.rs
+++ b/src/controller/heartbeat/admission.rs
@@ -58,7 +58,7 @@
     /// Nobody holds the machine: the leader is to hear of it.
     fn redirect_to_leader(&mut self, heartbeat: &Heartbeat, now: Timestamp) -> HeartbeatResponse {
         self.held.unowned.note(heartbeat, 0, now);
-        let leader = self.replica.leader.map(|leader| leader.host);
+        let leader = self.replica.leader.map(|leader| leader.controller);
         match leader.filter(|&host| self.is_heard_peer(host, now)) {
             Some(leader) => self.redirect(Some(leader)),
             None => {
@@ -76,7 +76,7 @@
     ) -> HeartbeatResponse {
         self.held.unowned.note(heartbeat, grant.mod_revision, now);
         // A holder that is silent to us is not named: the worker would wait for it in vain.
-        let holder = Some(grant.host).filter(|&host| self.is_heard_peer(host, now));
+        let holder = Some(grant.controller).filter(|&host| self.is_heard_peer(host, now));
         self.redirect(holder)
     }
 
@@ -86,7 +86,7 @@
 
     fn redirect(&mut self, to: Option<HostId>) -> HeartbeatResponse {
         self.counters.redirects += 1;
-        let name = to.map(|host| self.replica.names.hosts.name(host).to_owned());
+        let name = to.map(|host| self.replica.names.controllers.name(host).to_owned());
         HeartbeatResponse::Elsewhere(name)
     }
 }
--- a/src/controller/heartbeat/answer.rs
+++ b/src/controller/heartbeat/answer.rs
@@ -43,7 +43,7 @@
         let launches = match heartbeat.token {
             NO_TOKEN => Launches::default(),
             _ => {
-                let queue_use = match machine.leaving || runtime.is_draining() {
+                let queue_use = match machine.cordoned || runtime.is_draining() {
                     true => QueueUse::Drain,
                     false => QueueUse::Start,
                 };
--- a/src/controller/heartbeat/delayed.rs
+++ b/src/controller/heartbeat/delayed.rs
@@ -24,7 +24,7 @@
             .values()
             .all(|task| task.status == TaskPhase::Ended);
         let usable = runtime.obeys()
-            && !machine.leaving
+            && !machine.cordoned
             && !runtime.quarantined
             && runtime.reclaim_at.is_none();
         if !idle
@@ -84,13 +84,13 @@
     ) -> HeartbeatResponse {
         runtime.answer_waits = false;
         let machine = self.replica.machines.get(&machine_id);
-        if machine.is_none_or(|machine| machine.leaving) || runtime.quarantined {
+        if machine.is_none_or(|machine| machine.cordoned) || runtime.quarantined {
             return HeartbeatResponse::Unavailable;
         }
         let mut used = Room::default();
         let launched = runtime.launched.iter();
         for job in launched.filter_map(|task| self.replica.jobs.get(&task.job)) {
-            used.add(&job.room(), 1.0);
+            used.add(&job.task_resources(), 1.0);
         }
         let launches = self.plan_launches(machine_id, runtime, used, QueueUse::Start, now);
         self.counters.launches += launches.commands.len() as u64;
--- a/src/controller/heartbeat/launch.rs
+++ b/src/controller/heartbeat/launch.rs
@@ -107,7 +107,7 @@
         if self.completions.is_reserved(binding) {
             return QueueDecision::Keep;
         }
-        let given_up = queue_use == QueueUse::Drain || machine.evict.contains(binding);
+        let given_up = queue_use == QueueUse::Drain || machine.preempted.contains(binding);
         match self
             .spillover
             .permission(job, self.replica.names.jobs.name(job_id), now)
@@ -115,7 +115,7 @@
             Permission::Wait => QueueDecision::Keep,
             Permission::Stop => QueueDecision::Free,
             Permission::Run if given_up => QueueDecision::Free,
-            Permission::Run => QueueDecision::Start(job.room()),
+            Permission::Run => QueueDecision::Start(job.task_resources()),
         }
     }
 
--- a/src/controller/heartbeat/reconcile.rs
+++ b/src/controller/heartbeat/reconcile.rs
@@ -72,10 +72,10 @@
             .map(|binding| (binding.task, binding.attempt))
             .collect();
         for status in &heartbeat.tasks {
-            let task = self.replica.names.task(&status.task);
+            let task = self.replica.names.parse_task_name(&status.task);
             let job = task.and_then(|task| self.replica.jobs.get(&task.job));
             if let (Some(job), false) = (job, status.status == TaskPhase::Ended) {
-                reconciliation.used.add(&job.room(), 1.0);
+                reconciliation.used.add(&job.task_resources(), 1.0);
             }
             let previous = task.and_then(|task| reconciliation.previous_tasks.get(&task));
             let previous = previous.filter(|previous| previous.attempt == status.attempt);
--- a/src/controller/heartbeat/stops.rs
+++ b/src/controller/heartbeat/stops.rs
@@ -71,9 +71,9 @@
                 // It cannot be done in time: better started again elsewhere at once.
                 (rest_s > left_s * SURELY_TOO_LATE).then_some(NO_GRACE_S)
             }
-        } else if machine.evict.contains(&binding) {
+        } else if machine.preempted.contains(&binding) {
             (!is_saving).then_some(grace_to_save_s)
-        } else if machine.leaving || runtime.quarantined {
+        } else if machine.cordoned || runtime.quarantined {
             (!is_saving && saves).then_some(grace_to_save_s)
         } else {
             None
--- a/src/controller/held_machines/unowned.rs
+++ b/src/controller/held_machines/unowned.rs
@@ -96,7 +96,7 @@
                 machine_type: state.machine_type.clone(),
                 zone: state.zone.clone(),
                 spot: state.spot,
-                for_ms: state.last_seen.since(state.first_seen),
+                unowned_for_ms: state.last_seen.since(state.first_seen),
             })
             .collect()
     }
--- a/src/controller/machine_status.rs
+++ b/src/controller/machine_status.rs
@@ -16,7 +16,7 @@
         now: Timestamp,
     ) -> Option<MachineInfo> {
         let (_, grant) = self.replica.holder(machine_id)?;
-        if grant.host == self.me {
+        if grant.controller == self.me {
             let runtime = self.held.get(machine_id)?;
             return Some(MachineInfo {
                 age_ms: runtime.heard_at.map(|heard| now.since(heard)),
@@ -26,14 +26,14 @@
                 restarted: runtime.restarted,
             });
         }
-        let (summary, received_at) = self.peers.machine(grant.host, machine_id)?;
+        let (summary, received_at) = self.peers.machine(grant.controller, machine_id)?;
         let message_age = now.since(received_at);
         Some(MachineInfo {
-            age_ms: summary.age_ms.map(|age| age + message_age),
-            obeys: summary.obeys,
-            being_reclaimed: summary.recalled,
+            age_ms: summary.since_last_heartbeat_ms.map(|age| age + message_age),
+            obeys: summary.is_controllable,
+            being_reclaimed: summary.reclaim_announced,
             quarantined: summary.quarantined,
-            restarted: summary.restarted,
+            restarted: summary.worker_restarted,
         })
     }
 
@@ -46,11 +46,11 @@
     ) -> MachineSummary {
         MachineSummary {
             machine: self.replica.names.machines.name(machine_id).to_owned(),
-            age_ms: runtime.heard_at.map(|heard| now.since(heard)),
-            obeys: runtime.obeys(),
-            recalled: runtime.reclaim_at.is_some(),
+            since_last_heartbeat_ms: runtime.heard_at.map(|heard| now.since(heard)),
+            is_controllable: runtime.obeys(),
+            reclaim_announced: runtime.reclaim_at.is_some(),
             quarantined: self.unfit(runtime, now),
-            restarted: runtime.restarted,
+            worker_restarted: runtime.restarted,
             load: self.queue_load(machine_id, now),
         }
     }
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -111,7 +111,7 @@
 
     /// Whether a key names this controller in its present incarnation.
     pub(crate) fn is_mine(&self, holder: &Holder) -> bool {
-        holder.host == self.me && holder.incarnation == self.incarnation
+        holder.controller == self.me && holder.incarnation == self.incarnation
     }
 
     /// Until when this controller may act on what the replica shows.
@@ -225,7 +225,7 @@
             .membership
             .on_lease_granted(lease_id, sent, &mut self.rng);
         if granted == LeaseGranted::NewIncarnation {
-            self.replica.mark_all_changed();
+            self.replica.mark_all_blocks_changed();
         }
         let incarnation = self.membership.incarnation().0;
         info!(lease_id, incarnation, "lease granted");
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -121,11 +121,11 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut replica = Replica::default();
         let platform = &settings.platform;
-        let me = replica.names.hosts.intern(&platform.host_name);
+        let me = replica.names.controllers.intern(&platform.host_name);
         let others = platform
             .peers
             .iter()
-            .map(|peer| replica.names.hosts.intern(&peer.host_name))
+            .map(|peer| replica.names.controllers.intern(&peer.host_name))
             .filter(|&host| host != me)
             .collect();
         for team in &platform.settings.teams {
@@ -246,7 +246,7 @@
             let id = names.intern(&machine_type.name);
             if self.machine_types.insert(id, machine_type).is_none() {
                 // How much the machines of a block may come to list is known only now.
-                self.replica.mark_all_changed();
+                self.replica.mark_all_blocks_changed();
             }
         }
     }
--- a/src/controller/peers/messages.rs
+++ b/src/controller/peers/messages.rs
@@ -29,7 +29,7 @@
     pub(crate) fn tick_peers(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         let due = self.peers.take_due_messages(now);
         // Machines that come up are of use only once the leader knows of them.
-        let leader = self.replica.leader.map(|leader| leader.host);
+        let leader = self.replica.leader.map(|leader| leader.controller);
         let urgent_to = leader.filter(|_| due.urgent);
         let mut outbox = self.work_stealing.take_outgoing();
         for host in self.peers.others.clone() {
@@ -55,7 +55,7 @@
 
     /// The answer to a peer's message.
     pub fn respond_to_peer(&mut self, message: PeerMessage, now: Timestamp) -> PeerMessage {
-        let host = self.replica.names.hosts.get(&message.host);
+        let host = self.replica.names.controllers.get(&message.sender);
         let only_stealing = !message.steal_messages.is_empty();
         self.on_peer_message(message, now);
         let length = match host {
@@ -72,7 +72,8 @@
     /// Whether this controller sends the request to a peer, and not the peer to it. The answer
     /// says as much as the request, so one of the two suffices, unless the peer is overdue.
     fn speaks_first_to(&self, host: HostId, now: Timestamp) -> bool {
-        self.my_name() < self.replica.names.hosts.name(host) || self.peers.is_overdue(host, now)
+        self.my_name() < self.replica.names.controllers.name(host)
+            || self.peers.is_overdue(host, now)
     }
 
     /// The leader needs to know all machines well, the others roughly.
@@ -80,7 +81,7 @@
         let leads = self
             .replica
             .leader
-            .is_some_and(|leader| leader.host == host);
+            .is_some_and(|leader| leader.controller == host);
         if leads || self.peers.message_count.is_multiple_of(LONG_MESSAGE_EVERY) {
             MessageLength::Long
         } else {
@@ -96,19 +97,22 @@
         let age_ms = |at: Timestamp| now.since(at);
         let peers = self.peers.states.iter();
         PeerMessage {
-            host: self.my_name().to_owned(),
+            sender: self.my_name().to_owned(),
             incarnation: self.membership.incarnation().0,
-            state_ok: self.state_ok(now),
-            short: self.writes.user_refused_within(SHORT_MS, now),
-            heard: peers
+            store_available: self.state_ok(now),
+            write_budget_exhausted: self.writes.user_refused_within(SHORT_MS, now),
+            since_last_messages_ms: peers
                 .filter_map(|(&host, peer)| {
-                    Some((names.hosts.name(host).to_owned(), age_ms(peer.heard_at?)))
+                    Some((
+                        names.controllers.name(host).to_owned(),
+                        age_ms(peer.heard_at?),
+                    ))
                 })
                 .collect(),
             fleet,
             unowned_machines: self.held.unowned.to_report(now),
             steal_messages: Vec::new(),
-            ratios: self
+            run_time_ratios: self
                 .held
                 .run_time_ratios()
                 .map(|(class, ratio)| (names.classes.name(class).to_owned(), ratio))
@@ -173,11 +177,11 @@
         }
         let cancellations = self.peers.recent_cancellations.iter();
         message.cancelled = cancellations.map(|(_, name)| name.clone()).collect();
-        let hosts = &self.replica.names.hosts;
+        let hosts = &self.replica.names.controllers;
         let grants = self.replica.grants.iter();
         message.grants = grants
             .map(|(block, grant)| {
-                let holder = hosts.name(grant.host).to_owned();
+                let holder = hosts.name(grant.controller).to_owned();
                 (block.0, grant.mod_revision, holder)
             })
             .collect();
@@ -188,7 +192,7 @@
 impl Controller {
     /// What a peer says, in a request or in the answer to one.
     pub fn on_peer_message(&mut self, mut message: PeerMessage, now: Timestamp) {
-        let Some(host) = self.replica.names.hosts.get(&message.host) else {
+        let Some(host) = self.replica.names.controllers.get(&message.sender) else {
             return;
         };
         if !self.peers.others.contains(&host) {
@@ -201,7 +205,7 @@
         peer.update(&mut message, names, state_ok, now);
         self.accept_cancellations(&message.cancelled);
         self.accept_grants(message.grants);
-        self.adopt_run_time_ratios(message.ratios);
+        self.adopt_run_time_ratios(message.run_time_ratios);
         self.spillover.on_heard_loans(message.loans, now);
         for steal_message in message.steal_messages {
             self.on_steal_message(steal_message, now);
@@ -226,11 +230,11 @@
     fn accept_grants(&mut self, grants: Vec<(u32, u64, String)>) {
         for (block, fencing_token, holder) in grants {
             let block = BlockId(block);
-            let Some(holder) = self.replica.names.hosts.get(&holder) else {
+            let Some(holder) = self.replica.names.controllers.get(&holder) else {
                 continue;
             };
             let held = self.replica.grants.get(&block);
-            if held.is_some_and(|g| g.host == self.me && g.mod_revision < fencing_token) {
+            if held.is_some_and(|g| g.controller == self.me && g.mod_revision < fencing_token) {
                 let reported = ReportedGrant {
                     fencing_token,
                     holder,
--- a/src/controller/peers/state.rs
+++ b/src/controller/peers/state.rs
@@ -6,7 +6,7 @@
 use crate::names::{HostId, JobId, MachineId};
 use crate::protocol::{FleetSummary, MachineSummary, PeerMessage, UnownedMachine};
 use crate::ranges::RangeSet;
-use crate::replica::{Incarnation, Names};
+use crate::replica::{Incarnation, NameTables};
 
 /// Failures of a job one after the other, as a peer sees them.
 #[derive(Debug, Clone, Copy)]
@@ -55,25 +55,25 @@
     pub(super) fn update(
         &mut self,
         message: &mut PeerMessage,
-        names: &Names,
+        names: &NameTables,
         state_ok: bool,
         now: Timestamp,
     ) {
         self.heard_at = Some(now);
         self.incarnation = Some(Incarnation(message.incarnation));
-        self.state_ok = message.state_ok;
-        if message.state_ok || !state_ok {
+        self.state_ok = message.store_available;
+        if message.store_available || !state_ok {
             self.refused_since = None;
         } else {
             self.refused_since.get_or_insert(now);
         }
-        if message.short {
+        if message.write_budget_exhausted {
             self.short_at = Some(now);
         }
         self.heard_ages_ms = message
-            .heard
+            .since_last_messages_ms
             .iter()
-            .filter_map(|(host, age_ms)| Some((names.hosts.get(host)?, *age_ms)))
+            .filter_map(|(host, age_ms)| Some((names.controllers.get(host)?, *age_ms)))
             .collect();
         self.unowned_machines = std::mem::take(&mut message.unowned_machines);
         self.failure_streaks = message
@@ -92,7 +92,7 @@
         }
     }
 
-    fn update_machines(&mut self, fleet: FleetSummary, names: &Names, now: Timestamp) {
+    fn update_machines(&mut self, fleet: FleetSummary, names: &NameTables, now: Timestamp) {
         self.machines = fleet
             .machines
             .into_iter()
--- a/src/controller/queue_load.rs
+++ b/src/controller/queue_load.rs
@@ -66,9 +66,9 @@
     /// Load of a machine's queue, as its holder sees it; 0 if that is unknown.
     pub(crate) fn known_load(&self, machine_id: MachineId, now: Timestamp) -> f64 {
         match self.replica.holder(machine_id) {
-            Some((_, grant)) if grant.host == self.me => self.queue_load(machine_id, now),
+            Some((_, grant)) if grant.controller == self.me => self.queue_load(machine_id, now),
             Some((_, grant)) => {
-                let summary = self.peers.machine(grant.host, machine_id);
+                let summary = self.peers.machine(grant.controller, machine_id);
                 summary.map_or(0.0, |(summary, _)| summary.load)
             }
             None => 0.0,
@@ -157,7 +157,7 @@
 pub(crate) fn needs_of(job: &Job) -> Needs {
     let spec = &job.spec;
     Needs {
-        room: job.room(),
+        room: job.task_resources(),
         machine_types: job.machine_types.clone(),
         zone: job.zone,
         spot: spec.spot,
--- a/src/controller/replica_changes.rs
+++ b/src/controller/replica_changes.rs
@@ -23,7 +23,7 @@
         sent: Timestamp,
         now: Timestamp,
     ) {
-        self.replica.load(items, revision);
+        self.replica.apply_full_read(items, revision);
         // What moved from one page to another in between may be in neither: nothing is planned
         // before the watch has made the replica whole.
         self.writes.plan_only_after(upto);
@@ -48,7 +48,7 @@
 
     /// Follows up every change of the replica.
     pub(crate) fn after_replica_change(&mut self, now: Timestamp) {
-        let released: HashSet<JobId> = self.replica.release_departed().into_iter().collect();
+        let released: HashSet<JobId> = self.replica.release_deleted_jobs().into_iter().collect();
         self.forget_jobs(&released);
         self.resolve_in_doubt_writes();
         self.adopt_stored_catalog();
--- a/src/controller/status_page.rs
+++ b/src/controller/status_page.rs
@@ -27,7 +27,7 @@
             "ready": self.ready(now),
             "authority": self.has_authority(now),
             "leads": self.leads().map(|term| term.mod_revision),
-            "leader": leader.map(|holder| names.hosts.name(holder.host)),
+            "leader": leader.map(|holder| names.controllers.name(holder.controller)),
             "ledger": self.replica.revision,
             "jobs": self.replica.jobs.len(),
             "machines": machines,
@@ -36,7 +36,7 @@
             "versions": self.versions(),
             "format": self.replica.format,
             "outdated": self.is_outdated(),
-            "unreadable": self.replica.unreadable().collect::<Vec<_>>(),
+            "unreadable": self.replica.unreadable_keys().collect::<Vec<_>>(),
         });
         if let Some(spillover) = self.spillover_page(now) {
             page["spillover"] = spillover;
@@ -79,7 +79,7 @@
 
     /// The format that each controller was last seen to write.
     fn versions(&self) -> BTreeMap<&str, u32> {
-        let hosts = &self.replica.names.hosts;
+        let hosts = &self.replica.names.controllers;
         let controllers = self.replica.live_controllers.iter();
         let shown = controllers.map(|(&host, controller)| (hosts.name(host), controller.format));
         let own = (self.my_name(), self.formats.own());
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -31,5 +31,5 @@
     }
     let unowned_machines = controller.held.unowned.to_report(Timestamp(12_000));
     assert_eq!(unowned_machines.len(), 4500);
-    assert!(unowned_machines.iter().all(|s| s.for_ms == 2000));
+    assert!(unowned_machines.iter().all(|s| s.unowned_for_ms == 2000));
 }
--- a/src/controller/usage.rs
+++ b/src/controller/usage.rs
@@ -36,7 +36,7 @@
             if let Some(job) = self.replica.jobs.get(&binding.task.job)
                 && let Some(room) = room_by_team.get_mut(&job.team)
             {
-                room.add(&job.room(), -1.0);
+                room.add(&job.task_resources(), -1.0);
             }
         }
         room_by_team
--- a/src/controller/writes/commits.rs
+++ b/src/controller/writes/commits.rs
@@ -56,7 +56,7 @@
         let Some(write) = self.writes.in_flight.remove(&write_kind) else {
             return;
         };
-        self.replica.apply_own(&write.transaction, revision);
+        self.replica.apply_own_commit(&write.transaction, revision);
         self.pace(write_kind, write.transaction.mutations.len(), now);
         match write_kind {
             WriteKind::Join => self.membership.on_joined(),
--- a/src/http/cancellation.rs
+++ b/src/http/cancellation.rs
@@ -73,7 +73,7 @@
         if let CommitOutcome::Done(revision) = outcome {
             tracing::info!(job = name, revision, "job cancelled");
             let mut controller = self.shared.controller.lock();
-            controller.replica.apply_own(&transaction, revision);
+            controller.replica.apply_own_commit(&transaction, revision);
         }
         outcome
     }
--- a/src/http/cells.rs
+++ b/src/http/cells.rs
@@ -7,7 +7,7 @@
 use super::responses::refuse;
 use super::{ApiState, BodyResult, MAX_PEER_BODY_BYTES, READ_TIMEOUT, WRITE_TIMEOUT};
 use crate::protocol::JobSpec;
-use crate::replica::past_key;
+use crate::replica::archive_key;
 use crate::spillover::{Archived, CellRequest, OfferPlan};
 use crate::store::CommitOutcome;
 use actix_web::http::StatusCode;
@@ -112,7 +112,7 @@
             match self.state.commit(&transaction, WRITE_TIMEOUT).await {
                 CommitOutcome::Done(revision) => {
                     let mut controller = self.shared.controller.lock();
-                    controller.replica.apply_own(&transaction, revision);
+                    controller.replica.apply_own_commit(&transaction, revision);
                     controller.on_offer_decided(offer, decision);
                     return decision;
                 }
@@ -125,7 +125,11 @@
 
     /// Reads a job that is over from the archive; none if it is not there or cannot be read.
     async fn archived_job(&self, job: &str) -> Option<Archived> {
-        let item = self.state.read(&past_key(job), READ_TIMEOUT).await.ok()??;
+        let item = self
+            .state
+            .read(&archive_key(job), READ_TIMEOUT)
+            .await
+            .ok()??;
         Some(Archived {
             record: item.value.read().ok()?,
             mod_revision: item.mod_revision,
--- a/src/http/chained_submission.rs
+++ b/src/http/chained_submission.rs
@@ -177,7 +177,7 @@
         let response = match (outcome, plan) {
             (CommitOutcome::Done(revision), Plan::Continue(transaction)) => {
                 let mut controller = self.shared.controller.lock();
-                controller.replica.apply_own(transaction, revision);
+                controller.replica.apply_own_commit(transaction, revision);
                 return ChainProgress::Continues;
             }
             (CommitOutcome::Done(revision), Plan::Wait(transaction)) => {
@@ -244,8 +244,11 @@
         if left.is_zero() {
             return Err(StoreError::RateLimited);
         }
-        let archived = self.state.archived(name, left.min(READ_TIMEOUT)).await?;
-        let archived = archived.filter(|record| record.borrowed().is_none());
+        let archived = self
+            .state
+            .archived_job(name, left.min(READ_TIMEOUT))
+            .await?;
+        let archived = archived.filter(|record| record.borrowed_from().is_none());
         Ok(archived.map(|record| record.status))
     }
 }
--- a/src/http/lookup.rs
+++ b/src/http/lookup.rs
@@ -50,11 +50,11 @@
 fn found_in(replica: &Replica, name: &str) -> Option<FoundJob> {
     let job_id = replica.names.jobs.get(name)?;
     if let Some(job) = replica.jobs.get(&job_id) {
-        if job.borrowed().is_some() {
+        if job.borrowed_from().is_some() {
             return None;
         }
         let open = || {
-            let record = job.record(replica.done_tasks(job.stored.clone()), job.status);
+            let record = job.to_record(replica.done_tasks(job.stored_done.clone()), job.status);
             OpenJob::Ordinary(Box::new(record), job.mod_revision)
         };
         return Some(FoundJob {
@@ -91,8 +91,8 @@
             return Ok(watched);
         }
         // It left the watched part, or was never accepted.
-        let archived = self.state.archived(name, READ_TIMEOUT).await?;
-        let archived = archived.filter(|record| record.borrowed().is_none());
+        let archived = self.state.archived_job(name, READ_TIMEOUT).await?;
+        let archived = archived.filter(|record| record.borrowed_from().is_none());
         Ok(archived.map(|record| FoundJob {
             status: record.status,
             done: record.done.tasks.len(),
--- a/src/http/submission.rs
+++ b/src/http/submission.rs
@@ -60,7 +60,7 @@
         NewJob {
             name: submission.name,
             record: jobs::new_record(submission.spec, self.shared.clock.day_ms()),
-            awaits: submission.awaits,
+            awaits: submission.predecessors,
         }
     }
 
@@ -93,7 +93,7 @@
     /// accepted.
     fn is_full(&self) -> bool {
         let controller = self.shared.controller.lock();
-        controller.replica.unfinished() >= controller.settings.options.jobs_most as usize
+        controller.replica.unfinished_count() >= controller.settings.options.jobs_most as usize
     }
 
     /// Accepts a job that names no others.
@@ -133,7 +133,7 @@
             .controller
             .lock()
             .replica
-            .apply_own(transaction, revision);
+            .apply_own_commit(transaction, revision);
         let spec = &job.record.spec;
         tracing::debug!(
             job = job.name,
--- a/src/jobs/chained.rs
+++ b/src/jobs/chained.rs
@@ -7,7 +7,7 @@
 use crate::controller::put;
 use crate::protocol::{JobStatus, Json, Mutation, Precondition, Transaction};
 use crate::records::{JobRecord, NameList, WaitingRecord};
-use crate::replica::{Replica, job_key, past_key, waiting_key};
+use crate::replica::{Replica, archive_key, job_key, waiting_key};
 use crate::settings::Settings;
 use std::collections::HashSet;
 
@@ -108,7 +108,7 @@
 
 /// Preconditions that a job stands under none of its keys.
 pub(super) fn absent(name: &str) -> Vec<Precondition> {
-    let keys = [job_key(name), past_key(name), waiting_key(name)];
+    let keys = [job_key(name), archive_key(name), waiting_key(name)];
     let preconditions = keys.into_iter().map(|key| Precondition {
         key,
         mod_revision: ABSENT,
@@ -186,7 +186,7 @@
     preconditions: Vec<Precondition>,
 ) -> Transaction {
     record.status = JobStatus::Cancelled;
-    let mutations = vec![put(&past_key(name), &record, None)];
+    let mutations = vec![put(&archive_key(name), &record, None)];
     Transaction {
         preconditions,
         mutations,
--- a/src/jobs/chained/tests.rs
+++ b/src/jobs/chained/tests.rs
@@ -35,7 +35,7 @@
 #[test]
 fn awaits_is_a_list_of_ids_and_null_absent_and_empty_mean_none() {
     let names = |awaits: &str| match with_awaits(awaits) {
-        Read::Good(s) => s.awaits,
+        Read::Good(s) => s.predecessors,
         Read::Bad(..) => panic!("{awaits}"),
     };
     assert!(names("null").is_empty() && names("[]").is_empty());
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::protocol::{JobAnswer, JobSpec, JobStatus, Json, Mutation, Precondition, Transaction};
 use crate::records::JobRecord;
-use crate::replica::{job_key, past_key, waiting_key};
+use crate::replica::{archive_key, job_key, waiting_key};
 
 pub mod chained;
 mod errors;
@@ -41,7 +41,7 @@
     Transaction {
         preconditions: vec![
             is_absent(job_key(name)),
-            is_absent(past_key(name)),
+            is_absent(archive_key(name)),
             is_absent(waiting_key(name)),
         ],
         mutations: vec![crate::controller::put(&job_key(name), record, None)],
--- a/src/jobs/submission.rs
+++ b/src/jobs/submission.rs
@@ -65,12 +65,12 @@
 
 /// Reads a submission whose name is good.
 fn read_named(value: serde_json::Value) -> Result<Submission, SubmissionError> {
-    let awaits = chained::read_awaits(&value)?;
+    let predecessors = chained::read_awaits(&value)?;
     let submission: Submission =
         serde_json::from_value(value).map_err(SubmissionError::BadField)?;
     check(&submission.spec)?;
     Ok(Submission {
-        awaits,
+        predecessors,
         ..submission
     })
 }
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -90,7 +90,7 @@
 pub(crate) fn job_of(spec: JobSpec) -> crate::replica::Job {
     let mut replica = crate::replica::Replica::default();
     let transaction = accept("wk-000412", &new_record(spec, 1_700_000_000_000));
-    replica.apply_own(&transaction, 1);
+    replica.apply_own_commit(&transaction, 1);
     let job_id = replica.names.jobs.get("wk-000412").expect("known");
     replica.jobs.remove(&job_id).expect("there")
 }
--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -11,7 +11,7 @@
 use crate::protocol::{JobStatus, Mutation, Transaction};
 use crate::ranges::RangeSet;
 use crate::records::JobRecord;
-use crate::replica::{Job, job_key, past_key};
+use crate::replica::{Job, archive_key, job_key};
 
 /// Most jobs that are archived in one transaction.
 const MAX_ARCHIVED_AT_ONCE: usize = 4;
@@ -49,7 +49,7 @@
             .filter(|&(&job_id, tasks)| self.is_done_with(job_id, tasks))
             .map(|(&job_id, _)| job_id)
             .collect();
-        done.extend(self.replica.complete());
+        done.extend(self.replica.complete_jobs());
         // What others wait for goes first.
         done.sort_by_key(|&job_id| (!self.replica.dependencies.is_needed(job_id), job_id));
         done.dedup();
@@ -89,7 +89,7 @@
             return None;
         }
         // Each job that leaves costs two changes: those that wait to run come first.
-        let pending = self.replica.pending();
+        let pending = self.replica.pending_count();
         let over = self.replica.jobs.len() - pending;
         if pending > 0 && over < self.settings.options.jobs_kept as usize {
             return None;
@@ -110,11 +110,11 @@
             self.is_archivable(job_id, job) && !being_bound.contains(&job_id)
         })
         .map(|(&job_id, job)| {
-            let done = self.replica.done_tasks(job.stored.clone());
+            let done = self.replica.done_tasks(job.stored_done.clone());
             ArchivableJob {
                 job: job_id,
                 key: job_key(self.replica.names.jobs.name(job_id)),
-                record: job.record(done, job.status),
+                record: job.to_record(done, job.status),
             }
         })
         .collect()
@@ -124,7 +124,7 @@
         job.status != JobStatus::Pending
             // The watch has passed it: no older change can bring the job back after its drop.
             && job.mod_revision <= self.replica.revision
-            && !self.replica.is_mentioned(job_id)
+            && !self.replica.is_referenced(job_id)
             && self.may_archive(job_id, job)
             && !self.replica.is_unreadable(self.replica.names.jobs.name(job_id))
     }
@@ -138,7 +138,7 @@
         for mut archivable in jobs.into_iter().take(most.min(MAX_ARCHIVED_AT_ONCE)) {
             archivable.record.shorten(value_bytes);
             let name = self.replica.names.jobs.name(archivable.job);
-            let mutation = put(&past_key(name), &archivable.record, None);
+            let mutation = put(&archive_key(name), &archivable.record, None);
             if mutation.value_bytes() > value_bytes {
                 // Written when values could be larger: it stays where it is, for it cannot be
                 // written anywhere any more.
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -122,7 +122,7 @@
             let job = &self.replica.jobs[&open.job];
             let mut taken = job.done.clone();
             let in_flight = in_flight.get(&open.job).into_iter().flatten().copied();
-            for number in self.replica.bound(open.job).chain(in_flight) {
+            for number in self.replica.bound_tasks(open.job).chain(in_flight) {
                 taken.insert(number);
             }
             let most = match Some(open.job) == open_jobs.starved {
--- a/src/leadership/binding/limits.rs
+++ b/src/leadership/binding/limits.rs
@@ -58,9 +58,9 @@
         let cpus = self.fleet_cpus();
         let jobs = self.replica.jobs.iter();
         let waiting: f64 = jobs
-            .filter(|(_, job)| job.status == JobStatus::Pending && job.lent().is_none())
+            .filter(|(_, job)| job.status == JobStatus::Pending && job.lent_to().is_none())
             .map(|(&job_id, job)| {
-                let begun = job.done.len() + self.replica.bound_len(job_id);
+                let begun = job.done.len() + self.replica.bound_task_count(job_id);
                 let left = job.spec.task_count.saturating_sub(begun);
                 f64::from(left) * job.spec.cpus * self.run_s(job)
             })
@@ -72,7 +72,7 @@
     fn ordinary_wanted(&self) -> bool {
         let jobs = self.replica.jobs.values();
         let mut pending =
-            jobs.filter(|job| job.status == JobStatus::Pending && job.lent().is_none());
+            jobs.filter(|job| job.status == JobStatus::Pending && job.lent_to().is_none());
         let mut waiting = self.replica.waiting.jobs.values();
         pending.any(|job| !job.spec.spot) || waiting.any(|job| !job.record.spec.spot)
     }
--- a/src/leadership/binding/open_jobs.rs
+++ b/src/leadership/binding/open_jobs.rs
@@ -101,7 +101,7 @@
             // Whoever waits for the team's limit has nothing to gain from a machine.
             let within_limit = team_room
                 .get(&job.team)
-                .is_some_and(|room| job.room().cpus <= room.cpus + ROOM_TOLERANCE);
+                .is_some_and(|room| job.task_resources().cpus <= room.cpus + ROOM_TOLERANCE);
             let waited_s = self.waited_s(job_id, job, now);
             if within_limit && waited_s > self.settings.options.queue_floor_s {
                 let this = StarvedJob {
@@ -131,7 +131,7 @@
     /// Whether some task of a job may be bound now, `in_flight` of them being bound already.
     fn has_bindable_tasks(&self, job_id: JobId, job: &Job, in_flight: u32, now: Timestamp) -> bool {
         let name = self.replica.names.jobs.name(job_id);
-        let begun = self.replica.bound_len(job_id) + in_flight + job.done.len();
+        let begun = self.replica.bound_task_count(job_id) + in_flight + job.done.len();
         job.status == JobStatus::Pending
             && self.spillover.may_bind(job, name, now)
             && begun < job.spec.task_count
@@ -162,10 +162,10 @@
 
     /// Seconds for which nothing of a job was begun, or nothing more.
     fn waited_s(&self, job_id: JobId, job: &Job, now: Timestamp) -> f64 {
-        let age_s = self.day_ms.saturating_sub(job.since_ms()) as f64 / 1000.0;
+        let age_s = self.day_ms.saturating_sub(job.ready_since_ms()) as f64 / 1000.0;
         match self.leadership.turns.served_at(job_id) {
             Some(at) => now.since(at) as f64 / 1000.0,
-            None if job.done.is_empty() && self.replica.bound_len(job_id) == 0 => age_s,
+            None if job.done.is_empty() && self.replica.bound_task_count(job_id) == 0 => age_s,
             None => age_s.min(now.since(self.leadership.since) as f64 / 1000.0),
         }
     }
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -12,7 +12,7 @@
 use crate::names::JobId;
 use crate::placement::PlannedBinding;
 use crate::protocol::Transaction;
-use crate::replica::{Binding, BlockEdit, BlockId, LEAD, Replica, TaskId, block_key};
+use crate::replica::{Binding, BlockEdit, BlockId, LEADER_KEY, Replica, TaskId, block_key};
 use std::collections::BTreeMap;
 use tracing::{debug, info};
 
@@ -31,7 +31,7 @@
     /// A block as it is.
     fn of(id: BlockId, replica: &Replica) -> Self {
         Self {
-            edit: replica.edit(id),
+            edit: replica.edit_block(id),
             intent: WriteIntent::default(),
         }
     }
@@ -113,7 +113,7 @@
         out: &mut Vec<Effect>,
     ) -> BlockWrite {
         let PlannedEdit { edit, mut intent } = planned;
-        let record = self.replica.seal(&edit);
+        let record = self.replica.block_record(&edit);
         let mutation = put(&block_key(id), &record, None);
         let part = match intent.binds.is_empty() {
             true => 1.0,
@@ -125,7 +125,10 @@
         }
         intent.blocks = vec![id];
         let transaction = Transaction {
-            preconditions: vec![self.precondition(&block_key(id)), self.precondition(LEAD)],
+            preconditions: vec![
+                self.precondition(&block_key(id)),
+                self.precondition(LEADER_KEY),
+            ],
             mutations: vec![mutation],
         };
         self.writes
@@ -164,14 +167,14 @@
             let Some(machine) = self.replica.machines.get(machine_id) else {
                 continue;
             };
-            if machine.leaving || !self.is_writable(machine.block, now) {
+            if machine.cordoned || !self.is_writable(machine.block, now) {
                 continue;
             }
             let planned = edits.of_block(machine.block, &self.replica);
             if let Some(leaving) = planned.edit.machines.get_mut(machine_id) {
                 let machine = self.replica.names.machines.name(*machine_id);
                 info!(machine, "machine drains: it is to be returned");
-                leaving.leaving = true;
+                leaving.cordoned = true;
             }
         }
     }
@@ -251,7 +254,7 @@
     ) -> PlannedEdit {
         // An attempt is numbered by the revision at which it is bound: unbinding comes at a
         // later one, so attempts of a task only grow.
-        let attempt = self.replica.latest();
+        let attempt = self.replica.latest_revision();
         let mut planned = PlannedEdit::of(id, &self.replica);
         let machines = &mut planned.edit.machines;
         for &PlannedBinding {
@@ -269,7 +272,7 @@
         }
         for (machine_id, tasks) in evictions {
             if let Some(edited) = machines.get_mut(machine_id) {
-                edited.evict.extend(tasks);
+                edited.preempted.extend(tasks);
             }
         }
         planned
--- a/src/leadership/capacity.rs
+++ b/src/leadership/capacity.rs
@@ -62,7 +62,7 @@
         let unfit = info
             .as_ref()
             .is_some_and(|info| info.being_reclaimed || info.quarantined);
-        if machine.leaving
+        if machine.cordoned
             || unfit
             || self.leadership.scale_in.is_draining(machine_id)
             || self.cut_off(machine_id, now)
--- a/src/leadership/catalog.rs
+++ b/src/leadership/catalog.rs
@@ -2,7 +2,7 @@
 
 use crate::controller::{Controller, put};
 use crate::protocol::{MachineType, Transaction};
-use crate::replica::CATALOG;
+use crate::replica::CATALOG_KEY;
 
 /// Whether two entries say the same, prices aside: these move all the time and are not worth a
 /// write.
@@ -34,7 +34,7 @@
         let fits = value.is_ok_and(|value| value.len() <= self.settings.value_bytes());
         fits.then(|| Transaction {
             preconditions: Vec::new(),
-            mutations: vec![put(CATALOG, &machine_types, None)],
+            mutations: vec![put(CATALOG_KEY, &machine_types, None)],
         })
     }
 }
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -78,7 +78,7 @@
         let mut held: HashMap<HostId, usize> = HashMap::default();
         for (id, grant) in &replica.grants {
             if let Some(block) = replica.blocks.get(id) {
-                *held.entry(grant.host).or_default() += block_weight(block.machines.len());
+                *held.entry(grant.controller).or_default() += block_weight(block.machines.len());
             }
         }
         Self { usable, held }
@@ -186,9 +186,11 @@
     fn holder_faults(&mut self, now: Timestamp) -> HolderFaults {
         let unreachable = self.blocks_of_unreachable_holders(now);
         let grants = self.replica.grants.values();
-        let restarted =
-            grants.filter(|grant| self.peers.restarted(grant.host, grant.incarnation, now));
-        let restarted: HashSet<HostId> = restarted.map(|grant| grant.host).collect();
+        let restarted = grants.filter(|grant| {
+            self.peers
+                .restarted(grant.controller, grant.incarnation, now)
+        });
+        let restarted: HashSet<HostId> = restarted.map(|grant| grant.controller).collect();
         let seen = &mut self.leadership.grants;
         HolderFaults {
             restarted: seen.note_restarted(&restarted, now),
@@ -209,7 +211,7 @@
             let Some(reason) = self.grant_reason(id, grant, faults, now) else {
                 continue;
             };
-            let holder = grant.map(|grant| grant.host);
+            let holder = grant.map(|grant| grant.controller);
             let same = holder.filter(|host| reason.keeps_holder() && holders.usable.contains(host));
             let hears_workers = faults.unreachable.get(&id).copied();
             let to = same
@@ -237,7 +239,7 @@
         let Some(grant) = grant else {
             return Some(GrantReason::Unheld);
         };
-        let host = grant.host;
+        let host = grant.controller;
         let controller = self.replica.live_controllers.get(&host);
         if controller.is_none_or(|controller| controller.incarnation != grant.incarnation) {
             return Some(GrantReason::HolderReplaced);
@@ -291,7 +293,7 @@
         let lightest = holders.lightest_except(None)?;
         let gap = holders.held_by(heaviest) - holders.held_by(lightest);
         let grants = self.replica.grants.iter();
-        let of_heaviest = grants.filter(|(_, grant)| grant.host == heaviest);
+        let of_heaviest = grants.filter(|(_, grant)| grant.controller == heaviest);
         let weights = of_heaviest.filter_map(|(&id, _)| {
             let block = self.replica.blocks.get(&id)?;
             Some((id, block_weight(block.machines.len())))
@@ -311,7 +313,7 @@
         for grant in grants {
             let holder = self.replica.grants.get(&grant.block);
             if let (Some(holder), GrantReason::HolderUnreachable) = (holder, grant.reason) {
-                self.leadership.grants.avoid(holder.host, now);
+                self.leadership.grants.avoid(holder.controller, now);
             }
         }
     }
@@ -322,7 +324,7 @@
             let controller = self.replica.live_controllers.get(&grant.to)?;
             let key = grant_key(grant.block);
             let record = HolderRecord {
-                host: self.replica.names.hosts.name(grant.to).to_owned(),
+                controller: self.replica.names.controllers.name(grant.to).to_owned(),
                 incarnation: controller.incarnation.0,
             };
             transaction.preconditions.push(self.precondition(&key));
@@ -330,7 +332,7 @@
             transaction.mutations.push(mutation);
             info!(
                 block = grant.block.0,
-                holder = record.host,
+                holder = record.controller,
                 reason = grant.reason.as_str(),
                 "granting block"
             );
--- a/src/leadership/job_dependencies.rs
+++ b/src/leadership/job_dependencies.rs
@@ -7,7 +7,7 @@
 use crate::controller::{Controller, put};
 use crate::names::JobId;
 use crate::protocol::{JobStatus, Mutation, Priority, Transaction};
-use crate::records::{CHAINS_FORMAT, DoneTasks, JobRecord, WaitingRecord};
+use crate::records::{DEPENDENCIES_FORMAT, DoneTasks, JobRecord, WaitingRecord};
 use crate::replica::{job_key, waiting_key};
 use tracing::debug;
 
@@ -34,7 +34,7 @@
     /// A done job stays done, so the transaction needs no condition on it: the own key of the job
     /// that waits decides between this and its cancellation.
     pub(super) fn plan_ready(&mut self) -> Option<Transaction> {
-        if self.formats.own() < CHAINS_FORMAT {
+        if self.formats.own() < DEPENDENCIES_FORMAT {
             return None;
         }
         // Nothing becomes ready without a change of the replica.
--- a/src/leadership/job_order.rs
+++ b/src/leadership/job_order.rs
@@ -72,7 +72,7 @@
         let rest_s = run_s + work / team_cpus;
         let Some(due_in_s) = self.due_in_s(job_id, job) else {
             return Slack {
-                left_s: NO_DEADLINE_SLACK_S - self.age_s(job.since_ms()),
+                left_s: NO_DEADLINE_SLACK_S - self.age_s(job.ready_since_ms()),
                 small_job_bonus_s: 0.0,
             };
         };
@@ -95,7 +95,7 @@
             (Some(own), Some(dependents)) => Some(own.min(dependents)),
             (own, dependents) => own.or(dependents).or_else(|| {
                 let within_s = self.class_objective_s(job)?;
-                Some(within_s - self.age_s(job.since_ms()))
+                Some(within_s - self.age_s(job.ready_since_ms()))
             }),
         }
     }
--- a/src/leadership/machine_placement.rs
+++ b/src/leadership/machine_placement.rs
@@ -37,7 +37,7 @@
         let in_block = |name: &str| names.get(name).is_some_and(|id| machines.contains_key(&id));
         let heard = heard_here.into_iter().chain(heard_by_peers);
         let unplaced = heard.filter(|heard| !in_block(&heard.machine));
-        let lasting = unplaced.filter(|heard| heard.for_ms >= MIN_HEARD_MS);
+        let lasting = unplaced.filter(|heard| heard.unowned_for_ms >= MIN_HEARD_MS);
         for heard in lasting.collect::<Vec<_>>() {
             let new = NewMachine {
                 machine_type: heard.machine_type,
@@ -87,9 +87,9 @@
                 machine_type,
                 zone,
                 spot: new.spot,
-                leaving: false,
+                cordoned: false,
                 queue: Vec::new(),
-                evict: Vec::new(),
+                preempted: Vec::new(),
             };
             let planned = edits.of_block(block, &self.replica);
             planned.edit.machines.insert(machine_id, machine);
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -35,7 +35,7 @@
 use crate::controller::{Controller, Effect, WriteKind};
 use crate::names::{JobId, MachineId};
 use crate::protocol::Transaction;
-use crate::replica::{LEAD, Term};
+use crate::replica::{LEADER_KEY, Term};
 use binding_turns::BindingTurns;
 use cloud_inventory::CloudInventory;
 use grants_seen::GrantsSeen;
@@ -108,7 +108,9 @@
             && let Some((mut transaction, intent)) = self.plan_leader_write(now)
         {
             // Guards against a write of a leader that another one has replaced.
-            transaction.preconditions.push(self.precondition(LEAD));
+            transaction
+                .preconditions
+                .push(self.precondition(LEADER_KEY));
             self.writes
                 .submit(WriteKind::LeaderWrite, transaction, intent, out);
         }
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -204,7 +204,7 @@
     fn incoming_cpus(&self) -> IncomingCpus {
         let mut incoming = IncomingCpus::default();
         let machines = self.replica.machines.values();
-        for binding in machines.flat_map(|machine| &machine.evict) {
+        for binding in machines.flat_map(|machine| &machine.preempted) {
             if let Some(job) = self.replica.jobs.get(&binding.task.job) {
                 *incoming.by_team.entry(job.team).or_default() += job.spec.cpus;
                 incoming.all += job.spec.cpus;
@@ -229,7 +229,7 @@
         let mut by_job: HashMap<JobId, Option<Victim>> = HashMap::default();
         let mut victims: Vec<Victim> = Vec::new();
         let machines = self.replica.machines.iter();
-        for (&machine_id, machine) in machines.filter(|(_, machine)| !machine.leaving) {
+        for (&machine_id, machine) in machines.filter(|(_, machine)| !machine.cordoned) {
             for binding in unmarked_bindings(machine) {
                 let job_id = binding.task.job;
                 let of_job = by_job
@@ -271,5 +271,5 @@
 /// Bound tasks of a machine that are not marked to be stopped yet.
 fn unmarked_bindings(machine: &Machine) -> impl Iterator<Item = &Binding> {
     let queue = machine.queue.iter();
-    queue.filter(|binding| !machine.evict.contains(binding))
+    queue.filter(|binding| !machine.preempted.contains(binding))
 }
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -157,7 +157,7 @@
         let returned = self.leadership.inventory.returned();
         let machines = self.replica.machines.iter();
         let to_return = machines.filter(|(machine_id, machine)| {
-            let drained = machine.leaving && machine.queue.is_empty();
+            let drained = machine.cordoned && machine.queue.is_empty();
             !returned.contains(machine_id) && (drained || self.is_dead(**machine_id, now))
         });
         let names = to_return.map(|(&machine_id, _)| {
--- a/src/leadership/slots.rs
+++ b/src/leadership/slots.rs
@@ -59,7 +59,7 @@
         let recent_ms = (interval_s * 1000.0 * RECENT_HEARTBEATS) as u64 + RECENT_MARGIN_MS;
         let machine = self.replica.machines.get(&machine_id);
         let leadership = &self.leadership;
-        machine.is_some_and(|machine| !machine.leaving)
+        machine.is_some_and(|machine| !machine.cordoned)
             && !leadership.inventory.returned().contains(&machine_id)
             && !leadership.scale_in.is_draining(machine_id)
             && self.machine_info(machine_id, now).is_some_and(|info| {
@@ -168,7 +168,7 @@
         let mut used = Room::default();
         for binding in bindings {
             if let Some(job) = self.replica.jobs.get(&binding.task.job) {
-                used.add(&job.room(), 1.0);
+                used.add(&job.task_resources(), 1.0);
             }
         }
         used
--- a/src/leadership/unreachable_holders.rs
+++ b/src/leadership/unreachable_holders.rs
@@ -80,7 +80,7 @@
         machine: &UnownedMachine,
         now: Timestamp,
     ) -> Option<(BlockId, MachineId)> {
-        if machine.for_ms < UNANSWERED_MS || !self.controller_usable(host, now) {
+        if machine.unowned_for_ms < UNANSWERED_MS || !self.controller_usable(host, now) {
             return None;
         }
         let machine_id = self.replica.names.machines.get(&machine.machine)?;
@@ -88,6 +88,6 @@
         let info = self.machine_info(machine_id, now);
         let heard_ms = info.and_then(|info| info.age_ms);
         let unheard = heard_ms.is_none_or(|age_ms| age_ms > UNANSWERED_MS);
-        (grant.host != host && unheard).then_some((block, machine_id))
+        (grant.controller != host && unheard).then_some((block, machine_id))
     }
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -15,7 +15,7 @@
 pub use cloud::{Catalog, CloudMachine, MachineNames, MachinePage, MachineType, RentRequest};
 pub use json::Json;
 pub use peer::{
-    FleetSummary, HeardLoan, MachineSummary, PeerMessage, StealMessage, UnownedMachine,
+    FleetSummary, MachineSummary, PeerMessage, ReportedLoan, StealMessage, UnownedMachine,
 };
 pub use store::{
     CommitResponse, GrantedLease, KeyValue, KeyValuePage, LeaseRequest, Mutation, Precondition,
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -15,17 +15,20 @@
     #[serde(rename = "rig")]
     pub machine: String,
     /// Milliseconds since its latest heartbeat; none if no heartbeat has reached this holder.
-    pub age_ms: Option<u64>,
+    #[serde(rename = "age_ms")]
+    pub since_last_heartbeat_ms: Option<u64>,
     /// Whether its worker has seen the holder's fencing token and the holder's answers reach it.
-    pub obeys: bool,
+    #[serde(rename = "obeys")]
+    pub is_controllable: bool,
     /// Whether the cloud has announced that it takes the machine away.
-    pub recalled: bool,
+    #[serde(rename = "recalled")]
+    pub reclaim_announced: bool,
     /// Whether the holder has quarantined it and wants it replaced.
     #[serde(rename = "sick")]
     pub quarantined: bool,
     /// Whether its worker has restarted, in a new worker epoch, under this grant.
     #[serde(rename = "anew")]
-    pub restarted: bool,
+    pub worker_restarted: bool,
     /// Load of its queue: seconds of work per CPU.
     pub load: f64,
 }
@@ -46,7 +49,8 @@
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// Milliseconds for which its heartbeats have come here and its holder has not heard it.
-    pub for_ms: u64,
+    #[serde(rename = "for_ms")]
+    pub unowned_for_ms: u64,
 }
 
 /// A message between the agents of PackStealLB: one agent for each machine.
@@ -88,13 +92,14 @@
 
 /// A loan to another cell of which a controller has heard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeardLoan {
+pub struct ReportedLoan {
     /// The job.
     pub job: String,
     /// Fencing token of the transfer.
     pub token: u64,
     /// Milliseconds since the borrower last confirmed it to the sender.
-    pub age_ms: u64,
+    #[serde(rename = "age_ms")]
+    pub since_confirmed_ms: u64,
     /// Whether any task of it was bound to a machine then.
     pub bound: bool,
 }
@@ -103,16 +108,20 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerMessage {
     /// Sender.
-    pub host: String,
+    #[serde(rename = "host")]
+    pub sender: String,
     /// The sender's incarnation.
     #[serde(rename = "boot")]
     pub incarnation: u64,
     /// Whether the key-value store answers the sender.
-    pub state_ok: bool,
+    #[serde(rename = "state_ok")]
+    pub store_available: bool,
     /// Whether the sender had to refuse users because the budget of writes was used up.
-    pub short: bool,
+    #[serde(rename = "short")]
+    pub write_budget_exhausted: bool,
     /// Peers and the milliseconds since each was last heard.
-    pub heard: Vec<(String, u64)>,
+    #[serde(rename = "heard")]
+    pub since_last_messages_ms: Vec<(String, u64)>,
     /// The sender's machines; none in a short message.
     pub fleet: Option<FleetSummary>,
     /// Machines whose heartbeats reach the sender and that it doesn't hold.
@@ -122,7 +131,8 @@
     #[serde(rename = "agents")]
     pub steal_messages: Vec<StealMessage>,
     /// Observed run times over estimates, by class.
-    pub ratios: Vec<(String, f64)>,
+    #[serde(rename = "ratios")]
+    pub run_time_ratios: Vec<(String, f64)>,
     /// Consecutive task failures by job, with the milliseconds since the last.
     #[serde(rename = "fails")]
     pub failure_streaks: Vec<(String, u32, u64)>,
@@ -137,5 +147,5 @@
     pub format: u32,
     /// Loans to other cells of which the sender has heard; left out where there are none.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub loans: Vec<HeardLoan>,
+    pub loans: Vec<ReportedLoan>,
 }
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -142,11 +142,11 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WatchEvent {
     /// Key written.
-    #[serde(default)]
-    pub put: Option<String>,
+    #[serde(rename = "put", default)]
+    pub put_key: Option<String>,
     /// Key deleted, by a transaction or with its lease.
-    #[serde(default)]
-    pub drop: Option<String>,
+    #[serde(rename = "drop", default)]
+    pub deleted_key: Option<String>,
     /// Value written.
     #[serde(rename = "v", default)]
     pub value: Json,
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -136,8 +136,8 @@
         (watched.revision, watched.events[0].mod_revision),
         (433, 433)
     );
-    assert_eq!(watched.events[0].put.as_deref(), Some("c/9"));
-    assert_eq!(watched.events[1].drop.as_deref(), Some("c/d"));
+    assert_eq!(watched.events[0].put_key.as_deref(), Some("c/9"));
+    assert_eq!(watched.events[1].deleted_key.as_deref(), Some("c/d"));
     written_as_read::<WatchResponse>(concat!(
         r#"{"ledger":433,"news":[{"put":"c/9","drop":null,"v":{"x":1},"stamp":433},"#,
         r#"{"put":null,"drop":"c/d","v":null,"stamp":432}]}"#
@@ -161,11 +161,11 @@
 fn peer_message() -> PeerMessage {
     let machine = MachineSummary {
         machine: "m-1".into(),
-        age_ms: None,
-        obeys: true,
-        recalled: false,
+        since_last_heartbeat_ms: None,
+        is_controllable: true,
+        reclaim_announced: false,
         quarantined: true,
-        restarted: false,
+        worker_restarted: false,
         load: 1.5,
     };
     let unowned = UnownedMachine {
@@ -173,7 +173,7 @@
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
-        for_ms: 900,
+        unowned_for_ms: 900,
     };
     let hint = StealMessage::Hint {
         to: "m-1".into(),
@@ -186,18 +186,18 @@
         hops: 1,
         route: vec!["m-3".into()],
     };
-    let loan = HeardLoan {
+    let loan = ReportedLoan {
         job: "wk-1".into(),
         token: 41,
-        age_ms: 300,
+        since_confirmed_ms: 300,
         bound: true,
     };
     PeerMessage {
-        host: "n1".into(),
+        sender: "n1".into(),
         incarnation: 77,
-        state_ok: true,
-        short: false,
-        heard: vec![("n2".into(), 5)],
+        store_available: true,
+        write_budget_exhausted: false,
+        since_last_messages_ms: vec![("n2".into(), 5)],
         fleet: Some(FleetSummary {
             machines: vec![machine],
             running: vec![("wk-1".into(), 3)],
@@ -205,7 +205,7 @@
         }),
         unowned_machines: vec![unowned],
         steal_messages: vec![hint, steal],
-        ratios: vec![("train".into(), 1.25)],
+        run_time_ratios: vec![("train".into(), 1.25)],
         failure_streaks: vec![("wk-3".into(), 2, 300)],
         cancelled: vec!["wk-4".into()],
         grants: vec![(3, 41, "n2".into())],
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -97,7 +97,7 @@
     /// Jobs that must be done before any task of this one starts. Parsed separately, for its errors
     /// differ from those of the other fields.
     #[serde(skip)]
-    pub awaits: Vec<String>,
+    pub predecessors: Vec<String>,
 }
 
 /// State of a job as users see it.
--- a/src/records/block.rs
+++ b/src/records/block.rs
@@ -24,11 +24,11 @@
     /// Its kind: place in the block's table of kinds.
     pub kind: usize,
     /// Whether it is being given back: nothing new is bound to it.
-    pub leaving: bool,
+    pub cordoned: bool,
     /// Bound tasks, in order.
     pub queue: Vec<StoredBinding>,
     /// Those of them that are to be stopped to make room.
-    pub evicted: Vec<StoredBinding>,
+    pub preempted: Vec<StoredBinding>,
 }
 
 /// A block of machines.
--- a/src/records/block_text.rs
+++ b/src/records/block_text.rs
@@ -3,7 +3,7 @@
 //! It has to hold the queues of many machines within a few KiB, so it is written densely: names
 //! front-coded, numbers in base 36, each machine a short text.
 
-use super::names::{NameWriter, parts, read_name, read_names, write_names};
+use super::names::{NameWriter, read_name, read_names, split_nonempty, write_names};
 use super::{BlockRecord, Encoding, MachineKind, MachineRecord, MalformedText, StoredBinding};
 use crate::ranges::{RangeSet, write_number};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
@@ -22,7 +22,7 @@
 struct PackedBlock {
     /// Kinds, unless they are written densely.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
-    whole_kinds: Option<Vec<MachineKind>>,
+    plain_kinds: Option<Vec<MachineKind>>,
     /// Names of machine types and zones.
     #[serde(rename = "n", default, skip_serializing_if = "String::is_empty")]
     kind_names: String,
@@ -43,12 +43,12 @@
 
 impl From<&BlockRecord> for PackedBlock {
     fn from(block: &BlockRecord) -> PackedBlock {
-        let (whole_kinds, (kind_names, dense_kinds)) = match block.encoding {
+        let (plain_kinds, (kind_names, dense_kinds)) = match block.encoding {
             Encoding::Compatible => (Some(block.kinds.clone()), Default::default()),
             Encoding::Dense => (None, write_kinds(&block.kinds)),
         };
         PackedBlock {
-            whole_kinds,
+            plain_kinds,
             kind_names,
             dense_kinds,
             jobs: write_names(&block.jobs),
@@ -63,7 +63,7 @@
     type Error = MalformedText;
 
     fn try_from(packed: PackedBlock) -> Result<Self, MalformedText> {
-        let kinds = match packed.whole_kinds {
+        let kinds = match packed.plain_kinds {
             Some(kinds) => kinds,
             None => read_kinds(&packed.kind_names, &packed.dense_kinds)?,
         };
@@ -74,7 +74,7 @@
             ..BlockRecord::default()
         };
         let mut previous = String::new();
-        for text in parts(&packed.machines, ';') {
+        for text in split_nonempty(&packed.machines, ';') {
             let read = || {
                 let (name, rest) = text.split_once(' ')?;
                 Some((read_name(&previous, name)?, read_machine(rest)?))
@@ -83,7 +83,7 @@
             previous.clone_from(&name);
             block.machines.insert(name, machine);
         }
-        for text in parts(&packed.done, ' ') {
+        for text in split_nonempty(&packed.done, ' ') {
             let done = read_tasks(text).ok_or_else(|| MalformedText::of(text))?;
             block.done.push(done);
         }
@@ -120,13 +120,13 @@
 
 fn write_machine(machine: &MachineRecord, out: &mut String) {
     write_number(machine.kind as u64, 10, out);
-    if machine.leaving {
+    if machine.cordoned {
         out.push('x');
     }
     write_bindings(&machine.queue, out);
-    if !machine.evicted.is_empty() {
+    if !machine.preempted.is_empty() {
         out.push_str(" !");
-        write_bindings(&machine.evicted, out);
+        write_bindings(&machine.preempted, out);
     }
 }
 
@@ -136,16 +136,16 @@
     let number = kind.strip_suffix('x').unwrap_or(kind);
     let mut machine = MachineRecord {
         kind: number.parse().ok()?,
-        leaving: number.len() < kind.len(),
+        cordoned: number.len() < kind.len(),
         queue: Vec::new(),
-        evicted: Vec::new(),
+        preempted: Vec::new(),
     };
-    let mut evicted = false;
+    let mut preempted = false;
     for part in parts {
-        match (part, evicted) {
-            ("!", false) => evicted = true,
+        match (part, preempted) {
+            ("!", false) => preempted = true,
             (part, false) => machine.queue.push(read_binding(part)?),
-            (part, true) => machine.evicted.push(read_binding(part)?),
+            (part, true) => machine.preempted.push(read_binding(part)?),
         }
     }
     Some(machine)
@@ -235,7 +235,7 @@
         let spot = spot_zone.is_some();
         Some((name(machine_type)?, name(spot_zone.unwrap_or(zone))?, spot))
     };
-    parts(kinds, ' ')
+    split_nonempty(kinds, ' ')
         .map(|text| read(text).ok_or_else(|| MalformedText::of(text)))
         .collect()
 }
--- a/src/records/controller.rs
+++ b/src/records/controller.rs
@@ -24,7 +24,7 @@
 pub struct HolderRecord {
     /// Controller.
     #[serde(rename = "h")]
-    pub host: String,
+    pub controller: String,
     /// Its incarnation.
     #[serde(rename = "b")]
     pub incarnation: u64,
--- a/src/records/format.rs
+++ b/src/records/format.rs
@@ -7,7 +7,7 @@
 
 /// The format that brought jobs that wait for others; versions before it do not say which one they
 /// read, which counts as 0.
-pub const CHAINS_FORMAT: u32 = 2;
+pub const DEPENDENCIES_FORMAT: u32 = 2;
 /// The format that brought denser values ([`Encoding::Dense`]).
 pub const DENSE_FORMAT: u32 = 3;
 /// The format that brought transfers between cells ([`Transfer`](super::Transfer)). Only controllers that
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -15,12 +15,12 @@
 pub use block::{BlockRecord, MachineKind, MachineRecord, StoredBinding};
 pub use controller::{ControllerRecord, HolderRecord, LoadRecord};
 pub use format::{
-    CHAINS_FORMAT, CURRENT_FORMAT, DENSE_FORMAT, Encoding, FormatRecord, NEWEST_FORMAT,
+    CURRENT_FORMAT, DENSE_FORMAT, DEPENDENCIES_FORMAT, Encoding, FormatRecord, NEWEST_FORMAT,
     SPILLOVER_FORMAT,
 };
 pub use job::{DoneTasks, JobRecord, WaitingRecord};
 pub use names::{MalformedText, NameList};
-pub use transfer::{BorrowedMark, LentMark, Transfer};
+pub use transfer::{BorrowedFrom, LentTo, Transfer};
 
 #[cfg(test)]
 mod tests;
--- a/src/records/names.rs
+++ b/src/records/names.rs
@@ -4,9 +4,9 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
 
 /// Most characters that a name may share with the one before: one digit of base 36.
-const MAX_SHARED: usize = 35;
+const MAX_SHARED_CHARACTERS: usize = 35;
 /// Characters of a malformed text that an error shows.
-const SHOWN_CHARACTERS: usize = 60;
+const MAX_SHOWN_CHARACTERS: usize = 60;
 
 /// Text that is no part of a stored value.
 #[derive(Debug, thiserror::Error)]
@@ -16,7 +16,7 @@
 impl MalformedText {
     /// The error for this text, which is shown in part.
     pub(super) fn of(text: &str) -> Self {
-        Self(text.chars().take(SHOWN_CHARACTERS).collect())
+        Self(text.chars().take(MAX_SHOWN_CHARACTERS).collect())
     }
 }
 
@@ -63,7 +63,7 @@
     pub(super) fn write(&mut self, name: &'a str, out: &mut String) {
         let pairs = self.previous.bytes().zip(name.bytes());
         let common = pairs.take_while(|(previous, next)| previous == next);
-        let mut shared = common.count().min(MAX_SHARED);
+        let mut shared = common.count().min(MAX_SHARED_CHARACTERS);
         while !name.is_char_boundary(shared) {
             shared -= 1;
         }
@@ -105,7 +105,7 @@
 /// Reads what [`write_names`] wrote.
 pub(super) fn read_names(text: &str) -> Result<Vec<String>, MalformedText> {
     let mut names: Vec<String> = Vec::new();
-    for part in parts(text, ' ') {
+    for part in split_nonempty(text, ' ') {
         let previous = names.last().map_or("", String::as_str);
         let name = read_name(previous, part).ok_or_else(|| MalformedText::of(part))?;
         names.push(name);
@@ -114,7 +114,7 @@
 }
 
 /// The parts of a text; none of an empty one.
-pub(super) fn parts(text: &str, separator: char) -> impl Iterator<Item = &str> {
+pub(super) fn split_nonempty(text: &str, separator: char) -> impl Iterator<Item = &str> {
     let whole = (!text.is_empty()).then_some(text);
     whole
         .into_iter()
--- a/src/records/tests.rs
+++ b/src/records/tests.rs
@@ -10,9 +10,9 @@
     };
     MachineRecord {
         kind,
-        leaving: false,
+        cordoned: false,
         queue: queue.iter().map(binding).collect(),
-        evicted: Vec::new(),
+        preempted: Vec::new(),
     }
 }
 
@@ -25,8 +25,8 @@
         ..BlockRecord::default()
     };
     let mut leaving = machine(0, &[(0, "0-3,9", 0), (2, "99999", 40)]);
-    leaving.leaving = true;
-    leaving.evicted = leaving.queue[..1].to_vec();
+    leaving.cordoned = true;
+    leaving.preempted = leaving.queue[..1].to_vec();
     block.machines.insert("m-000231".into(), leaving);
     block.machines.insert("m-000240".into(), machine(11, &[]));
     for odd in ["m 1;x%20 ", "m-é1", "m-è2", ""] {
--- a/src/records/transfer.rs
+++ b/src/records/transfer.rs
@@ -14,15 +14,15 @@
 pub enum Transfer {
     /// Accepted here, and lent to another cell.
     #[serde(rename = "l")]
-    Lent(LentMark),
+    Lent(LentTo),
     /// Accepted by another cell, and run here.
     #[serde(rename = "b")]
-    Borrowed(BorrowedMark),
+    Borrowed(BorrowedFrom),
 }
 
 /// What the origin keeps of a loan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LentMark {
+pub struct LentTo {
     /// The borrowing cell.
     #[serde(rename = "c")]
     pub cell: String,
@@ -42,7 +42,7 @@
 
 /// What a borrower keeps of a loan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BorrowedMark {
+pub struct BorrowedFrom {
     /// The cell that accepted the job.
     #[serde(rename = "c")]
     pub cell: String,
@@ -56,9 +56,9 @@
 
 impl JobRecord {
     /// Marks the job as lent.
-    pub fn lend(&mut self, cell: &str, token: TransferToken, terms: LoanTerms) {
+    pub fn mark_lent(&mut self, cell: &str, token: TransferToken, terms: LoanTerms) {
         let machine_types = self.spec.machine_types.replace(Vec::new());
-        self.transfer = Some(Box::new(Transfer::Lent(LentMark {
+        self.transfer = Some(Box::new(Transfer::Lent(LentTo {
             cell: cell.to_owned(),
             token,
             terms,
@@ -68,7 +68,7 @@
     }
 
     /// Makes a lent job an ordinary one again, of which these tasks are done. No effect on any other job.
-    pub fn bring_home(&mut self, done: DoneTasks) {
+    pub fn return_loan(&mut self, done: DoneTasks) {
         let Some(transfer) = self.transfer.take() else {
             return;
         };
@@ -79,7 +79,7 @@
     }
 
     /// The mark of a loan that this cell has borrowed.
-    pub fn borrowed(&self) -> Option<&BorrowedMark> {
+    pub fn borrowed_from(&self) -> Option<&BorrowedFrom> {
         match self.transfer.as_deref() {
             Some(Transfer::Borrowed(mark)) => Some(mark),
             _ => None,
--- a/src/replica/apply.rs
+++ b/src/replica/apply.rs
@@ -2,8 +2,8 @@
 
 use super::keys::WatchedKey;
 use super::{
-    Holder, Incarnation, LEAD, LiveController, Loads, Replica, block_key, controller_key,
-    grant_key, job_key, waiting_key,
+    Holder, Incarnation, LEADER_KEY, LiveController, QueueTotals, Replica, block_key,
+    controller_key, grant_key, job_key, waiting_key,
 };
 use crate::collections::HashSet;
 use crate::protocol::{Json, KeyValue, Mutation, Transaction, WatchEvent};
@@ -14,7 +14,7 @@
     ///
     /// Guards against a read that was under way while this controller wrote: what it wrote is newer,
     /// and without it a task that had just been bound would count as unbound.
-    pub fn load(&mut self, items: Vec<KeyValue>, revision: u64) {
+    pub fn apply_full_read(&mut self, items: Vec<KeyValue>, revision: u64) {
         let mut read: HashSet<String> = HashSet::default();
         // Jobs come first, for blocks refer to them.
         let is_job = |item: &KeyValue| matches!(WatchedKey::parse(&item.key), WatchedKey::Job(_));
@@ -38,9 +38,9 @@
 
     /// The keys of the replica that have a revision here.
     fn held_keys(&self) -> Vec<String> {
-        let (hosts, jobs) = (&self.names.hosts, &self.names.jobs);
+        let (hosts, jobs) = (&self.names.controllers, &self.names.jobs);
         let mut held: Vec<String> = Vec::new();
-        held.extend(self.leader.iter().map(|_| LEAD.to_owned()));
+        held.extend(self.leader.iter().map(|_| LEADER_KEY.to_owned()));
         let live = self.live_controllers.keys();
         held.extend(live.map(|&host| controller_key(hosts.name(host))));
         held.extend(self.grants.keys().map(|&block| grant_key(block)));
@@ -59,11 +59,11 @@
         let unapplied = |event: &WatchEvent| event.mod_revision > applied;
         for event in events.into_iter().filter(unapplied) {
             // Own commits may be applied already; a repeat of them must not undo what followed.
-            if let Some(key) = event.put {
+            if let Some(key) = event.put_key {
                 if event.mod_revision > self.mod_revision(&key) {
                     self.put(&key, &event.value, event.mod_revision);
                 }
-            } else if let Some(key) = event.drop
+            } else if let Some(key) = event.deleted_key
                 && event.mod_revision > self.mod_revision(&key)
             {
                 self.remove(&key);
@@ -74,7 +74,7 @@
     }
 
     /// Applies an own commit that was answered with this revision.
-    pub fn apply_own(&mut self, transaction: &Transaction, revision: u64) {
+    pub fn apply_own_commit(&mut self, transaction: &Transaction, revision: u64) {
         self.own_revision = self.own_revision.max(revision);
         // The watch may have overtaken the answer; then it has brought this and maybe more.
         if revision <= self.revision {
@@ -99,7 +99,7 @@
         let revision = match WatchedKey::parse(key) {
             WatchedKey::Leader => self.leader.map(|leader| leader.mod_revision),
             WatchedKey::Controller(name) => {
-                let host = self.names.hosts.get(name);
+                let host = self.names.controllers.get(name);
                 let live = host.and_then(|host| self.live_controllers.get(&host));
                 live.map(|live| live.mod_revision)
             }
@@ -181,7 +181,7 @@
     ) -> Result<Holder, serde_json::Error> {
         let record: HolderRecord = value.read()?;
         Ok(Holder {
-            host: self.names.hosts.intern(&record.host),
+            controller: self.names.controllers.intern(&record.controller),
             incarnation: Incarnation(record.incarnation),
             mod_revision,
         })
@@ -194,17 +194,17 @@
             mod_revision,
             format: record.format,
         };
-        let host = self.names.hosts.intern(name);
+        let host = self.names.controllers.intern(name);
         self.live_controllers.insert(host, live);
     }
 
     fn put_loads(&mut self, name: &str, record: &LoadRecord) {
-        let host = self.names.hosts.intern(name);
+        let host = self.names.controllers.intern(name);
         let listed = record.machines.iter();
         let machines = listed
             .filter_map(|(machine, load)| Some((self.names.machines.get(machine)?, *load)))
             .collect();
-        let loads = Loads {
+        let loads = QueueTotals {
             count: record.count,
             sum: record.sum,
             machines,
@@ -220,7 +220,7 @@
         match WatchedKey::parse(key) {
             WatchedKey::Leader => self.leader = None,
             WatchedKey::Controller(name) => {
-                if let Some(host) = self.names.hosts.get(name) {
+                if let Some(host) = self.names.controllers.get(name) {
                     self.live_controllers.remove(&host);
                 }
             }
--- a/src/replica/block_values.rs
+++ b/src/replica/block_values.rs
@@ -1,9 +1,9 @@
 //! Block values: what the key of a block is to have, and how its tables are read.
 //!
-//! In a value, jobs and kinds of machines are places in tables, and attempts are what they exceed the
+//! In a value, jobs and kinds of machines are indices in tables, and attempts are what they exceed the
 //! lowest one by.
 
-use super::{Binding, BlockEdit, Names, Replica, TaskId};
+use super::{Binding, BlockEdit, NameTables, Replica, TaskId};
 use crate::collections::HashMap;
 use crate::names::{JobId, MachineTypeId, ZoneId};
 use crate::protocol::JobStatus;
@@ -21,7 +21,7 @@
 }
 
 impl StoredTables {
-    pub(super) fn of(record: &BlockRecord, names: &mut Names) -> Self {
+    pub(super) fn of(record: &BlockRecord, names: &mut NameTables) -> Self {
         let jobs = record.jobs.iter();
         let jobs = jobs.map(|name| names.jobs.intern(name)).collect();
         let kinds = record.kinds.iter();
@@ -46,7 +46,7 @@
         self.kinds.get(place).copied()
     }
 
-    /// The bindings that [`group`] made into runs; those of jobs that are not in the table are left out.
+    /// The bindings that [`group_bindings`] made into runs; those of jobs that are not in the table are left out.
     pub(super) fn bindings(&self, stored: &[StoredBinding]) -> Vec<Binding> {
         let mut bindings = Vec::new();
         for run in stored {
@@ -66,13 +66,13 @@
 impl Replica {
     /// The value that a block's key is to have. What the jobs' own keys show already, or need no
     /// more, is left out.
-    pub fn seal(&self, edit: &BlockEdit) -> BlockRecord {
+    pub fn block_record(&self, edit: &BlockEdit) -> BlockRecord {
         let queued = || edit.machines.values().flat_map(|machine| &machine.queue);
         let attempts = queued().map(|binding| binding.attempt);
         let first_attempt = attempts.min().unwrap_or(0);
         let done = self.unrecorded_done(edit);
         let listed = queued().map(|binding| binding.task.job);
-        let mut jobs = self.table_of_jobs(listed.chain(done.iter().map(|(job, _)| *job)));
+        let mut jobs = self.job_table(listed.chain(done.iter().map(|(job, _)| *job)));
         let mut kinds = KeyTable::default();
         let mut record = BlockRecord {
             first_attempt,
@@ -80,19 +80,21 @@
             ..BlockRecord::default()
         };
         for (&machine_id, machine) in &edit.machines {
-            let mut evicted = machine.evict.clone();
+            let mut evicted = machine.preempted.clone();
             evicted.retain(|binding| machine.queue.contains(binding));
             let stored = MachineRecord {
-                kind: kinds.place((machine.machine_type, machine.zone, machine.spot)),
-                leaving: machine.leaving,
-                queue: group(&machine.queue, first_attempt, &mut jobs),
-                evicted: group(&evicted, first_attempt, &mut jobs),
+                kind: kinds.index_of((machine.machine_type, machine.zone, machine.spot)),
+                cordoned: machine.cordoned,
+                queue: group_bindings(&machine.queue, first_attempt, &mut jobs),
+                preempted: group_bindings(&evicted, first_attempt, &mut jobs),
             };
             let name = self.names.machines.name(machine_id).to_owned();
             record.machines.insert(name, stored);
         }
         let done = done.into_iter();
-        record.done = done.map(|(job, tasks)| (jobs.place(job), tasks)).collect();
+        record.done = done
+            .map(|(job, tasks)| (jobs.index_of(job), tasks))
+            .collect();
         let names = &self.names;
         record.jobs = jobs.keys(|&job| names.jobs.name(job).to_owned());
         record.kinds = kinds.keys(|&(machine_type, zone, spot)| {
@@ -110,7 +112,7 @@
         let unrecorded = |(job_id, tasks): &(JobId, RangeSet)| {
             let job = self.jobs.get(job_id)?;
             let mut tasks = tasks.clone();
-            tasks.subtract(&job.stored);
+            tasks.subtract(&job.stored_done);
             let needed = job.status == JobStatus::Pending && !tasks.is_empty();
             needed.then_some((*job_id, tasks))
         };
@@ -119,14 +121,14 @@
 
     /// A table of these jobs in the order of their names, which then have most in common with the one
     /// before.
-    fn table_of_jobs(&self, listed: impl Iterator<Item = JobId>) -> KeyTable<JobId> {
+    fn job_table(&self, listed: impl Iterator<Item = JobId>) -> KeyTable<JobId> {
         let mut listed: Vec<JobId> = listed.collect();
         listed.sort_unstable();
         listed.dedup();
         listed.sort_by_key(|&job| self.names.jobs.name(job));
         let mut jobs = KeyTable::default();
         for job in listed {
-            jobs.place(job);
+            jobs.index_of(job);
         }
         jobs
     }
@@ -134,14 +136,14 @@
 
 /// The keys of a table of a block's value, in the order in which they were first asked for.
 struct KeyTable<K> {
-    places: HashMap<K, usize>,
+    indices: HashMap<K, usize>,
     keys: Vec<K>,
 }
 
 impl<K> Default for KeyTable<K> {
     fn default() -> Self {
         Self {
-            places: HashMap::default(),
+            indices: HashMap::default(),
             keys: Vec::new(),
         }
     }
@@ -149,8 +151,8 @@
 
 impl<K: Copy + Eq + std::hash::Hash> KeyTable<K> {
     /// The place of a key, which is added if it has none.
-    fn place(&mut self, key: K) -> usize {
-        *self.places.entry(key).or_insert_with(|| {
+    fn index_of(&mut self, key: K) -> usize {
+        *self.indices.entry(key).or_insert_with(|| {
             self.keys.push(key);
             self.keys.len() - 1
         })
@@ -163,14 +165,14 @@
 }
 
 /// Bindings as they are stored: runs of tasks by job and attempt.
-fn group(
+fn group_bindings(
     bindings: &[Binding],
     first_attempt: u64,
     jobs: &mut KeyTable<JobId>,
 ) -> Vec<StoredBinding> {
     let mut stored: Vec<StoredBinding> = Vec::new();
     for binding in bindings {
-        let job = jobs.place(binding.task.job);
+        let job = jobs.index_of(binding.task.job);
         let attempt = binding.attempt.saturating_sub(first_attempt);
         let same = |run: &StoredBinding| run.job == job && run.attempt == attempt;
         let at = stored.iter().position(same).unwrap_or_else(|| {
--- a/src/replica/blocks.rs
+++ b/src/replica/blocks.rs
@@ -8,7 +8,7 @@
 use crate::records::{BlockRecord, MachineRecord};
 use std::collections::BTreeMap;
 
-/// A block's content while a change of it is put together. [`Replica::seal`] makes its value.
+/// A block's content while a change of it is put together. [`Replica::block_record`] makes its value.
 #[derive(Debug, Clone, Default)]
 pub struct BlockEdit {
     /// Its machines.
@@ -19,12 +19,12 @@
 
 impl BlockEdit {
     /// Adds a task that was done in this block.
-    pub fn note_done(&mut self, task: TaskId) {
+    pub fn record_done(&mut self, task: TaskId) {
         self.done_of(task.job).insert(task.number);
     }
 
     /// Adds tasks of a job that were done in this block.
-    pub fn absorb_done(&mut self, job: JobId, tasks: &RangeSet) {
+    pub fn record_done_tasks(&mut self, job: JobId, tasks: &RangeSet) {
         self.done_of(job).union(tasks);
     }
 
@@ -58,11 +58,11 @@
             .filter_map(|(job, tasks)| Some((tables.job(job)?, tasks)))
             .collect();
         for (job, tasks) in &done {
-            self.note_done_in_block(*job, tasks);
+            self.record_done_in_block(*job, tasks);
         }
         if let Some(before) = before {
             let listed: HashSet<MachineId> = machines.iter().copied().collect();
-            self.undo_block(before, |machine| listed.contains(&machine), id);
+            self.retract_block(before, |machine| listed.contains(&machine), id);
         }
         self.changes.blocks.insert(id);
         let block = Block {
@@ -98,9 +98,9 @@
                 machine_type,
                 zone,
                 spot,
-                leaving: record.leaving,
+                cordoned: record.cordoned,
                 queue: tables.bindings(&record.queue),
-                evict: tables.bindings(&record.evicted),
+                preempted: tables.bindings(&record.preempted),
             };
             self.put_machine(machine_id, machine);
         }
@@ -110,13 +110,13 @@
     /// Applies the deletion of a block's key.
     pub(super) fn remove_block(&mut self, id: BlockId) {
         if let Some(before) = self.blocks.remove(&id) {
-            self.undo_block(before, |_| false, id);
+            self.retract_block(before, |_| false, id);
         }
         self.changes.blocks.insert(id);
     }
 
     /// Undoes what a block's former content had brought, but for machines that it still has.
-    fn undo_block(&mut self, before: Block, still_has: impl Fn(MachineId) -> bool, id: BlockId) {
+    fn retract_block(&mut self, before: Block, still_has: impl Fn(MachineId) -> bool, id: BlockId) {
         for machine_id in before.machines {
             let machine = self.machines.get(&machine_id);
             // Another block may have got the machine meanwhile.
@@ -160,7 +160,7 @@
     }
 
     /// A block's content, to be changed and written; empty for a new block.
-    pub fn edit(&self, id: BlockId) -> BlockEdit {
+    pub fn edit_block(&self, id: BlockId) -> BlockEdit {
         let Some(block) = self.blocks.get(&id) else {
             return BlockEdit::default();
         };
--- a/src/replica/job_index.rs
+++ b/src/replica/job_index.rs
@@ -30,7 +30,7 @@
     complete: BTreeSet<JobId>,
     recorded_done: HashMap<JobId, RecordedDoneTasks>,
     /// Jobs whose keys are gone, in the order in which they went. Their indices are still reserved.
-    departed: Vec<JobId>,
+    deleted: Vec<JobId>,
 }
 
 impl JobIndex {
@@ -57,13 +57,13 @@
     }
 
     /// Bound tasks of a job, in ascending order.
-    pub(super) fn bound(&self, job: JobId) -> impl Iterator<Item = u32> + '_ {
+    pub(super) fn bound_tasks(&self, job: JobId) -> impl Iterator<Item = u32> + '_ {
         let tasks = self.bound.get(&job).into_iter();
         tasks.flat_map(|tasks| tasks.keys().copied())
     }
 
     /// Number of bound tasks of a job.
-    pub(super) fn bound_len(&self, job: JobId) -> u32 {
+    pub(super) fn bound_task_count(&self, job: JobId) -> u32 {
         self.bound.get(&job).map_or(0, |tasks| tasks.len() as u32)
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Pending jobs all of whose tasks are done.
-    pub(super) fn complete(&self) -> impl Iterator<Item = JobId> + '_ {
+    pub(super) fn complete_jobs(&self) -> impl Iterator<Item = JobId> + '_ {
         self.complete.iter().copied()
     }
 
@@ -109,37 +109,37 @@
     }
 
     /// Jobs that are lent to another cell or borrowed from one.
-    pub(super) fn transferred(&self) -> impl Iterator<Item = JobId> + '_ {
+    pub(super) fn transferred_jobs(&self) -> impl Iterator<Item = JobId> + '_ {
         self.transferred.iter().copied()
     }
 
     /// A job's ordinary key is gone.
-    pub(super) fn job_departed(&mut self, job: JobId) {
+    pub(super) fn on_job_key_deleted(&mut self, job: JobId) {
         self.complete.remove(&job);
         self.transferred.remove(&job);
-        self.departed.push(job);
+        self.deleted.push(job);
     }
 
     /// No key of a job is left, waiting jobs included. No effect if that is known already.
-    pub(super) fn note_departed(&mut self, job: JobId) {
-        if !self.departed.contains(&job) {
-            self.departed.push(job);
+    pub(super) fn record_deleted(&mut self, job: JobId) {
+        if !self.deleted.contains(&job) {
+            self.deleted.push(job);
         }
     }
 
     /// A job stands under a key again: its index stays reserved.
-    pub(super) fn note_present(&mut self, job: JobId) {
-        self.departed.retain(|&departed| departed != job);
+    pub(super) fn record_present(&mut self, job: JobId) {
+        self.deleted.retain(|&deleted| deleted != job);
     }
 
-    /// Takes the departed jobs that are in no block and that nobody needs, for their indices to be
+    /// Takes the deleted jobs that are in no block and that nobody needs, for their indices to be
     /// released.
-    pub(super) fn take_released(&mut self, is_needed: impl Fn(JobId) -> bool) -> Vec<JobId> {
-        let departed = std::mem::take(&mut self.departed);
-        let (kept, released): (Vec<_>, Vec<_>) = departed
+    pub(super) fn take_releasable(&mut self, is_needed: impl Fn(JobId) -> bool) -> Vec<JobId> {
+        let deleted = std::mem::take(&mut self.deleted);
+        let (kept, released): (Vec<_>, Vec<_>) = deleted
             .into_iter()
             .partition(|&job| self.is_in_blocks(job) || is_needed(job));
-        self.departed = kept;
+        self.deleted = kept;
         for job in &released {
             self.recorded_done.remove(job);
         }
--- a/src/replica/jobs.rs
+++ b/src/replica/jobs.rs
@@ -23,13 +23,13 @@
             job.mod_revision = mod_revision;
             job.status = record.status;
             job.done.union(&record.done.tasks);
-            job.stored = record.done.tasks;
+            job.stored_done = record.done.tasks;
         } else {
             let job = self.new_job(job_id, record, mod_revision);
-            self.job_index.note_present(job_id);
+            self.job_index.record_present(job_id);
             self.jobs.insert(job_id, job);
         }
-        self.note_progress(job_id);
+        self.update_completion(job_id);
     }
 
     /// A job as its value and the blocks describe it.
@@ -55,35 +55,36 @@
             zone: spec.zone.as_ref().map(|zone| names.zones.intern(zone)),
             status: record.status,
             done,
-            stored: record.done.tasks,
+            stored_done: record.done.tasks,
             submitted_ms: record.submitted_ms,
             ready_ms: record.ready_ms,
             transfer: record.transfer,
             spec: Arc::new(spec),
-            bytes: 0,
+            empty_value_bytes: 0,
         };
-        job.bytes = Json::of(&job.record(DoneTasks::default(), JobStatus::Cancelled)).size();
+        job.empty_value_bytes =
+            Json::of(&job.to_record(DoneTasks::default(), JobStatus::Cancelled)).size();
         job
     }
 
     /// Applies the deletion of a job's key.
     pub(super) fn remove_job(&mut self, job: JobId) {
         if self.jobs.remove(&job).is_some() {
-            self.job_index.job_departed(job);
+            self.job_index.on_job_key_deleted(job);
         }
     }
 
     /// Blocks say that these tasks of a job are done.
-    pub(super) fn note_done_in_block(&mut self, job_id: JobId, tasks: &RangeSet) {
+    pub(super) fn record_done_in_block(&mut self, job_id: JobId, tasks: &RangeSet) {
         self.job_index.add_done_in_block(job_id, tasks);
         if let Some(job) = self.jobs.get_mut(&job_id) {
             job.done.union(tasks);
-            self.note_progress(job_id);
+            self.update_completion(job_id);
         }
     }
 
     /// Notes whether all that is left to do with a job is to record that it is done.
-    fn note_progress(&mut self, job_id: JobId) {
+    fn update_completion(&mut self, job_id: JobId) {
         let job = self.jobs.get(&job_id);
         let pending = job.filter(|job| job.status == JobStatus::Pending);
         let complete = pending.is_some_and(|job| job.done.len() >= job.spec.task_count);
@@ -91,61 +92,61 @@
     }
 
     /// Pending jobs all of whose tasks are done, as far as the shared keys show.
-    pub fn complete(&self) -> impl Iterator<Item = JobId> + '_ {
-        self.job_index.complete()
+    pub fn complete_jobs(&self) -> impl Iterator<Item = JobId> + '_ {
+        self.job_index.complete_jobs()
     }
 
     /// Jobs that are lent to another cell or borrowed from one.
-    pub fn transferred(&self) -> impl Iterator<Item = (JobId, &Job)> {
-        let jobs = self.job_index.transferred();
+    pub fn transferred_jobs(&self) -> impl Iterator<Item = (JobId, &Job)> {
+        let jobs = self.job_index.transferred_jobs();
         jobs.filter_map(|job_id| Some((job_id, self.jobs.get(&job_id)?)))
     }
 
     /// Whether any job is lent to another cell or borrowed from one.
     pub fn has_transfers(&self) -> bool {
-        self.transferred().next().is_some()
+        self.transferred_jobs().next().is_some()
     }
 
     /// The job of this name, if it is under a watched key and waits for no other job.
-    pub fn job_named(&self, name: &str) -> Option<(JobId, &Job)> {
+    pub fn job_by_name(&self, name: &str) -> Option<(JobId, &Job)> {
         let job_id = self.names.jobs.get(name)?;
         Some((job_id, self.jobs.get(&job_id)?))
     }
 
     /// Bound tasks of a job, in ascending order.
-    pub fn bound(&self, job: JobId) -> impl Iterator<Item = u32> + '_ {
-        self.job_index.bound(job)
+    pub fn bound_tasks(&self, job: JobId) -> impl Iterator<Item = u32> + '_ {
+        self.job_index.bound_tasks(job)
     }
 
     /// Number of bound tasks of a job.
-    pub fn bound_len(&self, job: JobId) -> u32 {
-        self.job_index.bound_len(job)
+    pub fn bound_task_count(&self, job: JobId) -> u32 {
+        self.job_index.bound_task_count(job)
     }
 
     /// Number of jobs that are not over and wait for no other.
-    pub fn pending(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         let jobs = self.jobs.values();
         jobs.filter(|job| job.status == JobStatus::Pending).count()
     }
 
     /// Number of jobs that are not over.
-    pub fn unfinished(&self) -> usize {
-        self.pending() + self.waiting.jobs.len()
+    pub fn unfinished_count(&self) -> usize {
+        self.pending_count() + self.waiting.jobs.len()
     }
 
     /// Whether some queue lists a task of the job, some block says that one is done, or some job waits
     /// for it. Until then it is not archived, so whoever looks at the waiting job sees this one too.
-    pub fn is_mentioned(&self, job: JobId) -> bool {
+    pub fn is_referenced(&self, job: JobId) -> bool {
         self.job_index.is_in_blocks(job) || self.dependencies.is_needed(job)
     }
 
     /// Releases the indices of jobs whose keys are gone and that nothing mentions; returns them. They may
     /// be given to other jobs from now on.
-    pub fn release_departed(&mut self) -> Vec<JobId> {
+    pub fn release_deleted_jobs(&mut self) -> Vec<JobId> {
         let dependencies = &self.dependencies;
         let released = self
             .job_index
-            .take_released(|job| dependencies.is_needed(job));
+            .take_releasable(|job| dependencies.is_needed(job));
         for &job in &released {
             self.names.jobs.release(job);
         }
--- a/src/replica/keys.rs
+++ b/src/replica/keys.rs
@@ -3,13 +3,13 @@
 use super::BlockId;
 
 /// Prefix of everything that is watched.
-pub const ROOT: &str = "qb/";
+pub const WATCHED_PREFIX: &str = "qb/";
 /// The leader's key.
-pub const LEAD: &str = "qb/lead";
+pub const LEADER_KEY: &str = "qb/lead";
 /// The machine types, as the cloud last described them.
-pub const CATALOG: &str = "qb/catalog";
+pub const CATALOG_KEY: &str = "qb/catalog";
 /// The format of stored values that all controllers were seen to read.
-pub const FORMAT: &str = "qb/format";
+pub const FORMAT_KEY: &str = "qb/format";
 
 const CONTROLLERS: &str = "qb/node/";
 const GRANTS: &str = "qb/grant/";
@@ -49,9 +49,9 @@
 impl<'a> WatchedKey<'a> {
     pub(super) fn parse(key: &'a str) -> Self {
         let fixed = match key {
-            LEAD => Some(Self::Leader),
-            CATALOG => Some(Self::Catalog),
-            FORMAT => Some(Self::Format),
+            LEADER_KEY => Some(Self::Leader),
+            CATALOG_KEY => Some(Self::Catalog),
+            FORMAT_KEY => Some(Self::Format),
             _ => None,
         };
         let named = |prefix, kind: fn(&'a str) -> Self| key.strip_prefix(prefix).map(kind);
@@ -91,7 +91,7 @@
     format!("{WAITING}{name}")
 }
 /// Key of a job that is over and archived. It is not watched.
-pub fn past_key(name: &str) -> String {
+pub fn archive_key(name: &str) -> String {
     format!("{PAST}{name}")
 }
 /// Key of the queue totals that a controller publishes.
--- a/src/replica/mod.rs
+++ b/src/replica/mod.rs
@@ -26,11 +26,11 @@
 pub use ids::{Binding, BlockId, FencingToken, Incarnation, TaskId, Term};
 pub use job::Job;
 pub use keys::{
-    CATALOG, FORMAT, LEAD, ROOT, block_key, controller_key, grant_key, job_key, load_key, past_key,
-    waiting_key,
+    CATALOG_KEY, FORMAT_KEY, LEADER_KEY, WATCHED_PREFIX, archive_key, block_key, controller_key,
+    grant_key, job_key, load_key, waiting_key,
 };
-pub use model::{Block, ChangeSet, Holder, LiveController, Loads, Machine};
-pub use name_tables::Names;
+pub use model::{Block, ChangeSet, Holder, LiveController, Machine, QueueTotals};
+pub use name_tables::NameTables;
 pub use waiting::{WaitingJob, WaitingJobs};
 
 use crate::collections::HashMap;
@@ -44,7 +44,7 @@
 #[derive(Debug, Default)]
 pub struct Replica {
     /// Names and their indices.
-    pub names: Names,
+    pub names: NameTables,
     /// Every change up to this revision has been applied.
     pub revision: u64,
     /// Highest revision of an own commit.
@@ -72,7 +72,7 @@
     /// The recorded format: the newest one that all controllers were seen to read. It only grows.
     pub format: u32,
     /// Queue totals as the controllers published them.
-    pub loads: HashMap<HostId, Loads>,
+    pub loads: HashMap<HostId, QueueTotals>,
     /// Raised by every change of a key, but for queue totals: what scheduling looks at.
     pub version: u64,
     /// What changed since the controller last looked.
--- a/src/replica/model.rs
+++ b/src/replica/model.rs
@@ -18,11 +18,11 @@
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Whether it is being given back: nothing new is bound to it.
-    pub leaving: bool,
+    pub cordoned: bool,
     /// Bound tasks in order.
     pub queue: Vec<Binding>,
     /// Bound tasks that are to be stopped to make room.
-    pub evict: Vec<Binding>,
+    pub preempted: Vec<Binding>,
 }
 
 /// A block.
@@ -55,7 +55,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Holder {
     /// Controller.
-    pub host: HostId,
+    pub controller: HostId,
     /// Its incarnation. A later one of the same controller doesn't hold what this one held.
     pub incarnation: Incarnation,
     /// Revision of the key: the fencing token, or the term.
@@ -77,7 +77,7 @@
 
 /// Queue totals of one controller's machines. Loads are seconds of work per CPU.
 #[derive(Debug, Clone, Default)]
-pub struct Loads {
+pub struct QueueTotals {
     /// Number of machines.
     pub count: usize,
     /// Sum of their loads.
--- a/src/replica/name_tables.rs
+++ b/src/replica/name_tables.rs
@@ -7,7 +7,7 @@
 
 /// Names known to this process. Their indices mean nothing to any other.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct NameTables {
     /// Jobs not archived.
     pub jobs: Interner<JobId>,
     /// Machines.
@@ -23,17 +23,17 @@
     /// Images.
     pub images: Interner<ImageId>,
     /// Controllers.
-    pub hosts: Interner<HostId>,
+    pub controllers: Interner<HostId>,
 }
 
-impl Names {
+impl NameTables {
     /// A task as workers write it: `job/number`.
     pub fn task_name(&self, task: TaskId) -> String {
         format!("{}/{}", self.jobs.name(task.job), task.number)
     }
 
     /// Parses a task's name; none if it is not one, or its job is unknown here.
-    pub fn task(&self, name: &str) -> Option<TaskId> {
+    pub fn parse_task_name(&self, name: &str) -> Option<TaskId> {
         let (job, number) = name.rsplit_once('/')?;
         Some(TaskId {
             job: self.jobs.get(job)?,
--- a/src/replica/queries.rs
+++ b/src/replica/queries.rs
@@ -7,12 +7,12 @@
 
 impl Replica {
     /// The highest revision known here, by the watch or by an own commit.
-    pub fn latest(&self) -> u64 {
+    pub fn latest_revision(&self) -> u64 {
         self.revision.max(self.own_revision)
     }
 
     /// Keys whose latest value cannot be read.
-    pub fn unreadable(&self) -> impl Iterator<Item = &str> {
+    pub fn unreadable_keys(&self) -> impl Iterator<Item = &str> {
         self.unreadable.iter().map(String::as_str)
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// Marks every block as changed, for a new incarnation, which has to look at all of them.
-    pub fn mark_all_changed(&mut self) {
+    pub fn mark_all_blocks_changed(&mut self) {
         self.changes.blocks.extend(self.blocks.keys());
     }
 
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -19,7 +19,7 @@
     }
     let encoding = Encoding::Compatible;
     let tasks = done;
-    Json::of(&job.record(DoneTasks { tasks, encoding }, JobStatus::Cancelled)).size()
+    Json::of(&job.to_record(DoneTasks { tasks, encoding }, JobStatus::Cancelled)).size()
 }
 
 /// The value of a job of which every other task is done up to the last one that may be open, from
@@ -28,10 +28,10 @@
     let encoding = Encoding::Dense;
     let first = job.done.first_missing();
     let mut tasks = RangeSet::all(first);
-    for task in (first + 1..job.open_end(value_bytes, encoding)).step_by(2) {
+    for task in (first + 1..job.open_window_end(value_bytes, encoding)).step_by(2) {
         tasks.insert(task);
     }
-    Json::of(&job.record(DoneTasks { tasks, encoding }, JobStatus::Cancelled)).size()
+    Json::of(&job.to_record(DoneTasks { tasks, encoding }, JobStatus::Cancelled)).size()
 }
 
 #[test]
@@ -46,7 +46,7 @@
             let mut spec = good.spec.clone();
             spec.task_count = task_count;
             let job = job_of(spec);
-            let open = job.most_open(value_bytes);
+            let open = job.max_open_tasks(value_bytes);
             let size = longest(&job, open);
             assert!(
                 size <= value_bytes,
@@ -70,16 +70,16 @@
     // What held large jobs back: 202 at a time in 4 KiB.
     let mut spec = good.spec.clone();
     spec.task_count = 700;
-    assert_eq!(job_of(spec.clone()).most_open(4032), 700);
+    assert_eq!(job_of(spec.clone()).max_open_tasks(4032), 700);
     // And 203 of 900 in 2 KiB, as ranges.
     spec.task_count = 900;
     let job = job_of(spec.clone());
-    assert!(job.most_open(1984) < 250);
-    assert_eq!(job.open_end(1984, Encoding::Dense), 900);
+    assert!(job.max_open_tasks(1984) < 250);
+    assert_eq!(job.open_window_end(1984, Encoding::Dense), 900);
     spec.task_count = 20_000;
     let job = job_of(spec);
-    assert!(job.most_open(4032) > 280);
-    assert!(job.open_end(4032, Encoding::Dense) > 15_000);
+    assert!(job.max_open_tasks(4032) > 280);
+    assert!(job.open_window_end(4032, Encoding::Dense) > 15_000);
 }
 
 /// A transaction that writes a key.
@@ -98,24 +98,24 @@
 fn a_full_read_undoes_nothing_that_was_written_here_after_it_began() {
     // It would have shown a task as unbound that this controller had just bound.
     let mut replica = Replica::default();
-    let (lead, grant) = (LEAD.to_owned(), grant_key(BlockId(0)));
+    let (lead, grant) = (LEADER_KEY.to_owned(), grant_key(BlockId(0)));
     let owner = |incarnation: u64| serde_json::json!({ "h": "n0", "b": incarnation });
-    replica.load(Vec::new(), 3);
-    replica.apply_own(&put(&lead, &owner(1)), 9);
-    replica.apply_own(&put(&grant, &owner(1)), 10);
+    replica.apply_full_read(Vec::new(), 3);
+    replica.apply_own_commit(&put(&lead, &owner(1)), 9);
+    replica.apply_own_commit(&put(&grant, &owner(1)), 10);
     let item = KeyValue {
         key: lead.clone(),
         value: Json::of(&owner(7)),
         mod_revision: 5,
     };
-    replica.load(vec![item], 6);
+    replica.apply_full_read(vec![item], 6);
     assert_eq!(
         (replica.mod_revision(&lead), replica.mod_revision(&grant)),
         (9, 10)
     );
     assert_eq!(replica.leader.map(|l| l.incarnation), Some(Incarnation(1)));
     // What the read shows to be gone, and was not written since, is dropped all the same.
-    replica.load(Vec::new(), 12);
+    replica.apply_full_read(Vec::new(), 12);
     assert_eq!(
         (replica.mod_revision(&lead), replica.mod_revision(&grant)),
         (0, 0)
@@ -138,10 +138,10 @@
     for (format, dense) in [(None, false), (Some(2), false), (Some(3), true)] {
         let mut replica = Replica::default();
         if let Some(format) = format {
-            let written = put(FORMAT, &serde_json::json!({ "v": format }));
-            replica.apply_own(&written, 7);
+            let written = put(FORMAT_KEY, &serde_json::json!({ "v": format }));
+            replica.apply_own_commit(&written, 7);
         }
-        let record = job.record(replica.done_tasks(scattered.clone()), JobStatus::Pending);
+        let record = job.to_record(replica.done_tasks(scattered.clone()), JobStatus::Pending);
         let text = serde_json::to_string(&record).expect("json");
         assert_eq!(text.contains("\"d\":\"b0:"), dense, "{text}");
         let block = BlockRecord {
--- a/src/replica/waiting.rs
+++ b/src/replica/waiting.rs
@@ -39,7 +39,7 @@
     pub jobs: HashMap<JobId, WaitingJob>,
     /// Final states of jobs that were archived although a waiting job depends on them: only a version that
     /// knows nothing of waiting jobs does that.
-    pub archived: HashMap<JobId, JobStatus>,
+    pub archived_statuses: HashMap<JobId, JobStatus>,
 }
 
 fn own_demand(spec: &JobSpec, submitted_ms: u64) -> OwnDemand {
@@ -55,7 +55,7 @@
     /// Applies the value of a job that waits.
     pub(super) fn put_waiting(&mut self, name: &str, record: WaitingRecord, mod_revision: u64) {
         let job = self.names.jobs.intern(name);
-        self.job_index.note_present(job);
+        self.job_index.record_present(job);
         let own = own_demand(&record.spec, record.submitted_ms);
         let names = record.predecessors.names().iter();
         let predecessors: Vec<JobId> = names.map(|name| self.names.jobs.intern(name)).collect();
@@ -91,23 +91,23 @@
         let predecessors = self.dependencies.remove(job);
         for job in predecessors.into_iter().chain([job]) {
             if !self.dependencies.is_needed(job) {
-                self.waiting.archived.remove(&job);
+                self.waiting.archived_statuses.remove(&job);
             }
-            if !self.holds(job) {
-                self.job_index.note_departed(job);
+            if !self.has_watched_key(job) {
+                self.job_index.record_deleted(job);
             }
         }
     }
 
     /// Whether a job stands under a watched key.
-    fn holds(&self, job: JobId) -> bool {
+    fn has_watched_key(&self, job: JobId) -> bool {
         self.jobs.contains_key(&job) || self.waiting.jobs.contains_key(&job)
     }
 
     /// Whether a job, or one that it depends on, was cancelled.
     fn is_cancelled(&self, job: JobId) -> bool {
         let ordinary = self.jobs.get(&job).map(|job| job.status);
-        let archived = || self.waiting.archived.get(&job).copied();
+        let archived = || self.waiting.archived_statuses.get(&job).copied();
         let waits = self.waiting.jobs.get(&job);
         waits.is_some_and(|waiting| waiting.cancelled)
             || ordinary.or_else(archived) == Some(JobStatus::Cancelled)
@@ -115,9 +115,9 @@
 
     /// Whether a job is finally done: its own key says so, which nothing changes any more. That all of its
     /// tasks are done is not enough, for a cancellation may still be the first to change that key.
-    fn is_finally_done(&self, job: JobId) -> bool {
+    fn is_recorded_done(&self, job: JobId) -> bool {
         let ordinary = self.jobs.get(&job).map(|job| job.status);
-        let archived = || self.waiting.archived.get(&job).copied();
+        let archived = || self.waiting.archived_statuses.get(&job).copied();
         ordinary.or_else(archived) == Some(JobStatus::Done)
     }
 
@@ -141,7 +141,7 @@
     /// The jobs that a waiting job depends on and that are not finally done.
     pub fn open_predecessors(&self, job: JobId) -> impl Iterator<Item = JobId> + '_ {
         let predecessors = self.dependencies.predecessors(job).iter().copied();
-        predecessors.filter(|&job| !self.is_finally_done(job))
+        predecessors.filter(|&job| !self.is_recorded_done(job))
     }
 
     /// Jobs that a waiting job depends on, that stand under no watched key, and of which no final state is
@@ -153,8 +153,9 @@
             .iter()
             .filter(|(_, waiting)| !waiting.cancelled);
         let needed = waiting.flat_map(|(&job, _)| self.dependencies.predecessors(job));
-        let missing =
-            needed.filter(|&job| !self.holds(*job) && !self.waiting.archived.contains_key(job));
+        let missing = needed.filter(|&job| {
+            !self.has_watched_key(*job) && !self.waiting.archived_statuses.contains_key(job)
+        });
         let mut missing: Vec<JobId> = missing.copied().collect();
         missing.sort_unstable();
         missing.dedup();
@@ -162,12 +163,12 @@
     }
 
     /// Applies the final state, read from the archive, of a job that a waiting job depends on.
-    pub fn note_archived(&mut self, job: JobId, status: JobStatus) {
-        if !self.dependencies.is_needed(job) || self.holds(job) {
+    pub fn record_archived_status(&mut self, job: JobId, status: JobStatus) {
+        if !self.dependencies.is_needed(job) || self.has_watched_key(job) {
             return;
         }
         self.version += 1;
-        self.waiting.archived.insert(job, status);
+        self.waiting.archived_statuses.insert(job, status);
         if status == JobStatus::Cancelled {
             self.cancel_descendants(job);
         }
@@ -176,7 +177,10 @@
     /// A job's state as users see it; none if it stands under no watched key, or is incomplete.
     pub fn status_of(&self, job: JobId) -> Option<JobStatus> {
         // Loans of other cells are no jobs of this cell's users.
-        let ordinary = self.jobs.get(&job).filter(|job| job.borrowed().is_none());
+        let ordinary = self
+            .jobs
+            .get(&job)
+            .filter(|job| job.borrowed_from().is_none());
         let ordinary = ordinary.map(|job| job.status);
         ordinary.or_else(|| self.accepted_waiting(job).map(WaitingJob::status))
     }
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -98,7 +98,7 @@
     fn send_to_peer(&self, host: HostId, message: &PeerMessage, ctx: &mut Context<Self>) {
         let host = {
             let controller = self.shared.controller.lock();
-            controller.replica.names.hosts.name(host).to_owned()
+            controller.replica.names.controllers.name(host).to_owned()
         };
         let Some(addr) = self.peers.get(&host) else {
             return;
@@ -150,7 +150,7 @@
     /// Reads the final states of jobs from the archive.
     fn read_final_states(&self, jobs: Vec<String>, ctx: &mut Context<Self>) {
         let state = self.state.clone();
-        let request = async move { state.final_states(&jobs).await };
+        let request = async move { state.archived_statuses(&jobs).await };
         ctx.spawn(request.into_actor(self).map(|found, actor, ctx| {
             {
                 let mut controller = actor.shared.controller.lock();
--- a/src/runtime/watch_loop.rs
+++ b/src/runtime/watch_loop.rs
@@ -6,7 +6,7 @@
 
 use super::controller_actor::{ControllerActor, Wake};
 use crate::http::Shared;
-use crate::replica::ROOT;
+use crate::replica::WATCHED_PREFIX;
 use crate::store::{StoreClient, StoreError};
 use actix::prelude::*;
 use std::sync::Arc;
@@ -106,7 +106,7 @@
     /// Reads all keys into the replica.
     async fn load_all(&self) -> Result<(), StoreError> {
         let sent_at = self.shared.now();
-        let read = self.state.list(ROOT).await?;
+        let read = self.state.list(WATCHED_PREFIX).await?;
         let first_revision = read.first_revision;
         let now = self.shared.now();
         self.shared.controller.lock().on_load(
@@ -116,7 +116,7 @@
             sent_at,
             now,
         );
-        self.shared.read_index.applied(first_revision);
+        self.shared.read_index.on_revision_applied(first_revision);
         self.actor.do_send(Wake);
         Ok(())
     }
@@ -125,7 +125,7 @@
     async fn watch_changes(&self) -> Result<(), StoreError> {
         let sent_at = self.shared.now();
         let after = self.shared.controller.lock().replica.revision;
-        let response = self.state.watch(ROOT, after, WATCH_MS).await?;
+        let response = self.state.watch(WATCHED_PREFIX, after, WATCH_MS).await?;
         let any_changes = !response.events.is_empty();
         let revision = response.revision;
         let now = self.shared.now();
@@ -134,7 +134,7 @@
             .lock()
             .on_watch_response(response, sent_at, now);
         self.shared.wake();
-        self.shared.read_index.applied(revision);
+        self.shared.read_index.on_revision_applied(revision);
         if any_changes {
             self.actor.do_send(Wake);
             actix_rt::time::sleep(self.gap).await;
--- a/src/spillover/borrowers.rs
+++ b/src/spillover/borrowers.rs
@@ -48,8 +48,8 @@
     fn offers_to(&self, cell: usize) -> Vec<Offer<JobSpec>> {
         let cell_name = &self.spillover.settings.cells[cell].name;
         let age_ms = |since_ms: u64| self.day_ms.saturating_sub(since_ms);
-        let offers = self.replica.transferred().filter_map(|(job_id, job)| {
-            let mark = job.lent()?;
+        let offers = self.replica.transferred_jobs().filter_map(|(job_id, job)| {
+            let mark = job.lent_to()?;
             let name = self.replica.names.jobs.name(job_id);
             let loan = self.spillover.lent.get(name)?;
             let open = job.status == JobStatus::Pending
--- a/src/spillover/borrowing.rs
+++ b/src/spillover/borrowing.rs
@@ -21,8 +21,10 @@
 impl Controller {
     /// Records the loans that the replica shows as borrowed, and forgets the others.
     pub(super) fn note_borrowed(&mut self, now: Timestamp) {
-        for (job_id, job) in self.replica.transferred() {
-            let Some(mark) = job.borrowed() else { continue };
+        for (job_id, job) in self.replica.transferred_jobs() {
+            let Some(mark) = job.borrowed_from() else {
+                continue;
+            };
             let loan = LoanId {
                 job: self.replica.names.jobs.name(job_id).to_owned(),
                 token: mark.token,
@@ -33,8 +35,8 @@
         }
         let replica = &self.replica;
         let is_borrowed = |name: &str| {
-            let job = replica.job_named(name);
-            job.is_some_and(|(_, job)| job.borrowed().is_some())
+            let job = replica.job_by_name(name);
+            job.is_some_and(|(_, job)| job.borrowed_from().is_some())
         };
         self.spillover.confirmations.retain(is_borrowed);
     }
@@ -80,8 +82,8 @@
 
     /// The status of all loans of a lender.
     fn loan_reports(&self, lender: &str, now: Timestamp) -> Vec<LoanReport> {
-        let loans = self.replica.transferred().filter_map(|(job_id, job)| {
-            let mark = job.borrowed().filter(|mark| mark.cell == lender)?;
+        let loans = self.replica.transferred_jobs().filter_map(|(job_id, job)| {
+            let mark = job.borrowed_from().filter(|mark| mark.cell == lender)?;
             let name = self.replica.names.jobs.name(job_id);
             Some(LoanReport {
                 loan: LoanId {
@@ -99,7 +101,7 @@
     /// task left its queue on proof that it is on no machine, and none that is bound to a job which is
     /// over is ever started.
     fn progress(&self, job_id: JobId, job: &Job) -> Progress {
-        let bound = self.replica.bound_len(job_id);
+        let bound = self.replica.bound_task_count(job_id);
         match job.status {
             JobStatus::Done => Progress::Done,
             JobStatus::Cancelled if bound == 0 && job.mod_revision <= self.replica.revision => {
@@ -118,9 +120,9 @@
     /// then stopped as those of any job that is over.
     pub(crate) fn plan_ended_loans(&self) -> Option<Transaction> {
         let mut batch = self.transfer_batch();
-        for (job_id, job) in self.replica.transferred() {
+        for (job_id, job) in self.replica.transferred_jobs() {
             let name = self.replica.names.jobs.name(job_id);
-            let over = job.borrowed().is_some_and(|mark| {
+            let over = job.borrowed_from().is_some_and(|mark| {
                 let confirmations = &self.spillover.confirmations;
                 confirmations.is_over(name, mark.token)
             });
@@ -128,7 +130,7 @@
                 continue;
             }
             let done = self.replica.done_tasks(job.done.clone());
-            let mut record = job.record(done, JobStatus::Cancelled);
+            let mut record = job.to_record(done, JobStatus::Cancelled);
             record.shorten(self.settings.value_bytes());
             let key = job_key(name);
             if !batch.add(self.precondition(&key), put(&key, &record, None)) {
@@ -142,7 +144,7 @@
     /// end.
     pub(crate) fn may_archive(&self, job_id: JobId, job: &Job) -> bool {
         let name = self.replica.names.jobs.name(job_id);
-        job.borrowed().is_none_or(|mark| {
+        job.borrowed_from().is_none_or(|mark| {
             let confirmations = &self.spillover.confirmations;
             confirmations.is_acknowledged(name, mark.token)
         })
@@ -157,7 +159,7 @@
             return false;
         }
         heartbeat.tasks.iter().any(|reported| {
-            let task = self.replica.names.task(&reported.task);
+            let task = self.replica.names.parse_task_name(&reported.task);
             let job = task.and_then(|task| Some((task.job, self.replica.jobs.get(&task.job)?)));
             reported.status != TaskPhase::Ended
                 && job.is_some_and(|(job_id, job)| {
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -35,8 +35,8 @@
     /// Records the loans that the replica shows as lent, and forgets the others.
     pub(super) fn note_lent(&mut self, now: Timestamp) {
         let mut shown = BTreeSet::new();
-        for (job_id, job) in self.replica.transferred() {
-            let Some(mark) = job.lent() else { continue };
+        for (job_id, job) in self.replica.transferred_jobs() {
+            let Some(mark) = job.lent_to() else { continue };
             if job.status != JobStatus::Pending {
                 continue;
             }
@@ -77,7 +77,7 @@
     /// Takes back loans that the borrower has refused on record, and those that were recalled so long ago
     /// that nothing of them can be on any machine.
     fn plan_returns(&mut self, now: Timestamp) -> Option<Transaction> {
-        let jobs = self.replica.transferred();
+        let jobs = self.replica.transferred_jobs();
         let due = jobs.filter_map(|(job_id, job)| self.due_return(job_id, job, now));
         let due: Vec<DueReturn> = due.collect();
         let mut batch = self.transfer_batch();
@@ -105,7 +105,7 @@
 
     /// Whether a lent job is to be taken back now.
     fn due_return(&self, job_id: JobId, job: &Job, now: Timestamp) -> Option<DueReturn> {
-        let mark = job.lent()?;
+        let mark = job.lent_to()?;
         let name = self.replica.names.jobs.name(job_id);
         let loan = self.spillover.lent.get(name)?;
         let expired = loan
@@ -130,8 +130,8 @@
         let job = self.replica.jobs.get(&job_id)?;
         let mut done = job.done.clone();
         done.union(done_there);
-        let mut record = job.record(Default::default(), JobStatus::Pending);
-        record.bring_home(self.replica.done_tasks(done));
+        let mut record = job.to_record(Default::default(), JobStatus::Pending);
+        record.return_loan(self.replica.done_tasks(done));
         let key = job_key(self.replica.names.jobs.name(job_id));
         let mutation = put(&key, &record, None);
         (mutation.value_bytes() <= self.settings.value_bytes()).then_some(mutation)
@@ -147,8 +147,8 @@
             false => self.spillover.idle_cpus,
         };
         let mut batch = self.transfer_batch();
-        for (job_id, job) in self.replica.transferred() {
-            let Some(mark) = job.lent().filter(|mark| !mark.recalled) else {
+        for (job_id, job) in self.replica.transferred_jobs() {
+            let Some(mark) = job.lent_to().filter(|mark| !mark.recalled) else {
                 continue;
             };
             let name = self.replica.names.jobs.name(job_id);
@@ -169,8 +169,8 @@
             if reason.is_none() && !loan.declined {
                 continue;
             }
-            let done = self.replica.done_tasks(job.stored.clone());
-            let mut record = job.record(done, JobStatus::Pending);
+            let done = self.replica.done_tasks(job.stored_done.clone());
+            let mut record = job.to_record(done, JobStatus::Pending);
             if let Some(Transfer::Lent(mark)) = record.transfer.as_deref_mut() {
                 mark.recalled = true;
             }
@@ -196,7 +196,7 @@
             && job.transfer.is_none()
             && job.done.is_empty()
             && job.mod_revision <= self.replica.revision
-            && !self.replica.is_mentioned(job_id)
+            && !self.replica.is_referenced(job_id)
             && !self.is_over(job_id, job)
             && !self
                 .replica
@@ -240,7 +240,7 @@
             self.spillover.barred.contains_key(&key)
         };
         let choices = policy::choose(jobs, waits_s, &borrowers, policy, barred);
-        let token = TransferToken(self.replica.latest());
+        let token = TransferToken(self.replica.latest_revision());
         let (mut batch, mut intent) = (self.transfer_batch(), WriteIntent::default());
         for choice in choices {
             let (job, borrower) = (&jobs[choice.position], &borrowers[choice.borrower]);
@@ -268,11 +268,11 @@
     /// The write that lends a job to the cell at a place in the settings. None if the value would be too
     /// large.
     fn loan_of(&self, name: &str, place: usize, token: TransferToken) -> Option<(JobId, Mutation)> {
-        let (job_id, job) = self.replica.job_named(name)?;
+        let (job_id, job) = self.replica.job_by_name(name)?;
         let settings = &self.spillover.settings;
         let cell = &settings.cells[place];
-        let mut record = job.record(Default::default(), JobStatus::Pending);
-        record.lend(&cell.name, token, settings.terms_for(cell));
+        let mut record = job.to_record(Default::default(), JobStatus::Pending);
+        record.mark_lent(&cell.name, token, settings.terms_for(cell));
         let mutation = put(&job_key(name), &record, None);
         // It must still fit when it is marked as recalled.
         let fits = mutation.value_bytes() + RECALL_MARK_BYTES <= self.settings.value_bytes();
--- a/src/spillover/load.rs
+++ b/src/spillover/load.rs
@@ -79,7 +79,7 @@
             if job.status != JobStatus::Pending || !self.spillover.may_bind(job, name, now) {
                 continue;
             }
-            let begun = job.done.len() + self.replica.bound_len(job_id);
+            let begun = job.done.len() + self.replica.bound_task_count(job_id);
             let left = job.spec.task_count.saturating_sub(begun);
             if left == 0 {
                 continue;
@@ -191,9 +191,9 @@
         {
             return 0.0;
         }
-        let borrowed = self.replica.transferred().filter(|(_, job)| {
+        let borrowed = self.replica.transferred_jobs().filter(|(_, job)| {
             let open = job.status == JobStatus::Pending;
-            open && job.borrowed().is_some()
+            open && job.borrowed_from().is_some()
         });
         let held: f64 = borrowed
             .map(|(_, job)| {
@@ -240,9 +240,9 @@
 
     /// Classes of the jobs that this cell lends, sorted.
     fn lent_classes(&self) -> Vec<String> {
-        let lent = self.replica.transferred().filter(|(_, job)| {
+        let lent = self.replica.transferred_jobs().filter(|(_, job)| {
             let open = job.status == JobStatus::Pending;
-            open && job.lent().is_some()
+            open && job.lent_to().is_some()
         });
         let mut classes: Vec<String> = lent.map(|(_, job)| job.spec.class.clone()).collect();
         classes.sort_unstable();
--- a/src/spillover/mod.rs
+++ b/src/spillover/mod.rs
@@ -29,7 +29,7 @@
 use crate::collections::HashMap;
 use crate::controller::{Controller, Effect};
 use crate::names::JobId;
-use crate::protocol::{HeardLoan, JobSpec};
+use crate::protocol::{JobSpec, ReportedLoan};
 use crate::records::SPILLOVER_FORMAT;
 use crate::replica::Job;
 use batch::Batch;
@@ -182,13 +182,13 @@
     }
 
     /// What this controller has heard of the loans of its cell, for its peers.
-    pub(crate) fn heard_loans(&self, now: Timestamp) -> Vec<HeardLoan> {
+    pub(crate) fn heard_loans(&self, now: Timestamp) -> Vec<ReportedLoan> {
         let loans = self.lent.values();
         let heard = loans.filter_map(|loan| {
-            Some(HeardLoan {
+            Some(ReportedLoan {
                 job: loan.id.job.clone(),
                 token: loan.id.token.0,
-                age_ms: now.since(loan.heard_at?),
+                since_confirmed_ms: now.since(loan.heard_at?),
                 bound: loan.busy_at.is_some() && loan.busy_at == loan.heard_at,
             })
         });
@@ -196,13 +196,13 @@
     }
 
     /// A peer has heard of loans of this cell.
-    pub(crate) fn on_heard_loans(&mut self, heard: Vec<HeardLoan>, now: Timestamp) {
+    pub(crate) fn on_heard_loans(&mut self, heard: Vec<ReportedLoan>, now: Timestamp) {
         for report in heard {
             let Some(loan) = self.lent.get_mut(&report.job) else {
                 continue;
             };
             if loan.id.token.0 == report.token {
-                let at = Timestamp(now.0.saturating_sub(report.age_ms));
+                let at = Timestamp(now.0.saturating_sub(report.since_confirmed_ms));
                 loan.heard_at = loan.heard_at.max(Some(at));
                 if report.bound {
                     loan.busy_at = loan.busy_at.max(Some(at));
@@ -226,7 +226,7 @@
         if job.transfer.is_none() {
             return Permission::Run;
         }
-        match job.borrowed() {
+        match job.borrowed_from() {
             Some(mark) => self.confirmations.permission(name, mark.token, now.0),
             None => Permission::Stop,
         }
@@ -267,7 +267,7 @@
     /// Whether a job was borrowed from another cell.
     pub(crate) fn is_loan(&self, job_id: JobId) -> bool {
         let job = self.replica.jobs.get(&job_id);
-        job.is_some_and(|job| job.borrowed().is_some())
+        job.is_some_and(|job| job.borrowed_from().is_some())
     }
 
     /// A call to another cell was answered, or was not; it was sent at `sent`.
--- a/src/spillover/offers.rs
+++ b/src/spillover/offers.rs
@@ -6,8 +6,8 @@
 use crate::clock::Timestamp;
 use crate::controller::put;
 use crate::protocol::{JobSpec, JobStatus, Mutation, Precondition, Transaction};
-use crate::records::{BorrowedMark, JobRecord, SPILLOVER_FORMAT, Transfer};
-use crate::replica::{Job, job_key, past_key, waiting_key};
+use crate::records::{BorrowedFrom, JobRecord, SPILLOVER_FORMAT, Transfer};
+use crate::replica::{Job, archive_key, job_key, waiting_key};
 use quillbend_spillover::message::{Decision, Offer, Reason};
 use tracing::info;
 
@@ -81,19 +81,21 @@
         let preconditions = vec![
             precondition(job_key(job), earlier.unwrap_or(0)),
             precondition(waiting_key(job), 0),
-            precondition(past_key(job), archived_revision),
+            precondition(archive_key(job), archived_revision),
         ];
         let mutations = match decision {
             Decision::Accepted => {
                 let mut mutations = vec![put(&job_key(job), record, None)];
                 if archived_revision > 0 {
-                    mutations.push(Mutation::Delete { key: past_key(job) });
+                    mutations.push(Mutation::Delete {
+                        key: archive_key(job),
+                    });
                 }
                 mutations
             }
             // Whatever copies of the offer still arrive, they find this.
             _ if earlier.is_some() => vec![put(&job_key(job), record, None)],
-            _ => vec![put(&past_key(job), record, None)],
+            _ => vec![put(&archive_key(job), record, None)],
         };
         Transaction {
             preconditions,
@@ -116,10 +118,10 @@
 
     /// The revision of a loan under a job's name that is over and of which no queue lists anything.
     fn earlier_loan_revision(&self, name: &str) -> Option<u64> {
-        let (job_id, job) = self.replica.job_named(name)?;
-        let over = job.borrowed().is_some()
+        let (job_id, job) = self.replica.job_by_name(name)?;
+        let over = job.borrowed_from().is_some()
             && job.status != JobStatus::Pending
-            && self.replica.bound_len(job_id) == 0
+            && self.replica.bound_task_count(job_id) == 0
             && job.mod_revision <= self.replica.revision;
         over.then_some(job.mod_revision)
     }
@@ -136,8 +138,8 @@
         if replica.is_unreadable(name) {
             return Some(Decision::Later(Reason::State));
         }
-        if let Some((_, job)) = replica.job_named(name) {
-            let mark = job.borrowed().filter(|mark| mark.cell == from);
+        if let Some((_, job)) = replica.job_by_name(name) {
+            let mark = job.borrowed_from().filter(|mark| mark.cell == from);
             return Some(match mark {
                 Some(mark) if mark.token == offer.loan.token => self.decision_on_repeat(name, job),
                 Some(mark) if mark.token > offer.loan.token => Decision::Later(Reason::Over),
@@ -152,7 +154,7 @@
             return Some(Decision::Later(Reason::NameTaken));
         }
         let record = &archived?.record;
-        let mark = record.borrowed().filter(|mark| mark.cell == from);
+        let mark = record.borrowed_from().filter(|mark| mark.cell == from);
         match mark {
             Some(mark) if mark.token < offer.loan.token => None,
             Some(mark)
@@ -208,7 +210,7 @@
     /// The value of a loan here: pending, or over where it is refused.
     fn borrowed_record(&self, from: &str, offer: &Offer<JobSpec>, decision: Decision) -> JobRecord {
         let since = |age_ms: u64| self.day_ms.saturating_sub(age_ms);
-        let mark = BorrowedMark {
+        let mark = BorrowedFrom {
             cell: from.to_owned(),
             token: offer.loan.token,
             lease_ms: offer.terms.lease_ms,
--- a/src/spillover/serving.rs
+++ b/src/spillover/serving.rs
@@ -81,7 +81,7 @@
 
     /// A write of [`Controller::plan_loan_ends`] was carried out at a revision.
     pub fn on_loan_end(&mut self, transaction: &Transaction, revision: u64) {
-        self.replica.apply_own(transaction, revision);
+        self.replica.apply_own_commit(transaction, revision);
         for mutation in &transaction.mutations {
             let Mutation::Put { key, value, .. } = mutation else {
                 continue;
@@ -97,8 +97,8 @@
     /// The write that records that a lent job is done.
     fn finished_loan(&self, job_id: JobId) -> Option<Mutation> {
         let job = self.replica.jobs.get(&job_id)?;
-        let mut record = job.record(Default::default(), JobStatus::Done);
-        record.bring_home(self.replica.done_tasks(RangeSet::all(job.spec.task_count)));
+        let mut record = job.to_record(Default::default(), JobStatus::Done);
+        record.return_loan(self.replica.done_tasks(RangeSet::all(job.spec.task_count)));
         record.shorten(self.settings.value_bytes());
         let key = job_key(self.replica.names.jobs.name(job_id));
         Some(put(&key, &record, None))
@@ -106,8 +106,8 @@
 
     /// The job of a loan that this cell has made and not ended, recalled or not.
     fn job_lent_as(&self, borrower: &str, loan: &LoanId) -> Option<JobId> {
-        let (job_id, job) = self.replica.job_named(&loan.job)?;
-        let mark = job.lent()?;
+        let (job_id, job) = self.replica.job_by_name(&loan.job)?;
+        let mark = job.lent_to()?;
         let same = mark.cell == borrower && mark.token == loan.token;
         (same && job.status == JobStatus::Pending).then_some(job_id)
     }
@@ -140,7 +140,7 @@
         let Some(age_ms) = self.replica_age_ms(now) else {
             return answer(Standing::Unknown, 0);
         };
-        let standing = match self.replica.job_named(&loan.job) {
+        let standing = match self.replica.job_by_name(&loan.job) {
             Some((job_id, job)) => self.standing_of(job_id, job, borrower, loan),
             // What is no longer under a watched key is over; but it may not be there yet.
             None if self.replica.revision > loan.token.0
@@ -158,7 +158,7 @@
         if self.replica.is_unreadable(&loan.job) {
             return Standing::Unknown;
         }
-        match job.lent() {
+        match job.lent_to() {
             Some(mark) if mark.token == loan.token && mark.cell == borrower => {
                 let stands = !mark.recalled && !self.is_over(job_id, job);
                 match stands {
--- a/src/spillover/status_page.rs
+++ b/src/spillover/status_page.rs
@@ -24,9 +24,9 @@
     /// The jobs that are lent, and those that are borrowed, by their names.
     fn transfers_page(&self, now: Timestamp) -> (BTreeMap<&str, Value>, BTreeMap<&str, Value>) {
         let (mut lent, mut borrowed) = (BTreeMap::new(), BTreeMap::new());
-        for (job_id, job) in self.replica.transferred() {
+        for (job_id, job) in self.replica.transferred_jobs() {
             let name = self.replica.names.jobs.name(job_id);
-            if let Some(mark) = job.lent() {
+            if let Some(mark) = job.lent_to() {
                 let known = self.spillover.lent.get(name);
                 let since = |at| now.since(at);
                 let page = json!({
@@ -35,7 +35,7 @@
                     "idleMs": known.and_then(|loan| loan.busy_at).map(since),
                 });
                 lent.insert(name, page);
-            } else if let Some(mark) = job.borrowed() {
+            } else if let Some(mark) = job.borrowed_from() {
                 let permission = format!("{:?}", self.spillover.permission(job, name, now));
                 let page = json!({
                     "cell": mark.cell, "token": mark.token, "permission": permission,
--- a/src/stealing/messages.rs
+++ b/src/stealing/messages.rs
@@ -73,10 +73,11 @@
             let Some((_, holder)) = self.replica.holder(machine_id) else {
                 continue;
             };
-            if holder.host == self.me {
+            if holder.controller == self.me {
                 queue.extend(self.handle_steal_message(machine_id, message, now));
             } else {
-                self.work_stealing.send(holder.host, message, capacity);
+                self.work_stealing
+                    .send(holder.controller, message, capacity);
             }
         }
     }
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -111,7 +111,7 @@
         let coming = self.completions.moving_to(thief);
         for binding in coming.chain(&pack.tasks) {
             if let Some(job) = self.replica.jobs.get(&binding.task.job) {
-                used.add(&job.room(), 1.0);
+                used.add(&job.task_resources(), 1.0);
             }
         }
         used.fits(&size)
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -6,7 +6,7 @@
     WatchResponse,
 };
 use crate::records::JobRecord;
-use crate::replica::past_key;
+use crate::replica::archive_key;
 use awc::Client;
 use awc::http::StatusCode;
 use serde::Serialize;
@@ -68,23 +68,23 @@
     /// # Errors
     ///
     /// As [`read`](Self::read), and if the value is not a job's.
-    pub async fn archived(
+    pub async fn archived_job(
         &self,
         job: &str,
         timeout: Duration,
     ) -> Result<Option<JobRecord>, StoreError> {
-        let Some(item) = self.read(&past_key(job), timeout).await? else {
+        let Some(item) = self.read(&archive_key(job), timeout).await? else {
             return Ok(None);
         };
         let record = item.value.read();
-        record.map(Some).map_err(invalid)
+        record.map(Some).map_err(invalid_response)
     }
 
     /// Reads the final states of jobs from the archive, as far as they are there and can be read.
-    pub async fn final_states(&self, jobs: &[String]) -> Vec<(String, JobStatus)> {
+    pub async fn archived_statuses(&self, jobs: &[String]) -> Vec<(String, JobStatus)> {
         let mut found = Vec::new();
         for job in jobs {
-            if let Ok(Some(record)) = self.archived(job, ARCHIVE_TIMEOUT).await {
+            if let Ok(Some(record)) = self.archived_job(job, ARCHIVE_TIMEOUT).await {
                 found.push((job.clone(), record.status));
             }
         }
@@ -162,7 +162,7 @@
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 CommitOutcome::Refused
             }
-            StatusCode::BAD_REQUEST => rejected(transaction, &answer.body),
+            StatusCode::BAD_REQUEST => classify_bad_request(transaction, &answer.body),
             _ => CommitOutcome::Unknown,
         }
     }
@@ -211,7 +211,7 @@
                 Ok(Answer { status, body })
             }
             status if status.is_server_error() => Err(StoreError::Unavailable),
-            status => Err(invalid(status)),
+            status => Err(invalid_response(status)),
         }
     }
 
@@ -234,7 +234,7 @@
 }
 
 /// What became of a transaction that was answered with 400.
-fn rejected(transaction: &Transaction, body: &[u8]) -> CommitOutcome {
+fn classify_bad_request(transaction: &Transaction, body: &[u8]) -> CommitOutcome {
     let text = String::from_utf8_lossy(body).into_owned();
     if text.contains(NO_SUCH_LEASE) {
         return CommitOutcome::NoLease;
@@ -249,13 +249,13 @@
 }
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, StoreError> {
-    serde_json::from_slice(body).map_err(invalid)
+    serde_json::from_slice(body).map_err(invalid_response)
 }
 
 #[expect(
     clippy::needless_pass_by_value,
     reason = "passed to `map_err`, which gives the error by value"
 )]
-fn invalid(error: impl ToString) -> StoreError {
+fn invalid_response(error: impl ToString) -> StoreError {
     StoreError::InvalidResponse(error.to_string())
 }
--- a/src/store/read_index.rs
+++ b/src/store/read_index.rs
@@ -5,11 +5,11 @@
 //! by whatever controller. One such read settles every query then waiting, so that polls don't cost the
 //! budget of requests one read each.
 //!
-//! [`ReadIndex::applied`] must be called only once the changes up to the revision are in the replica, for
+//! [`ReadIndex::on_revision_applied`] must be called only once the changes up to the revision are in the replica, for
 //! it releases those who wait for it. Nothing here reads the replica.
 
 use super::{StoreClient, StoreError};
-use crate::replica::LEAD;
+use crate::replica::LEADER_KEY;
 use crate::settings::Settings;
 use parking_lot::Mutex;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 /// Part of the store's requests that these reads of all controllers may take.
 const REQUEST_SHARE: f64 = 0.15;
 /// Tries of a read while the budget of requests is used up.
-const MAX_TRIES: u32 = 3;
+const MAX_READ_ATTEMPTS: u32 = 3;
 /// Least time between two reads of one controller, however large the budget, milliseconds.
 const MIN_READ_INTERVAL_MS: u64 = 30;
 
@@ -34,7 +34,7 @@
 
 impl RevisionSource for StoreClient {
     async fn revision(&self, timeout: Duration) -> Result<u64, StoreError> {
-        StoreClient::revision(self, LEAD, timeout).await
+        StoreClient::revision(self, LEADER_KEY, timeout).await
     }
 }
 
@@ -49,7 +49,7 @@
 #[derive(Debug, Default)]
 struct State {
     /// Queries for which no read has begun.
-    unread: Vec<Waiter>,
+    awaiting_read: Vec<Waiter>,
     /// Queries that wait for the replica.
     batches: Vec<Batch>,
     /// Whether a task is reading for them.
@@ -60,8 +60,8 @@
 
 impl State {
     /// Forgets the queries whose users have given up.
-    fn drop_abandoned(&mut self) {
-        self.unread.retain(|waiter| !waiter.is_closed());
+    fn remove_abandoned(&mut self) {
+        self.awaiting_read.retain(|waiter| !waiter.is_closed());
         for batch in &mut self.batches {
             batch.waiters.retain(|waiter| !waiter.is_closed());
         }
@@ -71,12 +71,12 @@
     /// Takes the queries for which the next read is made; none if nobody waits for one. Then the reading
     /// task ends.
     fn next_batch(&mut self) -> Option<Vec<Waiter>> {
-        self.drop_abandoned();
-        if self.unread.is_empty() {
+        self.remove_abandoned();
+        if self.awaiting_read.is_empty() {
             self.reading = false;
             return None;
         }
-        Some(std::mem::take(&mut self.unread))
+        Some(std::mem::take(&mut self.awaiting_read))
     }
 }
 
@@ -86,7 +86,7 @@
 
 impl ReadIndex {
     /// The replica has applied every change up to `revision`: answers the queries that waited for it.
-    pub fn applied(&self, revision: u64) {
+    pub fn on_revision_applied(&self, revision: u64) {
         let mut state = self.0.lock();
         state.applied = state.applied.max(revision);
         let applied = state.applied;
@@ -113,7 +113,7 @@
         let (waiter, answer) = oneshot::channel();
         let was_reading = {
             let mut state = self.0.lock();
-            state.unread.push(waiter);
+            state.awaiting_read.push(waiter);
             std::mem::replace(&mut state.reading, true)
         };
         if !was_reading {
@@ -158,7 +158,7 @@
             state.applied
         };
         // The replica may have come as far already.
-        self.applied(applied);
+        self.on_revision_applied(applied);
     }
 }
 
@@ -170,7 +170,7 @@
     timeout: Duration,
 ) -> Result<u64, StoreError> {
     let mut read = store.revision(timeout).await;
-    for _ in 1..MAX_TRIES {
+    for _ in 1..MAX_READ_ATTEMPTS {
         if read != Err(StoreError::RateLimited) {
             break;
         }
--- a/src/store/read_index/tests.rs
+++ b/src/store/read_index/tests.rs
@@ -37,7 +37,7 @@
         let (read_index, store) = (ReadIndex::default(), FakeStore::default());
         store.unavailable.set(3);
         store.rate_limited.set(5);
-        read_index.applied(7);
+        read_index.on_revision_applied(7);
         let polls: Vec<_> = (0..500)
             .map(|_| {
                 let (read_index, store) = (read_index.clone(), store.clone());
@@ -68,11 +68,11 @@
 fn nobody_is_answered_before_the_replica_has_applied_the_revision() {
     actix_rt::System::new().block_on(async {
         let (read_index, store) = (ReadIndex::default(), FakeStore::default());
-        read_index.applied(6);
+        read_index.on_revision_applied(6);
         let timeout = Duration::from_millis(50);
         let early = read_index.catch_up(&store, READ_INTERVAL, timeout).await;
         assert_eq!(early, Err(StoreError::Unavailable));
-        read_index.applied(7);
+        read_index.on_revision_applied(7);
         assert_eq!(
             read_index.catch_up(&store, READ_INTERVAL, TIMEOUT).await,
             Ok(())
--- a/tests/behaviour_digest.rs
+++ b/tests/behaviour_digest.rs
@@ -9,7 +9,7 @@
 mod support;
 
 use quillbend::protocol::Priority;
-use quillbend::records::{CHAINS_FORMAT, DENSE_FORMAT};
+use quillbend::records::{DENSE_FORMAT, DEPENDENCIES_FORMAT};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::sync::Mutex;
@@ -137,7 +137,7 @@
 fn mixed_formats(seed: u64) -> Vec<String> {
     let controllers = [3, 5][seed as usize % 2];
     let mut world = World::in_production(seed, controllers, 10);
-    world.old_format = [0, CHAINS_FORMAT, DENSE_FORMAT][seed as usize % 3];
+    world.old_format = [0, DEPENDENCIES_FORMAT, DENSE_FORMAT][seed as usize % 3];
     for controller in 0..controllers {
         world.crash(controller);
         world.start(controller);
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -179,7 +179,7 @@
         mod_revision: n as u64 + 1,
     });
     let mut replica = Replica::default();
-    replica.load(items.collect(), 100);
+    replica.apply_full_read(items.collect(), 100);
     replica
 }
 
@@ -276,7 +276,7 @@
         (open.status, open.done.len(), open.ready_ms),
         (JobStatus::Pending, 4, None)
     );
-    let bound = replica.bound_len(replica.names.jobs.get("wk-000398").expect("known"));
+    let bound = replica.bound_task_count(replica.names.jobs.get("wk-000398").expect("known"));
     assert_eq!(bound, 5);
     assert_written_again(&stored);
 }
@@ -298,7 +298,7 @@
         Some(JobStatus::Cancelled)
     );
     assert_eq!(replica.jobs[&job("wk-000413")].ready_ms, Some(10_008_100));
-    assert!(replica.bound_len(job("wk-000398")) > 20);
+    assert!(replica.bound_task_count(job("wk-000398")) > 20);
     assert_written_again(&stored);
 }
 
@@ -321,17 +321,17 @@
 fn every_field_of_a_message_of_format_0_is_read() {
     let message = peer_message(include_str!("fixtures/format_0_peer_news.hex"));
     assert_eq!(
-        (message.host.as_str(), message.incarnation, message.format),
+        (message.sender.as_str(), message.incarnation, message.format),
         ("n1", 77, 0)
     );
-    assert!(message.state_ok && !message.short);
+    assert!(message.store_available && !message.write_budget_exhausted);
     let fleet = message.fleet.expect("machines");
     assert_eq!(
         (fleet.machines[0].machine.as_str(), fleet.machines[0].load),
         ("m-000001", 1.5)
     );
     assert_eq!(fleet.running, [("wk-000412".to_owned(), 3)]);
-    assert_eq!(message.unowned_machines[0].for_ms, 900);
+    assert_eq!(message.unowned_machines[0].unowned_for_ms, 900);
     assert!(matches!(
         &message.steal_messages[..],
         [
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -8,7 +8,7 @@
 use quillbend::jobs::gradual::{Step, Stored, plan_step};
 use quillbend::jobs::new_record;
 use quillbend::protocol::{JobSpec, JobStatus, Priority};
-use quillbend::replica::{job_key, past_key, waiting_key};
+use quillbend::replica::{archive_key, job_key, waiting_key};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use support::{PLATFORM, StoreFault, World};
@@ -42,7 +42,7 @@
         );
         assert_eq!(w.running_of(job), 0, "{job}");
     }
-    let archived = |w: &World, j: &String| w.state.value(&past_key(j)).is_some();
+    let archived = |w: &World, j: &String| w.state.value(&archive_key(j)).is_some();
     w.until(120_000, "archived", |w| jobs.iter().all(|j| archived(w, j)));
     for job in jobs {
         assert_eq!(w.job(job).map(|j| j.status), Some(JobStatus::Cancelled));
@@ -318,7 +318,7 @@
             CommitOutcome::Conflict(_)
         ));
         w.until(90_000, "archived", |w| {
-            w.state.value(&past_key(&first)).is_some()
+            w.state.value(&archive_key(&first)).is_some()
         });
         assert!(matches!(
             w.state.commit(&transaction),
@@ -375,7 +375,7 @@
     let last = w.submit_dependent(3, w.spec(2), &[&first, &slow]);
     w.until(20_000, "done", |w| w.is_done(&first));
     w.run(90_000);
-    let archived = |w: &World, job: &str| w.state.value(&past_key(job)).is_some();
+    let archived = |w: &World, job: &str| w.state.value(&archive_key(job)).is_some();
     assert!(archived(&w, &aside), "nothing is archived at all");
     assert!(!archived(&w, &first), "it is still needed");
     // Everybody reads everything again.
@@ -389,7 +389,7 @@
     w.failing_jobs.clear();
     w.until(120_000, "done", |w| w.is_done(&last));
     w.until(120_000, "archived", |w| {
-        w.state.value(&past_key(&first)).is_some()
+        w.state.value(&archive_key(&first)).is_some()
     });
     w.assert_no_violations();
 }
@@ -406,7 +406,7 @@
         let mut record = w.job(&first).expect("known");
         record.status = status;
         let value = serde_json::to_value(&record).expect("json");
-        w.state.overwrite(&past_key(&first), &value);
+        w.state.overwrite(&archive_key(&first), &value);
         w.state.forget(&job_key(&first));
         match status {
             JobStatus::Done => w.until(30_000, "done", |w| w.is_done(&next)),
@@ -568,7 +568,7 @@
     let key = waiting_key("wk-000099");
     assert!(w.state.value(&key).is_some());
     w.until(200_000, "it is dropped", |w| w.state.value(&key).is_none());
-    let archived = |w: &World, j: &String| w.state.value(&past_key(j)).is_some();
+    let archived = |w: &World, j: &String| w.state.value(&archive_key(j)).is_some();
     w.until(200_000, "what it named is archived", |w| {
         awaits.iter().all(|j| archived(w, j))
     });
--- a/tests/missed_messages.rs
+++ b/tests/missed_messages.rs
@@ -466,7 +466,7 @@
             .peer_message(MessageLength::Long, Timestamp(now))
             .fleet
             .expect("a long message");
-        fleet.machines.iter().filter(|m| !m.obeys).count()
+        fleet.machines.iter().filter(|m| !m.is_controllable).count()
     };
     assert_eq!(
         unreachable(&|n| n == 0),
@@ -623,7 +623,7 @@
         fleet
             .machines
             .iter()
-            .any(|m| m.machine == *machine && m.obeys)
+            .any(|m| m.machine == *machine && m.is_controllable)
     );
 }
 
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -2,7 +2,7 @@
 
 use super::{
     BTreeSet, CommitOutcome, Controller, JobRecord, JobSpec, Mutation, Rng, State, StoreFault,
-    Timestamp, Transaction, Transfer, World, digest, occupancy, past_key,
+    Timestamp, Transaction, Transfer, World, archive_key, digest, occupancy,
 };
 use quillbend::spillover::{Archived, CellCall, CellRequest, OfferPlan};
 use quillbend_spillover::message::{CellAnswer, Decision, OfferAnswer, Reason, RequestBody};
@@ -401,11 +401,11 @@
             };
             match self.write(node, &transaction) {
                 CommitOutcome::Done(revision) => {
-                    controller.replica.apply_own(&transaction, revision);
+                    controller.replica.apply_own_commit(&transaction, revision);
                     return decision;
                 }
                 CommitOutcome::Conflict(_) => {
-                    let key = past_key(&offer.loan.job);
+                    let key = archive_key(&offer.loan.job);
                     let value = self.state.value(&key);
                     archived = value.map(|v| Archived {
                         record: serde_json::from_value(v).expect("a job's value"),
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -2,7 +2,7 @@
 
 use super::{
     BEGIN, CommitOutcome, Controller, Effect, JobRecord, Link, Mutation, Node, Rng, SmallRng,
-    StoreFault, Timestamp, Transaction, World, WriteKind, catalog, cells, digest, past_key,
+    StoreFault, Timestamp, Transaction, World, WriteKind, archive_key, catalog, cells, digest,
     position,
 };
 use quillbend::leadership::RentOutcome;
@@ -110,7 +110,7 @@
                 .machines
                 .get(machine)
                 .and_then(|m| v.holder(m))
-                .is_some_and(|h| h.1.host == n.controller.me)
+                .is_some_and(|h| h.1.controller == n.controller.me)
                 && n.controller.has_authority(self.clock(i))
         })
     }
@@ -229,7 +229,7 @@
                 transaction,
             } => return self.commit(i, controller, write_kind, transaction, fault),
             Effect::Peer { host, message } => {
-                let name = controller.replica.names.hosts.name(host).to_owned();
+                let name = controller.replica.names.controllers.name(host).to_owned();
                 let Some(j) = position(&name).filter(|j| *j < self.controllers.len()) else {
                     return false;
                 };
@@ -256,7 +256,7 @@
             }
             Effect::Archived(jobs) => {
                 for job in jobs.iter().filter(|_| reachable) {
-                    let record = self.state.value(&past_key(job));
+                    let record = self.state.value(&archive_key(job));
                     let record = record.and_then(|v| serde_json::from_value::<JobRecord>(v).ok());
                     if let Some(record) = record {
                         controller.on_archived(job, record.status);
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -159,7 +159,7 @@
         Effect::Renew { lease_id } => (Kind::LeaseRenewal, json(lease_id)),
         Effect::Commit { transaction, .. } => (Kind::Transaction, json(transaction)),
         Effect::Peer { host, message } => {
-            let name = controller.replica.names.hosts.name(*host);
+            let name = controller.replica.names.controllers.name(*host);
             (Kind::PeerMessage, addressed(name, message))
         }
         Effect::Catalog => (Kind::CatalogRequest, Vec::new()),
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -11,7 +11,7 @@
     MachineNames, Mutation, PeerMessage, Priority, Transaction,
 };
 use quillbend::records::{BlockRecord, JobRecord, Transfer, WaitingRecord};
-use quillbend::replica::{job_key, past_key, waiting_key};
+use quillbend::replica::{archive_key, job_key, waiting_key};
 use quillbend::settings::{Options, Platform, Settings};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -2,8 +2,8 @@
 
 use super::{
     Acceptance, BlockRecord, CommitOutcome, JobKind, JobRecord, JobSpec, JobStatus, Predecessor,
-    Priority, StoreFault, Transaction, WaitingRecord, World, chained, digest, job_key, jobs,
-    past_key, plan_acceptance, waiting_key,
+    Priority, StoreFault, Transaction, WaitingRecord, World, archive_key, chained, digest, job_key,
+    jobs, plan_acceptance, waiting_key,
 };
 
 impl World {
@@ -118,7 +118,9 @@
             return None;
         };
         if let Some(node) = &mut self.controllers[i] {
-            node.controller.replica.apply_own(&transaction, revision);
+            node.controller
+                .replica
+                .apply_own_commit(&transaction, revision);
         }
         self.note_submission(&name, kept, awaits);
         Some(name)
@@ -193,7 +195,9 @@
     pub fn cancel_through(&mut self, i: usize, name: &str) -> CommitOutcome {
         let (transaction, outcome) = self.call_off(name);
         if let (CommitOutcome::Done(revision), Some(n)) = (outcome, &mut self.controllers[i]) {
-            n.controller.replica.apply_own(&transaction, revision);
+            n.controller
+                .replica
+                .apply_own_commit(&transaction, revision);
         }
         outcome
     }
@@ -244,7 +248,7 @@
         let v = self
             .state
             .value(&job_key(name))
-            .or(self.state.value(&past_key(name)))?;
+            .or(self.state.value(&archive_key(name)))?;
         serde_json::from_value(v).ok()
     }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -6,8 +6,8 @@
 
 use quillbend::controller::CommitOutcome;
 use quillbend::protocol::{JobStatus, KeyValue, Priority};
-use quillbend::records::{CHAINS_FORMAT, DENSE_FORMAT, NEWEST_FORMAT};
-use quillbend::replica::{FORMAT, job_key, past_key};
+use quillbend::records::{DENSE_FORMAT, DEPENDENCIES_FORMAT, NEWEST_FORMAT};
+use quillbend::replica::{FORMAT_KEY, archive_key, job_key};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use support::{StoreFault, World};
@@ -53,7 +53,7 @@
         w.run(3000);
     }
     w.until(8000, "the format is recorded", |w| {
-        w.state.value(FORMAT).is_some()
+        w.state.value(FORMAT_KEY).is_some()
     });
     w.run(300);
     let second = w.submit_dependent(2, w.spec(1), &[&first]);
@@ -93,7 +93,7 @@
         "it may come back old"
     );
     w.until(120_000, "the format is recorded", |w| {
-        w.state.value(FORMAT).is_some()
+        w.state.value(FORMAT_KEY).is_some()
     });
     w.assert_no_violations();
 }
@@ -209,14 +209,14 @@
 fn large_job_beside_an_older_version(format_most: f64) -> (World, String) {
     let mut w = World::in_production(9, 3, 30);
     w.settings.options.format_most = format_most;
-    w.old_format = CHAINS_FORMAT;
+    w.old_format = DEPENDENCIES_FORMAT;
     w.old = vec![false, false, true];
     w.crash(2);
     (0..2).for_each(|i| w.start(i));
     w.until(20_000, "a leader", |w| w.leader().is_some());
     w.start(2);
     w.until(20_000, "chained jobs are recorded", |w| {
-        w.state.value(FORMAT).is_some()
+        w.state.value(FORMAT_KEY).is_some()
     });
     w.cloud_up = false;
     w.run_ms = 20_000;
@@ -319,7 +319,7 @@
     lower_limits(&mut w);
     w.until(20_000, "bitmaps are recorded", |w| {
         w.state
-            .value(FORMAT)
+            .value(FORMAT_KEY)
             .is_some_and(|f| f["v"] == DENSE_FORMAT)
     });
     let many = most_running(&mut w);
@@ -337,8 +337,8 @@
     assert!((100..160).contains(&few), "{few}");
     assert!(
         w.state
-            .value(FORMAT)
-            .is_some_and(|f| f["v"] == CHAINS_FORMAT)
+            .value(FORMAT_KEY)
+            .is_some_and(|f| f["v"] == DEPENDENCIES_FORMAT)
     );
     for i in 0..3 {
         w.crash(i);
@@ -381,7 +381,7 @@
         });
         // Blocks list what was done on them until they are written again, at the latest when their
         // idle machines leave.
-        let archived = |w: &World| w.state.value(&past_key(&job)).is_some();
+        let archived = |w: &World| w.state.value(&archive_key(&job)).is_some();
         w.until(120_000, "archived", archived);
         w.run(100);
         assert_eq!(w.poll_status(0, &job), Some(over));
@@ -440,7 +440,7 @@
         let mut w = in_production(seed, controllers, 10);
         if seed % 4 < 2 {
             // The older version is the one that knows chained jobs already.
-            w.old_format = CHAINS_FORMAT;
+            w.old_format = DEPENDENCIES_FORMAT;
             (0..controllers).for_each(|i| w.start(i));
             w.run(3000);
         }
@@ -518,7 +518,7 @@
     let before = w.submit(1, w.spec(2));
     w.until(20_000, "done", |w| w.is_done(&before));
     let newer = serde_json::json!({ "v": NEWEST_FORMAT + 1 });
-    w.state.overwrite(FORMAT, &newer);
+    w.state.overwrite(FORMAT_KEY, &newer);
     w.run(500);
     let writes = w.state.writes;
     let job = w.submit(2, w.spec(2));
@@ -530,7 +530,7 @@
         assert!(!w.controller(i).ready(now) && !w.controller(i).has_authority(now));
         assert_eq!(w.controller(i).status_page(now)["outdated"], true);
     }
-    assert_eq!(w.state.value(FORMAT), Some(newer));
+    assert_eq!(w.state.value(FORMAT_KEY), Some(newer));
 }
 
 #[test]
