--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,4 +1,4 @@
-//! Messages of the cloud: `PROTOCOL`, "Controller nodes -> cloud".
+//! Messages of the cloud (`PROTOCOL`, "Controller nodes -> cloud").
 
 use serde::{Deserialize, Serialize};
 
@@ -6,37 +6,37 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct MachineType {
-    /// Name.
+    /// Name of the machine type.
     #[serde(rename = "label")]
     pub name: String,
-    /// CPUs.
+    /// Number of CPUs.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs; 0 if the catalog has none.
     #[serde(default)]
     pub gpus: f64,
     /// Memory, GB.
     #[serde(rename = "ramGb")]
     pub memory_gb: f64,
-    /// Image cache, GB.
+    /// Size of the image cache, GB.
     #[serde(default)]
     pub local_gb: f64,
-    /// Rate at which images are fetched, GB per second, give or take a third.
+    /// Nominal rate of image fetches, GB per second. The actual rate differs by up to a third.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
-    /// Price of an ordinary machine, per hour.
+    /// Price of an on-demand machine per hour.
     pub price: f64,
-    /// Current price of a spot machine, per hour.
+    /// Current price of a spot machine per hour.
     pub market_price: f64,
     /// Nominal boot time, seconds.
     pub boot_s: f64,
-    /// Zones that have it.
+    /// Zones in which it is available.
     #[serde(rename = "yards")]
     pub zones: Vec<String>,
 }
 
 impl MachineType {
-    /// Price per hour of a machine of this type, spot or ordinary.
+    /// Price per hour of a spot or on-demand machine of this type.
     pub fn price_of(&self, spot: bool) -> f64 {
         if spot { self.market_price } else { self.price }
     }
@@ -53,8 +53,8 @@
 /// A request to rent machines (`POST /machines`).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// Name of the request. A repeated one gets the same answer and rents nothing, so no two requests
-    /// of any controller may have the same name.
+    /// Idempotency key. A repeated request gets the same response and rents nothing, so different requests must
+    /// never share an identifier, even across controllers.
     #[serde(rename = "booking")]
     pub request_id: String,
     /// Machine type.
@@ -63,14 +63,14 @@
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether spot machines are wanted.
+    /// Whether spot machines are requested.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many machines, at most 50.
+    /// Number of machines, at most 50.
     pub number: u32,
 }
 
-/// Names of machines: the answer to a [`RentRequest`], and the body of `POST /machines/return`.
+/// Names of machines: the response to a [`RentRequest`], and the body of `POST /machines/return`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineNames {
     /// Machines.
@@ -78,11 +78,11 @@
     pub machines: Vec<String>,
 }
 
-/// A machine in the cloud's list. The list lags: a machine that is `starting` may be up already.
+/// A machine in the cloud's list. The list lags: a machine listed as `starting` may already be running.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct CloudMachine {
-    /// Name.
+    /// Name of the machine.
     #[serde(rename = "ref")]
     pub name: String,
     /// Address of its worker, `host:port`.
--- a/src/protocol/json.rs
+++ b/src/protocol/json.rs
@@ -1,27 +1,26 @@
-//! JSON values that are passed on as text.
+//! JSON values that are kept and forwarded as text.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use serde_json::value::RawValue;
 use std::sync::Arc;
 
-/// A JSON value as text. It is written once and parsed at most once, however often it is sent or
-/// delivered again.
+/// A JSON value as text. It is serialized once and parsed at most once, however often it is sent or delivered.
 #[derive(Debug, Clone)]
 pub struct Json(Arc<RawValue>);
 
 impl Json {
-    /// The text of `value`; `null` for a value that has no JSON form. Records are plain data with string
-    /// keys and always have one.
+    /// Serializes `value`; yields `null` if that fails. It cannot fail for records, which are plain data with
+    /// string keys.
     pub fn of(value: &impl Serialize) -> Json {
         let raw = serde_json::value::to_raw_value(value);
         Json(raw.unwrap_or_else(|_| RawValue::NULL.to_owned()).into())
     }
 
-    /// Parses the text as a record.
+    /// Parses the text as a value of type `T`.
     ///
     /// # Errors
     ///
-    /// If the text is not of this type: it is damaged, or of a version that is not known here.
+    /// Fails if the text is not a valid `T`: it is corrupt or was written by an unknown version.
     pub fn read<T: serde::de::DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_str(self.0.get())
     }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,8 +1,8 @@
-//! The messages of every interface: the only place where the names of the wire occur.
+//! Messages of all interfaces, and the only place where names on the wire are defined.
 //!
-//! One file for each section of `PROTOCOL`, and one for what controllers exchange among themselves. A field
-//! or variant that has another name on the wire says so in `#[serde(rename)]`; `docs/architecture.md` lists
-//! both names. Nothing here decides anything, and no name, order or form on the wire may change: agents,
+//! Each section of `PROTOCOL` has its own file, as have the messages between controllers. A field or variant
+//! with a different name on the wire has a `#[serde(rename)]` attribute; `docs/architecture.md` lists both
+//! names. This module contains no logic. No name, order or format on the wire may change, because workers,
 //! users and controllers of earlier versions read and write the same bytes (`tests/compatibility.rs`).
 
 mod cloud;
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -1,42 +1,41 @@
-//! Messages between controllers: `PROTOCOL`, "Controller nodes <-> controller nodes", which leaves them to
-//! the service.
+//! Messages between controllers (`PROTOCOL`, "Controller nodes <-> controller nodes"), which the protocol leaves
+//! to the service.
 //!
-//! They are written as msgpack with field names (`rmp_serde::to_vec_named`), so that controllers of two
-//! versions understand each other: a receiver ignores fields that it does not know, and a field that came
-//! later has a default.
+//! They are encoded as MessagePack with field names (`rmp_serde::to_vec_named`), so that controllers of
+//! different versions can communicate: a receiver ignores unknown fields, and fields added later have a default.
 
 use crate::ranges::RangeSet;
 use serde::{Deserialize, Serialize};
 
-/// What the holder of a machine's block tells its peers of the machine.
+/// State of a machine as its holder reports it to peers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineSummary {
-    /// Machine.
+    /// Name of the machine.
     #[serde(rename = "rig")]
     pub machine: String,
-    /// Milliseconds since its latest heartbeat; none if no heartbeat has reached this holder.
+    /// Milliseconds since its latest heartbeat; `None` if this holder has received none.
     #[serde(rename = "age_ms")]
     pub since_last_heartbeat_ms: Option<u64>,
-    /// Whether its worker has seen the holder's fencing token and the holder's answers reach it.
+    /// Whether its worker has seen the holder's fencing token and receives the holder's answers.
     #[serde(rename = "obeys")]
     pub is_controllable: bool,
-    /// Whether the cloud has announced that it takes the machine away.
+    /// Whether the cloud has announced that it will reclaim the spot machine.
     #[serde(rename = "recalled")]
     pub reclaim_announced: bool,
-    /// Whether the holder has quarantined it and wants it replaced.
+    /// Whether the holder has quarantined it and requests a replacement.
     #[serde(rename = "sick")]
     pub quarantined: bool,
-    /// Whether its worker has restarted, in a new worker epoch, under this grant.
+    /// Whether its worker has restarted in a new worker epoch under the current grant.
     #[serde(rename = "anew")]
     pub worker_restarted: bool,
-    /// Load of its queue: seconds of work per CPU.
+    /// Load of its queue, seconds of work per CPU.
     pub load: f64,
 }
 
-/// A machine whose heartbeats reach a controller that doesn't hold it.
+/// A machine that sends its heartbeats to a controller that does not hold its block.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UnownedMachine {
-    /// Machine.
+    /// Name of the machine.
     #[serde(rename = "rig")]
     pub machine: String,
     /// Machine type.
@@ -48,15 +47,15 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Milliseconds for which its heartbeats have come here and its holder has not heard it.
+    /// Milliseconds for which the sender has received its heartbeats and its holder has received none.
     #[serde(rename = "for_ms")]
     pub unowned_for_ms: u64,
 }
 
-/// A message between the agents of PackStealLB: one agent for each machine.
+/// A message between the agents of PackStealLB; each machine has one agent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum StealMessage {
-    /// A heavily loaded machine offers itself to a lightly loaded one as a victim.
+    /// A heavily loaded machine offers itself as a victim to a lightly loaded one.
     Hint {
         /// Receiving machine.
         to: String,
@@ -65,87 +64,87 @@
         /// The sender's load, seconds of work per CPU.
         load: f64,
     },
-    /// A thief asks a machine for a pack of tasks.
+    /// A thief requests a pack of tasks from a machine.
     Steal {
         /// Receiving machine.
         to: String,
-        /// Machine that wants the work.
+        /// Machine that requests the tasks.
         thief: String,
-        /// Number of machines that have passed the request on.
+        /// Number of times the request has been forwarded.
         hops: u32,
-        /// Machines that had no work to give.
+        /// Machines that received the request and had no tasks to give.
         route: Vec<String>,
     },
 }
 
-/// What a holder knows of its machines.
+/// State of all machines of a holder.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetSummary {
-    /// Its machines.
+    /// State of each machine.
     pub machines: Vec<MachineSummary>,
-    /// Number of tasks that run there, by job.
+    /// Number of running tasks on these machines, by job.
     pub running: Vec<(String, u32)>,
-    /// Tasks that were done there and are not recorded yet, by job.
+    /// Tasks done on these machines and not recorded in the store yet, by job.
     #[serde(default)]
     pub done: Vec<(String, RangeSet)>,
 }
 
-/// A loan to another cell of which a controller has heard.
+/// A loan to another cell, as a borrower confirmed it to a controller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportedLoan {
-    /// The job.
+    /// Name of the lent job.
     pub job: String,
     /// Fencing token of the transfer.
     pub token: u64,
-    /// Milliseconds since the borrower last confirmed it to the sender.
+    /// Milliseconds since the borrower last confirmed the loan to the sender.
     #[serde(rename = "age_ms")]
     pub since_confirmed_ms: u64,
-    /// Whether any task of it was bound to a machine then.
+    /// Whether any task of the job was bound to a machine at that time.
     pub bound: bool,
 }
 
-/// What controllers tell each other, in a request as in its answer.
+/// State that controllers exchange; requests and responses have the same form.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerMessage {
-    /// Sender.
+    /// Name of the sending controller.
     #[serde(rename = "host")]
     pub sender: String,
     /// The sender's incarnation.
     #[serde(rename = "boot")]
     pub incarnation: u64,
-    /// Whether the key-value store answers the sender.
+    /// Whether the key-value store responds to the sender.
     #[serde(rename = "state_ok")]
     pub store_available: bool,
-    /// Whether the sender had to refuse users because the budget of writes was used up.
+    /// Whether the sender recently refused users because the write budget was exhausted.
     #[serde(rename = "short")]
     pub write_budget_exhausted: bool,
-    /// Peers and the milliseconds since each was last heard.
+    /// Peers, with the milliseconds since the last message from each.
     #[serde(rename = "heard")]
     pub since_last_messages_ms: Vec<(String, u64)>,
-    /// The sender's machines; none in a short message.
+    /// State of the sender's machines; `None` in a short message.
     pub fleet: Option<FleetSummary>,
-    /// Machines whose heartbeats reach the sender and that it doesn't hold.
+    /// Machines that send their heartbeats to the sender although it does not hold their block.
     #[serde(rename = "strays")]
     pub unowned_machines: Vec<UnownedMachine>,
-    /// Messages of PackStealLB for machines that the receiver holds.
+    /// PackStealLB messages for machines held by the receiver.
     #[serde(rename = "agents")]
     pub steal_messages: Vec<StealMessage>,
-    /// Observed run times over estimates, by class.
+    /// Ratio of observed to estimated run time, by job class.
     #[serde(rename = "ratios")]
     pub run_time_ratios: Vec<(String, f64)>,
-    /// Consecutive task failures by job, with the milliseconds since the last.
+    /// Number of consecutive task failures by job, with the milliseconds since the last failure.
     #[serde(rename = "fails")]
     pub failure_streaks: Vec<(String, u32, u64)>,
-    /// Jobs cancelled lately, for a peer that the key-value store does not answer.
+    /// Recently cancelled jobs, for a peer that cannot reach the key-value store.
     #[serde(rename = "withdrawn", default)]
     pub cancelled: Vec<String>,
-    /// Grants, for such a peer: block, fencing token, holder.
+    /// Grants as (block, fencing token, holder), for a peer that cannot reach the key-value store.
     #[serde(default)]
     pub grants: Vec<(u32, u64, String)>,
-    /// Format of stored values that the sender writes and reads; 0 of a version that does not say.
+    /// Newest format of stored values that the sender supports; 0 if its version does not state one.
     #[serde(default)]
     pub format: u32,
-    /// Loans to other cells of which the sender has heard; left out where there are none.
+    /// Loans to other cells that borrowers confirmed to the sender; not serialized if empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub loans: Vec<ReportedLoan>,
 }
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,4 +1,4 @@
-//! Messages of the key-value store: `PROTOCOL`, "Controller nodes -> state service".
+//! Messages of the key-value store (`PROTOCOL`, "Controller nodes -> state service").
 
 use super::Json;
 use serde::{Deserialize, Serialize};
@@ -6,10 +6,10 @@
 /// A key with its value.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KeyValue {
-    /// Key.
+    /// Name of the key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Value.
+    /// Value as JSON text.
     #[serde(rename = "v")]
     pub value: Json,
     /// Revision of the key's latest change.
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct KeyValuePage {
-    /// Keys with their values.
+    /// Keys with their values, ordered by key.
     pub items: Vec<KeyValue>,
     /// Whether another page follows.
     #[serde(default)]
@@ -31,43 +31,44 @@
     pub revision: u64,
 }
 
-/// A condition of a transaction: the key was last changed at this revision.
+/// Precondition of a transaction: the key was last changed at this revision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Precondition {
-    /// Key.
+    /// Name of the key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Expected revision of the key's latest change; 0 for a key that doesn't exist.
+    /// Expected revision of the key's latest change; 0 for a key that does not exist.
     #[serde(rename = "stamp")]
     pub mod_revision: u64,
 }
 
-/// A change that a transaction makes.
+/// One change of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged, from = "MutationFields")]
 pub enum Mutation {
     /// Writes a key.
     Put {
-        /// Key.
+        /// Name of the key.
         #[serde(rename = "put")]
         key: String,
-        /// Value.
+        /// Value as JSON text.
         #[serde(rename = "v")]
         value: Json,
-        /// Lease with whose expiry the key is deleted; a key without one stays.
+        /// Lease that the key is attached to: the key is deleted when the lease expires. `None` for a permanent
+        /// key.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
         lease_id: Option<u64>,
     },
     /// Deletes a key.
     Delete {
-        /// Key.
+        /// Name of the key.
         #[serde(rename = "drop")]
         key: String,
     },
 }
 
 impl Mutation {
-    /// Size of the value that it writes, bytes.
+    /// Size of the value that it writes, bytes; 0 for a deletion.
     pub fn value_bytes(&self) -> usize {
         match self {
             Mutation::Put { value, .. } => value.size(),
@@ -76,7 +77,7 @@
     }
 }
 
-/// A mutation as it is read: raw values cannot be read through an untagged enum.
+/// Fields of a [`Mutation`] for deserialization: raw JSON values cannot be deserialized through an untagged enum.
 #[derive(Deserialize)]
 struct MutationFields {
     #[serde(rename = "put", default)]
@@ -102,22 +103,22 @@
     }
 }
 
-/// A compare-and-swap of several keys (`POST /commit`): all mutations are made, at one revision, if every
-/// precondition holds, and none otherwise.
+/// A compare-and-swap of several keys (`POST /commit`). If every precondition holds, all mutations are applied
+/// at one revision; otherwise none is.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Conditions.
+    /// Preconditions, all of which must hold.
     #[serde(rename = "guards")]
     pub preconditions: Vec<Precondition>,
-    /// Changes.
+    /// Mutations, applied together.
     #[serde(rename = "then")]
     pub mutations: Vec<Mutation>,
 }
 
-/// Answer to a transaction, whether it was carried out (200) or a precondition failed (409).
+/// Response to a transaction that was applied (200) or that failed a precondition (409).
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 pub struct CommitResponse {
-    /// Revision of the store: that of the mutations, if the transaction was carried out.
+    /// Revision of the mutations if the transaction was applied, otherwise the current revision of the store.
     #[serde(rename = "ledger", default)]
     pub revision: u64,
 }
@@ -125,29 +126,29 @@
 /// A request for a lease (`POST /leases`).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct LeaseRequest {
-    /// Time after which it expires unless it is renewed, milliseconds.
+    /// Time to live, milliseconds: the lease expires after it unless it is renewed.
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
 }
 
-/// Answer to a [`LeaseRequest`].
+/// Response to a [`LeaseRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub struct GrantedLease {
-    /// The lease.
+    /// Identifier of the granted lease.
     #[serde(rename = "permit")]
     pub lease_id: u64,
 }
 
-/// One change that a watch delivers: of `put` and `drop` exactly one is there.
+/// One change delivered by a watch. Exactly one of `put_key` and `deleted_key` is present.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// Key written.
+    /// Key that was written.
     #[serde(rename = "put", default)]
     pub put_key: Option<String>,
-    /// Key deleted, by a transaction or with its lease.
+    /// Key that was deleted by a transaction or because its lease expired.
     #[serde(rename = "drop", default)]
     pub deleted_key: Option<String>,
-    /// Value written.
+    /// Value that was written; JSON `null` for a deletion.
     #[serde(rename = "v", default)]
     pub value: Json,
     /// Revision of the change.
@@ -155,10 +156,10 @@
     pub mod_revision: u64,
 }
 
-/// What changed after a revision (`GET /watch`).
+/// Changes after a revision (`GET /watch`).
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// Revision up to which this holds every change.
+    /// Revision up to which the response contains every change.
     #[serde(rename = "ledger")]
     pub revision: u64,
     /// Changes, oldest first.
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -1,26 +1,29 @@
-//! The texts of every message, byte by byte: a name that changes in the code must not change on the wire.
+//! Byte-for-byte tests of all messages: renaming an identifier must not change its name on the wire.
 
 use super::*;
 use crate::ranges::RangeSet;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Reads a JSON text and demands that it is written again byte by byte.
-fn written_as_read<T: Serialize + DeserializeOwned>(text: &str) -> T {
-    let value: T = serde_json::from_str(text).expect("a message of PROTOCOL is read");
-    assert_eq!(serde_json::to_string(&value).expect("written"), text);
+/// Parses a JSON text and checks that serializing the result yields the same bytes.
+fn assert_round_trip<T: Serialize + DeserializeOwned>(text: &str) -> T {
+    let value: T = serde_json::from_str(text).expect("message deserializes");
+    assert_eq!(
+        serde_json::to_string(&value).expect("message serializes"),
+        text
+    );
     value
 }
 
-/// The bytes of a message between controllers, those that are no ASCII characters escaped.
+/// The bytes of a message between controllers, with non-ASCII bytes escaped.
 fn named_msgpack(message: &impl Serialize) -> String {
-    let bytes = rmp_serde::to_vec_named(message).expect("written");
+    let bytes = rmp_serde::to_vec_named(message).expect("message serializes");
     bytes.escape_ascii().to_string()
 }
 
 #[test]
-fn users_messages_have_the_names_of_the_protocol() {
-    let spec: JobSpec = written_as_read(concat!(
+fn user_messages_match_the_protocol() {
+    let spec: JobSpec = assert_round_trip(concat!(
         r#"{"route":"train","crew":"vision","shape":"batch","urgency":"best_effort","legs":16,"#,
         r#""vcpus":8.0,"gpus":1.0,"ramGb":64.0,"kit":"img-07","sizeGb":6.2,"frames":["g8"],"yard":"a","#,
         r#""samePlace":true,"spread":false,"loaners":true,"#,
@@ -39,32 +42,32 @@
         (spec.estimate_s, spec.checkpoint_s, spec.save_s),
         (240.0, 30.0, 4.0)
     );
-    // What may be null is left out.
-    written_as_read::<JobSpec>(concat!(
+    // Optional fields are omitted.
+    assert_round_trip::<JobSpec>(concat!(
         r#"{"route":"train","crew":"vision","shape":"batch","urgency":"critical","legs":1,"#,
         r#""vcpus":8.0,"gpus":0.0,"ramGb":64.0,"kit":"img-07","sizeGb":0.0,"#,
         r#""samePlace":false,"spread":true,"loaners":false,"rideS":1.0,"waypointS":0.0,"stowS":0.0}"#
     ));
     let answer: JobAnswer =
-        written_as_read(r#"{"ref":"wk-000412","status":"running","done":3,"running":13}"#);
+        assert_round_trip(r#"{"ref":"wk-000412","status":"running","done":3,"running":13}"#);
     assert_eq!(answer.name, "wk-000412");
-    let answer: JobAnswer = written_as_read(r#"{"ref":"wk-000412","status":"withdrawn"}"#);
+    let answer: JobAnswer = assert_round_trip(r#"{"ref":"wk-000412","status":"withdrawn"}"#);
     assert_eq!(answer.status, JobStatus::Cancelled);
-    written_as_read::<JobAnswer>(r#"{"ref":"wk-000412","status":"pending"}"#);
-    written_as_read::<JobAnswer>(r#"{"ref":"wk-000412","status":"done"}"#);
+    assert_round_trip::<JobAnswer>(r#"{"ref":"wk-000412","status":"pending"}"#);
+    assert_round_trip::<JobAnswer>(r#"{"ref":"wk-000412","status":"done"}"#);
     for priority in [
         r#""critical""#,
         r#""urgent""#,
         r#""normal""#,
         r#""best_effort""#,
     ] {
-        written_as_read::<Priority>(priority);
+        assert_round_trip::<Priority>(priority);
     }
 }
 
 #[test]
-fn workers_messages_have_the_names_of_the_protocol() {
-    let heartbeat: Heartbeat = written_as_read(concat!(
+fn worker_messages_match_the_protocol() {
+    let heartbeat: Heartbeat = assert_round_trip(concat!(
         r#"{"rig":"m-000231","endpoint":"10.1.0.232:9000","frame":"g8","yard":"a","loaners":true,"#,
         r#""shift":1,"tally":88,"baton":41,"recallS":null,"#,
         r#""legs":[{"leg":"wk-000412/3","try":2,"status":"running"},"#,
@@ -83,16 +86,19 @@
         r#"{"rig":"m-1","endpoint":"","frame":"g8","yard":"a","loaners":true,"#,
         r#""shift":1,"tally":1,"baton":0,"recallS":61.5,"legs":[]}"#
     );
-    assert_eq!(written_as_read::<Heartbeat>(noticed).reclaim_s, Some(61.5));
+    assert_eq!(
+        assert_round_trip::<Heartbeat>(noticed).reclaim_s,
+        Some(61.5)
+    );
     for phase in ["fetching", "waiting", "running", "flushing", "ended"] {
-        written_as_read::<TaskPhase>(&format!("\"{phase}\""));
+        assert_round_trip::<TaskPhase>(&format!("\"{phase}\""));
     }
     for reason in ["done", "halted", "error", "full", "in_use", "unknown"] {
-        written_as_read::<ExitReason>(&format!("\"{reason}\""));
+        assert_round_trip::<ExitReason>(&format!("\"{reason}\""));
     }
     let unknown = serde_json::from_str::<TaskPhase>(r#""of a later version""#);
-    assert_eq!(unknown.expect("read"), TaskPhase::Unknown);
-    written_as_read::<HeartbeatAck>(concat!(
+    assert_eq!(unknown.expect("phase deserializes"), TaskPhase::Unknown);
+    assert_round_trip::<HeartbeatAck>(concat!(
         r#"{"baton":41,"orders":[{"verb":"launch","leg":"wk-000412/4","try":2},"#,
         r#"{"verb":"stop","leg":"wk-000377/1","try":1,"leewayS":10.0},"#,
         r#"{"verb":"clear","leg":"wk-000398/0","try":1}]}"#
@@ -100,16 +106,17 @@
 }
 
 #[test]
-fn the_clouds_messages_have_the_names_of_the_protocol() {
-    written_as_read::<Catalog>(concat!(
+fn cloud_messages_match_the_protocol() {
+    assert_round_trip::<Catalog>(concat!(
         r#"{"frames":[{"label":"g8","vcpus":96.0,"gpus":8.0,"ramGb":768.0,"localGb":200.0,"#,
         r#""fetchGbPerS":1.0,"price":12.0,"marketPrice":4.5,"bootS":45.0,"yards":["a","b"]}]}"#
     ));
-    let request: RentRequest =
-        written_as_read(r#"{"booking":"r-17","frame":"g8","yard":"a","loaners":true,"number":12}"#);
+    let request: RentRequest = assert_round_trip(
+        r#"{"booking":"r-17","frame":"g8","yard":"a","loaners":true,"number":12}"#,
+    );
     assert_eq!(request.request_id, "r-17");
-    written_as_read::<MachineNames>(r#"{"rigs":["m-000231","m-000232"]}"#);
-    let page: MachinePage = written_as_read(concat!(
+    assert_round_trip::<MachineNames>(r#"{"rigs":["m-000231","m-000232"]}"#);
+    let page: MachinePage = assert_round_trip(concat!(
         r#"{"rigs":[{"ref":"m-000231","endpoint":"10.1.0.232:9000","frame":"g8","yard":"a","#,
         r#""loaners":true,"status":"running","heldS":61.5}],"hasNext":false}"#
     ));
@@ -117,43 +124,45 @@
 }
 
 #[test]
-fn the_stores_messages_have_the_names_of_the_protocol() {
-    let page: KeyValuePage = written_as_read(
+fn store_messages_match_the_protocol() {
+    let page: KeyValuePage = assert_round_trip(
         r#"{"items":[{"k":"a/b","v":{"x":1},"stamp":412}],"hasNext":true,"ledger":431}"#,
     );
     assert_eq!((page.items[0].mod_revision, page.revision), (412, 431));
-    written_as_read::<Transaction>(concat!(
+    assert_round_trip::<Transaction>(concat!(
         r#"{"guards":[{"k":"a/b","stamp":0}],"#,
         r#""then":[{"put":"a/b","v":{"x":1},"permit":7},{"put":"a/c","v":2},{"drop":"c/d"}]}"#
     ));
-    // A watch is read only, and in it a key that was removed has no value.
+    // Watch responses are only received. A deleted key has no value in them.
     let watched: WatchResponse = serde_json::from_str(concat!(
         r#"{"ledger":433,"news":[{"put":"c/9","v":{"x":1},"stamp":433},"#,
         r#"{"drop":"c/d","stamp":432}]}"#
     ))
-    .expect("read");
+    .expect("response deserializes");
     assert_eq!(
         (watched.revision, watched.events[0].mod_revision),
         (433, 433)
     );
     assert_eq!(watched.events[0].put_key.as_deref(), Some("c/9"));
     assert_eq!(watched.events[1].deleted_key.as_deref(), Some("c/d"));
-    written_as_read::<WatchResponse>(concat!(
+    assert_round_trip::<WatchResponse>(concat!(
         r#"{"ledger":433,"news":[{"put":"c/9","drop":null,"v":{"x":1},"stamp":433},"#,
         r#"{"put":null,"drop":"c/d","v":null,"stamp":432}]}"#
     ));
 }
 
 #[test]
-fn leases_and_commits_have_the_names_of_the_protocol() {
+fn lease_and_commit_messages_match_the_protocol() {
     let request = serde_json::to_string(&LeaseRequest { ttl_ms: 5000 });
-    assert_eq!(request.expect("written"), r#"{"lifeMs":5000}"#);
-    let granted: GrantedLease = serde_json::from_str(r#"{"permit":7}"#).expect("read");
+    assert_eq!(request.expect("request serializes"), r#"{"lifeMs":5000}"#);
+    let granted: GrantedLease =
+        serde_json::from_str(r#"{"permit":7}"#).expect("response deserializes");
     assert_eq!(granted.lease_id, 7);
-    let committed: CommitResponse = serde_json::from_str(r#"{"ledger":432}"#).expect("read");
+    let committed: CommitResponse =
+        serde_json::from_str(r#"{"ledger":432}"#).expect("response deserializes");
     assert_eq!(committed.revision, 432);
     let conflict = r#"{"failed":["a/b"],"ledger":431}"#;
-    let conflict: CommitResponse = serde_json::from_str(conflict).expect("read");
+    let conflict: CommitResponse = serde_json::from_str(conflict).expect("response deserializes");
     assert_eq!(conflict.revision, 431);
 }
 
@@ -215,13 +224,13 @@
 }
 
 #[test]
-fn messages_between_controllers_keep_the_names_that_earlier_versions_read() {
+fn peer_messages_match_earlier_versions() {
     let message = peer_message();
     assert_eq!(named_msgpack(&message), PEER_MESSAGE);
-    let bytes = rmp_serde::to_vec_named(&message).expect("written");
-    let read: PeerMessage = rmp_serde::from_slice(&bytes).expect("read");
+    let bytes = rmp_serde::to_vec_named(&message).expect("message serializes");
+    let read: PeerMessage = rmp_serde::from_slice(&bytes).expect("message deserializes");
     assert_eq!(read, message);
-    // A short message has no machines, and loans are left out where there are none.
+    // A short message contains no machines, and an empty list of loans is omitted.
     let short = PeerMessage {
         fleet: None,
         unowned_machines: Vec::new(),
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,18 +1,18 @@
-//! Messages of users: `PROTOCOL`, "Users -> controller nodes".
+//! Messages of users (`PROTOCOL`, "Users -> controller nodes").
 
 use serde::{Deserialize, Serialize};
 
-/// What a user asks for (`POST /api/jobs`); also the part of a job's stored value that never changes.
+/// Specification of a job (`POST /api/jobs`). It is also the immutable part of a job's stored value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct JobSpec {
-    /// Class of jobs that it belongs to; the settings have a service-level objective for each.
+    /// Job class; the settings define a service-level objective for each class.
     #[serde(rename = "route")]
     pub class: String,
-    /// Team whose quota and limit apply.
+    /// Team whose quota and limit apply to the job.
     #[serde(rename = "crew")]
     pub team: String,
-    /// Kind of job.
+    /// Kind of job; only batch jobs exist.
     #[serde(rename = "shape")]
     pub kind: JobKind,
     /// Priority, which decides about preemption.
@@ -21,15 +21,15 @@
     /// Number of tasks, at most 100,000; tasks are numbered from 0.
     #[serde(rename = "legs")]
     pub task_count: u32,
-    /// CPUs that each task takes of its machine.
+    /// CPUs that each task needs.
     #[serde(rename = "vcpus")]
     pub cpus: f64,
-    /// GPUs that each task takes.
+    /// GPUs that each task needs.
     pub gpus: f64,
-    /// Memory that each task takes, GB.
+    /// Memory that each task needs, GB.
     #[serde(rename = "ramGb")]
     pub memory_gb: f64,
-    /// Image that a machine must have before a task can start.
+    /// Image that must be on the machine before a task can start.
     #[serde(rename = "kit")]
     pub image: String,
     /// Size of the image, GB.
@@ -49,16 +49,16 @@
     /// Whether the job may use spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time without the image fetch, seconds.
+    /// The user's estimate of a task's run time, without the image fetch, seconds.
     #[serde(rename = "rideS")]
     pub estimate_s: f64,
-    /// Progress after which a running task saves a checkpoint, seconds; 0 if the tasks never save.
+    /// Checkpoint interval of a running task, seconds of progress; 0 if the tasks have no checkpoints.
     #[serde(rename = "waypointS")]
     pub checkpoint_s: f64,
-    /// Time that a task needs to save when it is stopped, seconds.
+    /// Time that a task needs to save its progress when it is stopped, seconds.
     #[serde(rename = "stowS")]
     pub save_s: f64,
-    /// Deadline, seconds from the submission; none if absent.
+    /// Deadline, seconds after the submission; no deadline if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub due_s: Option<f64>,
 }
@@ -88,19 +88,19 @@
 /// A submission: a job's name and its specification.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Submission {
-    /// The job's name, chosen by its user. A retry has the same name: the request is idempotent.
+    /// The job's name, chosen by the user. A retry uses the same name, which makes the request idempotent.
     #[serde(rename = "ref")]
     pub name: String,
-    /// What to run.
+    /// Specification of the job.
     #[serde(flatten)]
     pub spec: JobSpec,
-    /// Jobs that must be done before any task of this one starts. Parsed separately, for its errors
+    /// Jobs that must be done before any task of this one starts. Parsed separately, because its errors
     /// differ from those of the other fields.
     #[serde(skip)]
     pub predecessors: Vec<String>,
 }
 
-/// State of a job as users see it.
+/// Job state shown to users.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStatus {
@@ -121,12 +121,12 @@
     /// The job's name.
     #[serde(rename = "ref")]
     pub name: String,
-    /// Its state.
+    /// State of the job.
     pub status: JobStatus,
-    /// Number of tasks done, for display.
+    /// Number of tasks done; for display only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Number of tasks running, for display.
+    /// Number of tasks running; for display only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,4 +1,4 @@
-//! Messages of workers: `PROTOCOL`, "Workers -> controller nodes" and "Controller nodes -> workers".
+//! Messages of workers (`PROTOCOL`, "Workers -> controller nodes" and "Controller nodes -> workers").
 
 use serde::{Deserialize, Serialize};
 
@@ -6,17 +6,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskPhase {
-    /// Waiting for its image.
+    /// Waiting until the machine has its image.
     Fetching,
     /// Waiting for other tasks.
     Waiting,
-    /// Running.
+    /// Running on the machine.
     Running,
-    /// Was told to stop, and is saving a checkpoint.
+    /// Stopping by command and saving a checkpoint.
     Flushing,
     /// Ended; [`TaskStatus::exit_reason`] says why.
     Ended,
-    /// A state that this version does not know; the task counts as being on the machine.
+    /// A state unknown to this version. The task counts as present on the machine.
     #[serde(other)]
     Unknown,
 }
@@ -25,17 +25,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitReason {
-    /// Completed. The result is kept.
+    /// Completed; its result is kept.
     Done,
     /// Stopped by command.
     Halted,
-    /// Failed, mostly because the machine is faulty.
+    /// Failed, usually because of a faulty machine.
     Error,
     /// Start refused: not enough free resources on the machine.
     Full,
-    /// Start refused: the task is on the machine with another attempt.
+    /// Start refused: another attempt of the task is on the machine.
     InUse,
-    /// Start refused: no such job or task. Also any reason that this version does not know.
+    /// Start refused: no such job or task. Also stands for any reason unknown to this version.
     #[serde(other)]
     Unknown,
 }
@@ -43,18 +43,18 @@
 /// A task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// The task as `job/number`.
+    /// Name of the task, `job/number`.
     #[serde(rename = "leg")]
     pub task: String,
-    /// Attempt.
+    /// Attempt number.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// State.
+    /// State of the task.
     pub status: TaskPhase,
-    /// Why it ended; absent until then.
+    /// Why the task ended; absent before.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub exit_reason: Option<ExitReason>,
-    /// Whether a task that was stopped has saved its progress.
+    /// Whether a stopped task has saved its progress.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Heartbeat {
-    /// Machine.
+    /// Name of the machine.
     #[serde(rename = "rig")]
     pub machine: String,
     /// Address of the worker, `host:port`.
@@ -77,20 +77,20 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Epoch of the worker: starts at 1 and increases each time its lease expires.
+    /// Epoch of the worker. It starts at 1 and increases each time the worker's lease expires.
     #[serde(rename = "shift")]
     pub worker_epoch: u64,
-    /// Increases with every message of the worker. Of two messages the one with the larger
-    /// (`worker_epoch`, `sequence`) is the newer.
+    /// Number of the message, which increases with every message of the worker. Messages are ordered by
+    /// (`worker_epoch`, `sequence`).
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// Highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Seconds until the cloud takes the machine away; absent without a spot notice.
+    /// Seconds until the cloud reclaims the spot machine; absent without a reclaim notice.
     #[serde(rename = "recallS", default)]
     pub reclaim_s: Option<f64>,
-    /// All tasks on the machine, including ended ones until they are cleared.
+    /// All tasks on the machine, including ended ones that have not been cleared.
     #[serde(rename = "legs")]
     pub tasks: Vec<TaskStatus>,
 }
@@ -99,34 +99,34 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
 pub enum Command {
-    /// Start a task. Without effect on a worker that has this attempt already, in whatever state.
+    /// Start a task. Has no effect on a worker that already has this attempt in any state.
     Launch {
-        /// The task as `job/number`.
+        /// Name of the task, `job/number`.
         #[serde(rename = "leg")]
         task: String,
-        /// Attempt.
+        /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
     },
     /// Stop a task.
     Stop {
-        /// The task as `job/number`.
+        /// Name of the task, `job/number`.
         #[serde(rename = "leg")]
         task: String,
-        /// Attempt.
+        /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time that it has for saving, seconds.
+        /// Time that the task has to save its progress, seconds.
         #[serde(rename = "leewayS")]
         grace_s: f64,
     },
-    /// Remove an ended task from the heartbeats. The worker forgets the attempt: a late `Launch` of it
-    /// would start it once more.
+    /// Remove an ended task from the heartbeats. The worker forgets the attempt, so a delayed `Launch` would
+    /// start it again.
     Clear {
-        /// The task as `job/number`.
+        /// Name of the task, `job/number`.
         #[serde(rename = "leg")]
         task: String,
-        /// Attempt.
+        /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -135,11 +135,11 @@
 /// Answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatAck {
-    /// The sender's fencing token. A worker drops an answer whose token is lower than the highest that
-    /// it has seen; such an answer doesn't renew its lease either.
+    /// The sender's fencing token. A worker ignores an answer whose token is lower than the highest one that
+    /// it has seen; such an answer does not renew its lease either.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Commands, in the order in which they are to be executed.
+    /// Commands in execution order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
--- a/src/records/block.rs
+++ b/src/records/block.rs
@@ -1,4 +1,4 @@
-//! The value of a block: its machines with their queues, and what was done on them.
+//! The value of a block: its machines, their queues, and the tasks done on them.
 
 use super::Encoding;
 use crate::ranges::RangeSet;
@@ -7,43 +7,43 @@
 /// Tasks of one job and one attempt in a machine's queue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredBinding {
-    /// The job: place in the block's table of jobs.
+    /// Index of the job in the block's table of jobs.
     pub job: usize,
-    /// The tasks.
+    /// Numbers of the tasks.
     pub tasks: RangeSet,
-    /// The attempt, less the block's [`first_attempt`](BlockRecord::first_attempt).
+    /// Attempt, relative to the block's [`first_attempt`](BlockRecord::first_attempt).
     pub attempt: u64,
 }
 
-/// A kind of machine: type, zone, whether it is a spot machine.
+/// A kind of machine: machine type, zone, and whether it is a spot machine.
 pub type MachineKind = (String, String, bool);
 
 /// A machine of a block with its queue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineRecord {
-    /// Its kind: place in the block's table of kinds.
+    /// Index of its kind in the block's table of kinds.
     pub kind: usize,
-    /// Whether it is being given back: nothing new is bound to it.
+    /// Whether it is being drained before it is returned: no new tasks are bound to it.
     pub cordoned: bool,
-    /// Bound tasks, in order.
+    /// Bound tasks, in execution order.
     pub queue: Vec<StoredBinding>,
-    /// Those of them that are to be stopped to make room.
+    /// Bound tasks to be stopped to free resources for other work.
     pub preempted: Vec<StoredBinding>,
 }
 
 /// A block of machines.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct BlockRecord {
-    /// Kinds of machines.
+    /// Table of machine kinds.
     pub kinds: Vec<MachineKind>,
-    /// Jobs.
+    /// Table of job names.
     pub jobs: Vec<String>,
-    /// What is added to each attempt.
+    /// Base that is added to each stored attempt.
     pub first_attempt: u64,
     /// Machines by name.
     pub machines: BTreeMap<String, MachineRecord>,
-    /// Tasks that were done here and that their jobs' own keys need not show yet, by the job's place.
+    /// Tasks done in this block, by the job's index in the table; the jobs' own keys may not list them yet.
     pub done: Vec<(usize, RangeSet)>,
-    /// How it is written.
+    /// Encoding in which the block is written. It is not stored, and values of either encoding are read.
     pub encoding: Encoding,
 }
--- a/src/records/block_text.rs
+++ b/src/records/block_text.rs
@@ -1,32 +1,33 @@
-//! How a block's value is written.
+//! Text encoding of a block's value.
 //!
-//! It has to hold the queues of many machines within a few KiB, so it is written densely: names
-//! front-coded, numbers in base 36, each machine a short text.
+//! A value holds the queues of many machines within a few KiB. Names are therefore front-coded, numbers are
+//! written in base 36, and each machine is a short text.
 
 use super::names::{NameWriter, read_name, read_names, split_nonempty, write_names};
 use super::{BlockRecord, Encoding, MachineKind, MachineRecord, MalformedText, StoredBinding};
 use crate::ranges::{RangeSet, write_number};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
 
-/// Base of the numbers, but for the kind of a machine, which is decimal.
+/// Base of all numbers except the kind of a machine, which is decimal.
 const BASE: u32 = 36;
 
-/// A block's value as it is written. Machines are separated by `;`: `8m-000231 0 3:0-3@c 5:7@e !
-/// 5:7@e` is a machine whose name shares 8 characters with the one before; it is of kind 0, and its
-/// queue lists tasks 0 to 3 of job 3 as attempt 12 and task 7 of job 5 as attempt 14, the latter to
-/// be stopped. An `x` after the kind means that the machine is being given back.
+/// Serialized form of a block. Machines are separated by `;`: `8m-000231 0 3:0-3@c 5:7@e ! 5:7@e` is a
+/// machine whose name shares 8 characters with the previous one. It is of kind 0, and its queue lists
+/// tasks 0 to 3 of job 3 as attempt 12 and task 7 of job 5 as attempt 14, of which the latter is to be
+/// stopped. An `x` after the kind marks a machine that is being drained.
 ///
-/// Kinds are listed whole, or densely: `0.2 1.2s` are a machine of the type first in the names and the
-/// zone third there, and a spot machine of the second type in the same zone.
+/// Kinds are written in full or densely. In the dense form, `0.2 1.2s` stands for a machine with the first
+/// name as its type and the third name as its zone, and a spot machine with the second name as its type in
+/// the same zone.
 #[derive(Serialize, Deserialize)]
 struct PackedBlock {
-    /// Kinds, unless they are written densely.
+    /// Kinds in full; absent in the dense encoding.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     plain_kinds: Option<Vec<MachineKind>>,
-    /// Names of machine types and zones.
+    /// Names of machine types and zones, for the dense encoding.
     #[serde(rename = "n", default, skip_serializing_if = "String::is_empty")]
     kind_names: String,
-    /// Kinds by the places of their type and zone in those names.
+    /// Kinds in the dense encoding: indices of their type and zone in `kind_names`.
     #[serde(rename = "c", default, skip_serializing_if = "String::is_empty")]
     dense_kinds: String,
     /// Names of the jobs.
@@ -36,7 +37,7 @@
     first_attempt: u64,
     #[serde(rename = "m", default)]
     machines: String,
-    /// Done tasks by job.
+    /// Done tasks by index of the job.
     #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
     done: String,
 }
@@ -182,14 +183,14 @@
     out
 }
 
-/// Writes tasks of the job at this place in the block's table.
+/// Writes tasks of the job at this index of the block's table.
 fn write_tasks(job: usize, tasks: &RangeSet, out: &mut String) {
     write_number(job as u64, BASE, out);
     out.push(':');
     tasks.write(BASE, out);
 }
 
-/// Reads what [`write_tasks`] wrote.
+/// Parses the output of [`write_tasks`].
 fn read_tasks(text: &str) -> Option<(usize, RangeSet)> {
     let (job, tasks) = text.split_once(':')?;
     let tasks = RangeSet::read(tasks, BASE).ok()?;
@@ -200,10 +201,10 @@
     u64::from_str_radix(text, BASE).ok()
 }
 
-/// Writes kinds densely: the names of types and zones, and the kinds by their places there.
+/// Writes kinds densely: the names of types and zones, and the kinds as indices into these names.
 fn write_kinds(kinds: &[MachineKind]) -> (String, String) {
     let mut names: Vec<String> = Vec::new();
-    let mut place = |name: &String| match names.iter().position(|listed| listed == name) {
+    let mut index_of = |name: &String| match names.iter().position(|listed| listed == name) {
         Some(at) => at,
         None => {
             names.push(name.clone());
@@ -215,9 +216,9 @@
         if !text.is_empty() {
             text.push(' ');
         }
-        write_number(place(machine_type) as u64, BASE, &mut text);
+        write_number(index_of(machine_type) as u64, BASE, &mut text);
         text.push('.');
-        write_number(place(zone) as u64, BASE, &mut text);
+        write_number(index_of(zone) as u64, BASE, &mut text);
         if *spot {
             text.push('s');
         }
@@ -225,10 +226,10 @@
     (write_names(&names), text)
 }
 
-/// Reads what [`write_kinds`] wrote.
+/// Parses the output of [`write_kinds`].
 fn read_kinds(names: &str, kinds: &str) -> Result<Vec<MachineKind>, MalformedText> {
     let names = read_names(names)?;
-    let name = |place: &str| names.get(read_number(place)? as usize).cloned();
+    let name = |index: &str| names.get(read_number(index)? as usize).cloned();
     let read = |text: &str| {
         let (machine_type, zone) = text.split_once('.')?;
         let spot_zone = zone.strip_suffix('s');
--- a/src/records/controller.rs
+++ b/src/records/controller.rs
@@ -1,28 +1,28 @@
-//! Values that controllers write of themselves: who leads or holds what, who is alive, and the load of its
-//! machines.
+//! Values that controllers write about themselves: leadership and grants, liveness, and queue totals.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Queue totals of a controller's machines, for PackStealLB's mean load and its choice of targets.
-/// Machines in between are counted only, so that the value stays small however many there are.
+/// Queue totals of a controller's machines, from which PackStealLB computes the mean load and chooses its
+/// targets. Only the most and the least loaded machines are listed, so that the size of the value does not
+/// grow with the number of machines.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadRecord {
-    /// Number of machines.
+    /// Number of all machines, listed or not.
     #[serde(rename = "n")]
     pub count: usize,
-    /// Sum of their loads, seconds of work per CPU.
+    /// Sum of the loads of all machines, seconds of work per CPU.
     #[serde(rename = "s")]
     pub sum: f64,
-    /// Loads of the heaviest and the lightest of them.
+    /// Loads of the most and the least loaded machines, seconds of work per CPU.
     #[serde(rename = "m")]
     pub machines: BTreeMap<String, f64>,
 }
 
-/// Who leads, or who holds a block. The key's revision is the term, or the fencing token.
+/// The leader, or the holder of a block. The key's revision is the term or the fencing token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderRecord {
-    /// Controller.
+    /// Name of the controller.
     #[serde(rename = "h")]
     pub controller: String,
     /// Its incarnation.
@@ -30,16 +30,16 @@
     pub incarnation: u64,
 }
 
-/// A live controller; the key is deleted with its lease.
+/// A live controller. The store deletes the key when the lease expires.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControllerRecord {
     /// Its incarnation.
     #[serde(rename = "b")]
     pub incarnation: u64,
-    /// Its lease.
+    /// Identifier of the lease that the key is attached to.
     #[serde(rename = "l")]
     pub lease: u64,
-    /// Format of stored values that it writes and reads; 0 of a version that does not say.
+    /// Newest format of stored values that it supports; 0 if its version does not state one.
     #[serde(rename = "v", default)]
     pub format: u32,
 }
--- a/src/records/job.rs
+++ b/src/records/job.rs
@@ -1,16 +1,16 @@
-//! Values of jobs, those that wait for others included.
+//! Values of ordinary jobs and of jobs that wait for predecessors.
 
 use super::{Encoding, NameList, Transfer};
 use crate::protocol::{JobSpec, JobStatus, Json};
 use crate::ranges::RangeSet;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The done tasks of a job, as its value has them.
+/// The done tasks of a job, with the encoding in which they are written.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DoneTasks {
-    /// The tasks.
+    /// Numbers of the done tasks.
     pub tasks: RangeSet,
-    /// How they are written.
+    /// Encoding used for writing; either one is read.
     pub encoding: Encoding,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// The value of a job that need not wait for others.
+/// The value of a job that does not wait for predecessors.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
     /// Specification.
@@ -43,28 +43,28 @@
     /// Tasks done.
     #[serde(rename = "d")]
     pub done: DoneTasks,
-    /// Time of day of the submission, milliseconds since the epoch.
+    /// Wall-clock time of the submission, milliseconds since the Unix epoch.
     #[serde(rename = "t")]
     pub submitted_ms: u64,
-    /// Time of day, milliseconds since the epoch, at which the last job that this one depends on was done.
-    /// Absent for a job that waited for none; the version before format 2 does not know it and may drop it.
+    /// Wall-clock time at which the last predecessor was done, milliseconds since the Unix epoch. Absent for a
+    /// job without predecessors. Versions before format 2 do not know the field and may drop it.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
     pub ready_ms: Option<u64>,
-    /// Its transfer between cells. Never there before [`SPILLOVER_FORMAT`](super::SPILLOVER_FORMAT) is recorded.
+    /// Its transfer between cells. Never set before [`SPILLOVER_FORMAT`](super::SPILLOVER_FORMAT) is recorded.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub transfer: Option<Box<Transfer>>,
 }
 
 impl JobRecord {
-    /// Shortens the value of a job that is over to `max_bytes`, as far as that is possible.
+    /// Shortens the value of a job in a final state to `max_bytes`, as far as possible.
     ///
-    /// Guards against a cancellation, a completion or an archiving that the store refuses because an
-    /// earlier, higher limit allowed a larger value. Where such a job may run is of no use any more, and
-    /// which of its tasks were done is for display only.
+    /// The limit may have been higher when the job was accepted. Without shortening, the store would refuse to
+    /// cancel, complete or archive a job with a larger value. The placement constraints of such a job are no
+    /// longer needed, and its done tasks are only displayed.
     pub fn shorten(&mut self, max_bytes: usize) {
-        let over = self.status != JobStatus::Pending;
+        let is_final = self.status != JobStatus::Pending;
         let too_large = |record: &Self| Json::of(record).size() > max_bytes;
-        if !over || !too_large(self) {
+        if !is_final || !too_large(self) {
             return;
         }
         if self.status == JobStatus::Cancelled {
@@ -76,24 +76,24 @@
     }
 }
 
-/// A job that waits until other jobs are done. It stands under a key of its own, which the version
-/// before format 2 does not read, and becomes an ordinary [`JobRecord`] once it is ready.
+/// The value of a job that waits until its predecessors are done. It is stored under a separate prefix, which
+/// versions before format 2 do not read, and is replaced by an ordinary [`JobRecord`] once the job is ready.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WaitingRecord {
     /// Specification.
     #[serde(rename = "s")]
     pub spec: JobSpec,
-    /// State: pending or cancelled. A job is cancelled too when one that it depends on is.
+    /// State: pending or cancelled. A job is also cancelled if one that it depends on is.
     #[serde(rename = "st")]
     pub status: JobStatus,
-    /// Time of day of the submission, milliseconds since the epoch.
+    /// Wall-clock time of the submission, milliseconds since the Unix epoch.
     #[serde(rename = "t")]
     pub submitted_ms: u64,
-    /// The jobs that it depends on and that were not done when it was submitted.
+    /// Its predecessors that were not done when it was submitted.
     #[serde(rename = "n")]
     pub predecessors: NameList,
-    /// Whether more of them are to be added before the job is accepted. Never true before
-    /// [`DENSE_FORMAT`](super::DENSE_FORMAT) is recorded, for versions before it do not know this.
+    /// Whether more predecessors are to be added before the job is accepted. Never true before
+    /// [`DENSE_FORMAT`](super::DENSE_FORMAT) is recorded, because earlier versions do not know this field.
     #[serde(rename = "i", default, skip_serializing_if = "std::ops::Not::not")]
     pub incomplete: bool,
 }
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -1,8 +1,8 @@
-//! Values kept in the key-value store, as they are written.
+//! Records stored in the key-value store, with their serialized form.
 //!
-//! One file for each kind of record. Fields have one-letter names in the store, for a value has room for a
-//! few KiB only, and are whole names here. Every version's values are read; what may be written is
-//! decided by the recorded [format](FormatRecord). Nothing here knows keys or revisions.
+//! Each kind of record has its own file. Fields have one-letter names in the store because a value is limited
+//! to a few KiB. Values of every version can be read; the recorded [format](FormatRecord) decides which forms
+//! may be written. This module does not depend on keys or revisions.
 
 mod block;
 mod block_text;
--- a/src/records/names.rs
+++ b/src/records/names.rs
@@ -1,31 +1,31 @@
-//! Lists of names as text, front-coded: what a name shares with the one before is a single digit.
+//! Front-coded text form of lists of names: the length of the prefix shared with the previous name is one digit.
 
 use crate::ranges::write_number;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
 
-/// Most characters that a name may share with the one before: one digit of base 36.
+/// Maximum length of the prefix shared with the previous name, bytes: the largest digit in base 36.
 const MAX_SHARED_CHARACTERS: usize = 35;
-/// Characters of a malformed text that an error shows.
+/// Maximum number of characters of a malformed text that an error shows.
 const MAX_SHOWN_CHARACTERS: usize = 60;
 
-/// Text that is no part of a stored value.
+/// Error for text that cannot be parsed as part of a stored value.
 #[derive(Debug, thiserror::Error)]
 #[error("not a stored value: {0:?}")]
 pub struct MalformedText(String);
 
 impl MalformedText {
-    /// The error for this text, which is shown in part.
+    /// The error for this text, which is truncated.
     pub(super) fn of(text: &str) -> Self {
         Self(text.chars().take(MAX_SHOWN_CHARACTERS).collect())
     }
 }
 
-/// Names in ascending order, each once.
+/// Distinct names in ascending order.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct NameList(Vec<String>);
 
 impl NameList {
-    /// The names.
+    /// The names in ascending order, without duplicates.
     pub fn names(&self) -> &[String] {
         &self.0
     }
@@ -53,7 +53,7 @@
     }
 }
 
-/// Writes names without what they share with the one before.
+/// Writes names without the prefix that each shares with the previous one.
 #[derive(Default)]
 pub(super) struct NameWriter<'a> {
     previous: &'a str,
@@ -69,7 +69,7 @@
         }
         write_number(shared as u64, 36, out);
         for character in name[shared..].chars() {
-            // What separates names and numbers cannot stand in a name.
+            // Separators, and the escape character itself, are escaped.
             match character {
                 ' ' => out.push_str("%20"),
                 ';' => out.push_str("%3b"),
@@ -81,7 +81,7 @@
     }
 }
 
-/// Reads a name after the one before.
+/// Parses a name, given the previous one.
 pub(super) fn read_name(previous: &str, text: &str) -> Option<String> {
     let shared = text.chars().next()?.to_digit(36)? as usize;
     let rest = text[1..].replace("%20", " ").replace("%3b", ";");
@@ -89,7 +89,7 @@
     Some(format!("{shared}{}", rest.replace("%25", "%")))
 }
 
-/// Writes a list of names, separated by spaces.
+/// Writes a front-coded list of names, separated by spaces.
 pub(super) fn write_names(list: &[String]) -> String {
     let mut out = String::new();
     let mut names = NameWriter::default();
@@ -102,7 +102,7 @@
     out
 }
 
-/// Reads what [`write_names`] wrote.
+/// Parses the output of [`write_names`].
 pub(super) fn read_names(text: &str) -> Result<Vec<String>, MalformedText> {
     let mut names: Vec<String> = Vec::new();
     for part in split_nonempty(text, ' ') {
@@ -113,7 +113,7 @@
     Ok(names)
 }
 
-/// The parts of a text; none of an empty one.
+/// Splits a text at a separator. An empty text has no parts.
 pub(super) fn split_nonempty(text: &str, separator: char) -> impl Iterator<Item = &str> {
     let whole = (!text.is_empty()).then_some(text);
     whole
--- a/src/records/tests.rs
+++ b/src/records/tests.rs
@@ -1,11 +1,11 @@
-//! Unit tests of `records`.
+//! Unit tests of stored records.
 
 use super::*;
 
 fn machine(kind: usize, queue: &[(usize, &str, u64)]) -> MachineRecord {
     let binding = |&(job, tasks, attempt): &(usize, &str, u64)| StoredBinding {
         job,
-        tasks: tasks.parse().expect("good"),
+        tasks: tasks.parse().expect("valid ranges"),
         attempt,
     };
     MachineRecord {
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_block_reads_back_as_it_was_written() {
+fn block_round_trips() {
     let mut block = BlockRecord {
         kinds: vec![("big".into(), "north hall".into(), true)],
         jobs: vec!["wk-000412".into(), "wk-000398".into(), "wk-7".into()],
@@ -29,32 +29,34 @@
     leaving.preempted = leaving.queue[..1].to_vec();
     block.machines.insert("m-000231".into(), leaving);
     block.machines.insert("m-000240".into(), machine(11, &[]));
-    for odd in ["m 1;x%20 ", "m-é1", "m-è2", ""] {
+    for unusual_name in ["m 1;x%20 ", "m-é1", "m-è2", ""] {
         block
             .machines
-            .insert(odd.into(), machine(0, &[(1, "7", 1)]));
+            .insert(unusual_name.into(), machine(0, &[(1, "7", 1)]));
     }
-    block.done.push((1, "0-40,50".parse().expect("good")));
-    let text = serde_json::to_string(&block).expect("json");
+    block
+        .done
+        .push((1, "0-40,50".parse().expect("valid ranges")));
+    let text = serde_json::to_string(&block).expect("block serializes");
     assert!(
         text.contains(" 0x 0:0-3,9@0 2:255r@14 ! 0:0-3,9@0;640 11;"),
         "{text}"
     );
     assert!(text.contains("0wk-000412 6398 37"), "{text}");
     assert_eq!(
-        serde_json::from_str::<BlockRecord>(&text).expect("good"),
+        serde_json::from_str::<BlockRecord>(&text).expect("block deserializes"),
         block
     );
     let empty = BlockRecord::default();
-    let text = serde_json::to_string(&empty).expect("json");
+    let text = serde_json::to_string(&empty).expect("block serializes");
     assert_eq!(
-        serde_json::from_str::<BlockRecord>(&text).expect("good"),
+        serde_json::from_str::<BlockRecord>(&text).expect("block deserializes"),
         empty
     );
 }
 
 #[test]
-fn what_is_no_block_is_refused() {
+fn malformed_blocks_are_rejected() {
     for text in [
         "0a",
         "0a ",
--- a/src/records/transfer.rs
+++ b/src/records/transfer.rs
@@ -1,61 +1,62 @@
 //! The part of a job's value that records its transfer between cells.
 //!
-//! A lent job stays under its own key, so that every precondition of a submission, a cancellation or
-//! a completion still meets it there. Its stored specification permits no machine type: whoever reads the
-//! value, in whatever version, binds none of its tasks.
+//! A lent job keeps its own key, so that the preconditions of submissions, cancellations and completions still
+//! apply to it. Its stored specification permits no machine type, so that no controller of any version binds
+//! its tasks.
 
 use super::{DoneTasks, JobRecord};
 use quillbend_spillover::message::TransferToken;
 use quillbend_spillover::terms::LoanTerms;
 use serde::{Deserialize, Serialize};
 
-/// How a job takes part in a transfer.
+/// Role of a job in a transfer between cells.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Transfer {
-    /// Accepted here, and lent to another cell.
+    /// Accepted by this cell and lent to another one.
     #[serde(rename = "l")]
     Lent(LentTo),
-    /// Accepted by another cell, and run here.
+    /// Accepted by another cell and run by this one.
     #[serde(rename = "b")]
     Borrowed(BorrowedFrom),
 }
 
-/// What the origin keeps of a loan.
+/// Loan as recorded by the lender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LentTo {
-    /// The borrowing cell.
+    /// Name of the borrowing cell.
     #[serde(rename = "c")]
     pub cell: String,
-    /// The fencing token.
+    /// Fencing token of the transfer.
     #[serde(rename = "k")]
     pub token: TransferToken,
-    /// The times of the loan.
+    /// Lease durations that the lender set for the loan.
     #[serde(rename = "t")]
     pub terms: LoanTerms,
-    /// The machine types that the job permits.
+    /// Machine types that the job permits, restored when the loan ends; `None` for any.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub machine_types: Option<Vec<String>>,
-    /// Whether it was recalled: the loan is over for the origin, but the job may still run there.
+    /// Whether the lender has recalled the job. The loan is then over for the lender, but the borrower may
+    /// still run the job.
     #[serde(rename = "r", default, skip_serializing_if = "std::ops::Not::not")]
     pub recalled: bool,
 }
 
-/// What a borrower keeps of a loan.
+/// Loan as recorded by the borrower.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BorrowedFrom {
-    /// The cell that accepted the job.
+    /// Name of the cell that accepted the job.
     #[serde(rename = "c")]
     pub cell: String,
-    /// The fencing token.
+    /// Fencing token of the transfer.
     #[serde(rename = "k")]
     pub token: TransferToken,
-    /// How long a confirmation counts, milliseconds.
+    /// Time for which a confirmation is valid, milliseconds.
     #[serde(rename = "l")]
     pub lease_ms: u64,
 }
 
 impl JobRecord {
-    /// Marks the job as lent.
+    /// Marks the job as lent. Its stored specification then permits no machine type.
     pub fn mark_lent(&mut self, cell: &str, token: TransferToken, terms: LoanTerms) {
         let machine_types = self.spec.machine_types.replace(Vec::new());
         self.transfer = Some(Box::new(Transfer::Lent(LentTo {
@@ -67,7 +68,8 @@
         })));
     }
 
-    /// Makes a lent job an ordinary one again, of which these tasks are done. No effect on any other job.
+    /// Turns a lent job into an ordinary one with these done tasks. A borrowed job only loses its transfer; a
+    /// job without a transfer does not change.
     pub fn return_loan(&mut self, done: DoneTasks) {
         let Some(transfer) = self.transfer.take() else {
             return;
@@ -78,7 +80,7 @@
         }
     }
 
-    /// The mark of a loan that this cell has borrowed.
+    /// The loan from another cell, if the job is borrowed.
     pub fn borrowed_from(&self) -> Option<&BorrowedFrom> {
         match self.transfer.as_deref() {
             Some(Transfer::Borrowed(mark)) => Some(mark),
--- a/src/replica/apply.rs
+++ b/src/replica/apply.rs
@@ -1,4 +1,4 @@
-//! How full reads, watches and own commits enter the replica, key by key.
+//! Applies full reads, watch events and own commits to the replica, key by key.
 
 use super::keys::WatchedKey;
 use super::{
@@ -12,11 +12,11 @@
 impl Replica {
     /// Applies a full read of the watched keys that began at this revision.
     ///
-    /// Guards against a read that was under way while this controller wrote: what it wrote is newer,
-    /// and without it a task that had just been bound would count as unbound.
+    /// Own writes that succeeded while the read was in progress are newer and are kept. Otherwise a task
+    /// that was just bound would count as unbound.
     pub fn apply_full_read(&mut self, items: Vec<KeyValue>, revision: u64) {
         let mut read: HashSet<String> = HashSet::default();
-        // Jobs come first, for blocks refer to them.
+        // Jobs are applied first because blocks refer to them.
         let is_job = |item: &KeyValue| matches!(WatchedKey::parse(&item.key), WatchedKey::Job(_));
         let (jobs, others): (Vec<KeyValue>, Vec<KeyValue>) = items.into_iter().partition(is_job);
         for item in jobs.into_iter().chain(others) {
@@ -25,7 +25,7 @@
             }
             read.insert(item.key);
         }
-        // What the replica held and the read doesn't show was deleted meanwhile.
+        // Keys that the replica holds and the read does not contain have been deleted.
         let held = self.held_keys();
         for key in held.into_iter().filter(|key| !read.contains(key)) {
             if self.mod_revision(&key) <= revision {
@@ -36,7 +36,7 @@
         self.synced = true;
     }
 
-    /// The keys of the replica that have a revision here.
+    /// The keys whose revisions the replica keeps.
     fn held_keys(&self) -> Vec<String> {
         let (hosts, jobs) = (&self.names.controllers, &self.names.jobs);
         let mut held: Vec<String> = Vec::new();
@@ -51,14 +51,14 @@
         held
     }
 
-    /// Applies what a watch delivered: every change up to this revision.
+    /// Applies the response of a watch, which contains every change up to this revision.
     pub fn apply_watch_events(&mut self, events: Vec<WatchEvent>, revision: u64) {
-        // Everything up to here is applied: events that come twice, or after newer ones, bring back
-        // nothing that was deleted since.
+        // Events up to this revision have been applied. Duplicate and late events are skipped, so that
+        // they do not restore keys that have been deleted since.
         let applied = self.revision;
         let unapplied = |event: &WatchEvent| event.mod_revision > applied;
         for event in events.into_iter().filter(unapplied) {
-            // Own commits may be applied already; a repeat of them must not undo what followed.
+            // Own commits may have been applied already. Applying them again must not undo later changes.
             if let Some(key) = event.put_key {
                 if event.mod_revision > self.mod_revision(&key) {
                     self.put(&key, &event.value, event.mod_revision);
@@ -73,16 +73,16 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Applies an own commit that was answered with this revision.
+    /// Applies an own commit that succeeded at this revision.
     pub fn apply_own_commit(&mut self, transaction: &Transaction, revision: u64) {
         self.own_revision = self.own_revision.max(revision);
-        // The watch may have overtaken the answer; then it has brought this and maybe more.
+        // The watch may have delivered this commit, and later changes, before its response arrived.
         if revision <= self.revision {
             return;
         }
         for mutation in &transaction.mutations {
             let (Mutation::Put { key, .. } | Mutation::Delete { key }) = mutation;
-            // Answers may come in another order than the changes were made.
+            // Responses may arrive in a different order than the commits were made.
             if self.mod_revision(key) >= revision {
                 continue;
             }
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Revision of a key's latest change as the replica knows it; 0 if the key is absent, or of a kind whose
-    /// revisions are not kept.
+    /// Revision of a key's latest change known to the replica; 0 if the key is absent or the replica does not
+    /// keep revisions for its kind.
     pub fn mod_revision(&self, key: &str) -> u64 {
         let revision = match WatchedKey::parse(key) {
             WatchedKey::Leader => self.leader.map(|leader| leader.mod_revision),
@@ -123,7 +123,7 @@
         revision.unwrap_or(0)
     }
 
-    /// Applies a key's new value, or notes that it cannot be read.
+    /// Applies a key's new value, or records that it cannot be decoded.
     fn put(&mut self, key: &str, value: &Json, mod_revision: u64) {
         let watched = WatchedKey::parse(key);
         match self.put_value(watched, value, mod_revision) {
@@ -132,7 +132,7 @@
             }
             Err(error) => {
                 if self.unreadable.insert(key.to_owned()) {
-                    tracing::error!(key, mod_revision, %error, "stored value cannot be read");
+                    tracing::error!(key, mod_revision, %error, "failed to decode a stored value");
                 }
             }
         }
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Applies a value; nothing changes if it cannot be read.
+    /// Applies a value. Nothing changes if it cannot be decoded.
     fn put_value(
         &mut self,
         key: WatchedKey<'_>,
--- a/src/replica/block_values.rs
+++ b/src/replica/block_values.rs
@@ -1,7 +1,7 @@
-//! Block values: what the key of a block is to have, and how its tables are read.
+//! Conversion between blocks of the replica and their stored values.
 //!
-//! In a value, jobs and kinds of machines are indices in tables, and attempts are what they exceed the
-//! lowest one by.
+//! A stored value refers to jobs and kinds of machines by their index in tables, and stores attempts
+//! relative to the lowest one.
 
 use super::{Binding, BlockEdit, NameTables, Replica, TaskId};
 use crate::collections::HashMap;
@@ -10,7 +10,7 @@
 use crate::ranges::RangeSet;
 use crate::records::{BlockRecord, MachineRecord, StoredBinding};
 
-/// A kind of machine: type, zone, whether it is a spot machine.
+/// A kind of machine: machine type, zone, and whether it is a spot machine.
 type Kind = (MachineTypeId, ZoneId, bool);
 
 /// The tables of a block's value, with names mapped to indices.
@@ -46,7 +46,7 @@
         self.kinds.get(place).copied()
     }
 
-    /// The bindings that [`group_bindings`] made into runs; those of jobs that are not in the table are left out.
+    /// Expands the runs that [`group_bindings`] made. Runs of jobs missing from the table are skipped.
     pub(super) fn bindings(&self, stored: &[StoredBinding]) -> Vec<Binding> {
         let mut bindings = Vec::new();
         for run in stored {
@@ -64,8 +64,8 @@
 }
 
 impl Replica {
-    /// The value that a block's key is to have. What the jobs' own keys show already, or need no
-    /// more, is left out.
+    /// The value to store for an edited block. Done tasks that the jobs' own keys already list, or that are
+    /// no longer needed, are left out.
     pub fn block_record(&self, edit: &BlockEdit) -> BlockRecord {
         let queued = || edit.machines.values().flat_map(|machine| &machine.queue);
         let attempts = queued().map(|binding| binding.attempt);
@@ -104,10 +104,9 @@
         record
     }
 
-    /// The done tasks that a block has to list.
+    /// The done tasks that a block has to list: those of pending jobs that the jobs' own keys do not list.
     ///
-    /// A job is pending until its key says otherwise, and gone once it is archived: by then nobody asks
-    /// for its tasks any more. Both last for ever.
+    /// The tasks of a job that is in a final state or archived are no longer needed. Neither can be undone.
     fn unrecorded_done(&self, edit: &BlockEdit) -> Vec<(JobId, RangeSet)> {
         let unrecorded = |(job_id, tasks): &(JobId, RangeSet)| {
             let job = self.jobs.get(job_id)?;
@@ -119,8 +118,8 @@
         edit.done.iter().filter_map(unrecorded).collect()
     }
 
-    /// A table of these jobs in the order of their names, which then have most in common with the one
-    /// before.
+    /// A table of these jobs in the order of their names, which maximizes the prefixes shared by consecutive
+    /// names.
     fn job_table(&self, listed: impl Iterator<Item = JobId>) -> KeyTable<JobId> {
         let mut listed: Vec<JobId> = listed.collect();
         listed.sort_unstable();
@@ -134,7 +133,7 @@
     }
 }
 
-/// The keys of a table of a block's value, in the order in which they were first asked for.
+/// Keys of a table in a block's value, in order of first use.
 struct KeyTable<K> {
     indices: HashMap<K, usize>,
     keys: Vec<K>,
@@ -150,7 +149,7 @@
 }
 
 impl<K: Copy + Eq + std::hash::Hash> KeyTable<K> {
-    /// The place of a key, which is added if it has none.
+    /// The index of a key, which is appended if it is missing.
     fn index_of(&mut self, key: K) -> usize {
         *self.indices.entry(key).or_insert_with(|| {
             self.keys.push(key);
@@ -158,13 +157,13 @@
         })
     }
 
-    /// The keys by place, each named.
+    /// The names of all keys, by index.
     fn keys<T>(&self, name: impl Fn(&K) -> T) -> Vec<T> {
         self.keys.iter().map(name).collect()
     }
 }
 
-/// Bindings as they are stored: runs of tasks by job and attempt.
+/// Groups bindings into stored runs of tasks with the same job and attempt.
 fn group_bindings(
     bindings: &[Binding],
     first_attempt: u64,
--- a/src/replica/blocks.rs
+++ b/src/replica/blocks.rs
@@ -1,4 +1,4 @@
-//! Blocks of the replica: their machines and queues, and what they list as done.
+//! Blocks of the replica: their machines, queues and done tasks.
 
 use super::block_values::StoredTables;
 use super::{Block, BlockId, Machine, Replica, TaskId};
@@ -8,22 +8,22 @@
 use crate::records::{BlockRecord, MachineRecord};
 use std::collections::BTreeMap;
 
-/// A block's content while a change of it is put together. [`Replica::block_record`] makes its value.
+/// An editable copy of a block's content. [`Replica::block_record`] converts it to the value to store.
 #[derive(Debug, Clone, Default)]
 pub struct BlockEdit {
-    /// Its machines.
+    /// Machines of the block.
     pub machines: BTreeMap<MachineId, Machine>,
-    /// Tasks done on them.
+    /// Tasks done on its machines, by job.
     pub done: Vec<(JobId, RangeSet)>,
 }
 
 impl BlockEdit {
-    /// Adds a task that was done in this block.
+    /// Records a task as done in this block.
     pub fn record_done(&mut self, task: TaskId) {
         self.done_of(task.job).insert(task.number);
     }
 
-    /// Adds tasks of a job that were done in this block.
+    /// Records tasks of a job as done in this block.
     pub fn record_done_tasks(&mut self, job: JobId, tasks: &RangeSet) {
         self.done_of(job).union(tasks);
     }
@@ -41,7 +41,7 @@
 }
 
 impl Replica {
-    /// Applies a block's value of so many bytes.
+    /// Applies a block's value, whose stored size is `bytes`.
     pub(super) fn put_block(
         &mut self,
         id: BlockId,
@@ -74,7 +74,7 @@
         self.blocks.insert(id, block);
     }
 
-    /// Applies the machines of a block's value; returns them in the order of their names.
+    /// Applies the machines of a block's value and returns them ordered by name.
     fn put_machines(
         &mut self,
         block: BlockId,
@@ -89,7 +89,7 @@
                 tracing::error!(
                     block = block.0,
                     machine = name,
-                    "machine has no valid kind in its block"
+                    "block refers to an undefined machine kind"
                 );
                 continue;
             };
@@ -115,11 +115,11 @@
         self.changes.blocks.insert(id);
     }
 
-    /// Undoes what a block's former content had brought, but for machines that it still has.
+    /// Removes the effects of a block's previous content, except for machines that are still in the block.
     fn retract_block(&mut self, before: Block, still_has: impl Fn(MachineId) -> bool, id: BlockId) {
         for machine_id in before.machines {
             let machine = self.machines.get(&machine_id);
-            // Another block may have got the machine meanwhile.
+            // The machine may have moved to another block.
             let is_here = machine.is_some_and(|machine| machine.block == id);
             if !still_has(machine_id) && is_here {
                 self.remove_machine(machine_id);
@@ -137,7 +137,7 @@
             self.machines.insert(machine_id, machine);
             return;
         }
-        // The new queue is counted before the old one is taken off: a task in both stays bound.
+        // The new queue is counted before the old one is removed, so that a task in both stays bound.
         for binding in &machine.queue {
             self.job_index.bind(binding.task);
         }
@@ -159,7 +159,7 @@
         }
     }
 
-    /// A block's content, to be changed and written; empty for a new block.
+    /// An editable copy of a block's content; empty if the block does not exist.
     pub fn edit_block(&self, id: BlockId) -> BlockEdit {
         let Some(block) = self.blocks.get(&id) else {
             return BlockEdit::default();
--- a/src/replica/ids.rs
+++ b/src/replica/ids.rs
@@ -1,4 +1,4 @@
-//! Identities that the store's revisions give: blocks, tokens, terms, incarnations; and tasks.
+//! Identifiers of blocks, grants, terms, incarnations, tasks and bindings.
 
 use crate::names::JobId;
 
@@ -6,32 +6,32 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BlockId(pub u32);
 
-/// Revision of a grant: the fencing token that the block's machines obey. A later grant has a higher one.
+/// Revision of a grant, used as the fencing token for the block's machines. A later grant has a higher one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FencingToken(pub u64);
 
-/// Revision of the leader's key. A later leader has a higher one.
+/// Revision of the leader's key. A later term has a higher one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Term(pub u64);
 
-/// Identity of a controller between its start, or the loss of its lease, and the next loss.
+/// Identifies a controller from its start, or from the loss of its lease, until it next loses its lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Incarnation(pub u64);
 
-/// A task.
+/// A task of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
     /// Its job.
     pub job: JobId,
-    /// Its number, from 0.
+    /// Its number within the job, from 0.
     pub number: u32,
 }
 
-/// A task bound to a machine.
+/// A task bound to a machine, with the attempt that runs it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Binding {
     /// The task.
     pub task: TaskId,
-    /// The attempt it runs as.
+    /// Attempt number. A worker treats another attempt of the same task as a different execution.
     pub attempt: u64,
 }
--- a/src/replica/job.rs
+++ b/src/replica/job.rs
@@ -1,4 +1,4 @@
-//! A job as the replica shows it.
+//! A job in the replica, and how many of its tasks may be open at a time.
 
 use crate::names::{ClassId, ImageId, MachineTypeId, TeamId, ZoneId};
 use crate::protocol::{JobSpec, JobStatus};
@@ -7,10 +7,10 @@
 use crate::records::{BorrowedFrom, DoneTasks, Encoding, JobRecord, LentTo, Transfer};
 use std::sync::Arc;
 
-/// Number of tasks of a job that may be open, that is bound and not done, in any case.
+/// Number of tasks of a job that may always be open, that is bound and not done, whatever the size limit.
 const MIN_OPEN_TASKS: usize = 16;
 
-/// A job, with its names mapped to indices.
+/// A job that does not wait for predecessors, with names mapped to indices.
 #[derive(Debug, Clone)]
 pub struct Job {
     /// Revision of its key.
@@ -27,55 +27,56 @@
     pub machine_types: Option<Vec<MachineTypeId>>,
     /// The only allowed zone; any if absent.
     pub zone: Option<ZoneId>,
-    /// State, as its key shows it.
+    /// State stored under its key.
     pub status: JobStatus,
-    /// Tasks done, as the job's key or any block shows them.
+    /// Tasks listed as done by the job's key or by any block.
     pub done: RangeSet,
-    /// Tasks done as the job's own key shows them.
+    /// Tasks listed as done by the job's own key.
     pub stored_done: RangeSet,
-    /// Time of day of the submission, milliseconds since the epoch.
+    /// Wall-clock time of the submission, milliseconds since the Unix epoch.
     pub submitted_ms: u64,
-    /// Time of day at which the last job that this one depended on was done, milliseconds since the epoch; none
-    /// if it waited for no job.
+    /// Wall-clock time at which its last predecessor was done, milliseconds since the Unix epoch; `None` if it
+    /// had no predecessors.
     pub ready_ms: Option<u64>,
-    /// Its transfer between cells, if it is lent or borrowed.
+    /// Its transfer between cells; `None` unless it is lent or borrowed.
     pub transfer: Option<Box<Transfer>>,
-    /// Size of its value while nothing is done, bytes.
+    /// Size of its stored value without any done task, bytes.
     pub empty_value_bytes: usize,
 }
 
 impl Job {
-    /// Most of its tasks that may be open below the highest bound one, so that what is done always
-    /// fits into a value of `value_bytes` as ranges, in whatever order they end.
+    /// Maximum number of open tasks below the highest bound one. Within it, the ranges of done tasks fit
+    /// into a value of `value_bytes` in whatever order the tasks end.
     ///
-    /// A gap between done tasks costs one more range in the text, at worst two numbers and two
-    /// signs. One bound for all jobs, by the longest numbers, held jobs of several hundred tasks
-    /// to 202 at a time in values of 4 KiB, and a giant one to 30 a second.
+    /// Each gap between done tasks adds one range to the text: at most two numbers and two separators.
+    /// The limit depends on the number of digits of the job's own task numbers: one limit for all jobs, for
+    /// the longest numbers, restricted jobs of several hundred tasks to 202 open tasks in values of 4 KiB,
+    /// and a very large job to 30 tasks per second.
     pub fn max_open_tasks(&self, value_bytes: usize) -> usize {
-        let room = value_bytes.saturating_sub(self.empty_value_bytes);
+        let available_bytes = value_bytes.saturating_sub(self.empty_value_bytes);
         let task_count = self.spec.task_count as usize;
         let digits = self.spec.task_count.max(1).ilog10() as usize + 1;
-        let range = 2 * digits + 2;
-        // Two done, one open, and so on to the end, is the longest text that a job can have.
-        match range * task_count.div_ceil(3) <= room {
+        let range_bytes = 2 * digits + 2;
+        // The longest possible text repeats two done tasks and an open one up to the last task.
+        match range_bytes * task_count.div_ceil(3) <= available_bytes {
             true => task_count,
-            // One range more than there are gaps.
-            false => (room / range).saturating_sub(1).max(MIN_OPEN_TASKS),
+            // There is one more range_bytes than gaps.
+            false => (available_bytes / range_bytes).saturating_sub(1).max(MIN_OPEN_TASKS),
         }
     }
 
-    /// Number of the first task that may not be open yet, so that what is done always fits into a
-    /// value of `value_bytes`, in whatever order tasks end.
+    /// Exclusive upper bound of the task numbers that may be open. Within it, the done tasks fit into a
+    /// value of `value_bytes` in whatever order the tasks end.
     ///
-    /// Tasks are bound in the order of their numbers, so a bitmap has to reach from the first one that
-    /// is not done to the highest that is open.
+    /// Tasks are bound in ascending order, so a bitmap spans the tasks from the first one that is not done
+    /// to the highest open one.
     pub fn open_window_end(&self, value_bytes: usize, encoding: Encoding) -> u32 {
         let tasks = self.spec.task_count;
         match encoding {
             Encoding::Compatible => tasks,
             Encoding::Dense => {
-                let room = value_bytes.saturating_sub(self.empty_value_bytes);
-                let window = bitmap::tasks_within(room).max(MIN_OPEN_TASKS);
+                let available_bytes = value_bytes.saturating_sub(self.empty_value_bytes);
+                let window = bitmap::tasks_within(available_bytes).max(MIN_OPEN_TASKS);
                 let window = u32::try_from(window).unwrap_or(u32::MAX);
                 let end = self.done.first_missing().saturating_add(window);
                 end.min(tasks)
@@ -83,14 +84,14 @@
         }
     }
 
-    /// The tasks that may be bound next, of those not yet `taken`: done, bound, or about to be.
+    /// The tasks that may be bound next. `taken` are those that are done, bound or about to be bound.
     pub fn bindable<'a>(
         &self,
         taken: &'a RangeSet,
         value_bytes: usize,
         encoding: Encoding,
     ) -> impl Iterator<Item = u32> + 'a {
-        // Open tasks below the highest bound one are what fragments the done ranges.
+        // Open tasks below the highest bound one split the done tasks into more ranges.
         let open = (taken.len() - self.done.len()) as usize + taken.fragments();
         let max_open_tasks = self.max_open_tasks(value_bytes);
         let bounded =
@@ -104,7 +105,7 @@
             .take(limit)
     }
 
-    /// What one task takes of its machine.
+    /// Resources that one task occupies on its machine.
     pub fn task_resources(&self) -> crate::placement::Room {
         crate::placement::Room {
             cpus: self.spec.cpus,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// The value to be stored, with other done ranges and state.
+    /// The value to store for this job, with the given done tasks and status.
     pub fn to_record(&self, done: DoneTasks, status: JobStatus) -> JobRecord {
         JobRecord {
             spec: (*self.spec).clone(),
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The mark of a loan to another cell: nothing of the job may be bound here.
+    /// The loan to another cell; while it lasts, no task of the job may be bound in this cell.
     pub fn lent_to(&self) -> Option<&LentTo> {
         match self.transfer.as_deref() {
             Some(Transfer::Lent(mark)) => Some(mark),
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The mark of a loan from another cell.
+    /// The loan from another cell, if the job is borrowed.
     pub fn borrowed_from(&self) -> Option<&BorrowedFrom> {
         match self.transfer.as_deref() {
             Some(Transfer::Borrowed(mark)) => Some(mark),
@@ -141,8 +142,8 @@
         }
     }
 
-    /// Time of day from which all but the deadline is counted: the submission, or the moment at
-    /// which the last job that this one needed was done.
+    /// Wall-clock time from which all durations except the deadline are counted: the submission, or the time
+    /// at which its last predecessor was done.
     pub fn ready_since_ms(&self) -> u64 {
         self.ready_ms.unwrap_or(self.submitted_ms)
     }
--- a/src/replica/job_index.rs
+++ b/src/replica/job_index.rs
@@ -1,8 +1,8 @@
-//! What all blocks and keys together say of each job: which tasks are bound, which are done, what is left
-//! to do with it.
+//! Index of jobs: their bound tasks, the tasks that blocks list as done, and which jobs are complete,
+//! transferred or deleted.
 //!
-//! It is derived from the values that the replica holds and changes only with them; nothing here is ever
-//! written to the store.
+//! The index is derived from the values in the replica and changes only with them. It is never written to
+//! the store.
 
 use super::TaskId;
 use crate::collections::HashMap;
@@ -10,37 +10,37 @@
 use crate::ranges::RangeSet;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What blocks say of a job's tasks that were done.
+/// Done tasks of a job according to blocks.
 #[derive(Debug, Default)]
 struct RecordedDoneTasks {
-    /// Number of blocks that say something.
+    /// Number of blocks that list done tasks of the job.
     blocks: u32,
-    /// The tasks that any block ever said to be done.
+    /// All tasks that any block has ever listed as done.
     tasks: RangeSet,
 }
 
-/// The index of jobs. See the module.
+/// Index of jobs by state, with their bound and done tasks.
 #[derive(Debug, Default)]
 pub(super) struct JobIndex {
-    /// How many queues list each task; one, but for moments between two changes.
+    /// Number of queues that list each task. It exceeds one only between two related changes.
     bound: HashMap<JobId, BTreeMap<u32, u8>>,
     /// Jobs that are lent to another cell or borrowed from one.
     transferred: BTreeSet<JobId>,
-    /// Pending jobs all of whose tasks are done.
+    /// Pending jobs whose tasks are all done.
     complete: BTreeSet<JobId>,
     recorded_done: HashMap<JobId, RecordedDoneTasks>,
-    /// Jobs whose keys are gone, in the order in which they went. Their indices are still reserved.
+    /// Jobs whose keys were deleted, in the order of deletion. Their indices are still reserved.
     deleted: Vec<JobId>,
 }
 
 impl JobIndex {
-    /// A queue lists a task.
+    /// Records that a queue lists a task.
     pub(super) fn bind(&mut self, task: TaskId) {
         let tasks = self.bound.entry(task.job).or_default();
         *tasks.entry(task.number).or_default() += 1;
     }
 
-    /// A queue that listed a task doesn't any more.
+    /// Records that a queue no longer lists a task.
     pub(super) fn unbind(&mut self, task: TaskId) {
         let Some(tasks) = self.bound.get_mut(&task.job) else {
             return;
@@ -67,43 +67,43 @@
         self.bound.get(&job).map_or(0, |tasks| tasks.len() as u32)
     }
 
-    /// A block says that these tasks of a job are done.
+    /// Records that a block lists these tasks of a job as done.
     pub(super) fn add_done_in_block(&mut self, job: JobId, tasks: &RangeSet) {
         let recorded = self.recorded_done.entry(job).or_default();
         recorded.blocks += 1;
         recorded.tasks.union(tasks);
     }
 
-    /// A block that said something of a job's done tasks doesn't any more. What was done stays done: only
-    /// the number of blocks that say so changes.
+    /// Records that a block no longer lists done tasks of a job. Tasks never become undone: only the number
+    /// of blocks changes.
     pub(super) fn remove_done_in_block(&mut self, job: JobId) {
         if let Some(recorded) = self.recorded_done.get_mut(&job) {
             recorded.blocks = recorded.blocks.saturating_sub(1);
         }
     }
 
-    /// The tasks of a job that any block ever said to be done.
+    /// The tasks of a job that any block has ever listed as done.
     pub(super) fn done_in_blocks(&self, job: JobId) -> Option<&RangeSet> {
         self.recorded_done.get(&job).map(|recorded| &recorded.tasks)
     }
 
-    /// Whether some queue lists a task of the job, or some block says that one is done.
+    /// Whether a queue lists a task of the job, or a block lists one as done.
     pub(super) fn is_in_blocks(&self, job: JobId) -> bool {
         let recorded = self.recorded_done.get(&job);
         self.bound.contains_key(&job) || recorded.is_some_and(|recorded| recorded.blocks > 0)
     }
 
-    /// Notes whether a job is pending and all of its tasks are done.
+    /// Sets whether a job is pending with all of its tasks done.
     pub(super) fn set_complete(&mut self, job: JobId, complete: bool) {
         set_member(&mut self.complete, job, complete);
     }
 
-    /// Pending jobs all of whose tasks are done.
+    /// Pending jobs whose tasks are all done.
     pub(super) fn complete_jobs(&self) -> impl Iterator<Item = JobId> + '_ {
         self.complete.iter().copied()
     }
 
-    /// Notes whether a job is lent to another cell or borrowed from one.
+    /// Sets whether a job is lent to another cell or borrowed from one.
     pub(super) fn set_transferred(&mut self, job: JobId, transferred: bool) {
         set_member(&mut self.transferred, job, transferred);
     }
@@ -113,27 +113,27 @@
         self.transferred.iter().copied()
     }
 
-    /// A job's ordinary key is gone.
+    /// Records the deletion of the key of a job that does not wait for predecessors.
     pub(super) fn on_job_key_deleted(&mut self, job: JobId) {
         self.complete.remove(&job);
         self.transferred.remove(&job);
         self.deleted.push(job);
     }
 
-    /// No key of a job is left, waiting jobs included. No effect if that is known already.
+    /// Records that a job has no watched key left, neither as an ordinary nor as a waiting job. Idempotent.
     pub(super) fn record_deleted(&mut self, job: JobId) {
         if !self.deleted.contains(&job) {
             self.deleted.push(job);
         }
     }
 
-    /// A job stands under a key again: its index stays reserved.
+    /// Records that a job has a watched key again, so that its index stays reserved.
     pub(super) fn record_present(&mut self, job: JobId) {
         self.deleted.retain(|&deleted| deleted != job);
     }
 
-    /// Takes the deleted jobs that are in no block and that nobody needs, for their indices to be
-    /// released.
+    /// Removes and returns the deleted jobs that no block lists and no job needs. The caller releases their
+    /// indices.
     pub(super) fn take_releasable(&mut self, is_needed: impl Fn(JobId) -> bool) -> Vec<JobId> {
         let deleted = std::mem::take(&mut self.deleted);
         let (kept, released): (Vec<_>, Vec<_>) = deleted
--- a/src/replica/jobs.rs
+++ b/src/replica/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs of the replica that need not wait for others.
+//! Jobs of the replica that do not wait for predecessors.
 
 use super::{Job, Replica};
 use crate::names::JobId;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 impl Replica {
-    /// Applies a job's value.
+    /// Applies the value of a job's key.
     pub(super) fn put_job(&mut self, name: &str, record: JobRecord, mod_revision: u64) {
         let job_id = self.names.jobs.intern(name);
         if record.status == JobStatus::Cancelled {
@@ -18,7 +18,7 @@
         let transferred = record.transfer.is_some();
         self.job_index.set_transferred(job_id, transferred);
         let known = self.jobs.get_mut(&job_id);
-        // The specification changes with a transfer only.
+        // The specification changes only together with the transfer.
         if let Some(job) = known.filter(|job| job.transfer == record.transfer) {
             job.mod_revision = mod_revision;
             job.status = record.status;
@@ -32,7 +32,7 @@
         self.update_completion(job_id);
     }
 
-    /// A job as its value and the blocks describe it.
+    /// Builds a job from its stored value and from the done tasks that blocks list.
     fn new_job(&mut self, job_id: JobId, record: JobRecord, mod_revision: u64) -> Job {
         let mut done = record.done.tasks.clone();
         if let Some(before) = self.jobs.get(&job_id) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Blocks say that these tasks of a job are done.
+    /// Records that a block lists these tasks of a job as done.
     pub(super) fn record_done_in_block(&mut self, job_id: JobId, tasks: &RangeSet) {
         self.job_index.add_done_in_block(job_id, tasks);
         if let Some(job) = self.jobs.get_mut(&job_id) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Notes whether all that is left to do with a job is to record that it is done.
+    /// Updates whether a job is complete: pending in the store although all of its tasks are done.
     fn update_completion(&mut self, job_id: JobId) {
         let job = self.jobs.get(&job_id);
         let pending = job.filter(|job| job.status == JobStatus::Pending);
@@ -91,7 +91,7 @@
         self.job_index.set_complete(job_id, complete);
     }
 
-    /// Pending jobs all of whose tasks are done, as far as the shared keys show.
+    /// Pending jobs whose tasks are all done according to the shared keys.
     pub fn complete_jobs(&self) -> impl Iterator<Item = JobId> + '_ {
         self.job_index.complete_jobs()
     }
@@ -107,13 +107,13 @@
         self.transferred_jobs().next().is_some()
     }
 
-    /// The job of this name, if it is under a watched key and waits for no other job.
+    /// The job with this name, if it has a watched key and does not wait for predecessors.
     pub fn job_by_name(&self, name: &str) -> Option<(JobId, &Job)> {
         let job_id = self.names.jobs.get(name)?;
         Some((job_id, self.jobs.get(&job_id)?))
     }
 
-    /// Bound tasks of a job, in ascending order.
+    /// Numbers of a job's bound tasks, in ascending order.
     pub fn bound_tasks(&self, job: JobId) -> impl Iterator<Item = u32> + '_ {
         self.job_index.bound_tasks(job)
     }
@@ -123,25 +123,25 @@
         self.job_index.bound_task_count(job)
     }
 
-    /// Number of jobs that are not over and wait for no other.
+    /// Number of pending jobs, without those that wait for predecessors.
     pub fn pending_count(&self) -> usize {
         let jobs = self.jobs.values();
         jobs.filter(|job| job.status == JobStatus::Pending).count()
     }
 
-    /// Number of jobs that are not over.
+    /// Number of unfinished jobs, including those that wait for predecessors.
     pub fn unfinished_count(&self) -> usize {
         self.pending_count() + self.waiting.jobs.len()
     }
 
-    /// Whether some queue lists a task of the job, some block says that one is done, or some job waits
-    /// for it. Until then it is not archived, so whoever looks at the waiting job sees this one too.
+    /// Whether a queue lists a task of the job, a block lists one as done, or another job waits for it.
+    /// Such a job is not archived, so that a waiting job and its predecessors are visible together.
     pub fn is_referenced(&self, job: JobId) -> bool {
         self.job_index.is_in_blocks(job) || self.dependencies.is_needed(job)
     }
 
-    /// Releases the indices of jobs whose keys are gone and that nothing mentions; returns them. They may
-    /// be given to other jobs from now on.
+    /// Releases the indices of jobs whose keys were deleted and that are not referenced any more, and returns
+    /// them. Released indices may be assigned to other jobs.
     pub fn release_deleted_jobs(&mut self) -> Vec<JobId> {
         let dependencies = &self.dependencies;
         let released = self
--- a/src/replica/keys.rs
+++ b/src/replica/keys.rs
@@ -1,27 +1,27 @@
-//! The keys of the store that controllers share.
+//! Keys of the key-value store that controllers share.
 
 use super::BlockId;
 
-/// Prefix of everything that is watched.
+/// Prefix of all watched keys.
 pub const WATCHED_PREFIX: &str = "qb/";
-/// The leader's key.
+/// Key of the leader.
 pub const LEADER_KEY: &str = "qb/lead";
-/// The machine types, as the cloud last described them.
+/// Key of the machine types that the cloud last listed.
 pub const CATALOG_KEY: &str = "qb/catalog";
-/// The format of stored values that all controllers were seen to read.
+/// Key of the recorded format of stored values, which all controllers were known to support.
 pub const FORMAT_KEY: &str = "qb/format";
 
 const CONTROLLERS: &str = "qb/node/";
 const GRANTS: &str = "qb/grant/";
 const BLOCKS: &str = "qb/block/";
 const JOBS: &str = "qb/job/";
-/// Prefix of jobs that wait for others; the version before format 2 does not read them.
+/// Prefix of jobs that wait for predecessors. Versions before format 2 ignore these keys.
 const WAITING: &str = "qb/wait/";
 const LOADS: &str = "qb/load/";
-/// Prefix of jobs that are over and left the watched keys.
+/// Prefix of archived jobs, which are not watched.
 const PAST: &str = "past/";
 
-/// What a key of the watched prefix holds.
+/// Kind of a key under the watched prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WatchedKey<'a> {
     /// The leader.
@@ -36,13 +36,13 @@
     Grant(BlockId),
     /// A block.
     Block(BlockId),
-    /// A job that need not wait for others, by name.
+    /// A job that does not wait for predecessors, by name.
     Job(&'a str),
-    /// A job that waits for others, by name.
+    /// A job that waits for predecessors, by name.
     WaitingJob(&'a str),
     /// Queue totals of a controller, by its name.
     Load(&'a str),
-    /// Of a version that is not known here. It is passed over.
+    /// A key written by an unknown version. It is ignored.
     Unknown,
 }
 
@@ -74,7 +74,7 @@
 pub fn controller_key(host: &str) -> String {
     format!("{CONTROLLERS}{host}")
 }
-/// Key of the grant of a block: who holds it.
+/// Key of the grant of a block, which names its holder.
 pub fn grant_key(block: BlockId) -> String {
     format!("{GRANTS}{:04}", block.0)
 }
@@ -82,19 +82,19 @@
 pub fn block_key(block: BlockId) -> String {
     format!("{BLOCKS}{:04}", block.0)
 }
-/// Key of a job that is not over, or over for a short time.
+/// Key of a job that is unfinished, or in a final state and not archived yet.
 pub fn job_key(name: &str) -> String {
     format!("{JOBS}{name}")
 }
-/// Key of a job that waits for others.
+/// Key of a job that waits for predecessors.
 pub fn waiting_key(name: &str) -> String {
     format!("{WAITING}{name}")
 }
-/// Key of a job that is over and archived. It is not watched.
+/// Key of an archived job. It is not watched.
 pub fn archive_key(name: &str) -> String {
     format!("{PAST}{name}")
 }
-/// Key of the queue totals that a controller publishes.
+/// Key of the queue totals that a controller publishes about its machines.
 pub fn load_key(host: &str) -> String {
     format!("{LOADS}{host}")
 }
--- a/src/replica/mod.rs
+++ b/src/replica/mod.rs
@@ -1,13 +1,13 @@
-//! A controller's replica of the shared keys, fed by one watch and by its own commits.
+//! A controller's local copy of the shared keys, updated by one watch and by its own commits.
 //!
-//! Everything that changes together stands under one prefix and is watched as one stream, so the replica is
-//! a consistent past of the whole: it may lag, but it never shows half a change. Every change up to
-//! [`revision`](Replica::revision) has been applied. Own commits are applied as soon as they are answered,
-//! so single keys may be ahead of that revision, never behind it.
+//! All keys that change together share one watched prefix, so the replica is a consistent earlier state of
+//! the store: it may lag, but it never shows part of a transaction. Every change up to
+//! [`revision`](Replica::revision) has been applied. Own commits are applied as soon as their
+//! response arrives, so single keys may be ahead of that revision, but never behind it.
 //!
-//! The replica decides nothing and writes nothing. Values of keys that it cannot read are kept as they were
-//! and [reported](Replica::unreadable); a key of that kind must not be written, for its revision is not
-//! known here.
+//! The replica makes no decisions and writes nothing to the store. If a new value cannot be decoded, the
+//! replica keeps the previous one and [reports the key](Replica::unreadable_keys). Such a key must not be
+//! written, because its current revision is unknown.
 
 mod apply;
 mod block_values;
@@ -40,46 +40,46 @@
 use job_index::JobIndex;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The replica.
+/// Local copy of the watched keys, with names mapped to indices.
 #[derive(Debug, Default)]
 pub struct Replica {
-    /// Names and their indices.
+    /// Names of jobs, machines and other objects, with their indices.
     pub names: NameTables,
     /// Every change up to this revision has been applied.
     pub revision: u64,
-    /// Highest revision of an own commit.
+    /// Highest revision at which an own commit succeeded.
     own_revision: u64,
     /// Whether the first full read has been applied.
     pub synced: bool,
-    /// Leader.
+    /// The leader; `None` if the leader's key does not exist.
     pub leader: Option<Holder>,
-    /// Machine types as they are stored.
+    /// Stored machine types; `None` until the catalog has been read.
     pub catalog: Option<Vec<MachineType>>,
     /// Controllers whose lease has not expired.
     pub live_controllers: HashMap<HostId, LiveController>,
-    /// Holders of blocks.
+    /// Holder of each block; a block without a grant is absent.
     pub grants: HashMap<BlockId, Holder>,
-    /// Blocks.
+    /// Blocks by number.
     pub blocks: BTreeMap<BlockId, Block>,
     /// Machines of all blocks.
     pub machines: HashMap<MachineId, Machine>,
-    /// Jobs that need not wait for others.
+    /// Jobs that do not wait for predecessors, including jobs in a final state that are not archived yet.
     pub jobs: HashMap<JobId, Job>,
-    /// Jobs that wait for others.
+    /// Jobs that wait for predecessors.
     pub waiting: WaitingJobs,
-    /// Which jobs the waiting ones depend on.
+    /// Predecessors and dependents of the waiting jobs.
     pub dependencies: DependencyGraph,
-    /// The recorded format: the newest one that all controllers were seen to read. It only grows.
+    /// The recorded format: the newest one that all controllers were known to support. It never decreases.
     pub format: u32,
-    /// Queue totals as the controllers published them.
+    /// Latest queue totals that each controller published.
     pub loads: HashMap<HostId, QueueTotals>,
-    /// Raised by every change of a key, but for queue totals: what scheduling looks at.
+    /// Incremented by every change of a key except queue totals, so that scheduling can detect changes.
     pub version: u64,
-    /// What changed since the controller last looked.
+    /// Changes that the controller has not processed yet.
     pub changes: ChangeSet,
     job_index: JobIndex,
-    /// Keys whose latest value cannot be read: of a version that is not known here, or damaged. They
-    /// must not be written, for their revision is not known either.
+    /// Keys whose latest value cannot be decoded: it is corrupt or written by an unknown version. They
+    /// must not be written, because their revision is unknown too.
     unreadable: BTreeSet<String>,
 }
 
--- a/src/replica/model.rs
+++ b/src/replica/model.rs
@@ -1,4 +1,4 @@
-//! What the watched keys say, with names mapped to indices.
+//! Decoded contents of the watched keys, with names mapped to indices.
 
 use super::{Binding, BlockId, Incarnation};
 use crate::collections::HashMap;
@@ -9,7 +9,7 @@
 /// A machine in a block.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Machine {
-    /// Its block.
+    /// Block that it belongs to.
     pub block: BlockId,
     /// Machine type.
     pub machine_type: MachineTypeId,
@@ -17,48 +17,48 @@
     pub zone: ZoneId,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Whether it is being given back: nothing new is bound to it.
+    /// Whether it is being drained before it is returned: no new tasks are bound to it.
     pub cordoned: bool,
-    /// Bound tasks in order.
+    /// Bound tasks in execution order.
     pub queue: Vec<Binding>,
-    /// Bound tasks that are to be stopped to make room.
+    /// Bound tasks to be stopped to free resources for other work.
     pub preempted: Vec<Binding>,
 }
 
-/// A block.
+/// A block of machines, the unit that is granted to a controller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Block {
     /// Revision of its key.
     pub mod_revision: u64,
-    /// Its machines, in the order of their names.
+    /// Its machines, ordered by name.
     pub machines: Vec<MachineId>,
-    /// Tasks done on its machines that their jobs' own keys need not show yet.
+    /// Tasks done on its machines, by job; the jobs' own keys may not list them yet.
     pub done: Vec<(JobId, RangeSet)>,
-    /// Size of its value, bytes.
+    /// Size of its stored value, bytes.
     pub bytes: usize,
 }
 
-/// What changed in the replica since the controller last looked.
+/// Changes of the replica that the controller has not processed yet.
 #[derive(Debug, Default)]
 pub struct ChangeSet {
     /// Blocks whose content or holder changed.
     pub blocks: BTreeSet<BlockId>,
-    /// Machines that left their block.
+    /// Machines removed from their block.
     pub machines: Vec<MachineId>,
-    /// Controllers that published their queue totals.
+    /// Controllers that published new queue totals.
     pub loads: Vec<HostId>,
-    /// Jobs that were cancelled.
+    /// Jobs whose stored status is cancelled.
     pub cancelled: Vec<JobId>,
 }
 
-/// Who holds a block or the leadership, and since which revision.
+/// Holder of a block or of the leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Holder {
-    /// Controller.
+    /// The holding controller.
     pub controller: HostId,
-    /// Its incarnation. A later one of the same controller doesn't hold what this one held.
+    /// Its incarnation. A later incarnation of the same controller does not inherit the grant.
     pub incarnation: Incarnation,
-    /// Revision of the key: the fencing token, or the term.
+    /// Revision of the key: the fencing token of a grant, or the term of a leader.
     pub mod_revision: u64,
 }
 
@@ -67,21 +67,21 @@
 pub struct LiveController {
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Its lease.
+    /// Lease that its key is attached to.
     pub lease_id: u64,
     /// Revision of the key.
     pub mod_revision: u64,
-    /// Format of stored values that it writes and reads; 0 of a version that does not say.
+    /// Newest format of stored values that it supports; 0 if its version does not state one.
     pub format: u32,
 }
 
-/// Queue totals of one controller's machines. Loads are seconds of work per CPU.
+/// Queue totals of one controller's machines. Loads are in seconds of work per CPU.
 #[derive(Debug, Clone, Default)]
 pub struct QueueTotals {
     /// Number of machines.
     pub count: usize,
-    /// Sum of their loads.
+    /// Sum of the loads of all its machines.
     pub sum: f64,
-    /// Loads of the heaviest and the lightest.
+    /// Loads of the most and the least loaded machines only.
     pub machines: HashMap<MachineId, f64>,
 }
--- a/src/replica/name_tables.rs
+++ b/src/replica/name_tables.rs
@@ -1,14 +1,14 @@
-//! The names that occur in the replica, and their indices.
+//! Tables that map names in the replica to indices.
 
 use super::TaskId;
 use crate::names::{
     ClassId, HostId, ImageId, Interner, JobId, MachineId, MachineTypeId, TeamId, ZoneId,
 };
 
-/// Names known to this process. Their indices mean nothing to any other.
+/// Names known to this process. The indices are local to the process and are never sent or stored.
 #[derive(Debug, Default)]
 pub struct NameTables {
-    /// Jobs not archived.
+    /// Jobs that are not archived, and archived jobs that are still referenced.
     pub jobs: Interner<JobId>,
     /// Machines.
     pub machines: Interner<MachineId>,
@@ -27,12 +27,12 @@
 }
 
 impl NameTables {
-    /// A task as workers write it: `job/number`.
+    /// The name of a task in messages of workers: `job/number`.
     pub fn task_name(&self, task: TaskId) -> String {
         format!("{}/{}", self.jobs.name(task.job), task.number)
     }
 
-    /// Parses a task's name; none if it is not one, or its job is unknown here.
+    /// Parses a task's name; `None` if it is malformed or its job is unknown.
     pub fn parse_task_name(&self, name: &str) -> Option<TaskId> {
         let (job, number) = name.rsplit_once('/')?;
         Some(TaskId {
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -7,11 +7,11 @@
 use crate::ranges::RangeSet;
 use crate::records::{BlockRecord, DoneTasks, Encoding};
 
-/// The value of a job of which every third task is open, up to so many open ones.
-fn longest(job: &Job, open: usize) -> usize {
+/// Size of a job's value, bytes, if every third task is open up to `open` open tasks.
+fn longest_value_bytes(job: &Job, open: usize) -> usize {
     let mut done = RangeSet::new();
     let last = job.spec.task_count as usize;
-    // The highest tasks have the longest numbers.
+    // The highest task numbers have the most digits.
     let first = last.saturating_sub(3 * open);
     done.insert_range(0, first as u32);
     for gap in (first..last).step_by(3) {
@@ -22,9 +22,9 @@
     Json::of(&job.to_record(DoneTasks { tasks, encoding }, JobStatus::Cancelled)).size()
 }
 
-/// The value of a job of which every other task is done up to the last one that may be open, from
-/// the first missing one on.
-fn longest_bitmap(job: &Job, value_bytes: usize) -> usize {
+/// Size of a job's value, bytes, if every other task is done from the first missing one to the end of the
+/// window of open tasks.
+fn longest_bitmap_bytes(job: &Job, value_bytes: usize) -> usize {
     let encoding = Encoding::Dense;
     let first = job.done.first_missing();
     let mut tasks = RangeSet::all(first);
@@ -35,9 +35,9 @@
 }
 
 #[test]
-fn whatever_order_tasks_end_in_what_is_done_fits_into_the_jobs_value() {
+fn done_tasks_fit_into_the_jobs_value_in_any_completion_order() {
     let Read::Good(good) = read(GOOD.as_bytes()) else {
-        panic!("good")
+        panic!("the sample submission must be valid")
     };
     for value_bytes in [1400, 4032, 32_704] {
         for task_count in [
@@ -47,7 +47,7 @@
             spec.task_count = task_count;
             let job = job_of(spec);
             let open = job.max_open_tasks(value_bytes);
-            let size = longest(&job, open);
+            let size = longest_value_bytes(&job, open);
             assert!(
                 size <= value_bytes,
                 "{task_count} tasks, {open} open: {size} bytes"
@@ -59,7 +59,7 @@
                     done,
                     ..job.clone()
                 };
-                let size = longest_bitmap(&job, value_bytes);
+                let size = longest_bitmap_bytes(&job, value_bytes);
                 assert!(
                     size <= value_bytes,
                     "{task_count} tasks as a bitmap: {size} bytes"
@@ -67,11 +67,11 @@
             }
         }
     }
-    // What held large jobs back: 202 at a time in 4 KiB.
+    // A single limit for all jobs allowed only 202 open tasks in 4 KiB.
     let mut spec = good.spec.clone();
     spec.task_count = 700;
     assert_eq!(job_of(spec.clone()).max_open_tasks(4032), 700);
-    // And 203 of 900 in 2 KiB, as ranges.
+    // As ranges, only 203 of 900 tasks fitted into 2 KiB.
     spec.task_count = 900;
     let job = job_of(spec.clone());
     assert!(job.max_open_tasks(1984) < 250);
@@ -95,8 +95,8 @@
 }
 
 #[test]
-fn a_full_read_undoes_nothing_that_was_written_here_after_it_began() {
-    // It would have shown a task as unbound that this controller had just bound.
+fn full_read_keeps_own_commits_made_after_it_began() {
+    // Reverting them would show a task as unbound that this controller had just bound.
     let mut replica = Replica::default();
     let (lead, grant) = (LEADER_KEY.to_owned(), grant_key(BlockId(0)));
     let owner = |incarnation: u64| serde_json::json!({ "h": "n0", "b": incarnation });
@@ -114,7 +114,7 @@
         (9, 10)
     );
     assert_eq!(replica.leader.map(|l| l.incarnation), Some(Incarnation(1)));
-    // What the read shows to be gone, and was not written since, is dropped all the same.
+    // Keys that are missing from the read and were not written since are removed.
     replica.apply_full_read(Vec::new(), 12);
     assert_eq!(
         (replica.mod_revision(&lead), replica.mod_revision(&grant)),
@@ -123,16 +123,16 @@
 }
 
 #[test]
-fn values_are_dense_only_once_it_is_recorded_that_all_controllers_read_them() {
+fn values_are_dense_only_after_the_dense_format_is_recorded() {
     let Read::Good(good) = read(GOOD.as_bytes()) else {
-        panic!("good")
+        panic!("the sample submission must be valid")
     };
     let mut spec = good.spec;
     spec.task_count = 900;
     let job = job_of(spec);
-    let mut scattered = RangeSet::new();
+    let mut alternating = RangeSet::new();
     for task in (1..900).step_by(2) {
-        scattered.insert(task);
+        alternating.insert(task);
     }
     let kind = ("small".to_owned(), "north".to_owned(), true);
     for (format, dense) in [(None, false), (Some(2), false), (Some(3), true)] {
@@ -141,18 +141,18 @@
             let written = put(FORMAT_KEY, &serde_json::json!({ "v": format }));
             replica.apply_own_commit(&written, 7);
         }
-        let record = job.to_record(replica.done_tasks(scattered.clone()), JobStatus::Pending);
-        let text = serde_json::to_string(&record).expect("json");
+        let record = job.to_record(replica.done_tasks(alternating.clone()), JobStatus::Pending);
+        let text = serde_json::to_string(&record).expect("record serializes");
         assert_eq!(text.contains("\"d\":\"b0:"), dense, "{text}");
         let block = BlockRecord {
             kinds: vec![kind.clone()],
             encoding: replica.encoding(),
             ..BlockRecord::default()
         };
-        let text = serde_json::to_string(&block).expect("json");
+        let text = serde_json::to_string(&block).expect("block serializes");
         assert_eq!(text.contains("\"c\":\"0.1s\""), dense, "{text}");
         assert_eq!(text.contains("\"k\""), !dense, "{text}");
-        let again: BlockRecord = serde_json::from_str(&text).expect("read");
+        let again: BlockRecord = serde_json::from_str(&text).expect("block deserializes");
         assert_eq!(again.kinds, block.kinds);
     }
 }
--- a/src/replica/waiting.rs
+++ b/src/replica/waiting.rs
@@ -1,7 +1,7 @@
-//! Jobs of the replica that wait for others.
+//! Jobs of the replica that wait for predecessors.
 //!
-//! They stand under a prefix of their own. Scheduling looks at ordinary jobs only, so a job that waits takes
-//! no capacity, no place in the order and no part of a limit, whatever version leads.
+//! They are stored under a separate prefix. Scheduling considers ordinary jobs only, so a waiting job uses
+//! no capacity, has no position in the job order and counts towards no limit, whatever version the leader runs.
 
 use super::Replica;
 use crate::collections::HashMap;
@@ -11,14 +11,14 @@
 use crate::records::WaitingRecord;
 use std::sync::Arc;
 
-/// A job that waits for others.
+/// A job that waits for predecessors.
 #[derive(Debug, Clone)]
 pub struct WaitingJob {
     /// Revision of its key.
     pub mod_revision: u64,
-    /// Its value. That the job was cancelled with one that it depends on need not be in it.
+    /// Its stored value. It may not show yet that the job was cancelled together with a predecessor.
     pub record: Arc<WaitingRecord>,
-    /// Whether it, or a job that it depends on, was cancelled.
+    /// Whether the job, or one that it depends on, was cancelled.
     pub cancelled: bool,
 }
 
@@ -32,13 +32,13 @@
     }
 }
 
-/// The jobs that wait, and what is known of archived jobs that they depend on.
+/// The waiting jobs, and the final states of their archived predecessors.
 #[derive(Debug, Default)]
 pub struct WaitingJobs {
-    /// By index.
+    /// Waiting jobs by index.
     pub jobs: HashMap<JobId, WaitingJob>,
-    /// Final states of jobs that were archived although a waiting job depends on them: only a version that
-    /// knows nothing of waiting jobs does that.
+    /// Final states of jobs that were archived although a waiting job depends on them. Only versions that do
+    /// not support dependencies archive such jobs.
     pub archived_statuses: HashMap<JobId, JobStatus>,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl Replica {
-    /// Applies the value of a job that waits.
+    /// Applies the value of a waiting job.
     pub(super) fn put_waiting(&mut self, name: &str, record: WaitingRecord, mod_revision: u64) {
         let job = self.names.jobs.intern(name);
         self.job_index.record_present(job);
@@ -68,7 +68,7 @@
         let cancelled =
             before || cancelled_by_user || predecessors.iter().any(|&job| self.is_cancelled(job));
         if self.dependencies.predecessors(job) != predecessors {
-            // An incomplete job has more of them now.
+            // Predecessors were added to an incomplete job.
             self.dependencies.remove(job);
         }
         self.dependencies.insert(job, own, predecessors);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Applies the deletion of the key of a job that waited: it is ready, or over.
+    /// Applies the deletion of a waiting job's key: the job has become ready or reached a final state.
     pub(super) fn remove_waiting(&mut self, job: JobId) {
         if self.waiting.jobs.remove(&job).is_none() {
             return;
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Whether a job stands under a watched key.
+    /// Whether a job has a watched key.
     fn has_watched_key(&self, job: JobId) -> bool {
         self.jobs.contains_key(&job) || self.waiting.jobs.contains_key(&job)
     }
@@ -113,16 +113,16 @@
             || ordinary.or_else(archived) == Some(JobStatus::Cancelled)
     }
 
-    /// Whether a job is finally done: its own key says so, which nothing changes any more. That all of its
-    /// tasks are done is not enough, for a cancellation may still be the first to change that key.
+    /// Whether a job is recorded as done in its own key, which is final. It is not enough that all of its
+    /// tasks are done, because a cancellation may still be written to that key first.
     fn is_recorded_done(&self, job: JobId) -> bool {
         let ordinary = self.jobs.get(&job).map(|job| job.status);
         let archived = || self.waiting.archived_statuses.get(&job).copied();
         ordinary.or_else(archived) == Some(JobStatus::Done)
     }
 
-    /// Marks as cancelled all jobs that depend on one that was. That is not written before it counts:
-    /// whoever sees the cancellation sees this as well.
+    /// Marks all direct and indirect dependents of a cancelled job as cancelled. This takes effect before it
+    /// is written to the store: every replica derives it from the cancellation itself.
     pub(super) fn cancel_descendants(&mut self, job: JobId) {
         for descendant in self.dependencies.descendants(job) {
             if let Some(waiting) = self.waiting.jobs.get_mut(&descendant) {
@@ -131,21 +131,21 @@
         }
     }
 
-    /// Whether all jobs that a waiting job depends on are finally done.
+    /// Whether a waiting job was accepted, is not cancelled, and all of its predecessors are recorded as done.
     pub fn is_ready(&self, job: JobId) -> bool {
         let waits = self.waiting.jobs.get(&job);
         waits.is_some_and(|waiting| !waiting.cancelled && !waiting.record.incomplete)
             && self.open_predecessors(job).next().is_none()
     }
 
-    /// The jobs that a waiting job depends on and that are not finally done.
+    /// The predecessors of a waiting job that are not recorded as done.
     pub fn open_predecessors(&self, job: JobId) -> impl Iterator<Item = JobId> + '_ {
         let predecessors = self.dependencies.predecessors(job).iter().copied();
         predecessors.filter(|&job| !self.is_recorded_done(job))
     }
 
-    /// Jobs that a waiting job depends on, that stand under no watched key, and of which no final state is
-    /// known either; in the order of their indices.
+    /// Predecessors of waiting jobs that have no watched key and whose final state is unknown, in the order
+    /// of their indices.
     pub fn missing_predecessors(&self) -> Vec<JobId> {
         let waiting = self
             .waiting
@@ -162,7 +162,7 @@
         missing
     }
 
-    /// Applies the final state, read from the archive, of a job that a waiting job depends on.
+    /// Records the final state, read from the archive, of a predecessor of a waiting job.
     pub fn record_archived_status(&mut self, job: JobId, status: JobStatus) {
         if !self.dependencies.is_needed(job) || self.has_watched_key(job) {
             return;
@@ -174,9 +174,9 @@
         }
     }
 
-    /// A job's state as users see it; none if it stands under no watched key, or is incomplete.
+    /// A job's state as users see it; `None` if it has no watched key, is borrowed, or is incomplete.
     pub fn status_of(&self, job: JobId) -> Option<JobStatus> {
-        // Loans of other cells are no jobs of this cell's users.
+        // Borrowed jobs were not submitted by users of this cell.
         let ordinary = self
             .jobs
             .get(&job)
@@ -185,13 +185,14 @@
         ordinary.or_else(|| self.accepted_waiting(job).map(WaitingJob::status))
     }
 
-    /// A job that waits for others and was accepted.
+    /// The waiting job, if it was accepted.
     pub fn accepted_waiting(&self, job: JobId) -> Option<&WaitingJob> {
         let waiting = self.waiting.jobs.get(&job);
         waiting.filter(|waiting| !waiting.record.incomplete)
     }
 
-    /// A job that waits for others and is not accepted yet.
+    /// The waiting job with this name, if some of its predecessors are still to be added and it is therefore
+    /// not accepted yet.
     pub fn incomplete_waiting(&self, name: &str) -> Option<&WaitingJob> {
         let job = self.names.jobs.get(name)?;
         let waiting = self.waiting.jobs.get(&job);
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of the key-value store: `PROTOCOL`, "Controller nodes -> state service".
+//! HTTP client of the key-value store (`PROTOCOL`, "Controller nodes -> state service").
 
 use super::{CommitOutcome, LeaseOutcome, PrefixRead, StoreError};
 use crate::protocol::{
@@ -13,36 +13,36 @@
 use serde::de::DeserializeOwned;
 use std::time::Duration;
 
-/// Longest wait for one read of the archive that no user waits for.
+/// Timeout of one archive read that does not serve a user's request.
 const ARCHIVE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Longest wait for a lease, or for its renewal.
+/// Timeout of a request to grant or renew a lease.
 const LEASE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Longest wait for one page of a prefix.
+/// Timeout of one page of a prefix read.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(3);
-/// What a watch may take in excess of the time that the store is told to wait.
+/// Time that a watch may take beyond the wait time requested from the store.
 const WATCH_MARGIN: Duration = Duration::from_millis(1500);
-/// Keys asked for in one page of a prefix.
+/// Maximum number of keys per page of a prefix read.
 const PAGE_KEYS: usize = 500;
-/// Largest body accepted from the store, bytes.
+/// Maximum size of a response body, bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
-/// What the store answers to a transaction that names a lease which has expired.
+/// Text in the store's response to a transaction that refers to an expired lease.
 const NO_SUCH_LEASE: &str = "no such lease";
 
-/// The client. Cheap to clone; connections are kept and shared.
+/// Client of the key-value store. Cheap to clone; clones share their connections.
 #[derive(Clone)]
 pub struct StoreClient {
     http: Client,
     base_url: String,
 }
 
-/// An answer that arrived whole.
-struct Answer {
+/// A complete response.
+struct Response {
     status: StatusCode,
     body: Vec<u8>,
 }
 
 impl StoreClient {
-    /// A client of the store at `address`, `host:port`.
+    /// Creates a client of the store at `address` (`host:port`).
     pub fn new(http: Client, address: &str) -> Self {
         Self {
             http,
@@ -50,11 +50,11 @@
         }
     }
 
-    /// Reads one key; none if it does not exist.
+    /// Reads one key; `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// If the store refuses the read, does not answer within `timeout`, or answers something else.
+    /// Fails if the store refuses the read, does not answer within `timeout`, or sends an invalid response.
     pub async fn read(&self, key: &str, timeout: Duration) -> Result<Option<KeyValue>, StoreError> {
         let answer = self.get(&format!("/keys/{key}"), timeout).await?;
         if answer.status == StatusCode::NOT_FOUND {
@@ -63,11 +63,11 @@
         parse(&answer.body).map(Some)
     }
 
-    /// Reads a job that is over from the archive; none if it is not there.
+    /// Reads a job from the archive; `None` if it is not archived.
     ///
     /// # Errors
     ///
-    /// As [`read`](Self::read), and if the value is not a job's.
+    /// Fails like [`read`](Self::read), and if the value is not a valid job record.
     pub async fn archived_job(
         &self,
         job: &str,
@@ -80,7 +80,7 @@
         record.map(Some).map_err(invalid_response)
     }
 
-    /// Reads the final states of jobs from the archive, as far as they are there and can be read.
+    /// Reads the final states of jobs from the archive. Jobs that are missing or cannot be read are left out.
     pub async fn archived_statuses(&self, jobs: &[String]) -> Vec<(String, JobStatus)> {
         let mut found = Vec::new();
         for job in jobs {
@@ -91,11 +91,12 @@
         found
     }
 
-    /// Reads the store's revision. The request lists `key`, whose value should be short.
+    /// Reads the store's revision. The response contains the first key with the prefix `key`, whose value
+    /// should be short.
     ///
     /// # Errors
     ///
-    /// As [`read`](Self::read).
+    /// Fails like [`read`](Self::read).
     pub async fn revision(&self, key: &str, timeout: Duration) -> Result<u64, StoreError> {
         let path = format!("/keys?starts={key}&limit=1");
         let answer = self.get(&path, timeout).await?;
@@ -106,7 +107,7 @@
     ///
     /// # Errors
     ///
-    /// As [`read`](Self::read), for any of the pages.
+    /// Fails like [`read`](Self::read) if any page cannot be read.
     pub async fn list(&self, prefix: &str) -> Result<PrefixRead, StoreError> {
         let mut items: Vec<KeyValue> = Vec::new();
         let mut first_revision = None;
@@ -131,11 +132,11 @@
         }
     }
 
-    /// Waits, at most `wait_ms` milliseconds, for changes of keys with a prefix after a revision.
+    /// Waits up to `wait_ms` milliseconds for changes of keys with a prefix after a revision.
     ///
     /// # Errors
     ///
-    /// As [`read`](Self::read), and [`StoreError::Compacted`] if the revision is too old.
+    /// Fails like [`read`](Self::read), and with [`StoreError::Compacted`] if the revision is too old.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -148,7 +149,7 @@
         parse(&answer.body)
     }
 
-    /// Sends a transaction. It is sent once: what was not answered may have been carried out.
+    /// Sends a transaction. It is never retried, because it may have been applied without an answer.
     pub async fn commit(&self, transaction: &Transaction, timeout: Duration) -> CommitOutcome {
         let Some(answer) = self.post("/commit", transaction, timeout).await else {
             return CommitOutcome::Unknown;
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Asks for a lease that expires after `ttl_ms` milliseconds unless it is renewed.
+    /// Requests a lease that expires after `ttl_ms` milliseconds unless it is renewed.
     pub async fn lease(&self, ttl_ms: u64) -> LeaseOutcome {
         let request = LeaseRequest { ttl_ms };
         match self.post("/leases", &request, LEASE_TIMEOUT).await {
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Renews a lease.
+    /// Renews a lease for another period of its time to live.
     pub async fn renew(&self, lease_id: u64) -> LeaseOutcome {
         let path = format!("/leases/{lease_id}/extend");
         let empty = serde_json::json!({});
@@ -193,8 +194,8 @@
         }
     }
 
-    /// Sends a read. An answer of 404 is no error here: it says that a key does not exist.
-    async fn get(&self, path: &str, timeout: Duration) -> Result<Answer, StoreError> {
+    /// Sends a read request. A 404 is not an error here: it means that a key does not exist.
+    async fn get(&self, path: &str, timeout: Duration) -> Result<Response, StoreError> {
         let request = self
             .http
             .get(format!("{}{path}", self.base_url))
@@ -208,15 +209,15 @@
             StatusCode::TOO_MANY_REQUESTS => Err(StoreError::RateLimited),
             StatusCode::GONE => Err(StoreError::Compacted),
             status if status.is_success() || status == StatusCode::NOT_FOUND => {
-                Ok(Answer { status, body })
+                Ok(Response { status, body })
             }
             status if status.is_server_error() => Err(StoreError::Unavailable),
             status => Err(invalid_response(status)),
         }
     }
 
-    /// Sends a request that changes something; no answer if none arrived whole.
-    async fn post(&self, path: &str, body: &impl Serialize, timeout: Duration) -> Option<Answer> {
+    /// Sends a request that modifies the store; `None` if no complete response arrived.
+    async fn post(&self, path: &str, body: &impl Serialize, timeout: Duration) -> Option<Response> {
         let text = serde_json::to_vec(body).ok()?;
         let request = self
             .http
@@ -226,14 +227,14 @@
             .send_body(text);
         let mut response = request.await.ok()?.timeout(timeout);
         let body = response.body().limit(MAX_BODY_BYTES).await.ok()?;
-        Some(Answer {
+        Some(Response {
             status: response.status(),
             body: body.to_vec(),
         })
     }
 }
 
-/// What became of a transaction that was answered with 400.
+/// Outcome of a transaction that was answered with 400.
 fn classify_bad_request(transaction: &Transaction, body: &[u8]) -> CommitOutcome {
     let text = String::from_utf8_lossy(body).into_owned();
     if text.contains(NO_SUCH_LEASE) {
@@ -254,7 +255,7 @@
 
 #[expect(
     clippy::needless_pass_by_value,
-    reason = "passed to `map_err`, which gives the error by value"
+    reason = "used with `map_err`, which passes the error by value"
 )]
 fn invalid_response(error: impl ToString) -> StoreError {
     StoreError::InvalidResponse(error.to_string())
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,8 +1,8 @@
-//! The consensus-backed key-value store, the only place where controllers can keep state.
+//! Access to the consensus-backed key-value store, the only persistent state of the controllers.
 //!
-//! [`StoreClient`] sends single requests and says what became of each; [`read_index`] makes linearizable
-//! reads of the replica out of them. Neither repeats a request that may have been carried out, and neither
-//! knows what the values mean: a write whose answer is missing is the controller's to resolve.
+//! [`StoreClient`] sends single requests and reports their outcome; [`read_index`] provides linearizable
+//! reads of the replica. Neither repeats a request that the store may have executed, and neither interprets
+//! values: the controller resolves transactions that are in doubt.
 
 mod client;
 pub mod read_index;
@@ -11,60 +11,61 @@
 
 use crate::protocol::KeyValue;
 
-/// Why a read did not succeed.
+/// Reasons for which a read fails.
 #[derive(Debug, thiserror::Error, Clone, PartialEq, Eq)]
 pub enum StoreError {
-    /// 429: the budget of requests, or of writes, is used up for the moment.
+    /// 429: the budget of requests or writes is exhausted for the moment.
     #[error("too many requests")]
     RateLimited,
-    /// 503, another server error, no answer in time, or no connection.
+    /// 503 or another server error, a timeout, or no connection.
     #[error("unavailable")]
     Unavailable,
-    /// 410: the store no longer retains what changed since the revision at which the watch began. All
-    /// keys must be read again.
+    /// 410: the store no longer retains the changes since the revision at which the watch starts. All keys
+    /// must be read again.
     #[error("history compacted")]
     Compacted,
-    /// An answer, or a stored value, that is not what the protocol says.
+    /// A response or a stored value that cannot be decoded, or an unexpected status.
     #[error("invalid response: {0}")]
     InvalidResponse(String),
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// Carried out at this revision.
+    /// Applied at this revision.
     Done(u64),
-    /// Not carried out: a precondition failed. The store was at this revision.
+    /// Not applied: a precondition failed. The store was at this revision.
     Conflict(u64),
-    /// Not carried out: it named a lease that has expired.
+    /// Not applied: it refers to a lease that has expired.
     NoLease,
-    /// Not carried out: the budget is used up, or the store is out of order.
+    /// Not applied: the budget is exhausted or the store is unavailable.
     Refused,
-    /// Not carried out: too large, or not as the protocol wants it.
+    /// Not applied: it is too large or does not follow the protocol.
     Malformed,
-    /// No answer: it was carried out, or was not, or may be carried out later.
+    /// In doubt, because the response is missing or unusable: it was applied, was not applied, or may still
+    /// be applied later.
     Unknown,
 }
 
-/// What became of a request for a lease, or for its renewal.
+/// Outcome of a request to grant or renew a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseOutcome {
-    /// Granted or renewed: this lease is held.
+    /// Granted or renewed. The value identifies the lease.
     Held(u64),
-    /// The lease has expired, and the keys attached to it are deleted.
+    /// The lease has expired and its keys have been deleted.
     Expired,
-    /// Refused for the moment, or not answered.
+    /// Refused for the moment, or no usable response.
     Failed,
 }
 
-/// All keys with a prefix. They were read page by page, so that keys may have changed between two pages:
-/// a watch from `first_revision` on delivers every such change.
+/// All keys with a prefix. Keys may have changed between two pages; a watch from `first_revision` on delivers
+/// every such change.
 #[derive(Debug, Clone)]
 pub struct PrefixRead {
     /// The keys with their values, ordered by key.
     pub items: Vec<KeyValue>,
-    /// Revision of the store at the first page.
+    /// Revision of the store when it read the first page.
     pub first_revision: u64,
-    /// Revision of the store at the last page.
+    /// Revision of the store when it read the last page.
     pub last_revision: u64,
 }
--- a/src/store/read_index.rs
+++ b/src/store/read_index.rs
@@ -1,12 +1,11 @@
 //! Linearizable reads of the replica, in batches (ReadIndex).
 //!
-//! A read of the store that begins after a user has asked returns a revision. Once the replica has applied
-//! every change up to that revision, an answer from the replica is no older than any that was given before,
-//! by whatever controller. One such read settles every query then waiting, so that polls don't cost the
-//! budget of requests one read each.
+//! A read of the store that starts after a query arrives returns a revision. Once the replica has applied
+//! every change up to that revision, its answer is at least as recent as any earlier answer of any controller.
+//! One read serves all queries that are waiting at that time, so that polling does not use one request each.
 //!
-//! [`ReadIndex::on_revision_applied`] must be called only once the changes up to the revision are in the replica, for
-//! it releases those who wait for it. Nothing here reads the replica.
+//! [`ReadIndex::on_revision_applied`] releases waiting queries and must be called only after the changes up to
+//! the revision are in the replica. This module does not read the replica itself.
 
 use super::{StoreClient, StoreError};
 use crate::replica::LEADER_KEY;
@@ -16,19 +15,19 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Part of the store's requests that these reads of all controllers may take.
+/// Share of the store's request budget that these reads of all controllers may use.
 const REQUEST_SHARE: f64 = 0.15;
-/// Tries of a read while the budget of requests is used up.
+/// Maximum number of attempts of a read while the request budget is exhausted.
 const MAX_READ_ATTEMPTS: u32 = 3;
-/// Least time between two reads of one controller, however large the budget, milliseconds.
+/// Minimum time between two reads of one controller, even with a large request budget, milliseconds.
 const MIN_READ_INTERVAL_MS: u64 = 30;
 
-type Answer = Result<(), StoreError>;
-type Waiter = oneshot::Sender<Answer>;
+type ReadResult = Result<(), StoreError>;
+type Waiter = oneshot::Sender<ReadResult>;
 
-/// Where the store's revision can be asked for.
+/// Source of the store's current revision.
 pub trait RevisionSource: Clone + 'static {
-    /// Reads the revision, waiting at most `timeout` for it.
+    /// Reads the current revision within `timeout`.
     fn revision(&self, timeout: Duration) -> impl Future<Output = Result<u64, StoreError>>;
 }
 
@@ -38,28 +37,28 @@
     }
 }
 
-/// Queries whose read is done, and that wait for the replica.
+/// Queries whose read has completed and that wait for the replica.
 #[derive(Debug)]
 struct Batch {
-    /// Revision that the replica must have applied.
+    /// Revision that the replica must apply first.
     revision: u64,
     waiters: Vec<Waiter>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// Queries for which no read has begun.
+    /// Queries for which no read has started.
     awaiting_read: Vec<Waiter>,
-    /// Queries that wait for the replica.
+    /// Queries that wait for the replica to apply a revision.
     batches: Vec<Batch>,
-    /// Whether a task is reading for them.
+    /// Whether a task that performs the reads is running.
     reading: bool,
     /// Revision up to which the replica has applied every change.
     applied: u64,
 }
 
 impl State {
-    /// Forgets the queries whose users have given up.
+    /// Removes the queries whose callers no longer wait.
     fn remove_abandoned(&mut self) {
         self.awaiting_read.retain(|waiter| !waiter.is_closed());
         for batch in &mut self.batches {
@@ -68,7 +67,7 @@
         self.batches.retain(|batch| !batch.waiters.is_empty());
     }
 
-    /// Takes the queries for which the next read is made; none if nobody waits for one. Then the reading
+    /// Takes the queries to be served by the next read. If there are none, returns `None` and the reading
     /// task ends.
     fn next_batch(&mut self) -> Option<Vec<Waiter>> {
         self.remove_abandoned();
@@ -80,12 +79,13 @@
     }
 }
 
-/// Queries that wait for a read, and for the replica. Cheap to clone; clones share their state.
+/// Queries that wait for a read or for the replica. Cheap to clone; clones share their state.
 #[derive(Debug, Clone, Default)]
 pub struct ReadIndex(Arc<Mutex<State>>);
 
 impl ReadIndex {
-    /// The replica has applied every change up to `revision`: answers the queries that waited for it.
+    /// Answers the queries that wait for `revision` or an earlier one. The replica must have applied every
+    /// change up to `revision`.
     pub fn on_revision_applied(&self, revision: u64) {
         let mut state = self.0.lock();
         state.applied = state.applied.max(revision);
@@ -94,22 +94,22 @@
             .batches
             .extract_if(.., |batch| batch.revision <= applied);
         for waiter in settled.flat_map(|batch| batch.waiters) {
-            // Who asked may have given up.
+            // The caller may no longer be waiting.
             let _ = waiter.send(Ok(()));
         }
     }
 
-    /// Waits until the replica shows everything that was written before this call.
+    /// Waits until the replica contains every write that completed before this call.
     ///
     /// # Errors
     ///
-    /// If the store's revision can't be read, or the replica doesn't reach it, within `timeout`.
+    /// Fails if the store's revision cannot be read, or the replica does not reach it, within `timeout`.
     pub async fn catch_up(
         &self,
         store: &impl RevisionSource,
         read_interval: Duration,
         timeout: Duration,
-    ) -> Answer {
+    ) -> ReadResult {
         let (waiter, answer) = oneshot::channel();
         let was_reading = {
             let mut state = self.0.lock();
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Reads for those who wait, batch after batch, until nobody waits for a read.
+    /// Performs one read per batch of waiting queries until no query waits for a read.
     async fn read_batches(
         self,
         store: impl RevisionSource,
@@ -136,7 +136,7 @@
         timeout: Duration,
     ) {
         loop {
-            // A statement of its own: the lock must not be held while the store is asked.
+            // A separate statement, so that the lock is not held during the read.
             let batch = self.0.lock().next_batch();
             let Some(waiters) = batch else { return };
             match read_revision(&store, read_interval, timeout).await {
@@ -157,13 +157,13 @@
             state.batches.push(batch);
             state.applied
         };
-        // The replica may have come as far already.
+        // The replica may have applied this revision already.
         self.on_revision_applied(applied);
     }
 }
 
-/// Reads the store's revision. However busy the store is, what users ask must get through in the end, so
-/// a read that is refused for the budget is tried again.
+/// Reads the store's revision. A read that is refused because the request budget is exhausted is retried, so
+/// that users' queries succeed eventually even when the store is busy.
 async fn read_revision(
     store: &impl RevisionSource,
     read_interval: Duration,
@@ -180,7 +180,7 @@
     read
 }
 
-/// Least time between two reads of one controller.
+/// Minimum time between two reads of one controller, derived from the store's request budget.
 pub fn read_interval(settings: &Settings) -> Duration {
     let platform = &settings.platform.settings;
     let controllers = platform.count.max(1) as f64;
--- a/src/store/read_index/tests.rs
+++ b/src/store/read_index/tests.rs
@@ -4,7 +4,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A store that is unavailable for some reads, then refuses some for the budget.
+/// A store that is unavailable for some reads and then rejects some because of the request budget.
 #[derive(Clone, Default)]
 struct FakeStore {
     unavailable: Rc<Cell<u32>>,
@@ -32,7 +32,7 @@
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 #[test]
-fn a_backlog_of_polls_after_an_outage_is_answered_by_a_few_reads() {
+fn backlog_of_polls_after_an_outage_needs_few_reads() {
     actix_rt::System::new().block_on(async {
         let (read_index, store) = (ReadIndex::default(), FakeStore::default());
         store.unavailable.set(3);
@@ -43,29 +43,29 @@
                 let (read_index, store) = (read_index.clone(), store.clone());
                 actix_rt::spawn(async move {
                     // A user whose poll is refused polls again.
-                    let mut tries = 1;
+                    let mut attempts = 1;
                     while read_index
                         .catch_up(&store, READ_INTERVAL, TIMEOUT)
                         .await
                         .is_err()
                     {
-                        tries += 1;
+                        attempts += 1;
                     }
-                    tries
+                    attempts
                 })
             })
             .collect();
-        let mut most = 0;
+        let mut max_attempts = 0;
         for poll in polls {
-            most = most.max(poll.await.expect("answered"));
+            max_attempts = max_attempts.max(poll.await.expect("poll task completes"));
         }
-        assert!(most <= 6, "some job's user had to ask {most} times");
+        assert!(max_attempts <= 6, "a poll took {max_attempts} attempts");
         assert!(store.reads.get() <= 12, "{} reads", store.reads.get());
     });
 }
 
 #[test]
-fn nobody_is_answered_before_the_replica_has_applied_the_revision() {
+fn queries_wait_until_the_replica_has_applied_the_revision() {
     actix_rt::System::new().block_on(async {
         let (read_index, store) = (ReadIndex::default(), FakeStore::default());
         read_index.on_revision_applied(6);
