--- a/src/controller/blocks/splitting.rs
+++ b/src/controller/blocks/splitting.rs
@@ -138,7 +138,7 @@
             if values.len() + rest.len() >= max_parts {
                 return None;
             }
-            let value = Json::of(&self.replica.block_record(&edit));
+            let value = Json::encode(&self.replica.block_record(&edit));
             let expected_bytes = self.expected_size(edit.machines.values());
             let crowded = expected_bytes > max_bytes && edit.machines.len() > 1;
             if value.size() <= max_bytes && !crowded {
--- a/src/controller/blocks/upkeep.rs
+++ b/src/controller/blocks/upkeep.rs
@@ -66,8 +66,9 @@
     /// at once: the grants of fifty blocks then took six seconds, and with the time of the restart
     /// the leases of workers expired.
     fn note_ungranted(&mut self, replica: &Replica, now: Timestamp) {
-        let last_version = std::mem::replace(&mut self.ungranted_checked_version, replica.version);
-        if last_version == replica.version {
+        let last_version =
+            std::mem::replace(&mut self.ungranted_checked_version, replica.change_counter);
+        if last_version == replica.change_counter {
             return;
         }
         if count_ungranted(replica) < MANY_UNGRANTED_BLOCKS {
--- a/src/controller/completions/plan.rs
+++ b/src/controller/completions/plan.rs
@@ -53,7 +53,7 @@
     fn seal_blocks(&self, edits: &BTreeMap<BlockId, BlockEdit>) -> Vec<SealedBlock> {
         let seal = |(&id, edit)| {
             let record = self.replica.block_record(edit);
-            let value = Json::of(&record);
+            let value = Json::encode(&record);
             SealedBlock { id, record, value }
         };
         edits.iter().map(seal).collect()
@@ -83,7 +83,7 @@
         let size = block.value.size();
         let job_writes = self.move_done_lists(&mut block.record, size, budget);
         if !job_writes.is_empty() {
-            block.value = Json::of(&block.record);
+            block.value = Json::encode(&block.record);
         }
         job_writes
     }
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -3,7 +3,7 @@
 //! Plain values only: nothing here decides or does anything.
 
 use crate::names::HostId;
-use crate::protocol::{HeartbeatAck, Json, Mutation, PeerMessage, RentRequest, Transaction};
+use crate::protocol::{HeartbeatAck, Json, Mutation, PeerMessage, RentalRequest, Transaction};
 use crate::replica::BlockId;
 use crate::spillover::CellCall;
 
@@ -45,7 +45,7 @@
     /// Read the final states of these jobs from the archive.
     Archived(Vec<String>),
     /// Rent machines.
-    Rent(RentRequest),
+    Rent(RentalRequest),
     /// Return machines.
     Return(Vec<String>),
     /// Ask a controller of another cell.
@@ -89,7 +89,7 @@
 pub(crate) fn put(key: &str, value: &impl serde::Serialize, lease_id: Option<u64>) -> Mutation {
     Mutation::Put {
         key: key.to_owned(),
-        value: Json::of(value),
+        value: Json::encode(value),
         lease_id,
     }
 }
--- a/src/controller/heartbeat/admission.rs
+++ b/src/controller/heartbeat/admission.rs
@@ -44,7 +44,7 @@
     /// A machine by its name, with the grant of its block.
     pub(super) fn grant_of(&self, machine: &str) -> Option<(MachineId, Holder)> {
         let machine_id = self.replica.names.machines.get(machine)?;
-        let (_, grant) = self.replica.holder(machine_id)?;
+        let (_, grant) = self.replica.block_and_holder(machine_id)?;
         Some((machine_id, grant))
     }
 
--- a/src/controller/machine_status.rs
+++ b/src/controller/machine_status.rs
@@ -15,7 +15,7 @@
         machine_id: MachineId,
         now: Timestamp,
     ) -> Option<MachineInfo> {
-        let (_, grant) = self.replica.holder(machine_id)?;
+        let (_, grant) = self.replica.block_and_holder(machine_id)?;
         if grant.controller == self.me {
             let runtime = self.held.get(machine_id)?;
             return Some(MachineInfo {
--- a/src/controller/queue_load.rs
+++ b/src/controller/queue_load.rs
@@ -65,7 +65,7 @@
 
     /// Load of a machine's queue, as its holder sees it; 0 if that is unknown.
     pub(crate) fn known_load(&self, machine_id: MachineId, now: Timestamp) -> f64 {
-        match self.replica.holder(machine_id) {
+        match self.replica.block_and_holder(machine_id) {
             Some((_, grant)) if grant.controller == self.me => self.queue_load(machine_id, now),
             Some((_, grant)) => {
                 let summary = self.peers.machine(grant.controller, machine_id);
--- a/src/controller/replica_changes.rs
+++ b/src/controller/replica_changes.rs
@@ -60,7 +60,7 @@
         for host in changes.loads {
             self.peers.note_load(host, now);
         }
-        self.drop_machines_without_block(changes.machines);
+        self.drop_machines_without_block(changes.removed_machines);
         let early_grants = self.follow_blocks(changes.blocks, now);
         // Looked at again with the next change, until the watch has reached their grants.
         self.replica.changes.blocks.extend(early_grants);
--- a/src/http/cells.rs
+++ b/src/http/cells.rs
@@ -131,7 +131,7 @@
             .await
             .ok()??;
         Some(Archived {
-            record: item.value.read().ok()?,
+            record: item.value.decode().ok()?,
             mod_revision: item.mod_revision,
         })
     }
--- a/src/jobs/chained.rs
+++ b/src/jobs/chained.rs
@@ -203,7 +203,7 @@
     let key = waiting_key(name);
     let mutations = vec![Mutation::Put {
         key: key.clone(),
-        value: Json::of(&record),
+        value: Json::encode(&record),
         lease_id: None,
     }];
     let preconditions = vec![Precondition { key, mod_revision }];
@@ -217,7 +217,7 @@
     /// What the replica shows of a job that a submission names.
     pub fn predecessor(&self, name: &str) -> Predecessor {
         let job = self.names.jobs.get(name);
-        let Some(status) = job.and_then(|job| self.status_of(job)) else {
+        let Some(status) = job.and_then(|job| self.job_status(job)) else {
             return Predecessor::Unwatched;
         };
         match status {
--- a/src/jobs/chained/tests.rs
+++ b/src/jobs/chained/tests.rs
@@ -116,7 +116,7 @@
     let Mutation::Put { value: v, .. } = &planned.transaction().mutations[0] else {
         panic!("a put")
     };
-    let read: WaitingRecord = v.read().expect("read");
+    let read: WaitingRecord = v.decode().expect("read");
     assert_eq!(
         read.predecessors.names(),
         [open(2).0, open(3).0, open(30).0]
--- a/src/jobs/gradual/tests.rs
+++ b/src/jobs/gradual/tests.rs
@@ -46,7 +46,7 @@
     let Mutation::Put { value: v, .. } = &transaction.mutations[0] else {
         panic!("a put")
     };
-    v.read().expect("a waiting job")
+    v.decode().expect("a waiting job")
 }
 
 #[test]
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -66,7 +66,7 @@
         }],
         mutations: vec![Mutation::Put {
             key: job_key(name),
-            value: Json::of(&record),
+            value: Json::encode(&record),
             lease_id: None,
         }],
     }
--- a/src/leadership/capacity.rs
+++ b/src/leadership/capacity.rs
@@ -78,7 +78,7 @@
             zone: machine.zone,
             spot: machine.spot,
             size,
-            price: machine_type.price_of(machine.spot),
+            price: machine_type.hourly_price(machine.spot),
             idle_s: idle_ms.filter(|_| up).map(|ms| ms as f64 / 1000.0),
             held_s: self.rented_for(machine_id, now) as f64 / 1000.0,
         })
--- a/src/leadership/job_dependencies.rs
+++ b/src/leadership/job_dependencies.rs
@@ -38,12 +38,12 @@
             return None;
         }
         // Nothing becomes ready without a change of the replica.
-        if self.leadership.none_ready_at == Some(self.replica.version) {
+        if self.leadership.none_ready_at == Some(self.replica.change_counter) {
             return None;
         }
         let mut ready = self.ready_jobs();
         if ready.is_empty() {
-            self.leadership.none_ready_at = Some(self.replica.version);
+            self.leadership.none_ready_at = Some(self.replica.change_counter);
             return None;
         }
         ready.sort_by_key(|&job| (self.waiting_priority(job), job));
--- a/src/leadership/rent_requests.rs
+++ b/src/leadership/rent_requests.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
-use crate::protocol::RentRequest;
+use crate::protocol::RentalRequest;
 use crate::replica::Term;
 use crate::scaling::CapacityPool;
 
@@ -17,7 +17,7 @@
 /// A rental that waits for its answer.
 #[derive(Debug)]
 struct PendingRent {
-    request: RentRequest,
+    request: RentalRequest,
     retry_at: Timestamp,
 }
 
@@ -58,7 +58,7 @@
     }
 
     /// A rental is sent.
-    pub(super) fn begin_rent(&mut self, request: RentRequest, now: Timestamp) {
+    pub(super) fn begin_rent(&mut self, request: RentalRequest, now: Timestamp) {
         let retry_at = now.plus(RENT_RETRY_MS);
         let request_id = request.request_id.clone();
         let pending = PendingRent { request, retry_at };
@@ -66,12 +66,12 @@
     }
 
     /// Rentals that wait for their answers.
-    pub(super) fn pending(&self) -> impl Iterator<Item = &RentRequest> {
+    pub(super) fn pending(&self) -> impl Iterator<Item = &RentalRequest> {
         self.pending.values().map(|pending| &pending.request)
     }
 
     /// Rentals that have waited too long for their answers and are sent again.
-    pub(super) fn take_overdue(&mut self, now: Timestamp) -> Vec<RentRequest> {
+    pub(super) fn take_overdue(&mut self, now: Timestamp) -> Vec<RentalRequest> {
         let pending = self.pending.values_mut();
         let overdue = pending.filter(|pending| now >= pending.retry_at);
         overdue
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -8,7 +8,7 @@
 use crate::collections::HashSet;
 use crate::controller::{Controller, Effect};
 use crate::names::MachineId;
-use crate::protocol::{CloudMachine, RentRequest};
+use crate::protocol::{CloudMachine, RentalRequest};
 use crate::replica::Term;
 use crate::scaling::{
     self, BusyMachine, CapacityPool, Demand, MAX_MACHINES_PER_REQUEST, RentOrder, Rented, Rules,
@@ -119,7 +119,7 @@
     }
 
     /// The pool that a rental asks for; none if its names are not known here.
-    fn pool_of(&self, request: &RentRequest) -> Option<CapacityPool> {
+    fn pool_of(&self, request: &RentalRequest) -> Option<CapacityPool> {
         let names = &self.replica.names;
         Some(CapacityPool {
             machine_type: names.machine_types.get(&request.machine_type)?,
@@ -130,7 +130,7 @@
 
     fn send_rental(&mut self, order: RentOrder, term: Term, now: Timestamp, out: &mut Vec<Effect>) {
         let names = &self.replica.names;
-        let request = RentRequest {
+        let request = RentalRequest {
             request_id: self.leadership.rent.next_request_id(term),
             machine_type: names.machine_types.name(order.pool.machine_type).to_owned(),
             zone: names.zones.name(order.pool.zone).to_owned(),
@@ -253,7 +253,7 @@
     }
 
     /// A rental was answered, or not.
-    pub fn on_rented(&mut self, rental: &RentRequest, outcome: RentOutcome, now: Timestamp) {
+    pub fn on_rented(&mut self, rental: &RentalRequest, outcome: RentOutcome, now: Timestamp) {
         let rent = &mut self.leadership.rent;
         if !rent.is_pending(&rental.request_id) {
             return;
@@ -289,7 +289,7 @@
 
     /// The cloud gave fewer machines than were asked for: the pool is left alone for a while, by
     /// chance a little longer, so that not all pools are asked again at once.
-    fn note_refusal(&mut self, rental: &RentRequest, now: Timestamp) {
+    fn note_refusal(&mut self, rental: &RentalRequest, now: Timestamp) {
         if let Some(pool) = self.pool_of(rental) {
             let wait_ms = (self.settings.options.fleet_refused_s * 1000.0) as u64;
             let until = now.plus(wait_ms + self.rng.random_range(0..wait_ms / 2 + 1));
--- a/src/leadership/slots.rs
+++ b/src/leadership/slots.rs
@@ -34,13 +34,13 @@
 
     fn is_expensive(self, machine_type: &MachineType, spot: bool) -> bool {
         price_per_cpu(machine_type, spot) > self.per_cpu * EXPENSIVE_CPU_FACTOR
-            || machine_type.price_of(spot) > self.machine * EXPENSIVE_MACHINE_FACTOR
+            || machine_type.hourly_price(spot) > self.machine * EXPENSIVE_MACHINE_FACTOR
     }
 }
 
 /// Price of a CPU of a machine.
 fn price_per_cpu(machine_type: &MachineType, spot: bool) -> f64 {
-    machine_type.price_of(spot) / machine_type.cpus.max(MIN_CPUS)
+    machine_type.hourly_price(spot) / machine_type.cpus.max(MIN_CPUS)
 }
 
 /// Which machines are wanted besides those that are open to all tasks.
@@ -146,7 +146,7 @@
         };
         let cheapest = CheapestPrices {
             per_cpu: least(price_per_cpu),
-            machine: least(MachineType::price_of),
+            machine: least(MachineType::hourly_price),
         };
         let (mut cheap_cpus, mut all_cpus) = (0.0, 0.0);
         for (machine_type, spot) in machines() {
--- a/src/leadership/unreachable_holders.rs
+++ b/src/leadership/unreachable_holders.rs
@@ -84,7 +84,7 @@
             return None;
         }
         let machine_id = self.replica.names.machines.get(&machine.machine)?;
-        let (block, grant) = self.replica.holder(machine_id)?;
+        let (block, grant) = self.replica.block_and_holder(machine_id)?;
         let info = self.machine_info(machine_id, now);
         let heard_ms = info.and_then(|info| info.age_ms);
         let unheard = heard_ms.is_none_or(|age_ms| age_ms > UNANSWERED_MS);
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -37,7 +37,7 @@
 
 impl MachineType {
     /// Price per hour of a spot or on-demand machine of this type.
-    pub fn price_of(&self, spot: bool) -> f64 {
+    pub fn hourly_price(&self, spot: bool) -> f64 {
         if spot { self.market_price } else { self.price }
     }
 }
@@ -52,7 +52,7 @@
 
 /// A request to rent machines (`POST /machines`).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RentRequest {
+pub struct RentalRequest {
     /// Idempotency key. A repeated request gets the same response and rents nothing, so different requests must
     /// never share an identifier, even across controllers.
     #[serde(rename = "booking")]
@@ -70,7 +70,7 @@
     pub number: u32,
 }
 
-/// Names of machines: the response to a [`RentRequest`], and the body of `POST /machines/return`.
+/// Names of machines: the response to a [`RentalRequest`], and the body of `POST /machines/return`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineNames {
     /// Machines.
--- a/src/protocol/json.rs
+++ b/src/protocol/json.rs
@@ -11,7 +11,7 @@
 impl Json {
     /// Serializes `value`; yields `null` if that fails. It cannot fail for records, which are plain data with
     /// string keys.
-    pub fn of(value: &impl Serialize) -> Json {
+    pub fn encode(value: &impl Serialize) -> Json {
         let raw = serde_json::value::to_raw_value(value);
         Json(raw.unwrap_or_else(|_| RawValue::NULL.to_owned()).into())
     }
@@ -21,7 +21,7 @@
     /// # Errors
     ///
     /// Fails if the text is not a valid `T`: it is corrupt or was written by an unknown version.
-    pub fn read<T: serde::de::DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
+    pub fn decode<T: serde::de::DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_str(self.0.get())
     }
 
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -12,7 +12,7 @@
 mod users;
 mod worker;
 
-pub use cloud::{Catalog, CloudMachine, MachineNames, MachinePage, MachineType, RentRequest};
+pub use cloud::{Catalog, CloudMachine, MachineNames, MachinePage, MachineType, RentalRequest};
 pub use json::Json;
 pub use peer::{
     FleetSummary, MachineSummary, PeerMessage, ReportedLoan, StealMessage, UnownedMachine,
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -111,7 +111,7 @@
         r#"{"frames":[{"label":"g8","vcpus":96.0,"gpus":8.0,"ramGb":768.0,"localGb":200.0,"#,
         r#""fetchGbPerS":1.0,"price":12.0,"marketPrice":4.5,"bootS":45.0,"yards":["a","b"]}]}"#
     ));
-    let request: RentRequest = assert_round_trip(
+    let request: RentalRequest = assert_round_trip(
         r#"{"booking":"r-17","frame":"g8","yard":"a","loaners":true,"number":12}"#,
     );
     assert_eq!(request.request_id, "r-17");
--- a/src/records/block_text.rs
+++ b/src/records/block_text.rs
@@ -80,12 +80,12 @@
                 let (name, rest) = text.split_once(' ')?;
                 Some((read_name(&previous, name)?, read_machine(rest)?))
             };
-            let (name, machine) = read().ok_or_else(|| MalformedText::of(text))?;
+            let (name, machine) = read().ok_or_else(|| MalformedText::new(text))?;
             previous.clone_from(&name);
             block.machines.insert(name, machine);
         }
         for text in split_nonempty(&packed.done, ' ') {
-            let done = read_tasks(text).ok_or_else(|| MalformedText::of(text))?;
+            let done = read_tasks(text).ok_or_else(|| MalformedText::new(text))?;
             block.done.push(done);
         }
         Ok(block)
@@ -237,6 +237,6 @@
         Some((name(machine_type)?, name(spot_zone.unwrap_or(zone))?, spot))
     };
     split_nonempty(kinds, ' ')
-        .map(|text| read(text).ok_or_else(|| MalformedText::of(text)))
+        .map(|text| read(text).ok_or_else(|| MalformedText::new(text)))
         .collect()
 }
--- a/src/records/job.rs
+++ b/src/records/job.rs
@@ -63,7 +63,7 @@
     /// longer needed, and its done tasks are only displayed.
     pub fn shorten(&mut self, max_bytes: usize) {
         let is_final = self.status != JobStatus::Pending;
-        let too_large = |record: &Self| Json::of(record).size() > max_bytes;
+        let too_large = |record: &Self| Json::encode(record).size() > max_bytes;
         if !is_final || !too_large(self) {
             return;
         }
--- a/src/records/names.rs
+++ b/src/records/names.rs
@@ -15,7 +15,7 @@
 
 impl MalformedText {
     /// The error for this text, which is truncated.
-    pub(super) fn of(text: &str) -> Self {
+    pub(super) fn new(text: &str) -> Self {
         Self(text.chars().take(MAX_SHOWN_CHARACTERS).collect())
     }
 }
@@ -107,7 +107,7 @@
     let mut names: Vec<String> = Vec::new();
     for part in split_nonempty(text, ' ') {
         let previous = names.last().map_or("", String::as_str);
-        let name = read_name(previous, part).ok_or_else(|| MalformedText::of(part))?;
+        let name = read_name(previous, part).ok_or_else(|| MalformedText::new(part))?;
         names.push(name);
     }
     Ok(names)
--- a/src/replica/apply.rs
+++ b/src/replica/apply.rs
@@ -137,7 +137,7 @@
             }
         }
         if !matches!(watched, WatchedKey::Load(_)) {
-            self.version += 1;
+            self.change_counter += 1;
         }
     }
 
@@ -150,13 +150,13 @@
     ) -> Result<(), serde_json::Error> {
         match key {
             WatchedKey::Leader => self.leader = Some(self.read_holder(value, mod_revision)?),
-            WatchedKey::Catalog => self.catalog = Some(value.read()?),
+            WatchedKey::Catalog => self.catalog = Some(value.decode()?),
             WatchedKey::Format => {
-                let record: FormatRecord = value.read()?;
+                let record: FormatRecord = value.decode()?;
                 self.format = self.format.max(record.format);
             }
             WatchedKey::Controller(name) => {
-                self.put_controller(name, &value.read()?, mod_revision);
+                self.put_controller(name, &value.decode()?, mod_revision);
             }
             WatchedKey::Grant(block) => {
                 let holder = self.read_holder(value, mod_revision)?;
@@ -164,11 +164,11 @@
                 self.changes.blocks.insert(block);
             }
             WatchedKey::Block(block) => {
-                self.put_block(block, value.read()?, value.size(), mod_revision);
+                self.put_block(block, value.decode()?, value.size(), mod_revision);
             }
-            WatchedKey::Job(name) => self.put_job(name, value.read()?, mod_revision),
-            WatchedKey::WaitingJob(name) => self.put_waiting(name, value.read()?, mod_revision),
-            WatchedKey::Load(name) => self.put_loads(name, &value.read()?),
+            WatchedKey::Job(name) => self.put_job(name, value.decode()?, mod_revision),
+            WatchedKey::WaitingJob(name) => self.put_waiting(name, value.decode()?, mod_revision),
+            WatchedKey::Load(name) => self.put_loads(name, &value.decode()?),
             WatchedKey::Unknown => {}
         }
         Ok(())
@@ -179,7 +179,7 @@
         value: &Json,
         mod_revision: u64,
     ) -> Result<Holder, serde_json::Error> {
-        let record: HolderRecord = value.read()?;
+        let record: HolderRecord = value.decode()?;
         Ok(Holder {
             controller: self.names.controllers.intern(&record.controller),
             incarnation: Incarnation(record.incarnation),
@@ -215,7 +215,7 @@
 
     /// Applies the deletion of a key.
     fn remove(&mut self, key: &str) {
-        self.version += 1;
+        self.change_counter += 1;
         self.unreadable.remove(key);
         match WatchedKey::parse(key) {
             WatchedKey::Leader => self.leader = None,
--- a/src/replica/block_values.rs
+++ b/src/replica/block_values.rs
@@ -21,7 +21,7 @@
 }
 
 impl StoredTables {
-    pub(super) fn of(record: &BlockRecord, names: &mut NameTables) -> Self {
+    pub(super) fn from_record(record: &BlockRecord, names: &mut NameTables) -> Self {
         let jobs = record.jobs.iter();
         let jobs = jobs.map(|name| names.jobs.intern(name)).collect();
         let kinds = record.kinds.iter();
--- a/src/replica/blocks.rs
+++ b/src/replica/blocks.rs
@@ -50,7 +50,7 @@
         mod_revision: u64,
     ) {
         let before = self.blocks.remove(&id);
-        let tables = StoredTables::of(&record, &mut self.names);
+        let tables = StoredTables::from_record(&record, &mut self.names);
         let machines = self.put_machines(id, record.machines, &tables);
         let done: Vec<(JobId, RangeSet)> = record
             .done
@@ -147,7 +147,7 @@
     }
 
     fn remove_machine(&mut self, machine_id: MachineId) {
-        self.changes.machines.push(machine_id);
+        self.changes.removed_machines.push(machine_id);
         if let Some(before) = self.machines.remove(&machine_id) {
             self.unbind_queue(&before);
         }
--- a/src/replica/job.rs
+++ b/src/replica/job.rs
@@ -60,8 +60,10 @@
         // The longest possible text repeats two done tasks and an open one up to the last task.
         match range_bytes * task_count.div_ceil(3) <= available_bytes {
             true => task_count,
-            // There is one more range_bytes than gaps.
-            false => (available_bytes / range_bytes).saturating_sub(1).max(MIN_OPEN_TASKS),
+            // There is one more range than gaps.
+            false => (available_bytes / range_bytes)
+                .saturating_sub(1)
+                .max(MIN_OPEN_TASKS),
         }
     }
 
--- a/src/replica/jobs.rs
+++ b/src/replica/jobs.rs
@@ -63,7 +63,7 @@
             empty_value_bytes: 0,
         };
         job.empty_value_bytes =
-            Json::of(&job.to_record(DoneTasks::default(), JobStatus::Cancelled)).size();
+            Json::encode(&job.to_record(DoneTasks::default(), JobStatus::Cancelled)).size();
         job
     }
 
--- a/src/replica/mod.rs
+++ b/src/replica/mod.rs
@@ -74,7 +74,7 @@
     /// Latest queue totals that each controller published.
     pub loads: HashMap<HostId, QueueTotals>,
     /// Incremented by every change of a key except queue totals, so that scheduling can detect changes.
-    pub version: u64,
+    pub change_counter: u64,
     /// Changes that the controller has not processed yet.
     pub changes: ChangeSet,
     job_index: JobIndex,
--- a/src/replica/model.rs
+++ b/src/replica/model.rs
@@ -44,7 +44,7 @@
     /// Blocks whose content or holder changed.
     pub blocks: BTreeSet<BlockId>,
     /// Machines removed from their block.
-    pub machines: Vec<MachineId>,
+    pub removed_machines: Vec<MachineId>,
     /// Controllers that published new queue totals.
     pub loads: Vec<HostId>,
     /// Jobs whose stored status is cancelled.
--- a/src/replica/queries.rs
+++ b/src/replica/queries.rs
@@ -44,7 +44,7 @@
     }
 
     /// The block of a machine and its holder; `None` if the machine or the grant is unknown.
-    pub fn holder(&self, machine: MachineId) -> Option<(BlockId, Holder)> {
+    pub fn block_and_holder(&self, machine: MachineId) -> Option<(BlockId, Holder)> {
         let block = self.machines.get(&machine)?.block;
         Some((block, *self.grants.get(&block)?))
     }
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -19,7 +19,7 @@
     }
     let encoding = Encoding::Compatible;
     let tasks = done;
-    Json::of(&job.to_record(DoneTasks { tasks, encoding }, JobStatus::Cancelled)).size()
+    Json::encode(&job.to_record(DoneTasks { tasks, encoding }, JobStatus::Cancelled)).size()
 }
 
 /// Size of a job's value, bytes, if every other task is done from the first missing one to the end of the
@@ -31,7 +31,7 @@
     for task in (first + 1..job.open_window_end(value_bytes, encoding)).step_by(2) {
         tasks.insert(task);
     }
-    Json::of(&job.to_record(DoneTasks { tasks, encoding }, JobStatus::Cancelled)).size()
+    Json::encode(&job.to_record(DoneTasks { tasks, encoding }, JobStatus::Cancelled)).size()
 }
 
 #[test]
@@ -88,7 +88,7 @@
         preconditions: Vec::new(),
         mutations: vec![Mutation::Put {
             key: key.to_owned(),
-            value: Json::of(value),
+            value: Json::encode(value),
             lease_id: None,
         }],
     }
@@ -105,7 +105,7 @@
     replica.apply_own_commit(&put(&grant, &owner(1)), 10);
     let item = KeyValue {
         key: lead.clone(),
-        value: Json::of(&owner(7)),
+        value: Json::encode(&owner(7)),
         mod_revision: 5,
     };
     replica.apply_full_read(vec![item], 6);
--- a/src/replica/waiting.rs
+++ b/src/replica/waiting.rs
@@ -167,7 +167,7 @@
         if !self.dependencies.is_needed(job) || self.has_watched_key(job) {
             return;
         }
-        self.version += 1;
+        self.change_counter += 1;
         self.waiting.archived_statuses.insert(job, status);
         if status == JobStatus::Cancelled {
             self.cancel_descendants(job);
@@ -175,7 +175,7 @@
     }
 
     /// A job's state as users see it; `None` if it has no watched key, is borrowed, or is incomplete.
-    pub fn status_of(&self, job: JobId) -> Option<JobStatus> {
+    pub fn job_status(&self, job: JobId) -> Option<JobStatus> {
         // Borrowed jobs were not submitted by users of this cell.
         let ordinary = self
             .jobs
--- a/src/runtime/cloud_client.rs
+++ b/src/runtime/cloud_client.rs
@@ -4,7 +4,7 @@
 //! outcome is in doubt: a machine may have been rented although no answer came.
 
 use crate::leadership::RentOutcome;
-use crate::protocol::{Catalog, CloudMachine, MachineNames, MachinePage, RentRequest};
+use crate::protocol::{Catalog, CloudMachine, MachineNames, MachinePage, RentalRequest};
 use awc::Client;
 use awc::http::StatusCode;
 use std::time::Duration;
@@ -64,7 +64,7 @@
     }
 
     /// Rents machines. The request is idempotent by its id.
-    pub(super) async fn rent(self, request: RentRequest) -> RentOutcome {
+    pub(super) async fn rent(self, request: RentalRequest) -> RentOutcome {
         let url = format!("{}/machines", self.base_url);
         match self.post(url, &request).await {
             Some((StatusCode::OK, body)) => match serde_json::from_slice::<MachineNames>(&body) {
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -6,7 +6,7 @@
 use super::controller_actor::ControllerActor;
 use crate::controller::{Effect, WriteKind};
 use crate::names::HostId;
-use crate::protocol::{PeerMessage, RentRequest, Transaction};
+use crate::protocol::{PeerMessage, RentalRequest, Transaction};
 use crate::spillover::CellCall;
 use crate::store::{CommitOutcome, LeaseOutcome};
 use actix::prelude::*;
@@ -165,7 +165,7 @@
     }
 
     /// Rents machines.
-    fn rent(&self, request: RentRequest, ctx: &mut Context<Self>) {
+    fn rent(&self, request: RentalRequest, ctx: &mut Context<Self>) {
         let call = self.cloud.clone().rent(request.clone());
         ctx.spawn(call.into_actor(self).map(move |outcome, actor, ctx| {
             let now = actor.now();
--- a/src/spillover/serving.rs
+++ b/src/spillover/serving.rs
@@ -86,7 +86,7 @@
             let Mutation::Put { key, value, .. } = mutation else {
                 continue;
             };
-            let record = value.read::<JobRecord>();
+            let record = value.decode::<JobRecord>();
             let done = record.is_ok_and(|record| record.status == JobStatus::Done);
             info!(key, done, revision, "loan ended");
             self.spillover.counters.finished += u64::from(done);
--- a/src/stealing/messages.rs
+++ b/src/stealing/messages.rs
@@ -70,7 +70,7 @@
             let Some(machine_id) = self.replica.names.machines.get(recipient) else {
                 continue;
             };
-            let Some((_, holder)) = self.replica.holder(machine_id) else {
+            let Some((_, holder)) = self.replica.block_and_holder(machine_id) else {
                 continue;
             };
             if holder.controller == self.me {
--- a/src/stealing/rounds.rs
+++ b/src/stealing/rounds.rs
@@ -189,7 +189,7 @@
             loads.count += totals.count;
             loads.sum += totals.sum;
             for (&machine_id, &load) in &totals.machines {
-                let holder = self.replica.holder(machine_id);
+                let holder = self.replica.block_and_holder(machine_id);
                 let held = holder.is_some_and(|(_, grant)| grant.controller == *host);
                 if held && self.available(machine_id, now) {
                     loads.machines.insert(machine_id, load);
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -76,7 +76,7 @@
         let Some(item) = self.read(&archive_key(job), timeout).await? else {
             return Ok(None);
         };
-        let record = item.value.read();
+        let record = item.value.decode();
         record.map(Some).map_err(invalid_response)
     }
 
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -175,7 +175,7 @@
 fn view_of(stored: &BTreeMap<String, Value>) -> Replica {
     let items = stored.iter().enumerate().map(|(n, (k, v))| KeyValue {
         key: k.clone(),
-        value: Json::of(v),
+        value: Json::encode(v),
         mod_revision: n as u64 + 1,
     });
     let mut replica = Replica::default();
@@ -294,7 +294,7 @@
     let needed = ["wk-000412", "wk-000413"];
     assert_eq!(waiting.predecessors.names(), needed);
     assert_eq!(
-        replica.status_of(job("wk-000415")),
+        replica.job_status(job("wk-000415")),
         Some(JobStatus::Cancelled)
     );
     assert_eq!(replica.jobs[&job("wk-000413")].ready_ms, Some(10_008_100));
@@ -362,7 +362,7 @@
         }
         for prefix in ["qb/", "past/"] {
             for item in w.state.list(prefix).0 {
-                let value: Value = item.value.read().expect("json");
+                let value: Value = item.value.decode().expect("json");
                 read_as_format_0(&item.key, &value);
                 // A job that waits is nowhere where that version would bind it.
                 waited |= item.key.starts_with("qb/wait/");
--- a/tests/duplicate_execution.rs
+++ b/tests/duplicate_execution.rs
@@ -174,7 +174,7 @@
         .names
         .machines
         .get(&victim_machine);
-    let held = held.and_then(|m| w.controller(leader).replica.holder(m));
+    let held = held.and_then(|m| w.controller(leader).replica.block_and_holder(m));
     let held = held.is_some_and(|h| h.1.controller == w.controller(leader).me);
     w.workers[victim].cut = false;
     w.workers[victim].at = leader;
--- a/tests/loopback_cells.rs
+++ b/tests/loopback_cells.rs
@@ -141,7 +141,7 @@
 /// Jobs that the state service of a cell shows as lent to a cell.
 fn lent_to(cell: &Cell, borrower: &str) -> usize {
     let (items, _) = cell.outside.state.lock().expect("lock").list("qb/job/");
-    let jobs = items.iter().filter_map(|i| i.value.read::<Value>().ok());
+    let jobs = items.iter().filter_map(|i| i.value.decode::<Value>().ok());
     let lent = jobs.filter(|job| job["st"] == "pending" && job["x"]["l"]["c"] == borrower);
     lent.count()
 }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -555,7 +555,7 @@
     w.run(2500);
     let recorded: u32 = {
         let blocks = w.state.list("qb/block/").0.into_iter();
-        let blocks = blocks.map(|b| b.value.read::<BlockRecord>().expect("a block"));
+        let blocks = blocks.map(|b| b.value.decode::<BlockRecord>().expect("a block"));
         let queued = blocks.flat_map(|b| b.machines.into_values().flat_map(|m| m.queue));
         queued.map(|binding| binding.tasks.len()).sum()
     };
--- a/tests/spillover.rs
+++ b/tests/spillover.rs
@@ -71,7 +71,7 @@
     assert!(w.cell_calls.is_empty());
     for item in w.state.list("qb/job/").0 {
         assert_eq!(
-            item.value.read::<JobRecord>().expect("a job").transfer,
+            item.value.decode::<JobRecord>().expect("a job").transfer,
             None
         );
     }
@@ -361,7 +361,7 @@
     assert!(c.starts_in(WEST, &east) + c.starts_in(WEST, &north) > 0);
     let marks = |cell: usize| c.cells[cell].state.list("qb/job/").0;
     for item in marks(NORTH).into_iter().chain(marks(WEST)) {
-        let job: JobRecord = item.value.read().expect("a job");
+        let job: JobRecord = item.value.decode().expect("a job");
         let name = &item.key["qb/job/".len()..];
         if east.iter().any(|j| j == name) {
             assert!(matches!(
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -81,7 +81,7 @@
 pub fn lends(transaction: &Transaction) -> bool {
     let lent = |change: &Mutation| match change {
         Mutation::Put { value, .. } => value
-            .read::<JobRecord>()
+            .decode::<JobRecord>()
             .is_ok_and(|job| matches!(job.transfer.as_deref(), Some(Transfer::Lent(_)))),
         Mutation::Delete { .. } => false,
     };
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -109,7 +109,7 @@
             v.names
                 .machines
                 .get(machine)
-                .and_then(|m| v.holder(m))
+                .and_then(|m| v.block_and_holder(m))
                 .is_some_and(|h| h.1.controller == n.controller.me)
                 && n.controller.has_authority(self.clock(i))
         })
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -237,7 +237,7 @@
             for job in &jobs {
                 let known = replica.names.jobs.get(job.as_str());
                 let Some((index, status)) =
-                    known.and_then(|job_id| Some((job_id, replica.status_of(job_id)?)))
+                    known.and_then(|job_id| Some((job_id, replica.job_status(job_id)?)))
                 else {
                     continue;
                 };
--- a/tests/support/state.rs
+++ b/tests/support/state.rs
@@ -140,11 +140,11 @@
     pub fn overwrite(&mut self, key: &str, value: &serde_json::Value) {
         self.revision += 1;
         let lease_id = self.keys.get(key).and_then(|k| k.lease_id);
-        self.put(key, Json::of(value), lease_id);
+        self.put(key, Json::encode(value), lease_id);
     }
 
     pub fn value(&self, key: &str) -> Option<serde_json::Value> {
-        self.keys.get(key).and_then(|k| k.value.read().ok())
+        self.keys.get(key).and_then(|k| k.value.decode().ok())
     }
 
     pub fn mod_revision(&self, key: &str) -> u64 {
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -213,7 +213,7 @@
             .names
             .jobs
             .get(name)
-            .and_then(|job_id| replica.status_of(job_id));
+            .and_then(|job_id| replica.job_status(job_id));
         let status = match known {
             Some(status) => status,
             None => self.job(name)?.status,
@@ -256,7 +256,7 @@
     pub fn done(&self, name: &str) -> u32 {
         let mut done = self.job(name).map(|j| j.done.tasks).unwrap_or_default();
         for item in self.state.list("qb/block/").0 {
-            let block: BlockRecord = item.value.read().expect("a block");
+            let block: BlockRecord = item.value.decode().expect("a block");
             for (job, tasks) in &block.done {
                 if block.jobs[*job] == name {
                     done.union(tasks);
