--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -45,7 +45,7 @@
 /// The machine types with their current prices (`GET /catalog`).
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Catalog {
-    /// Machine types.
+    /// All machine types that can be rented.
     #[serde(rename = "frames")]
     pub machine_types: Vec<MachineType>,
 }
@@ -57,10 +57,10 @@
     /// never share an identifier, even across controllers.
     #[serde(rename = "booking")]
     pub request_id: String,
-    /// Machine type.
+    /// Name of the requested machine type.
     #[serde(rename = "frame")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone in which to rent the machines.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether spot machines are requested.
@@ -73,7 +73,7 @@
 /// Names of machines: the response to a [`RentalRequest`], and the body of `POST /machines/return`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// Machines.
+    /// Names of the machines.
     #[serde(rename = "rigs")]
     pub machines: Vec<String>,
 }
@@ -88,10 +88,10 @@
     /// Address of its worker, `host:port`.
     #[serde(default)]
     pub endpoint: String,
-    /// Machine type.
+    /// Name of its machine type.
     #[serde(rename = "frame")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone that it runs in.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether it is a spot machine.
@@ -108,7 +108,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct MachinePage {
-    /// Machines.
+    /// Machines of this page, ordered by name.
     #[serde(rename = "rigs")]
     pub machines: Vec<CloudMachine>,
     /// Whether another page follows.
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -38,10 +38,10 @@
     /// Name of the machine.
     #[serde(rename = "rig")]
     pub machine: String,
-    /// Machine type.
+    /// Name of its machine type.
     #[serde(rename = "frame")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone that it runs in.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether it is a spot machine.
@@ -57,16 +57,16 @@
 pub enum StealMessage {
     /// A heavily loaded machine offers itself as a victim to a lightly loaded one.
     Hint {
-        /// Receiving machine.
+        /// Name of the receiving machine.
         to: String,
-        /// Sending machine.
+        /// Name of the sending machine.
         from: String,
         /// The sender's load, seconds of work per CPU.
         load: f64,
     },
     /// A thief requests a pack of tasks from a machine.
     Steal {
-        /// Receiving machine.
+        /// Name of the receiving machine.
         to: String,
         /// Machine that requests the tasks.
         thief: String,
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -68,10 +68,10 @@
     pub machine: String,
     /// Address of the worker, `host:port`.
     pub endpoint: String,
-    /// Machine type.
+    /// Name of its machine type.
     #[serde(rename = "frame")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone that it runs in.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether it is a spot machine.
@@ -108,7 +108,7 @@
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stop a task.
+    /// Stop a task, which may first save its progress.
     Stop {
         /// Name of the task, `job/number`.
         #[serde(rename = "leg")]
--- a/src/records/controller.rs
+++ b/src/records/controller.rs
@@ -25,7 +25,7 @@
     /// Name of the controller.
     #[serde(rename = "h")]
     pub controller: String,
-    /// Its incarnation.
+    /// Incarnation of the controller.
     #[serde(rename = "b")]
     pub incarnation: u64,
 }
@@ -33,7 +33,7 @@
 /// A live controller. The store deletes the key when the lease expires.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControllerRecord {
-    /// Its incarnation.
+    /// Incarnation of the controller.
     #[serde(rename = "b")]
     pub incarnation: u64,
     /// Identifier of the lease that the key is attached to.
--- a/src/records/job.rs
+++ b/src/records/job.rs
@@ -34,13 +34,13 @@
 /// The value of a job that does not wait for predecessors.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Specification.
+    /// Specification as submitted; a lent job permits no machine type in it.
     #[serde(rename = "s")]
     pub spec: JobSpec,
     /// State: pending, done or cancelled.
     #[serde(rename = "st")]
     pub status: JobStatus,
-    /// Tasks done.
+    /// Tasks of the job that are done.
     #[serde(rename = "d")]
     pub done: DoneTasks,
     /// Wall-clock time of the submission, milliseconds since the Unix epoch.
@@ -80,7 +80,7 @@
 /// versions before format 2 do not read, and is replaced by an ordinary [`JobRecord`] once the job is ready.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WaitingRecord {
-    /// Specification.
+    /// Specification as submitted.
     #[serde(rename = "s")]
     pub spec: JobSpec,
     /// State: pending or cancelled. A job is also cancelled if one that it depends on is.
--- a/src/replica/ids.rs
+++ b/src/replica/ids.rs
@@ -21,7 +21,7 @@
 /// A task of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
-    /// Its job.
+    /// Job that it belongs to.
     pub job: JobId,
     /// Its number within the job, from 0.
     pub number: u32,
@@ -30,7 +30,7 @@
 /// A task bound to a machine, with the attempt that runs it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Binding {
-    /// The task.
+    /// Task that is bound.
     pub task: TaskId,
     /// Attempt number. A worker treats another attempt of the same task as a different execution.
     pub attempt: u64,
--- a/src/replica/job.rs
+++ b/src/replica/job.rs
@@ -15,13 +15,13 @@
 pub struct Job {
     /// Revision of its key.
     pub mod_revision: u64,
-    /// Specification.
+    /// Specification as stored.
     pub spec: Arc<JobSpec>,
-    /// Its team.
+    /// Team whose quota and limit apply.
     pub team: TeamId,
-    /// Its class.
+    /// Job class, which determines its service-level objective.
     pub class: ClassId,
-    /// Its image.
+    /// Image that its tasks need.
     pub image: ImageId,
     /// Allowed machine types; any if absent.
     pub machine_types: Option<Vec<MachineTypeId>>,
--- a/src/replica/keys.rs
+++ b/src/replica/keys.rs
@@ -24,9 +24,9 @@
 /// Kind of a key under the watched prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WatchedKey<'a> {
-    /// The leader.
+    /// The current leader.
     Leader,
-    /// The machine types.
+    /// The machine types that the cloud last listed.
     Catalog,
     /// The recorded format of stored values.
     Format,
@@ -34,7 +34,7 @@
     Controller(&'a str),
     /// The holder of a block.
     Grant(BlockId),
-    /// A block.
+    /// The machines, queues and done tasks of a block.
     Block(BlockId),
     /// A job that does not wait for predecessors, by name.
     Job(&'a str),
--- a/src/replica/model.rs
+++ b/src/replica/model.rs
@@ -11,9 +11,9 @@
 pub struct Machine {
     /// Block that it belongs to.
     pub block: BlockId,
-    /// Machine type.
+    /// Its machine type.
     pub machine_type: MachineTypeId,
-    /// Zone.
+    /// Zone that it runs in.
     pub zone: ZoneId,
     /// Whether it is a spot machine.
     pub spot: bool,
@@ -78,7 +78,7 @@
 /// Queue totals of one controller's machines. Loads are in seconds of work per CPU.
 #[derive(Debug, Clone, Default)]
 pub struct QueueTotals {
-    /// Number of machines.
+    /// Number of all machines of the controller.
     pub count: usize,
     /// Sum of the loads of all its machines.
     pub sum: f64,
--- a/src/replica/name_tables.rs
+++ b/src/replica/name_tables.rs
@@ -10,19 +10,19 @@
 pub struct NameTables {
     /// Jobs that are not archived, and archived jobs that are still referenced.
     pub jobs: Interner<JobId>,
-    /// Machines.
+    /// Machines, in a block or not.
     pub machines: Interner<MachineId>,
-    /// Teams.
+    /// Teams named by jobs.
     pub teams: Interner<TeamId>,
-    /// Classes.
+    /// Job classes.
     pub classes: Interner<ClassId>,
-    /// Machine types.
+    /// Machine types of machines, jobs and the catalog.
     pub machine_types: Interner<MachineTypeId>,
-    /// Zones.
+    /// Zones of machines, jobs and the catalog.
     pub zones: Interner<ZoneId>,
-    /// Images.
+    /// Images named by jobs.
     pub images: Interner<ImageId>,
-    /// Controllers.
+    /// Controllers, live or not.
     pub controllers: Interner<HostId>,
 }
 
