--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -139,15 +139,15 @@
     pub lease_id: u64,
 }
 
-/// One change delivered by a watch. Exactly one of `put_key` and `deleted_key` is present.
+/// One change delivered by a watch. Exactly one of `put` and `drop` is present.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct WatchEvent {
     /// Key that was written.
-    #[serde(rename = "put", default)]
-    pub put_key: Option<String>,
+    #[serde(default)]
+    pub put: Option<String>,
     /// Key that was deleted by a transaction or because its lease expired.
-    #[serde(rename = "drop", default)]
-    pub deleted_key: Option<String>,
+    #[serde(default)]
+    pub drop: Option<String>,
     /// Value that was written; JSON `null` for a deletion.
     #[serde(rename = "v", default)]
     pub value: Json,
--- a/src/protocol/tests.rs
+++ b/src/protocol/tests.rs
@@ -143,8 +143,8 @@
         (watched.revision, watched.events[0].mod_revision),
         (433, 433)
     );
-    assert_eq!(watched.events[0].put_key.as_deref(), Some("c/9"));
-    assert_eq!(watched.events[1].deleted_key.as_deref(), Some("c/d"));
+    assert_eq!(watched.events[0].put.as_deref(), Some("c/9"));
+    assert_eq!(watched.events[1].drop.as_deref(), Some("c/d"));
     assert_round_trip::<WatchResponse>(concat!(
         r#"{"ledger":433,"news":[{"put":"c/9","drop":null,"v":{"x":1},"stamp":433},"#,
         r#"{"put":null,"drop":"c/d","v":null,"stamp":432}]}"#
--- a/src/replica/apply.rs
+++ b/src/replica/apply.rs
@@ -59,11 +59,11 @@
         let unapplied = |event: &WatchEvent| event.mod_revision > applied;
         for event in events.into_iter().filter(unapplied) {
             // Own commits may have been applied already. Applying them again must not undo later changes.
-            if let Some(key) = event.put_key {
+            if let Some(key) = event.put {
                 if event.mod_revision > self.mod_revision(&key) {
                     self.put(&key, &event.value, event.mod_revision);
                 }
-            } else if let Some(key) = event.deleted_key
+            } else if let Some(key) = event.drop
                 && event.mod_revision > self.mod_revision(&key)
             {
                 self.remove(&key);
--- a/tests/support/state.rs
+++ b/tests/support/state.rs
@@ -91,10 +91,10 @@
             lease_id,
         };
         self.keys.insert(key.into(), stored);
-        let put_key = Some(key.into());
+        let put = Some(key.into());
         self.history.push(WatchEvent {
-            put_key,
-            deleted_key: None,
+            put,
+            drop: None,
             value,
             mod_revision,
         });
@@ -102,11 +102,11 @@
 
     fn drop_key(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
-            let (deleted_key, mod_revision) = (Some(key.into()), self.revision);
+            let (drop, mod_revision) = (Some(key.into()), self.revision);
             let value = Json::default();
             self.history.push(WatchEvent {
-                put_key: None,
-                deleted_key,
+                put: None,
+                drop,
                 value,
                 mod_revision,
             });
@@ -120,7 +120,7 @@
 
     /// How often keys with a prefix were written.
     pub fn writes_to(&self, starts: &str) -> usize {
-        let of = |n: &&WatchEvent| n.put_key.as_ref().is_some_and(|k| k.starts_with(starts));
+        let of = |n: &&WatchEvent| n.put.as_ref().is_some_and(|k| k.starts_with(starts));
         self.history.iter().filter(of).count()
     }
 
@@ -164,9 +164,9 @@
     pub fn events(&self, starts: &str, after: u64) -> WatchResponse {
         let of = |n: &&WatchEvent| {
             n.mod_revision > after
-                && n.put_key
+                && n.put
                     .as_ref()
-                    .or(n.deleted_key.as_ref())
+                    .or(n.drop.as_ref())
                     .is_some_and(|k| k.starts_with(starts))
         };
         WatchResponse {
