--- a/src/controller/blocks/upkeep.rs
+++ b/src/controller/blocks/upkeep.rs
@@ -67,8 +67,9 @@
     /// fail at once: granting fifty blocks then took six seconds, and together with the restart
     /// time the workers' leases expired.
     fn observe_ungranted(&mut self, replica: &Replica, now: Timestamp) {
-        let last_version = std::mem::replace(&mut self.ungranted_checked_version, replica.version);
-        if last_version == replica.version {
+        let last_version =
+            std::mem::replace(&mut self.ungranted_checked_version, replica.change_counter);
+        if last_version == replica.change_counter {
             return;
         }
         if count_ungranted(replica) < MANY_UNGRANTED_BLOCKS {
@@ -89,7 +90,7 @@
 fn count_ungranted(replica: &Replica) -> usize {
     let is_granted = |id: &BlockId| {
         replica.grants.get(id).is_some_and(|grant| {
-            let controller = replica.live_controllers.get(&grant.host);
+            let controller = replica.live_controllers.get(&grant.controller);
             controller.is_some_and(|live| live.incarnation == grant.incarnation)
         })
     };
--- a/src/controller/candidacy.rs
+++ b/src/controller/candidacy.rs
@@ -11,7 +11,7 @@
 use crate::names::ControllerId;
 use crate::protocol::Transaction;
 use crate::records::HolderRecord;
-use crate::replica::{Holder, LEAD};
+use crate::replica::{Holder, LEADER_KEY};
 use tracing::info;
 
 /// Grace period for a leader that reports another incarnation, ms: the reported incarnation and its
@@ -115,16 +115,16 @@
         match self.replica.leader {
             None => LeaderStatus::None,
             Some(leader) if self.is_own_grant(&leader) => LeaderStatus::ThisController,
-            Some(leader) if leader.host == self.own_id => LeaderStatus::EarlierIncarnation,
+            Some(leader) if leader.controller == self.own_id => LeaderStatus::EarlierIncarnation,
             Some(leader) => LeaderStatus::Peer(self.assess_peer_leader(leader, now)),
         }
     }
 
     fn assess_peer_leader(&self, leader: Holder, now: Timestamp) -> PeerLeader {
-        let host = leader.host;
+        let host = leader.controller;
         let key = self.replica.live_controllers.get(&host);
         let precedes_this = |&&other: &&ControllerId| {
-            let name = self.replica.names.hosts.name(other);
+            let name = self.replica.names.controllers.name(other);
             other != host && self.peers.is_reachable(other, now) && name < self.own_name()
         };
         PeerLeader {
@@ -143,15 +143,18 @@
     /// Writes this controller's name into the leader's key.
     fn campaign(&mut self, out: &mut Vec<Effect>) {
         let record = HolderRecord {
-            host: self.own_name().to_owned(),
+            controller: self.own_name().to_owned(),
             incarnation: self.membership.incarnation().0,
         };
         let transaction = Transaction {
-            preconditions: vec![self.precondition(LEAD)],
-            mutations: vec![put(LEAD, &record, self.membership.lease_id())],
+            preconditions: vec![self.precondition(LEADER_KEY)],
+            mutations: vec![put(LEADER_KEY, &record, self.membership.lease_id())],
         };
-        let hosts = &self.replica.names.hosts;
-        let previous_leader = self.replica.leader.map(|l| hosts.name(l.host).to_owned());
+        let hosts = &self.replica.names.controllers;
+        let previous_leader = self
+            .replica
+            .leader
+            .map(|l| hosts.name(l.controller).to_owned());
         info!(?previous_leader, "campaigning for the leadership");
         self.writes.submit(
             WriteKind::TakeLeadership,
--- a/src/controller/completions/plan.rs
+++ b/src/controller/completions/plan.rs
@@ -52,8 +52,8 @@
 
     fn finalize_blocks(&self, edits: &BTreeMap<BlockId, BlockEdit>) -> Vec<FinalizedBlock> {
         let finalize = |(&id, edit)| {
-            let record = self.replica.seal(edit);
-            let value = Json::of(&record);
+            let record = self.replica.block_record(edit);
+            let value = Json::encode(&record);
             FinalizedBlock { id, record, value }
         };
         edits.iter().map(finalize).collect()
@@ -83,7 +83,7 @@
         let size = block.value.size();
         let job_writes = self.move_done_lists(&mut block.record, size, budget);
         if !job_writes.is_empty() {
-            block.value = Json::of(&block.record);
+            block.value = Json::encode(&block.record);
         }
         job_writes
     }
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -3,7 +3,7 @@
 //! These are plain values without logic.
 
 use crate::names::ControllerId;
-use crate::protocol::{HeartbeatAck, Json, Mutation, PeerMessage, RentRequest, Transaction};
+use crate::protocol::{HeartbeatAck, Json, Mutation, PeerMessage, RentalRequest, Transaction};
 use crate::replica::BlockId;
 use crate::spillover::CellCall;
 
@@ -45,7 +45,7 @@
     /// Read the final states of the named jobs from the archive.
     ReadArchive(Vec<String>),
     /// Rent machines from the cloud.
-    RentMachines(RentRequest),
+    RentMachines(RentalRequest),
     /// Return the named machines to the cloud.
     ReturnMachines(Vec<String>),
     /// Send a request to a controller of another cell.
@@ -89,7 +89,7 @@
 pub(crate) fn put(key: &str, value: &impl serde::Serialize, lease_id: Option<u64>) -> Mutation {
     Mutation::Put {
         key: key.to_owned(),
-        value: Json::of(value),
+        value: Json::encode(value),
         lease_id,
     }
 }
--- a/src/controller/formats.rs
+++ b/src/controller/formats.rs
@@ -4,7 +4,7 @@
 //! records the format that all of them read; from then on every controller may write it, even if an
 //! older version joins later.
 //!
-//! Jobs with unfinished predecessors are stored under keys that versions before [`CHAINS_FORMAT`]
+//! Jobs with unfinished predecessors are stored under keys that versions before [`DEPENDENCIES_FORMAT`]
 //! do not read. Such a version never starts one too early, but it answers 404 to the job's user; so
 //! no such job is accepted while a controller is known to run one of these versions. Done tasks are
 //! written as a bitmap only once [`DENSE_FORMAT`](crate::records::DENSE_FORMAT) is recorded.
@@ -14,8 +14,8 @@
 use crate::collections::HashMap;
 use crate::names::ControllerId;
 use crate::protocol::Transaction;
-use crate::records::{CHAINS_FORMAT, CURRENT_FORMAT, FormatRecord, NEWEST_FORMAT};
-use crate::replica::{FORMAT, Replica};
+use crate::records::{CURRENT_FORMAT, DEPENDENCIES_FORMAT, FormatRecord, NEWEST_FORMAT};
+use crate::replica::{FORMAT_KEY, Replica};
 use tracing::{error, info};
 
 /// Time for which a controller of an older version that disappeared holds back newer formats, ms.
@@ -142,8 +142,9 @@
     /// Whether jobs with unfinished predecessors may be accepted. Once all controllers were seen to
     /// read them this stays true, even if an older version returns briefly.
     pub fn accepts_dependent_jobs(&self, now: Timestamp) -> bool {
-        self.formats.own_format() >= CHAINS_FORMAT
-            && (self.replica.format >= CHAINS_FORMAT || self.common_format(now) >= CHAINS_FORMAT)
+        self.formats.own_format() >= DEPENDENCIES_FORMAT
+            && (self.replica.format >= DEPENDENCIES_FORMAT
+                || self.common_format(now) >= DEPENDENCIES_FORMAT)
     }
 
     /// Plans to record the format that all controllers read, limited by the operators' setting.
@@ -157,7 +158,7 @@
         info!(format, "recording the format that all controllers read");
         Some(Transaction {
             preconditions: Vec::new(),
-            mutations: vec![put(FORMAT, &record, None)],
+            mutations: vec![put(FORMAT_KEY, &record, None)],
         })
     }
 }
--- a/src/controller/heartbeat/admission.rs
+++ b/src/controller/heartbeat/admission.rs
@@ -45,7 +45,7 @@
     /// Looks up a machine by its name, with the grant of its block.
     pub(super) fn grant_of(&self, machine: &str) -> Option<(MachineId, Holder)> {
         let machine_id = self.replica.names.machines.get(machine)?;
-        let (_, grant) = self.replica.holder(machine_id)?;
+        let (_, grant) = self.replica.block_and_holder(machine_id)?;
         Some((machine_id, grant))
     }
 
@@ -60,7 +60,7 @@
     /// the next report to the leader.
     fn redirect_to_leader(&mut self, heartbeat: &Heartbeat, now: Timestamp) -> HeartbeatResponse {
         self.held.unowned.record_heartbeat(heartbeat, 0, now);
-        let leader = self.replica.leader.map(|leader| leader.host);
+        let leader = self.replica.leader.map(|leader| leader.controller);
         match leader.filter(|&host| self.is_reachable_peer(host, now)) {
             Some(leader) => self.redirect(Some(leader)),
             None => {
@@ -80,7 +80,7 @@
             .unowned
             .record_heartbeat(heartbeat, grant.mod_revision, now);
         // An unreachable holder is not named, because the worker would wait for it in vain.
-        let holder = Some(grant.host).filter(|&host| self.is_reachable_peer(host, now));
+        let holder = Some(grant.controller).filter(|&host| self.is_reachable_peer(host, now));
         self.redirect(holder)
     }
 
@@ -90,7 +90,7 @@
 
     fn redirect(&mut self, to: Option<ControllerId>) -> HeartbeatResponse {
         self.counters.redirects += 1;
-        let name = to.map(|host| self.replica.names.hosts.name(host).to_owned());
+        let name = to.map(|host| self.replica.names.controllers.name(host).to_owned());
         HeartbeatResponse::Redirect(name)
     }
 }
--- a/src/controller/heartbeat/answer.rs
+++ b/src/controller/heartbeat/answer.rs
@@ -45,7 +45,7 @@
         let launches = match heartbeat.token {
             NO_TOKEN => Launches::default(),
             _ => {
-                let queue_mode = match machine.leaving || runtime.is_draining() {
+                let queue_mode = match machine.cordoned || runtime.is_draining() {
                     true => QueueMode::Drain,
                     false => QueueMode::Start,
                 };
--- a/src/controller/heartbeat/launch.rs
+++ b/src/controller/heartbeat/launch.rs
@@ -108,7 +108,7 @@
         if self.completions.is_reserved(binding) {
             return QueueDecision::Keep;
         }
-        let draining = queue_mode == QueueMode::Drain || machine.evict.contains(binding);
+        let draining = queue_mode == QueueMode::Drain || machine.preempted.contains(binding);
         match self
             .spillover
             .permission(job, self.replica.names.jobs.name(job_id), now)
@@ -116,7 +116,7 @@
             Permission::Wait => QueueDecision::Keep,
             Permission::Stop => QueueDecision::Free,
             Permission::Run if draining => QueueDecision::Free,
-            Permission::Run => QueueDecision::Start(job.room()),
+            Permission::Run => QueueDecision::Start(job.task_resources()),
         }
     }
 
--- a/src/controller/heartbeat/stops.rs
+++ b/src/controller/heartbeat/stops.rs
@@ -72,9 +72,9 @@
                 // It cannot finish in time, so it is stopped now and can be started elsewhere.
                 (remaining_s > until_reclaim_s * RECLAIM_TOO_LATE_FACTOR).then_some(NO_GRACE_S)
             }
-        } else if machine.evict.contains(&binding) {
+        } else if machine.preempted.contains(&binding) {
             (!is_saving).then_some(grace_to_save_s)
-        } else if machine.leaving || runtime.quarantined {
+        } else if machine.cordoned || runtime.quarantined {
             (!is_saving && saves_checkpoints).then_some(grace_to_save_s)
         } else {
             None
--- a/src/controller/machine_status.rs
+++ b/src/controller/machine_status.rs
@@ -16,8 +16,8 @@
         machine_id: MachineId,
         now: Timestamp,
     ) -> Option<MachineHealth> {
-        let (_, grant) = self.replica.holder(machine_id)?;
-        if grant.host == self.own_id {
+        let (_, grant) = self.replica.block_and_holder(machine_id)?;
+        if grant.controller == self.own_id {
             let runtime = self.held.get(machine_id)?;
             return Some(MachineHealth {
                 since_last_heartbeat_ms: runtime.last_heartbeat_at.map(|at| now.since(at)),
@@ -27,14 +27,14 @@
                 worker_restarted: runtime.worker_restarted,
             });
         }
-        let (summary, received_at) = self.peers.reported_machine(grant.host, machine_id)?;
+        let (summary, received_at) = self.peers.reported_machine(grant.controller, machine_id)?;
         let message_age = now.since(received_at);
         Some(MachineHealth {
-            since_last_heartbeat_ms: summary.age_ms.map(|age| age + message_age),
-            is_controllable: summary.obeys,
-            being_reclaimed: summary.recalled,
+            since_last_heartbeat_ms: summary.since_last_heartbeat_ms.map(|age| age + message_age),
+            is_controllable: summary.is_controllable,
+            being_reclaimed: summary.reclaim_announced,
             quarantined: summary.quarantined,
-            worker_restarted: summary.restarted,
+            worker_restarted: summary.worker_restarted,
         })
     }
 
@@ -47,11 +47,11 @@
     ) -> MachineSummary {
         MachineSummary {
             machine: self.replica.names.machines.name(machine_id).to_owned(),
-            age_ms: runtime.last_heartbeat_at.map(|at| now.since(at)),
-            obeys: runtime.is_controllable(),
-            recalled: runtime.reclaim_at.is_some(),
+            since_last_heartbeat_ms: runtime.last_heartbeat_at.map(|at| now.since(at)),
+            is_controllable: runtime.is_controllable(),
+            reclaim_announced: runtime.reclaim_at.is_some(),
             quarantined: self.needs_replacement(runtime, now),
-            restarted: runtime.worker_restarted,
+            worker_restarted: runtime.worker_restarted,
             load: self.queue_load(machine_id, now),
         }
     }
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -113,7 +113,7 @@
 
     /// Whether a grant names this controller in its current incarnation.
     pub(crate) fn is_own_grant(&self, holder: &Holder) -> bool {
-        holder.host == self.own_id && holder.incarnation == self.incarnation
+        holder.controller == self.own_id && holder.incarnation == self.incarnation
     }
 
     /// Until when this controller may act on the state shown by the replica.
@@ -227,7 +227,7 @@
             .membership
             .on_lease_granted(lease_id, sent, &mut self.rng);
         if granted == LeaseGranted::NewIncarnation {
-            self.replica.mark_all_changed();
+            self.replica.mark_all_blocks_changed();
         }
         let incarnation = self.membership.incarnation().0;
         info!(lease_id, incarnation, "lease granted");
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -122,11 +122,11 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut replica = Replica::default();
         let platform = &settings.platform;
-        let own_id = replica.names.hosts.intern(&platform.host_name);
+        let own_id = replica.names.controllers.intern(&platform.host_name);
         let others = platform
             .peers
             .iter()
-            .map(|peer| replica.names.hosts.intern(&peer.host_name))
+            .map(|peer| replica.names.controllers.intern(&peer.host_name))
             .filter(|&host| host != own_id)
             .collect();
         for team in &platform.settings.teams {
@@ -248,7 +248,7 @@
             if self.machine_types.insert(id, machine_type).is_none() {
                 // The expected size of a block depends on its machine types, which were unknown
                 // until now.
-                self.replica.mark_all_changed();
+                self.replica.mark_all_blocks_changed();
             }
         }
     }
--- a/src/controller/peers/messages.rs
+++ b/src/controller/peers/messages.rs
@@ -29,7 +29,7 @@
     pub(crate) fn tick_peers(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         let due = self.peers.take_due_messages(now);
         // Newly started machines are usable only once the leader knows of them.
-        let leader = self.replica.leader.map(|leader| leader.host);
+        let leader = self.replica.leader.map(|leader| leader.controller);
         let urgent_to = leader.filter(|_| due.urgent);
         let mut outbox = self.work_stealing.take_outgoing();
         for host in self.peers.others.clone() {
@@ -55,7 +55,7 @@
 
     /// Handles a peer's message and returns the response.
     pub fn respond_to_peer(&mut self, message: PeerMessage, now: Timestamp) -> PeerMessage {
-        let host = self.replica.names.hosts.get(&message.host);
+        let host = self.replica.names.controllers.get(&message.sender);
         let only_stealing = !message.steal_messages.is_empty();
         self.on_peer_message(message, now);
         let length = match host {
@@ -72,7 +72,8 @@
     /// Whether this controller sends requests to a peer, rather than the peer to it. A response
     /// contains the same as a request, so one direction suffices unless the peer is overdue.
     fn initiates_contact_with(&self, host: ControllerId, now: Timestamp) -> bool {
-        self.own_name() < self.replica.names.hosts.name(host) || self.peers.is_overdue(host, now)
+        self.own_name() < self.replica.names.controllers.name(host)
+            || self.peers.is_overdue(host, now)
     }
 
     /// Returns the level of detail for a peer: the leader needs the current state of all machines,
@@ -81,7 +82,7 @@
         let leads = self
             .replica
             .leader
-            .is_some_and(|leader| leader.host == host);
+            .is_some_and(|leader| leader.controller == host);
         if leads || self.peers.message_count.is_multiple_of(LONG_MESSAGE_PERIOD) {
             MessageLength::Long
         } else {
@@ -97,16 +98,16 @@
         let age_ms = |at: Timestamp| now.since(at);
         let peers = self.peers.states.iter();
         PeerMessage {
-            host: self.own_name().to_owned(),
+            sender: self.own_name().to_owned(),
             incarnation: self.membership.incarnation().0,
-            state_ok: self.is_store_reachable(now),
-            short: self
+            store_available: self.is_store_reachable(now),
+            write_budget_exhausted: self
                 .writes
                 .user_refused_within(USERS_REFUSED_REPORT_MS, now),
-            heard: peers
+            since_last_messages_ms: peers
                 .filter_map(|(&host, peer)| {
                     Some((
-                        names.hosts.name(host).to_owned(),
+                        names.controllers.name(host).to_owned(),
                         age_ms(peer.last_message_at?),
                     ))
                 })
@@ -114,7 +115,7 @@
             fleet,
             unowned_machines: self.held.unowned.to_report(now),
             steal_messages: Vec::new(),
-            ratios: self
+            run_time_ratios: self
                 .held
                 .run_time_ratios()
                 .map(|(class, ratio)| (names.classes.name(class).to_owned(), ratio))
@@ -179,11 +180,11 @@
         }
         let cancellations = self.peers.recent_cancellations.iter();
         message.cancelled = cancellations.map(|(_, name)| name.clone()).collect();
-        let hosts = &self.replica.names.hosts;
+        let hosts = &self.replica.names.controllers;
         let grants = self.replica.grants.iter();
         message.grants = grants
             .map(|(block, grant)| {
-                let holder = hosts.name(grant.host).to_owned();
+                let holder = hosts.name(grant.controller).to_owned();
                 (block.0, grant.mod_revision, holder)
             })
             .collect();
@@ -194,7 +195,7 @@
 impl Controller {
     /// Handles a peer's message, whether it is a request or a response.
     pub fn on_peer_message(&mut self, mut message: PeerMessage, now: Timestamp) {
-        let Some(host) = self.replica.names.hosts.get(&message.host) else {
+        let Some(host) = self.replica.names.controllers.get(&message.sender) else {
             return;
         };
         if !self.peers.others.contains(&host) {
@@ -207,7 +208,7 @@
         peer.update(&mut message, names, own_store_reachable, now);
         self.record_reported_cancellations(&message.cancelled);
         self.record_reported_grants(message.grants);
-        self.adopt_run_time_ratios(message.ratios);
+        self.adopt_run_time_ratios(message.run_time_ratios);
         self.spillover.on_heard_loans(message.loans, now);
         for steal_message in message.steal_messages {
             self.on_steal_message(steal_message, now);
@@ -233,11 +234,11 @@
     fn record_reported_grants(&mut self, grants: Vec<(u32, u64, String)>) {
         for (block, fencing_token, holder) in grants {
             let block = BlockId(block);
-            let Some(holder) = self.replica.names.hosts.get(&holder) else {
+            let Some(holder) = self.replica.names.controllers.get(&holder) else {
                 continue;
             };
             let held = self.replica.grants.get(&block);
-            if held.is_some_and(|g| g.host == self.own_id && g.mod_revision < fencing_token) {
+            if held.is_some_and(|g| g.controller == self.own_id && g.mod_revision < fencing_token) {
                 let reported = ReportedGrant {
                     fencing_token,
                     holder,
--- a/src/controller/peers/state.rs
+++ b/src/controller/peers/state.rs
@@ -6,7 +6,7 @@
 use crate::names::{ControllerId, JobId, MachineId};
 use crate::protocol::{FleetSummary, MachineSummary, PeerMessage, UnownedMachine};
 use crate::ranges::RangeSet;
-use crate::replica::{Incarnation, Names};
+use crate::replica::{Incarnation, NameTables};
 
 /// Consecutive failures of a job, as reported by a peer.
 #[derive(Debug, Clone, Copy)]
@@ -54,25 +54,25 @@
     pub(super) fn update(
         &mut self,
         message: &mut PeerMessage,
-        names: &Names,
+        names: &NameTables,
         own_store_reachable: bool,
         now: Timestamp,
     ) {
         self.last_message_at = Some(now);
         self.incarnation = Some(Incarnation(message.incarnation));
-        self.store_reachable = message.state_ok;
-        if message.state_ok || !own_store_reachable {
+        self.store_reachable = message.store_available;
+        if message.store_available || !own_store_reachable {
             self.store_unreachable_since = None;
         } else {
             self.store_unreachable_since.get_or_insert(now);
         }
-        if message.short {
+        if message.write_budget_exhausted {
             self.users_refused_at = Some(now);
         }
         self.reported_message_ages_ms = message
-            .heard
+            .since_last_messages_ms
             .iter()
-            .filter_map(|(host, age_ms)| Some((names.hosts.get(host)?, *age_ms)))
+            .filter_map(|(host, age_ms)| Some((names.controllers.get(host)?, *age_ms)))
             .collect();
         self.unowned_machines = std::mem::take(&mut message.unowned_machines);
         self.failure_streaks = message
@@ -91,7 +91,7 @@
         }
     }
 
-    fn update_machines(&mut self, fleet: FleetSummary, names: &Names, now: Timestamp) {
+    fn update_machines(&mut self, fleet: FleetSummary, names: &NameTables, now: Timestamp) {
         self.machines = fleet
             .machines
             .into_iter()
--- a/src/controller/queue_load.rs
+++ b/src/controller/queue_load.rs
@@ -65,10 +65,10 @@
 
     /// Queue load of a machine, as its holder reports it; 0 if unknown.
     pub(crate) fn known_load(&self, machine_id: MachineId, now: Timestamp) -> f64 {
-        match self.replica.holder(machine_id) {
-            Some((_, grant)) if grant.host == self.own_id => self.queue_load(machine_id, now),
+        match self.replica.block_and_holder(machine_id) {
+            Some((_, grant)) if grant.controller == self.own_id => self.queue_load(machine_id, now),
             Some((_, grant)) => {
-                let summary = self.peers.reported_machine(grant.host, machine_id);
+                let summary = self.peers.reported_machine(grant.controller, machine_id);
                 summary.map_or(0.0, |(summary, _)| summary.load)
             }
             None => 0.0,
@@ -158,7 +158,7 @@
 pub(crate) fn needs_of(job: &Job) -> Needs {
     let spec = &job.spec;
     Needs {
-        resources: job.room(),
+        resources: job.task_resources(),
         machine_types: job.machine_types.clone(),
         zone: job.zone,
         spot: spec.spot,
--- a/src/controller/replica_changes.rs
+++ b/src/controller/replica_changes.rs
@@ -23,7 +23,7 @@
         sent: Timestamp,
         now: Timestamp,
     ) {
-        self.replica.load(items, revision);
+        self.replica.apply_full_read(items, revision);
         // A key that moved between pages during the read may be missing from both, so nothing is
         // planned until the watch has made the replica consistent.
         self.writes.require_revision(last_revision);
@@ -48,7 +48,7 @@
 
     /// Processes all changes of the replica.
     pub(crate) fn after_replica_change(&mut self, now: Timestamp) {
-        let released: HashSet<JobId> = self.replica.release_departed().into_iter().collect();
+        let released: HashSet<JobId> = self.replica.release_deleted_jobs().into_iter().collect();
         self.forget_jobs(&released);
         self.resolve_in_doubt_writes();
         self.adopt_stored_catalog();
@@ -60,7 +60,7 @@
         for host in changes.loads {
             self.peers.record_load_published(host, now);
         }
-        self.drop_machines_without_block(changes.machines);
+        self.drop_machines_without_block(changes.removed_machines);
         let early_grants = self.update_blocks(changes.blocks, now);
         // Processed again with the next change, until the watch has reached the revisions of their
         // grants.
--- a/src/jobs/chained.rs
+++ b/src/jobs/chained.rs
@@ -7,7 +7,7 @@
 use crate::controller::put;
 use crate::protocol::{JobStatus, Json, Mutation, Precondition, Transaction};
 use crate::records::{JobRecord, NameList, WaitingRecord};
-use crate::replica::{Replica, job_key, past_key, waiting_key};
+use crate::replica::{Replica, archive_key, job_key, waiting_key};
 use crate::settings::Settings;
 use std::collections::HashSet;
 
@@ -108,7 +108,7 @@
 
 /// Preconditions that a job stands under none of its keys.
 pub(super) fn absent(name: &str) -> Vec<Precondition> {
-    let keys = [job_key(name), past_key(name), waiting_key(name)];
+    let keys = [job_key(name), archive_key(name), waiting_key(name)];
     let preconditions = keys.into_iter().map(|key| Precondition {
         key,
         mod_revision: ABSENT,
@@ -186,7 +186,7 @@
     preconditions: Vec<Precondition>,
 ) -> Transaction {
     record.status = JobStatus::Cancelled;
-    let mutations = vec![put(&past_key(name), &record, None)];
+    let mutations = vec![put(&archive_key(name), &record, None)];
     Transaction {
         preconditions,
         mutations,
@@ -203,7 +203,7 @@
     let key = waiting_key(name);
     let mutations = vec![Mutation::Put {
         key: key.clone(),
-        value: Json::of(&record),
+        value: Json::encode(&record),
         lease_id: None,
     }];
     let preconditions = vec![Precondition { key, mod_revision }];
@@ -217,7 +217,7 @@
     /// What the replica shows of a job that a submission names.
     pub fn predecessor(&self, name: &str) -> Predecessor {
         let job = self.names.jobs.get(name);
-        let Some(status) = job.and_then(|job| self.status_of(job)) else {
+        let Some(status) = job.and_then(|job| self.job_status(job)) else {
             return Predecessor::Unwatched;
         };
         match status {
--- a/src/jobs/chained/tests.rs
+++ b/src/jobs/chained/tests.rs
@@ -35,7 +35,7 @@
 #[test]
 fn awaits_is_a_list_of_ids_and_null_absent_and_empty_mean_none() {
     let names = |awaits: &str| match with_awaits(awaits) {
-        Read::Good(s) => s.awaits,
+        Read::Good(s) => s.predecessors,
         Read::Bad(..) => panic!("{awaits}"),
     };
     assert!(names("null").is_empty() && names("[]").is_empty());
@@ -116,7 +116,7 @@
     let Mutation::Put { value: v, .. } = &planned.transaction().mutations[0] else {
         panic!("a put")
     };
-    let read: WaitingRecord = v.read().expect("read");
+    let read: WaitingRecord = v.decode().expect("read");
     assert_eq!(
         read.predecessors.names(),
         [open(2).0, open(3).0, open(30).0]
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -138,7 +138,7 @@
                 .into_iter()
                 .flatten()
                 .copied();
-            for number in self.replica.bound(bindable_job.job).chain(in_flight) {
+            for number in self.replica.bound_tasks(bindable_job.job).chain(in_flight) {
                 taken.insert(number);
             }
             let max_tasks = match Some(bindable_job.job) == bindable_jobs.starved {
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -13,7 +13,7 @@
 use crate::names::JobId;
 use crate::placement::PlannedBinding;
 use crate::protocol::Transaction;
-use crate::replica::{Binding, BlockEdit, BlockId, LEAD, Replica, TaskId, block_key};
+use crate::replica::{Binding, BlockEdit, BlockId, LEADER_KEY, Replica, TaskId, block_key};
 use std::collections::BTreeMap;
 use tracing::{debug, info};
 
@@ -32,7 +32,7 @@
     /// A block without changes.
     fn unchanged(id: BlockId, replica: &Replica) -> Self {
         Self {
-            edit: replica.edit(id),
+            edit: replica.edit_block(id),
             intent: WriteIntent::default(),
         }
     }
@@ -115,7 +115,7 @@
         out: &mut Vec<Effect>,
     ) -> BlockWrite {
         let PlannedEdit { edit, mut intent } = planned;
-        let record = self.replica.seal(&edit);
+        let record = self.replica.block_record(&edit);
         let mutation = put(&block_key(id), &record, None);
         let fraction = match intent.bindings.is_empty() {
             true => 1.0,
@@ -127,7 +127,10 @@
         }
         intent.blocks = vec![id];
         let transaction = Transaction {
-            preconditions: vec![self.precondition(&block_key(id)), self.precondition(LEAD)],
+            preconditions: vec![
+                self.precondition(&block_key(id)),
+                self.precondition(LEADER_KEY),
+            ],
             mutations: vec![mutation],
         };
         self.writes
@@ -166,14 +169,14 @@
             let Some(machine) = self.replica.machines.get(machine_id) else {
                 continue;
             };
-            if machine.leaving || !self.is_writable(machine.block, now) {
+            if machine.cordoned || !self.is_writable(machine.block, now) {
                 continue;
             }
             let planned = edits.get_or_create(machine.block, &self.replica);
             if let Some(leaving) = planned.edit.machines.get_mut(machine_id) {
                 let machine = self.replica.names.machines.name(*machine_id);
                 info!(machine, "draining machine before its return");
-                leaving.leaving = true;
+                leaving.cordoned = true;
             }
         }
     }
@@ -254,7 +257,7 @@
     ) -> PlannedEdit {
         // The attempt number is the revision at which the task is bound. Unbinding happens at a
         // later revision, so the attempt numbers of a task only increase.
-        let attempt = self.replica.latest();
+        let attempt = self.replica.latest_revision();
         let mut planned = PlannedEdit::unchanged(id, &self.replica);
         let machines = &mut planned.edit.machines;
         for &PlannedBinding {
@@ -272,7 +275,7 @@
         }
         for (machine_id, tasks) in preemptions {
             if let Some(edited) = machines.get_mut(machine_id) {
-                edited.evict.extend(tasks);
+                edited.preempted.extend(tasks);
             }
         }
         planned
--- a/src/leadership/candidate_machines.rs
+++ b/src/leadership/candidate_machines.rs
@@ -35,13 +35,13 @@
 
     fn is_expensive(self, machine_type: &MachineType, spot: bool) -> bool {
         price_per_cpu(machine_type, spot) > self.per_cpu * EXPENSIVE_CPU_FACTOR
-            || machine_type.price_of(spot) > self.machine * EXPENSIVE_MACHINE_FACTOR
+            || machine_type.hourly_price(spot) > self.machine * EXPENSIVE_MACHINE_FACTOR
     }
 }
 
 /// Price of one CPU of a machine.
 fn price_per_cpu(machine_type: &MachineType, spot: bool) -> f64 {
-    machine_type.price_of(spot) / machine_type.cpus.max(MIN_CPUS)
+    machine_type.hourly_price(spot) / machine_type.cpus.max(MIN_CPUS)
 }
 
 /// Which machines are included besides those that are open to all tasks.
@@ -61,7 +61,7 @@
             (interval_s * 1000.0 * RECENT_HEARTBEAT_INTERVALS) as u64 + RECENT_HEARTBEAT_MARGIN_MS;
         let machine = self.replica.machines.get(&machine_id);
         let leadership = &self.leadership;
-        machine.is_some_and(|machine| !machine.leaving)
+        machine.is_some_and(|machine| !machine.cordoned)
             && !leadership.inventory.returned().contains(&machine_id)
             && !leadership.scale_in.is_draining(machine_id)
             && self.machine_health(machine_id, now).is_some_and(|info| {
@@ -154,7 +154,7 @@
         };
         let cheapest = CheapestPrices {
             per_cpu: least(price_per_cpu),
-            machine: least(MachineType::price_of),
+            machine: least(MachineType::hourly_price),
         };
         let (mut cheap_cpus, mut all_cpus) = (0.0, 0.0);
         for (machine_type, spot) in machines() {
@@ -176,7 +176,7 @@
         let mut used = Resources::default();
         for binding in bindings {
             if let Some(job) = self.replica.jobs.get(&binding.task.job) {
-                used.add(&job.room(), 1.0);
+                used.add(&job.task_resources(), 1.0);
             }
         }
         used
--- a/src/leadership/capacity.rs
+++ b/src/leadership/capacity.rs
@@ -70,7 +70,7 @@
         let unusable = info
             .as_ref()
             .is_some_and(|info| info.being_reclaimed || info.quarantined);
-        if machine.leaving
+        if machine.cordoned
             || unusable
             || self.leadership.scale_in.is_draining(machine_id)
             || self.is_partitioned_off(machine_id, now)
@@ -86,7 +86,7 @@
             zone: machine.zone,
             spot: machine.spot,
             size,
-            price: machine_type.price_of(machine.spot),
+            price: machine_type.hourly_price(machine.spot),
             idle_s: idle_ms.filter(|_| up).map(|ms| ms as f64 / 1000.0),
             held_s: self.rented_for_ms(machine_id, now) as f64 / 1000.0,
         })
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -80,7 +80,7 @@
         let mut loads: HashMap<ControllerId, usize> = HashMap::default();
         for (id, grant) in &replica.grants {
             if let Some(block) = replica.blocks.get(id) {
-                *loads.entry(grant.host).or_default() += block_weight(block.machines.len());
+                *loads.entry(grant.controller).or_default() += block_weight(block.machines.len());
             }
         }
         Self { usable, loads }
@@ -193,9 +193,9 @@
         let grants = self.replica.grants.values();
         let restarted = grants.filter(|grant| {
             self.peers
-                .has_restarted_since(grant.host, grant.incarnation, now)
+                .has_restarted_since(grant.controller, grant.incarnation, now)
         });
-        let restarted: HashSet<ControllerId> = restarted.map(|grant| grant.host).collect();
+        let restarted: HashSet<ControllerId> = restarted.map(|grant| grant.controller).collect();
         let seen = &mut self.leadership.grants;
         HolderFaults {
             restarted: seen.observe_restarted(&restarted, now),
@@ -216,7 +216,7 @@
             let Some(reason) = self.grant_reason(id, grant, faults, now) else {
                 continue;
             };
-            let holder = grant.map(|grant| grant.host);
+            let holder = grant.map(|grant| grant.controller);
             let same = holder.filter(|host| reason.keeps_holder() && holders.usable.contains(host));
             let reachable_by_workers = faults.unreachable.get(&id).copied();
             let to = same
@@ -244,7 +244,7 @@
         let Some(grant) = grant else {
             return Some(GrantReason::Unheld);
         };
-        let host = grant.host;
+        let host = grant.controller;
         let controller = self.replica.live_controllers.get(&host);
         if controller.is_none_or(|controller| controller.incarnation != grant.incarnation) {
             return Some(GrantReason::HolderReplaced);
@@ -301,7 +301,7 @@
         let least_loaded = holders.least_loaded_except(None)?;
         let gap = holders.load_of(most_loaded) - holders.load_of(least_loaded);
         let grants = self.replica.grants.iter();
-        let of_heaviest = grants.filter(|(_, grant)| grant.host == most_loaded);
+        let of_heaviest = grants.filter(|(_, grant)| grant.controller == most_loaded);
         let weights = of_heaviest.filter_map(|(&id, _)| {
             let block = self.replica.blocks.get(&id)?;
             Some((id, block_weight(block.machines.len())))
@@ -321,7 +321,7 @@
         for grant in grants {
             let holder = self.replica.grants.get(&grant.block);
             if let (Some(holder), GrantReason::HolderUnreachable) = (holder, grant.reason) {
-                self.leadership.grants.avoid(holder.host, now);
+                self.leadership.grants.avoid(holder.controller, now);
             }
         }
     }
@@ -332,7 +332,7 @@
             let controller = self.replica.live_controllers.get(&grant.to)?;
             let key = grant_key(grant.block);
             let record = HolderRecord {
-                host: self.replica.names.hosts.name(grant.to).to_owned(),
+                controller: self.replica.names.controllers.name(grant.to).to_owned(),
                 incarnation: controller.incarnation.0,
             };
             transaction.preconditions.push(self.precondition(&key));
@@ -340,7 +340,7 @@
             transaction.mutations.push(mutation);
             info!(
                 block = grant.block.0,
-                holder = record.host,
+                holder = record.controller,
                 reason = grant.reason.as_str(),
                 "granting block"
             );
--- a/src/leadership/job_dependencies.rs
+++ b/src/leadership/job_dependencies.rs
@@ -8,7 +8,7 @@
 use crate::controller::{Controller, put};
 use crate::names::JobId;
 use crate::protocol::{JobStatus, Mutation, Priority, Transaction};
-use crate::records::{CHAINS_FORMAT, DoneTasks, JobRecord, WaitingRecord};
+use crate::records::{DEPENDENCIES_FORMAT, DoneTasks, JobRecord, WaitingRecord};
 use crate::replica::{job_key, waiting_key};
 use tracing::debug;
 
@@ -35,16 +35,16 @@
     /// The final state of a predecessor never changes, so the transaction needs no precondition on
     /// it. The waiting job's own key decides between this write and a cancellation.
     pub(super) fn plan_ready_jobs(&mut self) -> Option<Transaction> {
-        if self.formats.own_format() < CHAINS_FORMAT {
+        if self.formats.own_format() < DEPENDENCIES_FORMAT {
             return None;
         }
         // No job becomes ready without a change of the replica.
-        if self.leadership.none_ready_at_version == Some(self.replica.version) {
+        if self.leadership.none_ready_at_version == Some(self.replica.change_counter) {
             return None;
         }
         let mut ready = self.ready_jobs();
         if ready.is_empty() {
-            self.leadership.none_ready_at_version = Some(self.replica.version);
+            self.leadership.none_ready_at_version = Some(self.replica.change_counter);
             return None;
         }
         ready.sort_by_key(|&job| (self.waiting_priority(job), job));
--- a/src/leadership/machine_placement.rs
+++ b/src/leadership/machine_placement.rs
@@ -36,7 +36,8 @@
         let in_block = |name: &str| names.get(name).is_some_and(|id| machines.contains_key(&id));
         let reported = reported_here.into_iter().chain(reported_by_peers);
         let unplaced = reported.filter(|reported| !in_block(&reported.machine));
-        let confirmed = unplaced.filter(|reported| reported.for_ms >= MIN_HEARTBEAT_HISTORY_MS);
+        let confirmed =
+            unplaced.filter(|reported| reported.unowned_for_ms >= MIN_HEARTBEAT_HISTORY_MS);
         for reported in confirmed.collect::<Vec<_>>() {
             let new = NewMachine {
                 machine_type: reported.machine_type,
@@ -90,9 +91,9 @@
                 machine_type,
                 zone,
                 spot: new.spot,
-                leaving: false,
+                cordoned: false,
                 queue: Vec::new(),
-                evict: Vec::new(),
+                preempted: Vec::new(),
             };
             let planned = edits.get_or_create(block, &self.replica);
             planned.edit.machines.insert(machine_id, machine);
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -35,7 +35,7 @@
 use crate::controller::{Controller, Effect, WriteKind};
 use crate::names::{JobId, MachineId};
 use crate::protocol::Transaction;
-use crate::replica::{LEAD, Term};
+use crate::replica::{LEADER_KEY, Term};
 use binding_schedule::BindingSchedule;
 use cloud_inventory::CloudInventory;
 use grant_observations::GrantObservations;
@@ -109,7 +109,9 @@
             && let Some((mut transaction, intent)) = self.plan_leader_write(now)
         {
             // Rejects the write if another controller has become leader in the meantime.
-            transaction.preconditions.push(self.precondition(LEAD));
+            transaction
+                .preconditions
+                .push(self.precondition(LEADER_KEY));
             self.writes
                 .submit(WriteKind::LeaderWrite, transaction, intent, out);
         }
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -211,7 +211,7 @@
     fn cpus_being_freed(&self) -> CpusBeingFreed {
         let mut being_freed = CpusBeingFreed::default();
         let machines = self.replica.machines.values();
-        for binding in machines.flat_map(|machine| &machine.evict) {
+        for binding in machines.flat_map(|machine| &machine.preempted) {
             if let Some(job) = self.replica.jobs.get(&binding.task.job) {
                 *being_freed.by_team.entry(job.team).or_default() += job.spec.cpus;
                 being_freed.all += job.spec.cpus;
@@ -236,7 +236,7 @@
         let mut by_job: HashMap<JobId, Option<Victim>> = HashMap::default();
         let mut victims: Vec<Victim> = Vec::new();
         let machines = self.replica.machines.iter();
-        for (&machine_id, machine) in machines.filter(|(_, machine)| !machine.leaving) {
+        for (&machine_id, machine) in machines.filter(|(_, machine)| !machine.cordoned) {
             for binding in unmarked_bindings(machine) {
                 let job_id = binding.task.job;
                 let of_job = by_job
@@ -278,5 +278,5 @@
 /// Bound tasks of a machine that are not marked for preemption.
 fn unmarked_bindings(machine: &Machine) -> impl Iterator<Item = &Binding> {
     let queue = machine.queue.iter();
-    queue.filter(|binding| !machine.evict.contains(binding))
+    queue.filter(|binding| !machine.preempted.contains(binding))
 }
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -8,7 +8,7 @@
 use crate::collections::HashSet;
 use crate::controller::{Controller, Effect};
 use crate::names::MachineId;
-use crate::protocol::{CloudMachine, RentRequest};
+use crate::protocol::{CloudMachine, RentalRequest};
 use crate::replica::Term;
 use crate::scaling::{
     self, CapacityPool, Demand, MAX_MACHINES_PER_REQUEST, MachineUsage, PlannedRental,
@@ -123,7 +123,7 @@
     }
 
     /// The pool that a rental requests; none if its names are not known here.
-    fn pool_of(&self, request: &RentRequest) -> Option<CapacityPool> {
+    fn pool_of(&self, request: &RentalRequest) -> Option<CapacityPool> {
         let names = &self.replica.names;
         Some(CapacityPool {
             machine_type: names.machine_types.get(&request.machine_type)?,
@@ -140,7 +140,7 @@
         out: &mut Vec<Effect>,
     ) {
         let names = &self.replica.names;
-        let request = RentRequest {
+        let request = RentalRequest {
             request_id: self.leadership.rental_requests.next_request_id(term),
             machine_type: names.machine_types.name(order.pool.machine_type).to_owned(),
             zone: names.zones.name(order.pool.zone).to_owned(),
@@ -169,7 +169,7 @@
         let returned = self.leadership.inventory.returned();
         let machines = self.replica.machines.iter();
         let to_return = machines.filter(|(machine_id, machine)| {
-            let drained = machine.leaving && machine.queue.is_empty();
+            let drained = machine.cordoned && machine.queue.is_empty();
             !returned.contains(machine_id) && (drained || self.is_presumed_dead(**machine_id, now))
         });
         let names = to_return.map(|(&machine_id, _)| {
@@ -266,7 +266,7 @@
     }
 
     /// Handles the response to a rental request.
-    pub fn on_rented(&mut self, rental: &RentRequest, outcome: RentalOutcome, now: Timestamp) {
+    pub fn on_rented(&mut self, rental: &RentalRequest, outcome: RentalOutcome, now: Timestamp) {
         let rental_requests = &mut self.leadership.rental_requests;
         if !rental_requests.is_pending(&rental.request_id) {
             return;
@@ -302,7 +302,7 @@
 
     /// Suspends requests to a pool for a while after the cloud supplied fewer machines than
     /// requested. The random extra delay keeps all pools from being retried at once.
-    fn record_refusal(&mut self, rental: &RentRequest, now: Timestamp) {
+    fn record_refusal(&mut self, rental: &RentalRequest, now: Timestamp) {
         if let Some(pool) = self.pool_of(rental) {
             let wait_ms = (self.settings.options.fleet_refused_s * 1000.0) as u64;
             let until = now.plus(wait_ms + self.rng.random_range(0..wait_ms / 2 + 1));
--- a/src/leadership/unreachable_holders.rs
+++ b/src/leadership/unreachable_holders.rs
@@ -88,14 +88,14 @@
         machine: &UnownedMachine,
         now: Timestamp,
     ) -> Option<(BlockId, MachineId)> {
-        if machine.for_ms < MIN_UNANSWERED_MS || !self.is_eligible_holder(host, now) {
+        if machine.unowned_for_ms < MIN_UNANSWERED_MS || !self.is_eligible_holder(host, now) {
             return None;
         }
         let machine_id = self.replica.names.machines.get(&machine.machine)?;
-        let (block, grant) = self.replica.holder(machine_id)?;
+        let (block, grant) = self.replica.block_and_holder(machine_id)?;
         let info = self.machine_health(machine_id, now);
         let since_last_heartbeat_ms = info.and_then(|info| info.since_last_heartbeat_ms);
         let not_received = since_last_heartbeat_ms.is_none_or(|age_ms| age_ms > MIN_UNANSWERED_MS);
-        (grant.host != host && not_received).then_some((block, machine_id))
+        (grant.controller != host && not_received).then_some((block, machine_id))
     }
 }
--- a/src/records/mod.rs
+++ b/src/records/mod.rs
@@ -1,8 +1,8 @@
-//! Values kept in the key-value store, as they are written.
+//! Records stored in the key-value store, with their serialized form.
 //!
-//! One file for each kind of record. Fields have one-letter names in the store, for a value has room for a
-//! few KiB only, and are whole names here. Every version's values are read; what may be written is
-//! decided by the recorded [format](FormatRecord). Nothing here knows keys or revisions.
+//! Each kind of record has its own file. Fields have one-letter names in the store because a value is limited
+//! to a few KiB. Values of every version can be read; the recorded [format](FormatRecord) decides which forms
+//! may be written. This module does not depend on keys or revisions.
 
 mod block;
 mod block_text;
@@ -15,12 +15,12 @@
 pub use block::{BlockRecord, MachineKind, MachineRecord, StoredBinding};
 pub use controller::{ControllerRecord, HolderRecord, LoadRecord};
 pub use format::{
-    CHAINS_FORMAT, CURRENT_FORMAT, DENSE_FORMAT, Encoding, FormatRecord, NEWEST_FORMAT,
+    CURRENT_FORMAT, DENSE_FORMAT, DEPENDENCIES_FORMAT, Encoding, FormatRecord, NEWEST_FORMAT,
     SPILLOVER_FORMAT,
 };
 pub use job::{DoneTasks, JobRecord, WaitingRecord};
 pub use names::{MalformedText, NameList};
-pub use transfer::{BorrowedMark, LentMark, Transfer};
+pub use transfer::{BorrowedFrom, LentTo, Transfer};
 
 #[cfg(test)]
 mod tests;
--- a/src/replica/apply.rs
+++ b/src/replica/apply.rs
@@ -1,9 +1,9 @@
-//! How full reads, watches and own commits enter the replica, key by key.
+//! Applies full reads, watch events and own commits to the replica, key by key.
 
 use super::keys::WatchedKey;
 use super::{
-    Holder, Incarnation, LEAD, LiveController, Loads, Replica, block_key, controller_key,
-    grant_key, job_key, waiting_key,
+    Holder, Incarnation, LEADER_KEY, LiveController, QueueTotals, Replica, block_key,
+    controller_key, grant_key, job_key, waiting_key,
 };
 use crate::collections::HashSet;
 use crate::protocol::{Json, KeyValue, Mutation, Transaction, WatchEvent};
@@ -12,11 +12,11 @@
 impl Replica {
     /// Applies a full read of the watched keys that began at this revision.
     ///
-    /// Guards against a read that was under way while this controller wrote: what it wrote is newer,
-    /// and without it a task that had just been bound would count as unbound.
-    pub fn load(&mut self, items: Vec<KeyValue>, revision: u64) {
+    /// Own writes that succeeded while the read was in progress are newer and are kept. Otherwise a task
+    /// that was just bound would count as unbound.
+    pub fn apply_full_read(&mut self, items: Vec<KeyValue>, revision: u64) {
         let mut read: HashSet<String> = HashSet::default();
-        // Jobs come first, for blocks refer to them.
+        // Jobs are applied first because blocks refer to them.
         let is_job = |item: &KeyValue| matches!(WatchedKey::parse(&item.key), WatchedKey::Job(_));
         let (jobs, others): (Vec<KeyValue>, Vec<KeyValue>) = items.into_iter().partition(is_job);
         for item in jobs.into_iter().chain(others) {
@@ -25,7 +25,7 @@
             }
             read.insert(item.key);
         }
-        // What the replica held and the read doesn't show was deleted meanwhile.
+        // Keys that the replica holds and the read does not contain have been deleted.
         let held = self.held_keys();
         for key in held.into_iter().filter(|key| !read.contains(key)) {
             if self.mod_revision(&key) <= revision {
@@ -36,11 +36,11 @@
         self.synced = true;
     }
 
-    /// The keys of the replica that have a revision here.
+    /// The keys whose revisions the replica keeps.
     fn held_keys(&self) -> Vec<String> {
-        let (hosts, jobs) = (&self.names.hosts, &self.names.jobs);
+        let (hosts, jobs) = (&self.names.controllers, &self.names.jobs);
         let mut held: Vec<String> = Vec::new();
-        held.extend(self.leader.iter().map(|_| LEAD.to_owned()));
+        held.extend(self.leader.iter().map(|_| LEADER_KEY.to_owned()));
         let live = self.live_controllers.keys();
         held.extend(live.map(|&host| controller_key(hosts.name(host))));
         held.extend(self.grants.keys().map(|&block| grant_key(block)));
@@ -51,14 +51,14 @@
         held
     }
 
-    /// Applies what a watch delivered: every change up to this revision.
+    /// Applies the response of a watch, which contains every change up to this revision.
     pub fn apply_watch_events(&mut self, events: Vec<WatchEvent>, revision: u64) {
-        // Everything up to here is applied: events that come twice, or after newer ones, bring back
-        // nothing that was deleted since.
+        // Events up to this revision have been applied. Duplicate and late events are skipped, so that
+        // they do not restore keys that have been deleted since.
         let applied = self.revision;
         let unapplied = |event: &WatchEvent| event.mod_revision > applied;
         for event in events.into_iter().filter(unapplied) {
-            // Own commits may be applied already; a repeat of them must not undo what followed.
+            // Own commits may have been applied already. Applying them again must not undo later changes.
             if let Some(key) = event.put {
                 if event.mod_revision > self.mod_revision(&key) {
                     self.put(&key, &event.value, event.mod_revision);
@@ -73,16 +73,16 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Applies an own commit that was answered with this revision.
-    pub fn apply_own(&mut self, transaction: &Transaction, revision: u64) {
+    /// Applies an own commit that succeeded at this revision.
+    pub fn apply_own_commit(&mut self, transaction: &Transaction, revision: u64) {
         self.own_revision = self.own_revision.max(revision);
-        // The watch may have overtaken the answer; then it has brought this and maybe more.
+        // The watch may have delivered this commit, and later changes, before its response arrived.
         if revision <= self.revision {
             return;
         }
         for mutation in &transaction.mutations {
             let (Mutation::Put { key, .. } | Mutation::Delete { key }) = mutation;
-            // Answers may come in another order than the changes were made.
+            // Responses may arrive in a different order than the commits were made.
             if self.mod_revision(key) >= revision {
                 continue;
             }
@@ -93,13 +93,13 @@
         }
     }
 
-    /// Revision of a key's latest change as the replica knows it; 0 if the key is absent, or of a kind whose
-    /// revisions are not kept.
+    /// Revision of a key's latest change known to the replica; 0 if the key is absent or the replica does not
+    /// keep revisions for its kind.
     pub fn mod_revision(&self, key: &str) -> u64 {
         let revision = match WatchedKey::parse(key) {
             WatchedKey::Leader => self.leader.map(|leader| leader.mod_revision),
             WatchedKey::Controller(name) => {
-                let host = self.names.hosts.get(name);
+                let host = self.names.controllers.get(name);
                 let live = host.and_then(|host| self.live_controllers.get(&host));
                 live.map(|live| live.mod_revision)
             }
@@ -123,7 +123,7 @@
         revision.unwrap_or(0)
     }
 
-    /// Applies a key's new value, or notes that it cannot be read.
+    /// Applies a key's new value, or records that it cannot be decoded.
     fn put(&mut self, key: &str, value: &Json, mod_revision: u64) {
         let watched = WatchedKey::parse(key);
         match self.put_value(watched, value, mod_revision) {
@@ -132,16 +132,16 @@
             }
             Err(error) => {
                 if self.unreadable.insert(key.to_owned()) {
-                    tracing::error!(key, mod_revision, %error, "stored value cannot be read");
+                    tracing::error!(key, mod_revision, %error, "failed to decode a stored value");
                 }
             }
         }
         if !matches!(watched, WatchedKey::Load(_)) {
-            self.version += 1;
+            self.change_counter += 1;
         }
     }
 
-    /// Applies a value; nothing changes if it cannot be read.
+    /// Applies a value. Nothing changes if it cannot be decoded.
     fn put_value(
         &mut self,
         key: WatchedKey<'_>,
@@ -150,13 +150,13 @@
     ) -> Result<(), serde_json::Error> {
         match key {
             WatchedKey::Leader => self.leader = Some(self.read_holder(value, mod_revision)?),
-            WatchedKey::Catalog => self.catalog = Some(value.read()?),
+            WatchedKey::Catalog => self.catalog = Some(value.decode()?),
             WatchedKey::Format => {
-                let record: FormatRecord = value.read()?;
+                let record: FormatRecord = value.decode()?;
                 self.format = self.format.max(record.format);
             }
             WatchedKey::Controller(name) => {
-                self.put_controller(name, &value.read()?, mod_revision);
+                self.put_controller(name, &value.decode()?, mod_revision);
             }
             WatchedKey::Grant(block) => {
                 let holder = self.read_holder(value, mod_revision)?;
@@ -164,11 +164,11 @@
                 self.changes.blocks.insert(block);
             }
             WatchedKey::Block(block) => {
-                self.put_block(block, value.read()?, value.size(), mod_revision);
+                self.put_block(block, value.decode()?, value.size(), mod_revision);
             }
-            WatchedKey::Job(name) => self.put_job(name, value.read()?, mod_revision),
-            WatchedKey::WaitingJob(name) => self.put_waiting(name, value.read()?, mod_revision),
-            WatchedKey::Load(name) => self.put_loads(name, &value.read()?),
+            WatchedKey::Job(name) => self.put_job(name, value.decode()?, mod_revision),
+            WatchedKey::WaitingJob(name) => self.put_waiting(name, value.decode()?, mod_revision),
+            WatchedKey::Load(name) => self.put_loads(name, &value.decode()?),
             WatchedKey::Unknown => {}
         }
         Ok(())
@@ -179,9 +179,9 @@
         value: &Json,
         mod_revision: u64,
     ) -> Result<Holder, serde_json::Error> {
-        let record: HolderRecord = value.read()?;
+        let record: HolderRecord = value.decode()?;
         Ok(Holder {
-            host: self.names.hosts.intern(&record.host),
+            controller: self.names.controllers.intern(&record.controller),
             incarnation: Incarnation(record.incarnation),
             mod_revision,
         })
@@ -194,17 +194,17 @@
             mod_revision,
             format: record.format,
         };
-        let host = self.names.hosts.intern(name);
+        let host = self.names.controllers.intern(name);
         self.live_controllers.insert(host, live);
     }
 
     fn put_loads(&mut self, name: &str, record: &LoadRecord) {
-        let host = self.names.hosts.intern(name);
+        let host = self.names.controllers.intern(name);
         let listed = record.machines.iter();
         let machines = listed
             .filter_map(|(machine, load)| Some((self.names.machines.get(machine)?, *load)))
             .collect();
-        let loads = Loads {
+        let loads = QueueTotals {
             count: record.count,
             sum: record.sum,
             machines,
@@ -215,12 +215,12 @@
 
     /// Applies the deletion of a key.
     fn remove(&mut self, key: &str) {
-        self.version += 1;
+        self.change_counter += 1;
         self.unreadable.remove(key);
         match WatchedKey::parse(key) {
             WatchedKey::Leader => self.leader = None,
             WatchedKey::Controller(name) => {
-                if let Some(host) = self.names.hosts.get(name) {
+                if let Some(host) = self.names.controllers.get(name) {
                     self.live_controllers.remove(&host);
                 }
             }
--- a/src/replica/block_values.rs
+++ b/src/replica/block_values.rs
@@ -1,16 +1,16 @@
-//! Block values: what the key of a block is to have, and how its tables are read.
+//! Conversion between blocks of the replica and their stored values.
 //!
-//! In a value, jobs and kinds of machines are places in tables, and attempts are what they exceed the
-//! lowest one by.
+//! A stored value refers to jobs and kinds of machines by their index in tables, and stores attempts
+//! relative to the lowest one.
 
-use super::{Binding, BlockEdit, Names, Replica, TaskId};
+use super::{Binding, BlockEdit, NameTables, Replica, TaskId};
 use crate::collections::HashMap;
 use crate::names::{JobId, MachineTypeId, ZoneId};
 use crate::protocol::JobStatus;
 use crate::ranges::RangeSet;
 use crate::records::{BlockRecord, MachineRecord, StoredBinding};
 
-/// A kind of machine: type, zone, whether it is a spot machine.
+/// A kind of machine: machine type, zone, and whether it is a spot machine.
 type Kind = (MachineTypeId, ZoneId, bool);
 
 /// The tables of a block's value, with names mapped to indices.
@@ -21,7 +21,7 @@
 }
 
 impl StoredTables {
-    pub(super) fn of(record: &BlockRecord, names: &mut Names) -> Self {
+    pub(super) fn from_record(record: &BlockRecord, names: &mut NameTables) -> Self {
         let jobs = record.jobs.iter();
         let jobs = jobs.map(|name| names.jobs.intern(name)).collect();
         let kinds = record.kinds.iter();
@@ -46,7 +46,7 @@
         self.kinds.get(place).copied()
     }
 
-    /// The bindings that [`group`] made into runs; those of jobs that are not in the table are left out.
+    /// Expands the runs that [`group_bindings`] made. Runs of jobs missing from the table are skipped.
     pub(super) fn bindings(&self, stored: &[StoredBinding]) -> Vec<Binding> {
         let mut bindings = Vec::new();
         for run in stored {
@@ -64,15 +64,15 @@
 }
 
 impl Replica {
-    /// The value that a block's key is to have. What the jobs' own keys show already, or need no
-    /// more, is left out.
-    pub fn seal(&self, edit: &BlockEdit) -> BlockRecord {
+    /// The value to store for an edited block. Done tasks that the jobs' own keys already list, or that are
+    /// no longer needed, are left out.
+    pub fn block_record(&self, edit: &BlockEdit) -> BlockRecord {
         let queued = || edit.machines.values().flat_map(|machine| &machine.queue);
         let attempts = queued().map(|binding| binding.attempt);
         let first_attempt = attempts.min().unwrap_or(0);
         let done = self.unrecorded_done(edit);
         let listed = queued().map(|binding| binding.task.job);
-        let mut jobs = self.table_of_jobs(listed.chain(done.iter().map(|(job, _)| *job)));
+        let mut jobs = self.job_table(listed.chain(done.iter().map(|(job, _)| *job)));
         let mut kinds = KeyTable::default();
         let mut record = BlockRecord {
             first_attempt,
@@ -80,19 +80,21 @@
             ..BlockRecord::default()
         };
         for (&machine_id, machine) in &edit.machines {
-            let mut evicted = machine.evict.clone();
+            let mut evicted = machine.preempted.clone();
             evicted.retain(|binding| machine.queue.contains(binding));
             let stored = MachineRecord {
-                kind: kinds.place((machine.machine_type, machine.zone, machine.spot)),
-                leaving: machine.leaving,
-                queue: group(&machine.queue, first_attempt, &mut jobs),
-                evicted: group(&evicted, first_attempt, &mut jobs),
+                kind: kinds.index_of((machine.machine_type, machine.zone, machine.spot)),
+                cordoned: machine.cordoned,
+                queue: group_bindings(&machine.queue, first_attempt, &mut jobs),
+                preempted: group_bindings(&evicted, first_attempt, &mut jobs),
             };
             let name = self.names.machines.name(machine_id).to_owned();
             record.machines.insert(name, stored);
         }
         let done = done.into_iter();
-        record.done = done.map(|(job, tasks)| (jobs.place(job), tasks)).collect();
+        record.done = done
+            .map(|(job, tasks)| (jobs.index_of(job), tasks))
+            .collect();
         let names = &self.names;
         record.jobs = jobs.keys(|&job| names.jobs.name(job).to_owned());
         record.kinds = kinds.keys(|&(machine_type, zone, spot)| {
@@ -102,75 +104,74 @@
         record
     }
 
-    /// The done tasks that a block has to list.
+    /// The done tasks that a block has to list: those of pending jobs that the jobs' own keys do not list.
     ///
-    /// A job is pending until its key says otherwise, and gone once it is archived: by then nobody asks
-    /// for its tasks any more. Both last for ever.
+    /// The tasks of a job that is in a final state or archived are no longer needed. Neither can be undone.
     fn unrecorded_done(&self, edit: &BlockEdit) -> Vec<(JobId, RangeSet)> {
         let unrecorded = |(job_id, tasks): &(JobId, RangeSet)| {
             let job = self.jobs.get(job_id)?;
             let mut tasks = tasks.clone();
-            tasks.subtract(&job.stored);
+            tasks.subtract(&job.stored_done);
             let needed = job.status == JobStatus::Pending && !tasks.is_empty();
             needed.then_some((*job_id, tasks))
         };
         edit.done.iter().filter_map(unrecorded).collect()
     }
 
-    /// A table of these jobs in the order of their names, which then have most in common with the one
-    /// before.
-    fn table_of_jobs(&self, listed: impl Iterator<Item = JobId>) -> KeyTable<JobId> {
+    /// A table of these jobs in the order of their names, which maximizes the prefixes shared by consecutive
+    /// names.
+    fn job_table(&self, listed: impl Iterator<Item = JobId>) -> KeyTable<JobId> {
         let mut listed: Vec<JobId> = listed.collect();
         listed.sort_unstable();
         listed.dedup();
         listed.sort_by_key(|&job| self.names.jobs.name(job));
         let mut jobs = KeyTable::default();
         for job in listed {
-            jobs.place(job);
+            jobs.index_of(job);
         }
         jobs
     }
 }
 
-/// The keys of a table of a block's value, in the order in which they were first asked for.
+/// Keys of a table in a block's value, in order of first use.
 struct KeyTable<K> {
-    places: HashMap<K, usize>,
+    indices: HashMap<K, usize>,
     keys: Vec<K>,
 }
 
 impl<K> Default for KeyTable<K> {
     fn default() -> Self {
         Self {
-            places: HashMap::default(),
+            indices: HashMap::default(),
             keys: Vec::new(),
         }
     }
 }
 
 impl<K: Copy + Eq + std::hash::Hash> KeyTable<K> {
-    /// The place of a key, which is added if it has none.
-    fn place(&mut self, key: K) -> usize {
-        *self.places.entry(key).or_insert_with(|| {
+    /// The index of a key, which is appended if it is missing.
+    fn index_of(&mut self, key: K) -> usize {
+        *self.indices.entry(key).or_insert_with(|| {
             self.keys.push(key);
             self.keys.len() - 1
         })
     }
 
-    /// The keys by place, each named.
+    /// The names of all keys, by index.
     fn keys<T>(&self, name: impl Fn(&K) -> T) -> Vec<T> {
         self.keys.iter().map(name).collect()
     }
 }
 
-/// Bindings as they are stored: runs of tasks by job and attempt.
-fn group(
+/// Groups bindings into stored runs of tasks with the same job and attempt.
+fn group_bindings(
     bindings: &[Binding],
     first_attempt: u64,
     jobs: &mut KeyTable<JobId>,
 ) -> Vec<StoredBinding> {
     let mut stored: Vec<StoredBinding> = Vec::new();
     for binding in bindings {
-        let job = jobs.place(binding.task.job);
+        let job = jobs.index_of(binding.task.job);
         let attempt = binding.attempt.saturating_sub(first_attempt);
         let same = |run: &StoredBinding| run.job == job && run.attempt == attempt;
         let at = stored.iter().position(same).unwrap_or_else(|| {
--- a/src/replica/name_tables.rs
+++ b/src/replica/name_tables.rs
@@ -1,39 +1,39 @@
-//! The names that occur in the replica, and their indices.
+//! Tables that map names in the replica to indices.
 
 use super::TaskId;
 use crate::names::{
     ClassId, ControllerId, ImageId, Interner, JobId, MachineId, MachineTypeId, TeamId, ZoneId,
 };
 
-/// Names known to this process. Their indices mean nothing to any other.
+/// Names known to this process. The indices are local to the process and are never sent or stored.
 #[derive(Debug, Default)]
-pub struct Names {
-    /// Jobs not archived.
+pub struct NameTables {
+    /// Jobs that are not archived, and archived jobs that are still referenced.
     pub jobs: Interner<JobId>,
-    /// Machines.
+    /// Machines, in a block or not.
     pub machines: Interner<MachineId>,
-    /// Teams.
+    /// Teams named by jobs.
     pub teams: Interner<TeamId>,
-    /// Classes.
+    /// Job classes.
     pub classes: Interner<ClassId>,
-    /// Machine types.
+    /// Machine types of machines, jobs and the catalog.
     pub machine_types: Interner<MachineTypeId>,
-    /// Zones.
+    /// Zones of machines, jobs and the catalog.
     pub zones: Interner<ZoneId>,
-    /// Images.
+    /// Images named by jobs.
     pub images: Interner<ImageId>,
-    /// Controllers.
-    pub hosts: Interner<ControllerId>,
+    /// Controllers, live or not.
+    pub controllers: Interner<ControllerId>,
 }
 
-impl Names {
-    /// A task as workers write it: `job/number`.
+impl NameTables {
+    /// The name of a task in messages of workers: `job/number`.
     pub fn task_name(&self, task: TaskId) -> String {
         format!("{}/{}", self.jobs.name(task.job), task.number)
     }
 
-    /// Parses a task's name; none if it is not one, or its job is unknown here.
-    pub fn task(&self, name: &str) -> Option<TaskId> {
+    /// Parses a task's name; `None` if it is malformed or its job is unknown.
+    pub fn parse_task_name(&self, name: &str) -> Option<TaskId> {
         let (job, number) = name.rsplit_once('/')?;
         Some(TaskId {
             job: self.jobs.get(job)?,
--- a/src/stealing/messages.rs
+++ b/src/stealing/messages.rs
@@ -72,14 +72,14 @@
             let Some(machine_id) = self.replica.names.machines.get(recipient) else {
                 continue;
             };
-            let Some((_, holder)) = self.replica.holder(machine_id) else {
+            let Some((_, holder)) = self.replica.block_and_holder(machine_id) else {
                 continue;
             };
-            if holder.host == self.own_id {
+            if holder.controller == self.own_id {
                 queue.extend(self.handle_steal_message(machine_id, message, now));
             } else {
                 self.work_stealing
-                    .enqueue_outgoing(holder.host, message, capacity);
+                    .enqueue_outgoing(holder.controller, message, capacity);
             }
         }
     }
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -2,7 +2,7 @@
 
 use super::{
     BTreeSet, CommitOutcome, Controller, JobRecord, JobSpec, Mutation, Rng, State, StoreFault,
-    Timestamp, Transaction, Transfer, World, digest, occupancy, past_key,
+    Timestamp, Transaction, Transfer, World, archive_key, digest, occupancy,
 };
 use quillbend::spillover::{Archived, CellCall, CellRequest, OfferPlan};
 use quillbend_spillover::message::{CellAnswer, Decision, OfferAnswer, Reason, RequestBody};
@@ -81,7 +81,7 @@
 pub fn lends(transaction: &Transaction) -> bool {
     let lent = |change: &Mutation| match change {
         Mutation::Put { value, .. } => value
-            .read::<JobRecord>()
+            .decode::<JobRecord>()
             .is_ok_and(|job| matches!(job.transfer.as_deref(), Some(Transfer::Lent(_)))),
         Mutation::Delete { .. } => false,
     };
@@ -401,11 +401,11 @@
             };
             match self.write(node, &transaction) {
                 CommitOutcome::Done(revision) => {
-                    controller.replica.apply_own(&transaction, revision);
+                    controller.replica.apply_own_commit(&transaction, revision);
                     return decision;
                 }
                 CommitOutcome::Conflict(_) => {
-                    let key = past_key(&offer.loan.job);
+                    let key = archive_key(&offer.loan.job);
                     let value = self.state.value(&key);
                     archived = value.map(|v| Archived {
                         record: serde_json::from_value(v).expect("a job's value"),
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -159,7 +159,7 @@
         Effect::RenewLease { lease_id } => (Kind::LeaseRenewal, json(lease_id)),
         Effect::Commit { transaction, .. } => (Kind::Transaction, json(transaction)),
         Effect::SendPeerMessage { host, message } => {
-            let name = controller.replica.names.hosts.name(*host);
+            let name = controller.replica.names.controllers.name(*host);
             (Kind::PeerMessage, addressed(name, message))
         }
         Effect::ReadCatalog => (Kind::CatalogRequest, Vec::new()),
@@ -237,7 +237,7 @@
             for job in &jobs {
                 let known = replica.names.jobs.get(job.as_str());
                 let Some((index, status)) =
-                    known.and_then(|job_id| Some((job_id, replica.status_of(job_id)?)))
+                    known.and_then(|job_id| Some((job_id, replica.job_status(job_id)?)))
                 else {
                     continue;
                 };
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -2,8 +2,8 @@
 
 use super::{
     Acceptance, BlockRecord, CommitOutcome, JobKind, JobRecord, JobSpec, JobStatus, Predecessor,
-    Priority, StoreFault, Transaction, WaitingRecord, World, chained, digest, job_key, jobs,
-    past_key, plan_acceptance, waiting_key,
+    Priority, StoreFault, Transaction, WaitingRecord, World, archive_key, chained, digest, job_key,
+    jobs, plan_acceptance, waiting_key,
 };
 
 impl World {
@@ -118,7 +118,9 @@
             return None;
         };
         if let Some(node) = &mut self.controllers[i] {
-            node.controller.replica.apply_own(&transaction, revision);
+            node.controller
+                .replica
+                .apply_own_commit(&transaction, revision);
         }
         self.note_submission(&name, kept, awaits);
         Some(name)
@@ -193,7 +195,9 @@
     pub fn cancel_through(&mut self, i: usize, name: &str) -> CommitOutcome {
         let (transaction, outcome) = self.call_off(name);
         if let (CommitOutcome::Done(revision), Some(n)) = (outcome, &mut self.controllers[i]) {
-            n.controller.replica.apply_own(&transaction, revision);
+            n.controller
+                .replica
+                .apply_own_commit(&transaction, revision);
         }
         outcome
     }
@@ -209,7 +213,7 @@
             .names
             .jobs
             .get(name)
-            .and_then(|job_id| replica.status_of(job_id));
+            .and_then(|job_id| replica.job_status(job_id));
         let status = match known {
             Some(status) => status,
             None => self.job(name)?.status,
@@ -244,7 +248,7 @@
         let v = self
             .state
             .value(&job_key(name))
-            .or(self.state.value(&past_key(name)))?;
+            .or(self.state.value(&archive_key(name)))?;
         serde_json::from_value(v).ok()
     }
 
@@ -252,7 +256,7 @@
     pub fn done(&self, name: &str) -> u32 {
         let mut done = self.job(name).map(|j| j.done.tasks).unwrap_or_default();
         for item in self.state.list("qb/block/").0 {
-            let block: BlockRecord = item.value.read().expect("a block");
+            let block: BlockRecord = item.value.decode().expect("a block");
             for (job, tasks) in &block.done {
                 if block.jobs[*job] == name {
                     done.union(tasks);
