--- a/benches/costs.rs
+++ b/benches/costs.rs
@@ -109,7 +109,7 @@
             let job_id = replica.names.jobs.get("wk-000007")?;
             let job = replica.jobs.get(&job_id)?;
             let running = node.controller.running_task_count(job_id);
-            Some(jobs::answer(
+            Some(jobs::job_answer(
                 "wk-000007",
                 job.status,
                 job.done.len(),
@@ -134,9 +134,9 @@
     let body = body.to_string();
     let controller = world.controller(0);
     for _ in 0..SUBMISSIONS {
-        submission.measure(|| match jobs::read(body.as_bytes()) {
-            jobs::Read::Good(read) => controller.never_runs(&read.spec),
-            jobs::Read::Bad(..) => unreachable!("the submission is good"),
+        submission.measure(|| match jobs::parse_submission(body.as_bytes()) {
+            jobs::ParsedSubmission::Valid(read) => controller.unrunnable_reason(&read.spec),
+            jobs::ParsedSubmission::Invalid(..) => unreachable!("the submission is good"),
         });
     }
     println!("a job of 100000 tasks");
--- a/src/controller/blocks/merging.rs
+++ b/src/controller/blocks/merging.rs
@@ -67,7 +67,7 @@
     /// round, workers would drop every answer, for they obey no token that is lower than one they have
     /// seen (PROTOCOL, tokens).
     fn choose_merge(&self, now: Timestamp) -> Option<(BlockId, BlockId)> {
-        let room = (self.settings.value_bytes() as f64 * MAX_EXPECTED_FILL) as usize;
+        let room = (self.settings.max_value_bytes() as f64 * MAX_EXPECTED_FILL) as usize;
         let mut small = self.small_blocks(room, now);
         small.sort_by_key(|block| (block.expected_bytes, block.id));
         let [first, second, ..] = small.as_slice() else {
@@ -117,7 +117,7 @@
         }
         intent.blocks.extend(other_intent.blocks);
         intent.outcomes.extend(other_intent.outcomes);
-        let max_bytes = (self.settings.value_bytes() as f64 * MAX_INITIAL_FILL) as usize;
+        let max_bytes = (self.settings.max_value_bytes() as f64 * MAX_INITIAL_FILL) as usize;
         let mut transaction = Transaction::default();
         for (id, edit) in [(kept, &edit), (emptied, &BlockEdit::default())] {
             let mutation = put(&block_key(id), &self.replica.seal(edit), None);
--- a/src/controller/blocks/splitting.rs
+++ b/src/controller/blocks/splitting.rs
@@ -61,7 +61,7 @@
     /// Guards against machines that stand idle because the value which lists their tasks is full:
     /// half of a fleet did when values had to become much smaller.
     fn needs_split(&self, block: &Block) -> bool {
-        let max_bytes = self.settings.value_bytes();
+        let max_bytes = self.settings.max_value_bytes();
         let max_expected_bytes = (max_bytes as f64 * MAX_EXPECTED_FILL) as usize;
         let crowded = self.expected_block_bytes(block) > max_expected_bytes;
         block.bytes > max_bytes || (crowded && block.machines.len() > 1)
@@ -98,7 +98,7 @@
         edit: &BlockEdit,
         intent: &WriteIntent,
     ) -> Option<(Transaction, WriteIntent)> {
-        let max_bytes = self.settings.value_bytes();
+        let max_bytes = self.settings.max_value_bytes();
         let target_bytes = (max_bytes as f64 * TARGET_FILL) as usize;
         let values = self.divide(edit, target_bytes);
         let Some(values) = values.or_else(|| self.divide(edit, max_bytes)) else {
--- a/src/controller/completions/done_lists.rs
+++ b/src/controller/completions/done_lists.rs
@@ -69,7 +69,7 @@
 
     /// Maximum number of lists to move out of a block of this size.
     fn max_lists_to_move(&self, record: &BlockRecord, size: usize) -> usize {
-        let max_bytes = self.settings.value_bytes() as f64;
+        let max_bytes = self.settings.max_value_bytes() as f64;
         let lists = record.done.iter();
         let listed: usize = lists
             .map(|(_, tasks)| tasks.text_len() + LIST_OVERHEAD_BYTES)
@@ -102,8 +102,8 @@
             status => status,
         };
         let mut record = job.record(self.replica.done_tasks(done), status);
-        record.shorten(self.settings.value_bytes());
+        record.shorten(self.settings.max_value_bytes());
         let write = put(&job_key(name), &record, None);
-        (write.value_bytes() <= self.settings.value_bytes()).then_some(write)
+        (write.value_bytes() <= self.settings.max_value_bytes()).then_some(write)
     }
 }
--- a/src/controller/completions/plan.rs
+++ b/src/controller/completions/plan.rs
@@ -40,7 +40,7 @@
         }
         let job_writes = self.shorten_done_lists(id, &mut blocks);
         // The key-value store would always refuse a value of this size, so the block is split instead.
-        let max_bytes = self.settings.value_bytes();
+        let max_bytes = self.settings.max_value_bytes();
         if blocks
             .iter()
             .any(|block| block.id == id && block.value.size() > max_bytes)
@@ -61,7 +61,7 @@
 
     /// Whether the blocks leave no space for the moves between them, in one value or in the transaction.
     fn is_too_large(&self, blocks: &[FinalizedBlock]) -> bool {
-        let nearly_full = self.settings.value_bytes() * 9 / 10;
+        let nearly_full = self.settings.max_value_bytes() * 9 / 10;
         total_bytes(blocks) > MAX_TRANSACTION_BYTES
             || blocks.iter().any(|block| block.value.size() > nearly_full)
     }
--- a/src/controller/completions/presumed_dead.rs
+++ b/src/controller/completions/presumed_dead.rs
@@ -51,14 +51,14 @@
     }
 
     fn lease_has_expired(&self, runtime: &MachineRuntime, now: Timestamp) -> bool {
-        let lease_ms = self.settings.worker_gone_ms();
+        let lease_ms = self.settings.worker_expiry_ms();
         let has_expired = |at: Timestamp| now.since(at) > lease_ms;
         match (runtime.fenced, runtime.last_ack_at) {
             (true, Some(last_ack_at)) => has_expired(last_ack_at),
             // Until the worker has adopted our token, an earlier holder may still be acknowledging its
             // heartbeats.
             (_, last_ack_at) => {
-                now.since(runtime.held_since) > self.settings.unfenced_gone_ms()
+                now.since(runtime.held_since) > self.settings.unfenced_expiry_ms()
                     && last_ack_at.is_none_or(has_expired)
             }
         }
--- a/src/controller/formats.rs
+++ b/src/controller/formats.rs
@@ -144,7 +144,7 @@
 
     /// Records the format that all controllers read, as far as the operators let it be written.
     pub(crate) fn plan_format(&mut self, now: Timestamp) -> Option<Transaction> {
-        let most = self.settings.options.format_most as u32;
+        let most = self.settings.options.max_written_format as u32;
         let format = self.common_format(now).min(most);
         if format <= self.replica.format || !self.listened(now) {
             return None;
--- a/src/controller/heartbeat/classify.rs
+++ b/src/controller/heartbeat/classify.rs
@@ -66,7 +66,7 @@
         // Until the machine shows our token, it is unknown whether our acks reach it. After this time we stop
         // sending them, so that the lease of any task that it might run expires.
         if self.replica.has_queued_tasks(machine_id)
-            && now.since(runtime.held_since) > self.settings.unfenced_gone_ms()
+            && now.since(runtime.held_since) > self.settings.unfenced_expiry_ms()
         {
             return HeartbeatAction::Ignore;
         }
--- a/src/controller/heartbeat/delayed.rs
+++ b/src/controller/heartbeat/delayed.rs
@@ -37,7 +37,7 @@
             return None;
         }
         self.held.get_mut(machine_id)?.ack_delayed = true;
-        Some(self.settings.answer_wait_ms())
+        Some(self.settings.max_ack_delay_ms())
     }
 
     /// Machines whose delayed acks can be sent because tasks were bound to them.
--- a/src/controller/heartbeat/reachability.rs
+++ b/src/controller/heartbeat/reachability.rs
@@ -82,7 +82,7 @@
         let is_next = heartbeat.worker_epoch == runtime.newest_heartbeat.epoch
             && heartbeat.sequence == runtime.newest_heartbeat.sequence + 1;
         let in_time =
-            now.since(last_heartbeat_at) < self.settings.heartbeat_due_ms().max(ACK_TIMEOUT_MS);
+            now.since(last_heartbeat_at) < self.settings.max_heartbeat_gap_ms().max(ACK_TIMEOUT_MS);
         let shows_launches = runtime.launched.iter().all(|task| {
             let name = self.replica.names.task_name(*task);
             heartbeat.tasks.iter().any(|reported| reported.task == name)
@@ -96,7 +96,7 @@
         let acked_under_token = runtime
             .last_ack_at
             .is_some_and(|at| at > runtime.held_since);
-        if lost_lease && acked_within(self.settings.worker_gone_ms()) {
+        if lost_lease && acked_within(self.settings.worker_expiry_ms()) {
             AckEvidence::Missed(2)
         } else if !shows_launches || !in_time || (!shows_token && acked_under_token) {
             AckEvidence::Missed(1)
--- a/src/controller/machine_status.rs
+++ b/src/controller/machine_status.rs
@@ -59,7 +59,7 @@
     /// Whether a machine should be replaced: it is quarantined, or no ack has reached it for a whole worker
     /// lease.
     pub(crate) fn needs_replacement(&self, runtime: &MachineRuntime, now: Timestamp) -> bool {
-        let lease = self.settings.worker_gone_ms();
+        let lease = self.settings.worker_expiry_ms();
         runtime.quarantined
             || runtime
                 .unreachable_since
--- a/src/controller/queue_load.rs
+++ b/src/controller/queue_load.rs
@@ -118,7 +118,7 @@
         };
         let mut room = self
             .settings
-            .value_bytes()
+            .max_value_bytes()
             .saturating_sub(LOAD_RECORD_RESERVE);
         let (mut low, mut high) = (0, loads.len());
         while low < high {
--- a/src/controller/tests.rs
+++ b/src/controller/tests.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn all_machines_of_a_large_fleet_are_remembered_when_all_report_to_one_controller() {
-    let mut controller = Controller::new(crate::settings::tests::small(), 1);
+    let mut controller = Controller::new(crate::settings::tests::small_settings(), 1);
     let heartbeat = |n: u32, sequence: u64| Heartbeat {
         machine: format!("m-{n:06}"),
         endpoint: "127.0.0.1:1".into(),
--- a/src/http/cancellation.rs
+++ b/src/http/cancellation.rs
@@ -4,9 +4,9 @@
 //! with a completion, and with a waiting job that becomes an ordinary one. It must never be confirmed
 //! before it is written.
 
-use super::lookup::OpenJob;
+use super::lookup::UnfinishedJob;
 use super::responses::{
-    no_such_job, outcome_unknown, read_failed, state_out_of_reach, too_many_requests, unavailable,
+    no_such_job, outcome_unknown, read_failed, store_unreachable, too_many_requests, unavailable,
 };
 use super::{ApiState, WRITE_TIMEOUT};
 use crate::jobs;
@@ -15,40 +15,40 @@
 use actix_web::HttpResponse;
 
 /// Tries of a cancellation whose precondition failed, because the job's value changed meanwhile.
-const CANCEL_TRIES: usize = 6;
+const MAX_CANCELLATION_ATTEMPTS: usize = 6;
 
 /// The answer for a job that is over, in this state.
-fn is_over(name: &str, status: JobStatus) -> HttpResponse {
+fn final_status_response(name: &str, status: JobStatus) -> HttpResponse {
     HttpResponse::Ok().json(serde_json::json!({ "ref": name, "status": status }))
 }
 
 impl ApiState {
     /// Cancels a job, unless it is over already; either way the answer says in which state it ended.
     pub(super) async fn cancel(&self, name: &str) -> HttpResponse {
-        if let Some(answer) = self.remembered(name) {
-            return is_over(name, answer.status);
+        if let Some(answer) = self.cached_final_state(name) {
+            return final_status_response(name, answer.status);
         }
         if !jobs::is_job_name(name) {
             return no_such_job();
         }
-        if !self.state_up() {
-            return state_out_of_reach();
+        if !self.is_store_reachable() {
+            return store_unreachable();
         }
-        let value_bytes = self.shared.controller.lock().settings.value_bytes();
-        for _ in 0..CANCEL_TRIES {
+        let value_bytes = self.shared.controller.lock().settings.max_value_bytes();
+        for _ in 0..MAX_CANCELLATION_ATTEMPTS {
             let found = match self.look_up(name).await {
                 Ok(Some(found)) => found,
                 Ok(None) => return no_such_job(),
                 Err(store_error) => return read_failed(&store_error),
             };
-            let Some(open) = found.open else {
-                let answer = self.answer(name, found.status, found.done);
-                return is_over(name, answer.status);
+            let Some(open) = found.unfinished else {
+                let answer = self.job_answer(name, found.status, found.done_tasks);
+                return final_status_response(name, answer.status);
             };
             match self.commit_cancellation(name, &open, value_bytes).await {
                 CommitOutcome::Done(_) => {
-                    let answer = self.answer(name, JobStatus::Cancelled, found.done);
-                    return is_over(name, answer.status);
+                    let answer = self.job_answer(name, JobStatus::Cancelled, found.done_tasks);
+                    return final_status_response(name, answer.status);
                 }
                 // A completion was recorded meanwhile: look again.
                 CommitOutcome::Conflict(_) => {}
@@ -65,11 +65,11 @@
     async fn commit_cancellation(
         &self,
         name: &str,
-        open: &OpenJob,
+        unfinished: &UnfinishedJob,
         value_bytes: usize,
     ) -> CommitOutcome {
-        let transaction = open.cancel(name, value_bytes);
-        let outcome = self.state.commit(&transaction, WRITE_TIMEOUT).await;
+        let transaction = unfinished.cancel_transaction(name, value_bytes);
+        let outcome = self.store.commit(&transaction, WRITE_TIMEOUT).await;
         if let CommitOutcome::Done(revision) = outcome {
             tracing::info!(job = name, revision, "job cancelled");
             let mut controller = self.shared.controller.lock();
--- a/src/http/cells.rs
+++ b/src/http/cells.rs
@@ -17,7 +17,7 @@
 };
 
 /// Tries of an offer: one more after the archive was read.
-const OFFER_TRIES: usize = 2;
+const MAX_OFFER_ATTEMPTS: usize = 2;
 
 /// `POST /cell`: takes a request of another cell, or one that a controller of this cell relays.
 pub(super) async fn cell(
@@ -49,17 +49,17 @@
     /// Answers a request that is not refused.
     async fn answer_cell(&self, request: &CellRequest) -> CellAnswer {
         match &request.body {
-            RequestBody::Offer(offers) if self.leads() => {
+            RequestBody::Offer(offers) if self.is_acting_leader() => {
                 let mut answers = Vec::new();
                 for offer in offers {
                     answers.push(OfferAnswer {
                         loan: offer.loan.clone(),
-                        decision: self.decide(&request.from, offer).await,
+                        decision: self.decide_offer(&request.from, offer).await,
                     });
                 }
                 return CellAnswer::Offers(answers);
             }
-            RequestBody::Confirm { loans, .. } => self.end_loans(&request.from, loans).await,
+            RequestBody::Confirm { loans, .. } => self.record_loan_ends(&request.from, loans).await,
             RequestBody::Offer(_) | RequestBody::Status => {}
         }
         let now = self.shared.now();
@@ -67,14 +67,14 @@
     }
 
     /// Whether this controller is the leader and may act as such now.
-    fn leads(&self) -> bool {
+    fn is_acting_leader(&self) -> bool {
         let now = self.shared.now();
         let controller = self.shared.controller.lock();
         controller.leads().is_some() && controller.has_authority(now)
     }
 
     /// Records the outcomes of loans that a borrower reports. What fails is reported again.
-    async fn end_loans(&self, from: &str, reports: &[LoanReport]) {
+    async fn record_loan_ends(&self, from: &str, reports: &[LoanReport]) {
         let now = self.shared.now();
         let transactions = self
             .shared
@@ -83,7 +83,7 @@
             .plan_loan_ends(from, reports, now);
         for transaction in transactions {
             if let CommitOutcome::Done(revision) =
-                self.state.commit(&transaction, WRITE_TIMEOUT).await
+                self.store.commit(&transaction, WRITE_TIMEOUT).await
             {
                 self.shared
                     .controller
@@ -94,9 +94,9 @@
     }
 
     /// Decides about one offer, and records the decision.
-    async fn decide(&self, from: &str, offer: &Offer<JobSpec>) -> Decision {
+    async fn decide_offer(&self, from: &str, offer: &Offer<JobSpec>) -> Decision {
         let mut archived = None;
-        for _ in 0..OFFER_TRIES {
+        for _ in 0..MAX_OFFER_ATTEMPTS {
             let plan = {
                 let now = self.shared.now();
                 let controller = self.shared.controller.lock();
@@ -109,7 +109,7 @@
                     decision,
                 } => (transaction, decision),
             };
-            match self.state.commit(&transaction, WRITE_TIMEOUT).await {
+            match self.store.commit(&transaction, WRITE_TIMEOUT).await {
                 CommitOutcome::Done(revision) => {
                     let mut controller = self.shared.controller.lock();
                     controller.replica.apply_own(&transaction, revision);
@@ -125,7 +125,7 @@
 
     /// Reads a job that is over from the archive; none if it is not there or cannot be read.
     async fn archived_job(&self, job: &str) -> Option<Archived> {
-        let item = self.state.read(&past_key(job), READ_TIMEOUT).await.ok()??;
+        let item = self.store.read(&past_key(job), READ_TIMEOUT).await.ok()??;
         Some(Archived {
             record: item.value.read().ok()?,
             mod_revision: item.mod_revision,
--- a/src/http/chained_submission.rs
+++ b/src/http/dependent_submission.rs
@@ -5,11 +5,11 @@
 //! preconditions: a predecessor that changes in between fails the write, and it is planned again.
 
 use super::responses::{read_failed, refuse, unavailable};
-use super::submission::{NewJob, not_accepted};
+use super::submission::{NewJob, failed_write_response};
 use super::{ApiState, READ_TIMEOUT};
 use crate::controller::Controller;
-use crate::jobs::chained::{Acceptance, ChainError, Predecessor, plan_acceptance};
-use crate::jobs::gradual::{Step, Stored, plan_step};
+use crate::jobs::dependent::{Acceptance, DependencyError, PredecessorState, plan_acceptance};
+use crate::jobs::incremental::{AcceptanceStep, StoredWaitingJob, plan_acceptance_step};
 use crate::protocol::{JobStatus, Transaction};
 use crate::records::Encoding;
 use crate::store::{CommitOutcome, StoreError};
@@ -19,73 +19,75 @@
 use tokio::time::Instant;
 
 /// Tries of an acceptance whose preconditions failed, because a predecessor changed meanwhile.
-const CHAIN_TRIES: usize = 5;
+const MAX_ACCEPTANCE_ATTEMPTS: usize = 5;
 /// Longest time for accepting a job that names others; users wait 5 s (PROTOCOL, submissions).
-const CHAIN_TIMEOUT: Duration = Duration::from_millis(3000);
+const ACCEPTANCE_TIMEOUT: Duration = Duration::from_millis(3000);
 
 /// The next write of a submission that names other jobs.
-enum Plan {
+enum PlannedWrite {
     /// The job is accepted with it, in this state.
     Accept(Transaction, JobStatus),
     /// The job waits and is accepted with it.
-    Wait(Transaction),
+    AcceptWaiting(Transaction),
     /// More writes follow.
     Continue(Transaction),
 }
 
-impl Plan {
+impl PlannedWrite {
     fn transaction(&self) -> &Transaction {
         match self {
             Self::Accept(transaction, _)
-            | Self::Wait(transaction)
+            | Self::AcceptWaiting(transaction)
             | Self::Continue(transaction) => transaction,
         }
     }
 }
 
-impl From<Acceptance> for Plan {
+impl From<Acceptance> for PlannedWrite {
     fn from(acceptance: Acceptance) -> Self {
         match acceptance {
-            Acceptance::Waiting(transaction) => Self::Wait(transaction),
+            Acceptance::Waiting(transaction) => Self::AcceptWaiting(transaction),
             Acceptance::Ordinary(transaction) => Self::Accept(transaction, JobStatus::Pending),
             Acceptance::Cancelled(transaction) => Self::Accept(transaction, JobStatus::Cancelled),
         }
     }
 }
 
-impl From<Step> for Plan {
-    fn from(step: Step) -> Self {
+impl From<AcceptanceStep> for PlannedWrite {
+    fn from(step: AcceptanceStep) -> Self {
         match step {
-            Step::Incomplete(transaction) => Self::Continue(transaction),
-            Step::Complete(transaction) => Self::Wait(transaction),
-            Step::Cancelled(transaction) => Self::Accept(transaction, JobStatus::Cancelled),
+            AcceptanceStep::Incomplete(transaction) => Self::Continue(transaction),
+            AcceptanceStep::Complete(transaction) => Self::AcceptWaiting(transaction),
+            AcceptanceStep::Cancelled(transaction) => {
+                Self::Accept(transaction, JobStatus::Cancelled)
+            }
         }
     }
 }
 
 /// Why a chained submission is refused, unless its job is known.
 #[derive(Debug, thiserror::Error)]
-enum ChainRefusal {
+enum DependentJobRefusal {
     /// It can never run.
     #[error(transparent)]
-    NeverRuns(#[from] ChainError),
+    NeverRuns(#[from] DependencyError),
     /// It would wait for others, which a controller of an older version cannot read.
     #[error("a controller still runs an older version")]
     OlderVersion,
 }
 
-impl From<ChainRefusal> for HttpResponse {
-    fn from(refusal: ChainRefusal) -> Self {
+impl From<DependentJobRefusal> for HttpResponse {
+    fn from(refusal: DependentJobRefusal) -> Self {
         let reason = refusal.to_string();
         match refusal {
-            ChainRefusal::NeverRuns(_) => refuse(StatusCode::UNPROCESSABLE_ENTITY, &reason),
-            ChainRefusal::OlderVersion => unavailable(&reason),
+            DependentJobRefusal::NeverRuns(_) => refuse(StatusCode::UNPROCESSABLE_ENTITY, &reason),
+            DependentJobRefusal::OlderVersion => unavailable(&reason),
         }
     }
 }
 
 /// What became of one write of a chained submission.
-enum ChainProgress {
+enum AcceptanceProgress {
     /// The submission is answered.
     Answered(HttpResponse),
     /// One of several writes is carried out.
@@ -99,21 +101,21 @@
     /// preconditions for all unfinished jobs that it names, a step of a gradual one.
     fn plan(
         &self,
-        named: &[(String, Predecessor)],
+        named: &[(String, PredecessorState)],
         controller: &Controller,
-    ) -> Result<Plan, ChainError> {
-        let step = |stored: Option<Stored>, named: &[(String, Predecessor)]| {
-            plan_step(
+    ) -> Result<PlannedWrite, DependencyError> {
+        let step = |stored: Option<StoredWaitingJob>, named: &[(String, PredecessorState)]| {
+            plan_acceptance_step(
                 &self.name,
                 &self.record,
                 named,
                 stored,
                 &controller.settings,
             )
-            .map(Plan::from)
+            .map(PlannedWrite::from)
         };
         if let Some(begun) = controller.replica.incomplete_waiting(&self.name) {
-            let stored = Stored {
+            let stored = StoredWaitingJob {
                 record: &begun.record,
                 mod_revision: begun.mod_revision,
             };
@@ -121,10 +123,12 @@
         }
         let record = self.record.clone();
         match plan_acceptance(&self.name, record, named.to_vec(), &controller.settings) {
-            Err(ChainError::TooMany { .. }) if controller.replica.encoding() == Encoding::Dense => {
+            Err(DependencyError::TooMany { .. })
+                if controller.replica.encoding() == Encoding::Dense =>
+            {
                 step(None, named)
             }
-            planned => planned.map(Plan::from),
+            planned => planned.map(PlannedWrite::from),
         }
     }
 }
@@ -132,119 +136,125 @@
 impl ApiState {
     /// Accepts a job that names others. What is known of them is at least as new as the request,
     /// and whatever changes in between fails the preconditions of the transaction.
-    pub(super) async fn submit_chained(&self, job: NewJob) -> HttpResponse {
-        let until = Instant::now() + CHAIN_TIMEOUT;
-        let mut tries = 0;
-        while tries < CHAIN_TRIES && Instant::now() < until {
-            let named = match self.predecessors(&job.awaits, until).await {
+    pub(super) async fn submit_dependent(&self, job: NewJob) -> HttpResponse {
+        let deadline = Instant::now() + ACCEPTANCE_TIMEOUT;
+        let mut attempts = 0;
+        while attempts < MAX_ACCEPTANCE_ATTEMPTS && Instant::now() < deadline {
+            let named = match self.predecessor_states(&job.predecessors, deadline).await {
                 Ok(named) => named,
                 Err(store_error) => return read_failed(&store_error),
             };
-            let plan = match self.plan_chained(&job, &named) {
+            let plan = match self.plan_dependent_write(&job, &named) {
                 Ok(plan) => plan,
-                Err(refusal) => return self.known_or(&job.name, refusal.into()).await,
+                Err(refusal) => return self.answer_if_known_or(&job.name, refusal.into()).await,
             };
-            match self.commit_chained(&job, &plan).await {
-                ChainProgress::Answered(response) => return response,
-                ChainProgress::Continues => {}
-                ChainProgress::PredecessorChanged => tries += 1,
+            match self.commit_dependent_write(&job, &plan).await {
+                AcceptanceProgress::Answered(response) => return response,
+                AcceptanceProgress::Continues => {}
+                AcceptanceProgress::PredecessorChanged => attempts += 1,
             }
         }
         unavailable("the jobs that it names keep changing")
     }
 
     /// Plans the next write of a chained submission.
-    fn plan_chained(
+    fn plan_dependent_write(
         &self,
         job: &NewJob,
-        named: &[(String, Predecessor)],
-    ) -> Result<Plan, ChainRefusal> {
+        named: &[(String, PredecessorState)],
+    ) -> Result<PlannedWrite, DependentJobRefusal> {
         let (planned, accepts_waiting) = {
             let controller = self.shared.controller.lock();
             let planned = job.plan(named, &controller);
             (planned, controller.accepts_waiting(self.shared.now()))
         };
         let plan = planned?;
-        if matches!(plan, Plan::Wait(_)) && !accepts_waiting {
-            return Err(ChainRefusal::OlderVersion);
+        if matches!(plan, PlannedWrite::AcceptWaiting(_)) && !accepts_waiting {
+            return Err(DependentJobRefusal::OlderVersion);
         }
         Ok(plan)
     }
 
     /// Sends one write of a chained submission.
-    async fn commit_chained(&self, job: &NewJob, plan: &Plan) -> ChainProgress {
-        let outcome = self.commit_new(plan.transaction()).await;
+    async fn commit_dependent_write(
+        &self,
+        job: &NewJob,
+        plan: &PlannedWrite,
+    ) -> AcceptanceProgress {
+        let outcome = self.commit_with_retry(plan.transaction()).await;
         let response = match (outcome, plan) {
-            (CommitOutcome::Done(revision), Plan::Continue(transaction)) => {
+            (CommitOutcome::Done(revision), PlannedWrite::Continue(transaction)) => {
                 let mut controller = self.shared.controller.lock();
                 controller.replica.apply_own(transaction, revision);
-                return ChainProgress::Continues;
+                return AcceptanceProgress::Continues;
             }
-            (CommitOutcome::Done(revision), Plan::Wait(transaction)) => {
-                self.accepted(job, transaction, JobStatus::Pending, revision)
+            (CommitOutcome::Done(revision), PlannedWrite::AcceptWaiting(transaction)) => {
+                self.finish_acceptance(job, transaction, JobStatus::Pending, revision)
             }
-            (CommitOutcome::Done(revision), Plan::Accept(transaction, status)) => {
-                self.accepted(job, transaction, *status, revision)
+            (CommitOutcome::Done(revision), PlannedWrite::Accept(transaction, status)) => {
+                self.finish_acceptance(job, transaction, *status, revision)
             }
             // Either the job is known, or a predecessor has changed.
             (CommitOutcome::Conflict(_), _) => match self.look_up(&job.name).await {
-                Ok(Some(found)) => {
-                    HttpResponse::Ok().json(self.answer(&job.name, found.status, found.done))
-                }
-                Ok(None) => return ChainProgress::PredecessorChanged,
+                Ok(Some(found)) => HttpResponse::Ok().json(self.job_answer(
+                    &job.name,
+                    found.status,
+                    found.done_tasks,
+                )),
+                Ok(None) => return AcceptanceProgress::PredecessorChanged,
                 Err(store_error) => read_failed(&store_error),
             },
-            (failed, _) => not_accepted(failed),
+            (failed, _) => failed_write_response(failed),
         };
-        ChainProgress::Answered(response)
+        AcceptanceProgress::Answered(response)
     }
 
     /// What is known now of the jobs that a submission names.
-    async fn predecessors(
+    async fn predecessor_states(
         &self,
         names: &[String],
-        until: Instant,
-    ) -> Result<Vec<(String, Predecessor)>, StoreError> {
+        deadline: Instant,
+    ) -> Result<Vec<(String, PredecessorState)>, StoreError> {
         let read_index = &self.shared.read_index;
         read_index
-            .catch_up(&self.state, self.pause, READ_TIMEOUT)
+            .catch_up(&self.store, self.read_interval, READ_TIMEOUT)
             .await?;
-        let mut named: Vec<(String, Predecessor)> = {
+        let mut named: Vec<(String, PredecessorState)> = {
             let controller = self.shared.controller.lock();
             let watched = names
                 .iter()
-                .map(|name| (name.clone(), controller.replica.predecessor(name)));
+                .map(|name| (name.clone(), controller.replica.predecessor_state(name)));
             watched.collect()
         };
         // A key moves from the watched part to the archive in one step, and stays there: what the
         // replica does not show is in the archive or was never accepted.
         let unwatched = named
             .iter_mut()
-            .filter(|(_, predecessor)| *predecessor == Predecessor::Unwatched);
+            .filter(|(_, predecessor)| *predecessor == PredecessorState::NotInReplica);
         for (name, predecessor) in unwatched {
-            *predecessor = match self.final_state(name, until).await? {
-                Some(JobStatus::Done) => Predecessor::Done,
-                Some(_) => Predecessor::Cancelled,
-                None => Predecessor::Unwatched,
+            *predecessor = match self.archived_status(name, deadline).await? {
+                Some(JobStatus::Done) => PredecessorState::Done,
+                Some(_) => PredecessorState::Cancelled,
+                None => PredecessorState::NotInReplica,
             };
         }
         Ok(named)
     }
 
     /// The final state of a job under no watched key; none if it was never accepted.
-    async fn final_state(
+    async fn archived_status(
         &self,
         name: &str,
-        until: Instant,
+        deadline: Instant,
     ) -> Result<Option<JobStatus>, StoreError> {
-        if let Some(answer) = self.remembered(name) {
+        if let Some(answer) = self.cached_final_state(name) {
             return Ok(Some(answer.status));
         }
-        let left = until.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return Err(StoreError::RateLimited);
         }
-        let archived = self.state.archived(name, left.min(READ_TIMEOUT)).await?;
+        let archived = self.store.archived(name, left.min(READ_TIMEOUT)).await?;
         let archived = archived.filter(|record| record.borrowed().is_none());
         Ok(archived.map(|record| record.status))
     }
--- a/src/http/lookup.rs
+++ b/src/http/lookup.rs
@@ -4,9 +4,9 @@
 //! catches up first, and what it does not show is read from the archive. Loans of other cells are never
 //! shown to this cell's users.
 
-use super::responses::{read_failed, state_out_of_reach};
+use super::responses::{read_failed, store_unreachable};
 use super::{ApiState, READ_TIMEOUT};
-use crate::jobs::{self, chained};
+use crate::jobs::{self, dependent};
 use crate::protocol::{JobAnswer, JobStatus, Transaction};
 use crate::records::{JobRecord, WaitingRecord};
 use crate::replica::Replica;
@@ -19,35 +19,35 @@
     /// Its state as users see it.
     pub(super) status: JobStatus,
     /// Tasks done, as all keys together show them.
-    pub(super) done: u32,
+    pub(super) done_tasks: u32,
     /// Its value, if it is not over and may be cancelled.
-    pub(super) open: Option<OpenJob>,
+    pub(super) unfinished: Option<UnfinishedJob>,
 }
 
 /// The value of a job that is not over, with the revision of its key.
-pub(super) enum OpenJob {
+pub(super) enum UnfinishedJob {
     /// An ordinary job.
     Ordinary(Box<JobRecord>, u64),
     /// A job that waits for others.
     Waiting(Arc<WaitingRecord>, u64),
 }
 
-impl OpenJob {
+impl UnfinishedJob {
     /// The transaction that cancels the job; values may have so many bytes.
-    pub(super) fn cancel(&self, name: &str, value_bytes: usize) -> Transaction {
+    pub(super) fn cancel_transaction(&self, name: &str, value_bytes: usize) -> Transaction {
         match self {
-            OpenJob::Ordinary(record, mod_revision) => {
-                jobs::cancel(name, record, *mod_revision, value_bytes)
+            UnfinishedJob::Ordinary(record, mod_revision) => {
+                jobs::cancel_transaction(name, record, *mod_revision, value_bytes)
             }
-            OpenJob::Waiting(record, mod_revision) => {
-                chained::cancel_waiting(name, record, *mod_revision)
+            UnfinishedJob::Waiting(record, mod_revision) => {
+                dependent::cancel_waiting_transaction(name, record, *mod_revision)
             }
         }
     }
 }
 
 /// What a replica shows of a job, as this cell's users see it: loans of other cells they do not.
-fn found_in(replica: &Replica, name: &str) -> Option<FoundJob> {
+fn find_in_replica(replica: &Replica, name: &str) -> Option<FoundJob> {
     let job_id = replica.names.jobs.get(name)?;
     if let Some(job) = replica.jobs.get(&job_id) {
         if job.borrowed().is_some() {
@@ -55,20 +55,20 @@
         }
         let open = || {
             let record = job.record(replica.done_tasks(job.stored.clone()), job.status);
-            OpenJob::Ordinary(Box::new(record), job.mod_revision)
+            UnfinishedJob::Ordinary(Box::new(record), job.mod_revision)
         };
         return Some(FoundJob {
             status: job.status,
-            done: job.done.len(),
-            open: (job.status == JobStatus::Pending).then(open),
+            done_tasks: job.done.len(),
+            unfinished: (job.status == JobStatus::Pending).then(open),
         });
     }
     let waiting = replica.accepted_waiting(job_id)?;
-    let open = || OpenJob::Waiting(waiting.record.clone(), waiting.mod_revision);
+    let open = || UnfinishedJob::Waiting(waiting.record.clone(), waiting.mod_revision);
     Some(FoundJob {
         status: waiting.status(),
-        done: 0,
-        open: (!waiting.cancelled).then(open),
+        done_tasks: 0,
+        unfinished: (!waiting.cancelled).then(open),
     })
 }
 
@@ -78,56 +78,62 @@
     pub(super) async fn look_up(&self, name: &str) -> Result<Option<FoundJob>, StoreError> {
         let read_index = &self.shared.read_index;
         read_index
-            .catch_up(&self.state, self.pause, READ_TIMEOUT)
+            .catch_up(&self.store, self.read_interval, READ_TIMEOUT)
             .await?;
         let watched = {
             let controller = self.shared.controller.lock();
             if controller.replica.is_unreadable(name) {
                 return Err(StoreError::InvalidResponse(format!("the value of {name}")));
             }
-            found_in(&controller.replica, name)
+            find_in_replica(&controller.replica, name)
         };
         if watched.is_some() {
             return Ok(watched);
         }
         // It left the watched part, or was never accepted.
-        let archived = self.state.archived(name, READ_TIMEOUT).await?;
+        let archived = self.store.archived(name, READ_TIMEOUT).await?;
         let archived = archived.filter(|record| record.borrowed().is_none());
         Ok(archived.map(|record| FoundJob {
             status: record.status,
-            done: record.done.tasks.len(),
-            open: None,
+            done_tasks: record.done.tasks.len(),
+            unfinished: None,
         }))
     }
 
     /// The answer to a user about a job in this state; a final state is remembered.
-    pub(super) fn answer(&self, name: &str, status: JobStatus, done: u32) -> JobAnswer {
+    pub(super) fn job_answer(&self, name: &str, status: JobStatus, done: u32) -> JobAnswer {
         let running = {
             let controller = self.shared.controller.lock();
             let job_id = controller.replica.names.jobs.get(name);
             job_id.map_or(0, |job_id| controller.running_task_count(job_id))
         };
-        let answer = jobs::answer(name, status, done, running);
-        self.shared.finals.lock().note(&answer);
+        let answer = jobs::job_answer(name, status, done, running);
+        self.shared.final_states.lock().record_if_final(&answer);
         answer
     }
 
     /// The final state of a job, if it is remembered.
-    pub(super) fn remembered(&self, name: &str) -> Option<JobAnswer> {
-        self.shared.finals.lock().get(name).cloned()
+    pub(super) fn cached_final_state(&self, name: &str) -> Option<JobAnswer> {
+        self.shared.final_states.lock().get(name).cloned()
     }
 
     /// Answers for a job if it is known, and with `refusal` if not. Known jobs are answered for before
     /// any judgement that could refuse them: a repeated submission is idempotent.
-    pub(super) async fn known_or(&self, name: &str, refusal: HttpResponse) -> HttpResponse {
-        if let Some(answer) = self.remembered(name) {
+    pub(super) async fn answer_if_known_or(
+        &self,
+        name: &str,
+        refusal: HttpResponse,
+    ) -> HttpResponse {
+        if let Some(answer) = self.cached_final_state(name) {
             return HttpResponse::Ok().json(answer);
         }
-        if !self.state_up() {
-            return state_out_of_reach();
+        if !self.is_store_reachable() {
+            return store_unreachable();
         }
         match self.look_up(name).await {
-            Ok(Some(found)) => HttpResponse::Ok().json(self.answer(name, found.status, found.done)),
+            Ok(Some(found)) => {
+                HttpResponse::Ok().json(self.job_answer(name, found.status, found.done_tasks))
+            }
             Ok(None) => refusal,
             Err(store_error) => read_failed(&store_error),
         }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -13,11 +13,11 @@
 use responses::refuse;
 use std::time::Duration;
 
-pub use shared::{ApiState, Shared};
+pub use shared::{ApiState, SharedState};
 
 mod cancellation;
 mod cells;
-mod chained_submission;
+mod dependent_submission;
 mod lookup;
 mod peers;
 mod responses;
@@ -44,7 +44,7 @@
 }
 
 /// Routes of the public address.
-pub fn public(
+pub fn public_routes(
     api_state: ApiState,
 ) -> App<
     impl actix_service::ServiceFactory<
@@ -68,7 +68,7 @@
 }
 
 /// Routes of the peer address.
-pub fn back(
+pub fn peer_routes(
     api_state: ApiState,
 ) -> App<
     impl actix_service::ServiceFactory<
--- a/src/http/responses.rs
+++ b/src/http/responses.rs
@@ -6,7 +6,7 @@
 use actix_web::http::StatusCode;
 
 /// Text of the answer while the state service cannot be asked.
-const STATE_OUT_OF_REACH: &str = "the state service is out of reach";
+const STORE_UNREACHABLE: &str = "the state service is out of reach";
 
 /// Refuses a request that cannot be served now, and says when to try again.
 pub(super) fn try_later(status: StatusCode, reason: &str) -> HttpResponse {
@@ -21,8 +21,8 @@
 }
 
 /// 503: the state service cannot be asked.
-pub(super) fn state_out_of_reach() -> HttpResponse {
-    unavailable(STATE_OUT_OF_REACH)
+pub(super) fn store_unreachable() -> HttpResponse {
+    unavailable(STORE_UNREACHABLE)
 }
 
 /// 503: a transaction was sent, and its outcome is in doubt.
@@ -58,7 +58,7 @@
     match store_error {
         StoreError::RateLimited => too_many_requests(),
         StoreError::Unavailable | StoreError::Compacted | StoreError::InvalidResponse(_) => {
-            state_out_of_reach()
+            store_unreachable()
         }
     }
 }
--- a/src/http/shared.rs
+++ b/src/http/shared.rs
@@ -23,23 +23,23 @@
 const LATENCY_DIGITS: u8 = 2;
 
 /// The state of the process that actors and handlers share.
-pub struct Shared {
+pub struct SharedState {
     /// The controller.
     pub controller: Mutex<Controller>,
     /// Final states of jobs, which never change.
-    pub finals: Mutex<FinalStateCache>,
+    pub final_states: Mutex<FinalStateCache>,
     /// Requests that wait until the replica has caught up.
     pub read_index: ReadIndex,
     /// The steady clock and the time of day.
     pub clock: Box<dyn Clock + Send + Sync>,
     /// Machines without tasks whose heartbeats are answered later, by name.
-    pub waiting: Mutex<HashMap<String, oneshot::Sender<()>>>,
+    pub delayed_acks: Mutex<HashMap<String, oneshot::Sender<()>>>,
     /// How long requests of users and workers took here, microseconds; answers that wait for a
     /// task count in full.
     pub latency: Mutex<Histogram<u64>>,
 }
 
-impl Shared {
+impl SharedState {
     /// The shared state of a process that has just begun.
     ///
     /// # Panics
@@ -49,10 +49,10 @@
         let latency = Histogram::new_with_bounds(MIN_LATENCY_US, MAX_LATENCY_US, LATENCY_DIGITS);
         Self {
             controller: Mutex::new(controller),
-            finals: Mutex::default(),
+            final_states: Mutex::default(),
             read_index: ReadIndex::default(),
             clock,
-            waiting: Mutex::default(),
+            delayed_acks: Mutex::default(),
             latency: Mutex::new(latency.expect("constant bounds are valid")),
         }
     }
@@ -63,14 +63,14 @@
     }
 
     /// Answers the heartbeats that waited for what the replica now shows.
-    pub fn wake(&self) {
+    pub fn wake_delayed_acks(&self) {
         let woken_machines = self.controller.lock().woken_machines();
         if woken_machines.is_empty() {
             return;
         }
-        let mut waiting = self.waiting.lock();
+        let mut delayed_acks = self.delayed_acks.lock();
         for machine in woken_machines {
-            if let Some(waker) = waiting.remove(&machine) {
+            if let Some(waker) = delayed_acks.remove(&machine) {
                 // The worker may have closed the connection: nobody waits then.
                 let _ = waker.send(());
             }
@@ -79,20 +79,20 @@
 }
 
 /// What each handler is given. Cheap to clone. The client of the state service belongs to one thread,
-/// hence one value a thread, all around the same [`Shared`].
+/// hence one value a thread, all around the same [`SharedState`].
 #[derive(Clone)]
 pub struct ApiState {
     /// The state of the process.
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
     /// Client of the state service.
-    pub state: StoreClient,
+    pub store: StoreClient,
     /// Least time between two reads by which requests of users wait for the replica to catch up.
-    pub pause: Duration,
+    pub read_interval: Duration,
 }
 
 impl ApiState {
     /// Whether the state service is likely to answer: otherwise a user is better answered at once.
-    pub(super) fn state_up(&self) -> bool {
+    pub(super) fn is_store_reachable(&self) -> bool {
         let now = self.shared.now();
         self.shared.controller.lock().state_ok(now)
     }
--- a/src/http/submission.rs
+++ b/src/http/submission.rs
@@ -1,13 +1,13 @@
-//! Submissions. Those that name other jobs go on in `chained_submission`.
+//! Submissions. Those that name other jobs go on in `dependent_submission`.
 //!
 //! A submission is an idempotent request: a known job is answered for before anything that could refuse it.
 //! It must never be confirmed before the transaction that accepts the job is carried out.
 
 use super::responses::{
-    outcome_unknown, refuse, state_out_of_reach, too_many_requests, try_later, unavailable,
+    outcome_unknown, refuse, store_unreachable, too_many_requests, try_later, unavailable,
 };
 use super::{ApiState, WRITE_TIMEOUT};
-use crate::jobs::{self, Read, UnrunnableJob};
+use crate::jobs::{self, ParsedSubmission, UnrunnableJob};
 use crate::protocol::{JobAnswer, JobStatus, Submission, Transaction};
 use crate::records::JobRecord;
 use crate::store::CommitOutcome;
@@ -22,37 +22,39 @@
     pub(super) name: String,
     pub(super) record: JobRecord,
     /// Names of the jobs that have to be done first.
-    pub(super) awaits: Vec<String>,
+    pub(super) predecessors: Vec<String>,
 }
 
 impl ApiState {
     /// Takes a submission.
     pub(super) async fn submit(&self, body: &[u8]) -> HttpResponse {
-        let submission = match jobs::read(body) {
-            Read::Good(submission) => *submission,
-            Read::Bad(None, error) => return refuse(StatusCode::BAD_REQUEST, &error.to_string()),
-            Read::Bad(Some(name), error) => {
+        let submission = match jobs::parse_submission(body) {
+            ParsedSubmission::Valid(submission) => *submission,
+            ParsedSubmission::Invalid(None, error) => {
+                return refuse(StatusCode::BAD_REQUEST, &error.to_string());
+            }
+            ParsedSubmission::Invalid(Some(name), error) => {
                 let refusal = refuse(StatusCode::BAD_REQUEST, &error.to_string());
-                return self.known_or(&name, refusal).await;
+                return self.answer_if_known_or(&name, refusal).await;
             }
         };
-        if let Some(answer) = self.remembered(&submission.name) {
+        if let Some(answer) = self.cached_final_state(&submission.name) {
             return HttpResponse::Ok().json(answer);
         }
         let job = self.new_job(submission);
         if !self.shared.controller.lock().catalog_known() {
             return unavailable("machine types are not known yet");
         }
-        if let Some(refusal) = self.judge(&job) {
-            return self.known_or(&job.name, refusal).await;
+        if let Some(refusal) = self.refusal(&job) {
+            return self.answer_if_known_or(&job.name, refusal).await;
         }
-        if !self.state_up() {
-            return state_out_of_reach();
+        if !self.is_store_reachable() {
+            return store_unreachable();
         }
-        if job.awaits.is_empty() {
+        if job.predecessors.is_empty() {
             self.submit_ordinary(job).await
         } else {
-            self.submit_chained(job).await
+            self.submit_dependent(job).await
         }
     }
 
@@ -60,13 +62,13 @@
         NewJob {
             name: submission.name,
             record: jobs::new_record(submission.spec, self.shared.clock.day_ms()),
-            awaits: submission.awaits,
+            predecessors: submission.awaits,
         }
     }
 
     /// The refusal of a job that cannot be accepted, unless it is known.
-    fn judge(&self, job: &NewJob) -> Option<HttpResponse> {
-        if let Some(reason) = self.never_runs(job) {
+    fn refusal(&self, job: &NewJob) -> Option<HttpResponse> {
+        if let Some(reason) = self.unrunnable_reason(job) {
             let reason = reason.to_string();
             tracing::debug!(
                 job = job.name,
@@ -76,53 +78,56 @@
             );
             return Some(refuse(StatusCode::UNPROCESSABLE_ENTITY, &reason));
         }
-        self.is_full()
+        self.is_job_limit_reached()
             .then(|| try_later(StatusCode::TOO_MANY_REQUESTS, "too many unfinished jobs"))
     }
 
     /// Why a job can never run, if so.
-    fn never_runs(&self, job: &NewJob) -> Option<UnrunnableJob> {
+    fn unrunnable_reason(&self, job: &NewJob) -> Option<UnrunnableJob> {
         let controller = self.shared.controller.lock();
-        let fits = || controller.fits_state_when_ready(&job.record);
+        let fits = || controller.fits_value_limit_when_ready(&job.record);
         controller
-            .never_runs(&job.record.spec)
+            .unrunnable_reason(&job.record.spec)
             .or_else(|| (!fits()).then_some(UnrunnableJob::TooLong))
     }
 
     /// Whether there are more unfinished jobs than can be kept in memory. What was accepted stays
     /// accepted.
-    fn is_full(&self) -> bool {
+    fn is_job_limit_reached(&self) -> bool {
         let controller = self.shared.controller.lock();
-        controller.replica.unfinished() >= controller.settings.options.jobs_most as usize
+        controller.replica.unfinished() >= controller.settings.options.max_unfinished_jobs as usize
     }
 
     /// Accepts a job that names no others.
     async fn submit_ordinary(&self, job: NewJob) -> HttpResponse {
-        let transaction = jobs::accept(&job.name, &job.record);
-        match self.commit_new(&transaction).await {
+        let transaction = jobs::accept_transaction(&job.name, &job.record);
+        match self.commit_with_retry(&transaction).await {
             CommitOutcome::Done(revision) => {
-                self.accepted(&job, &transaction, JobStatus::Pending, revision)
+                self.finish_acceptance(&job, &transaction, JobStatus::Pending, revision)
+            }
+            CommitOutcome::Conflict(_) => {
+                self.answer_if_known_or(&job.name, unavailable("try again"))
+                    .await
             }
-            CommitOutcome::Conflict(_) => self.known_or(&job.name, unavailable("try again")).await,
-            failed => not_accepted(failed),
+            failed => failed_write_response(failed),
         }
     }
 
     /// Sends the transaction that accepts a job. The budget of changes comes back within moments:
     /// one more try, while gathered writes give way.
-    pub(super) async fn commit_new(&self, transaction: &Transaction) -> CommitOutcome {
-        let outcome = self.state.commit(transaction, WRITE_TIMEOUT).await;
+    pub(super) async fn commit_with_retry(&self, transaction: &Transaction) -> CommitOutcome {
+        let outcome = self.store.commit(transaction, WRITE_TIMEOUT).await;
         if outcome != CommitOutcome::Refused {
             return outcome;
         }
         let now = self.shared.now();
         self.shared.controller.lock().on_user_refused(now);
         actix_web::rt::time::sleep(RETRY_PAUSE).await;
-        self.state.commit(transaction, WRITE_TIMEOUT).await
+        self.store.commit(transaction, WRITE_TIMEOUT).await
     }
 
     /// The answer to a submission that was accepted.
-    pub(super) fn accepted(
+    pub(super) fn finish_acceptance(
         &self,
         job: &NewJob,
         transaction: &Transaction,
@@ -142,7 +147,7 @@
             tasks = spec.task_count,
             run_s = spec.estimate_s,
             due_s = spec.due_s,
-            awaits = job.awaits.len(),
+            awaits = job.predecessors.len(),
             ?status,
             "submission accepted"
         );
@@ -152,13 +157,13 @@
             done: None,
             running: None,
         };
-        self.shared.finals.lock().note(&answer);
+        self.shared.final_states.lock().record_if_final(&answer);
         HttpResponse::Created().json(answer)
     }
 }
 
 /// The answer to a submission that the state service did not take.
-pub(super) fn not_accepted(outcome: CommitOutcome) -> HttpResponse {
+pub(super) fn failed_write_response(outcome: CommitOutcome) -> HttpResponse {
     match outcome {
         CommitOutcome::Refused => too_many_requests(),
         _ => outcome_unknown(),
--- a/src/http/users.rs
+++ b/src/http/users.rs
@@ -34,6 +34,6 @@
         if !jobs::is_job_name(name) {
             return no_such_job();
         }
-        self.known_or(name, no_such_job()).await
+        self.answer_if_known_or(name, no_such_job()).await
     }
 }
--- a/src/http/workers.rs
+++ b/src/http/workers.rs
@@ -26,15 +26,15 @@
     };
     let machine = heartbeat.machine.clone();
     let number = (heartbeat.worker_epoch, heartbeat.sequence);
-    let mut response = api_state.take_heartbeat(heartbeat).await;
-    if let Some(wait) = api_state.wait_for_tasks(&response, &machine, number) {
-        response = api_state.answer_after(wait, &machine, number).await;
+    let mut response = api_state.process_heartbeat(heartbeat).await;
+    if let Some(wait) = api_state.ack_delay(&response, &machine, number) {
+        response = api_state.delayed_ack(wait, &machine, number).await;
     }
-    into_http(response)
+    into_http_response(response)
 }
 
 /// Puts the controller's answer into words.
-fn into_http(response: HeartbeatResponse) -> HttpResponse {
+fn into_http_response(response: HeartbeatResponse) -> HttpResponse {
     match response {
         HeartbeatResponse::HeartbeatAck(ack) => HttpResponse::Ok().json(ack),
         HeartbeatResponse::Elsewhere(holder) => {
@@ -51,7 +51,7 @@
 
 impl ApiState {
     /// Takes a heartbeat, if need be after the replica has caught up with the state service.
-    async fn take_heartbeat(&self, heartbeat: Heartbeat) -> HeartbeatResponse {
+    async fn process_heartbeat(&self, heartbeat: Heartbeat) -> HeartbeatResponse {
         let now = self.shared.now();
         // Only what shows no fencing token yet may have to be taken once more.
         let kept = (heartbeat.token == NO_TOKEN).then(|| heartbeat.clone());
@@ -61,7 +61,7 @@
         };
         let read_index = &self.shared.read_index;
         let caught_up = read_index
-            .catch_up(&self.state, self.pause, READ_TIMEOUT)
+            .catch_up(&self.store, self.read_interval, READ_TIMEOUT)
             .await;
         if caught_up.is_err() {
             return HeartbeatResponse::Unavailable;
@@ -74,7 +74,7 @@
     }
 
     /// How long the answer should wait for a task; none if it should go at once.
-    fn wait_for_tasks(
+    fn ack_delay(
         &self,
         response: &HeartbeatResponse,
         machine: &str,
@@ -93,16 +93,19 @@
     }
 
     /// The answer once a task has come or the wait is over: whichever it was, it is what holds then.
-    async fn answer_after(
+    async fn delayed_ack(
         &self,
         wait: Duration,
         machine: &str,
         number: HeartbeatNumber,
     ) -> HeartbeatResponse {
         let (waker, woken) = oneshot::channel();
-        self.shared.waiting.lock().insert(machine.to_owned(), waker);
+        self.shared
+            .delayed_acks
+            .lock()
+            .insert(machine.to_owned(), waker);
         let _ = actix_web::rt::time::timeout(wait, woken).await;
-        self.shared.waiting.lock().remove(machine);
+        self.shared.delayed_acks.lock().remove(machine);
         let now = self.shared.now();
         self.shared
             .controller
--- a/src/jobs/chained.rs
+++ b/src/jobs/dependent.rs
@@ -3,7 +3,7 @@
 //! Pure: plans the transaction that accepts such a job, holding on to its predecessors by preconditions. A
 //! job must never be accepted while what is known of a predecessor may be out of date.
 
-use super::{ABSENT, SubmissionError, accept, is_job_name};
+use super::{ABSENT_REVISION, SubmissionError, accept_transaction, is_job_name};
 use crate::controller::put;
 use crate::protocol::{JobStatus, Json, Mutation, Precondition, Transaction};
 use crate::records::{JobRecord, NameList, WaitingRecord};
@@ -16,15 +16,15 @@
 
 /// What is known of a job that a submission names.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Predecessor {
+pub enum PredecessorState {
     /// Finally done.
     Done,
     /// Cancelled.
     Cancelled,
     /// Accepted and not over; the precondition holds as long as that is so and its key unchanged.
-    Open(Precondition),
+    Unfinished(Precondition),
     /// Under no watched key: archived, or never accepted.
-    Unwatched,
+    NotInReplica,
 }
 
 /// How a submission that names other jobs is accepted.
@@ -59,7 +59,7 @@
 
 /// Why a submission that names other jobs can never run.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum ChainError {
+pub enum DependencyError {
     /// It names a job that was never accepted.
     #[error("awaits: {0} was never accepted")]
     NeverAccepted(String),
@@ -81,7 +81,9 @@
 
 /// Reads the jobs that a submission names: none if the field is absent, null or empty. A job named
 /// twice counts once.
-pub(super) fn read_awaits(submission: &serde_json::Value) -> Result<Vec<String>, SubmissionError> {
+pub(super) fn parse_predecessors(
+    submission: &serde_json::Value,
+) -> Result<Vec<String>, SubmissionError> {
     let list = match submission.get("awaits") {
         None | Some(serde_json::Value::Null) => return Ok(Vec::new()),
         Some(serde_json::Value::Array(list)) => list,
@@ -101,17 +103,17 @@
 
 /// Most unfinished jobs that a submission may name in one transaction: each of them costs a
 /// precondition, besides those that the job is new.
-pub fn most_open(settings: &Settings) -> usize {
+pub fn max_unfinished_predecessors(settings: &Settings) -> usize {
     let preconditions = settings.platform.settings.state.txn_ops * PRECONDITIONS_PER_MUTATION;
-    preconditions.saturating_sub(absent("").len())
+    preconditions.saturating_sub(absence_preconditions("").len())
 }
 
 /// Preconditions that a job stands under none of its keys.
-pub(super) fn absent(name: &str) -> Vec<Precondition> {
+pub(super) fn absence_preconditions(name: &str) -> Vec<Precondition> {
     let keys = [job_key(name), past_key(name), waiting_key(name)];
     let preconditions = keys.into_iter().map(|key| Precondition {
         key,
-        mod_revision: ABSENT,
+        mod_revision: ABSENT_REVISION,
     });
     preconditions.collect()
 }
@@ -124,29 +126,29 @@
 pub fn plan_acceptance(
     name: &str,
     record: JobRecord,
-    named: Vec<(String, Predecessor)>,
+    named: Vec<(String, PredecessorState)>,
     settings: &Settings,
-) -> Result<Acceptance, ChainError> {
-    if names_cancelled(&named)? {
-        let transaction = accept_cancelled(name, record, absent(name));
+) -> Result<Acceptance, DependencyError> {
+    if any_cancelled(&named)? {
+        let transaction = accept_cancelled_transaction(name, record, absence_preconditions(name));
         return Ok(Acceptance::Cancelled(transaction));
     }
     let mut predecessors = Vec::new();
-    let mut preconditions = absent(name);
+    let mut preconditions = absence_preconditions(name);
     for (predecessor, state) in named {
-        if let Predecessor::Open(precondition) = state {
+        if let PredecessorState::Unfinished(precondition) = state {
             preconditions.push(precondition);
             predecessors.push(predecessor);
         }
     }
     if predecessors.is_empty() {
-        return Ok(Acceptance::Ordinary(accept(name, &record)));
+        return Ok(Acceptance::Ordinary(accept_transaction(name, &record)));
     }
-    let (found, most) = (predecessors.len(), most_open(settings));
+    let (found, most) = (predecessors.len(), max_unfinished_predecessors(settings));
     let waiting = new_waiting_record(record, NameList::from_iter(predecessors));
     let mutation = put(&waiting_key(name), &waiting, None);
-    if found > most || mutation.value_bytes() > settings.value_bytes() {
-        return Err(ChainError::TooMany { found, most });
+    if found > most || mutation.value_bytes() > settings.max_value_bytes() {
+        return Err(DependencyError::TooMany { found, most });
     }
     let mutations = vec![mutation];
     Ok(Acceptance::Waiting(Transaction {
@@ -167,20 +169,20 @@
 }
 
 /// Whether a job that a submission names was cancelled. All that it names must have been accepted.
-pub(super) fn names_cancelled(named: &[(String, Predecessor)]) -> Result<bool, ChainError> {
+pub(super) fn any_cancelled(named: &[(String, PredecessorState)]) -> Result<bool, DependencyError> {
     let unknown = named
         .iter()
-        .find(|(_, predecessor)| *predecessor == Predecessor::Unwatched);
+        .find(|(_, predecessor)| *predecessor == PredecessorState::NotInReplica);
     if let Some((unknown, _)) = unknown {
-        return Err(ChainError::NeverAccepted(unknown.clone()));
+        return Err(DependencyError::NeverAccepted(unknown.clone()));
     }
     let cancelled =
-        |(_, predecessor): &(String, Predecessor)| *predecessor == Predecessor::Cancelled;
+        |(_, predecessor): &(String, PredecessorState)| *predecessor == PredecessorState::Cancelled;
     Ok(named.iter().any(cancelled))
 }
 
 /// The transaction that accepts a job which is cancelled already, under these preconditions.
-pub(super) fn accept_cancelled(
+pub(super) fn accept_cancelled_transaction(
     name: &str,
     mut record: JobRecord,
     preconditions: Vec<Precondition>,
@@ -195,7 +197,11 @@
 
 /// The transaction that cancels a job which waits, as it was read at `mod_revision`. It races in
 /// the same key with its becoming an ordinary job.
-pub fn cancel_waiting(name: &str, record: &WaitingRecord, mod_revision: u64) -> Transaction {
+pub fn cancel_waiting_transaction(
+    name: &str,
+    record: &WaitingRecord,
+    mod_revision: u64,
+) -> Transaction {
     let record = WaitingRecord {
         status: JobStatus::Cancelled,
         ..record.clone()
@@ -215,18 +221,18 @@
 
 impl Replica {
     /// What the replica shows of a job that a submission names.
-    pub fn predecessor(&self, name: &str) -> Predecessor {
+    pub fn predecessor_state(&self, name: &str) -> PredecessorState {
         let job = self.names.jobs.get(name);
         let Some(status) = job.and_then(|job| self.status_of(job)) else {
-            return Predecessor::Unwatched;
+            return PredecessorState::NotInReplica;
         };
         match status {
-            JobStatus::Done => Predecessor::Done,
-            JobStatus::Cancelled => Predecessor::Cancelled,
+            JobStatus::Done => PredecessorState::Done,
+            JobStatus::Cancelled => PredecessorState::Cancelled,
             JobStatus::Pending | JobStatus::Running => {
                 let (ordinary, waiting) = (job_key(name), waiting_key(name));
                 let mod_revision = self.mod_revision(&ordinary);
-                Predecessor::Open(match mod_revision {
+                PredecessorState::Unfinished(match mod_revision {
                     0 => Precondition {
                         mod_revision: self.mod_revision(&waiting),
                         key: waiting,
--- a/src/jobs/chained/tests.rs
+++ b/src/jobs/dependent/tests.rs
@@ -1,31 +1,33 @@
 //! Unit tests of `chained`.
 
-use super::{Acceptance, ChainError, Predecessor, most_open, plan_acceptance};
-use crate::jobs::tests::GOOD;
-use crate::jobs::{Read, new_record, read};
+use super::{
+    Acceptance, DependencyError, PredecessorState, max_unfinished_predecessors, plan_acceptance,
+};
+use crate::jobs::tests::VALID_SUBMISSION;
+use crate::jobs::{ParsedSubmission, new_record, parse_submission};
 use crate::protocol::{JobStatus, Mutation, Precondition};
 use crate::records::{JobRecord, WaitingRecord};
 use crate::replica::job_key;
-use crate::settings::tests::small;
+use crate::settings::tests::small_settings;
 
-fn with_awaits(awaits: &str) -> Read {
-    let text = GOOD.replacen('{', &format!("{{\"awaits\":{awaits},"), 1);
-    read(text.as_bytes())
+fn submission_with_awaits(awaits: &str) -> ParsedSubmission {
+    let text = VALID_SUBMISSION.replacen('{', &format!("{{\"awaits\":{awaits},"), 1);
+    parse_submission(text.as_bytes())
 }
 
 fn record() -> JobRecord {
-    let Read::Good(good) = read(GOOD.as_bytes()) else {
+    let ParsedSubmission::Valid(submission) = parse_submission(VALID_SUBMISSION.as_bytes()) else {
         panic!("good")
     };
-    new_record(good.spec, 1_700_000_000_000)
+    new_record(submission.spec, 1_700_000_000_000)
 }
 
-fn open(n: u64) -> (String, Predecessor) {
+fn unfinished(n: u64) -> (String, PredecessorState) {
     let name = format!("wk-{n:018}");
     let (k, mod_revision) = (job_key(&name), n + 1);
     (
         name,
-        Predecessor::Open(Precondition {
+        PredecessorState::Unfinished(Precondition {
             key: k,
             mod_revision,
         }),
@@ -33,10 +35,10 @@
 }
 
 #[test]
-fn awaits_is_a_list_of_ids_and_null_absent_and_empty_mean_none() {
-    let names = |awaits: &str| match with_awaits(awaits) {
-        Read::Good(s) => s.awaits,
-        Read::Bad(..) => panic!("{awaits}"),
+fn awaits_must_be_a_list_of_job_names_or_empty() {
+    let names = |awaits: &str| match submission_with_awaits(awaits) {
+        ParsedSubmission::Valid(s) => s.awaits,
+        ParsedSubmission::Invalid(..) => panic!("{awaits}"),
     };
     assert!(names("null").is_empty() && names("[]").is_empty());
     let twice = names(r#"["wk-000398","wk-000405","wk-000398"]"#);
@@ -52,17 +54,20 @@
         r#"["wk-000398",["wk-000399"]]"#,
     ] {
         assert!(
-            matches!(with_awaits(awaits), Read::Bad(Some(_), _)),
+            matches!(
+                submission_with_awaits(awaits),
+                ParsedSubmission::Invalid(Some(_), _)
+            ),
             "{awaits}"
         );
     }
 }
 
 #[test]
-fn what_is_done_need_not_be_waited_for_and_what_is_cancelled_decides() {
-    let settings = small();
+fn done_predecessors_are_skipped_and_a_cancelled_one_cancels_the_job() {
+    let settings = small_settings();
     let plan = |named| plan_acceptance("wk-000412", record(), named, &settings).expect("planned");
-    let done = |n: u64| (open(n).0, Predecessor::Done);
+    let done = |n: u64| (unfinished(n).0, PredecessorState::Done);
     let ordinary = plan(vec![done(1), done(2)]);
     assert!(matches!(&ordinary, Acceptance::Ordinary(_)));
     assert_eq!(
@@ -70,38 +75,44 @@
         3,
         "it is new under each of its keys"
     );
-    let waiting = plan(vec![done(1), open(2), open(3)]);
+    let waiting = plan(vec![done(1), unfinished(2), unfinished(3)]);
     assert!(matches!(&waiting, Acceptance::Waiting(_)));
     assert_eq!(waiting.transaction().preconditions.len(), 5);
-    let cancelled = plan(vec![open(2), (open(4).0, Predecessor::Cancelled)]);
+    let cancelled = plan(vec![
+        unfinished(2),
+        (unfinished(4).0, PredecessorState::Cancelled),
+    ]);
     assert_eq!(cancelled.status(), JobStatus::Cancelled);
-    let never = plan_acceptance(
+    let unknown = plan_acceptance(
         "wk-000412",
         record(),
         vec![
-            (open(4).0, Predecessor::Cancelled),
-            (open(5).0, Predecessor::Unwatched),
+            (unfinished(4).0, PredecessorState::Cancelled),
+            (unfinished(5).0, PredecessorState::NotInReplica),
         ],
         &settings,
     );
-    assert_eq!(never, Err(ChainError::NeverAccepted(open(5).0)));
+    assert_eq!(
+        unknown,
+        Err(DependencyError::NeverAccepted(unfinished(5).0))
+    );
 }
 
 #[test]
-fn as_many_unfinished_jobs_as_a_transaction_can_hold_on_to_always_fit_into_the_smallest_value() {
-    let mut settings = small();
+fn maximum_number_of_predecessors_fits_into_the_smallest_value() {
+    let mut settings = small_settings();
     let state = &mut settings.platform.settings.state;
     (state.txn_ops, state.value_kb) = (4, 2.0);
-    let most = most_open(&settings);
+    let most = max_unfinished_predecessors(&settings);
     assert_eq!(most, 13);
-    let named = |n: u64| (0..n).map(|n| open(n * 76_543_210_987)).collect();
+    let named = |n: u64| (0..n).map(|n| unfinished(n * 76_543_210_987)).collect();
     let planned = plan_acceptance("wk-000412", record(), named(13), &settings).expect("fits");
     assert!(planned.transaction().preconditions.len() <= 16);
     assert!(planned.transaction().mutations[0].value_bytes() < 1000);
     let too_many = plan_acceptance("wk-000412", record(), named(14), &settings);
     assert_eq!(
         too_many,
-        Err(ChainError::TooMany {
+        Err(DependencyError::TooMany {
             found: 14,
             most: 13
         })
@@ -109,9 +120,9 @@
 }
 
 #[test]
-fn a_waiting_value_reads_back_as_it_was_written() {
-    let settings = small();
-    let named = vec![open(2), open(3), open(30)];
+fn waiting_record_survives_a_round_trip() {
+    let settings = small_settings();
+    let named = vec![unfinished(2), unfinished(3), unfinished(30)];
     let planned = plan_acceptance("wk-000412", record(), named, &settings).expect("planned");
     let Mutation::Put { value: v, .. } = &planned.transaction().mutations[0] else {
         panic!("a put")
@@ -119,7 +130,7 @@
     let read: WaitingRecord = v.read().expect("read");
     assert_eq!(
         read.predecessors.names(),
-        [open(2).0, open(3).0, open(30).0]
+        [unfinished(2).0, unfinished(3).0, unfinished(30).0]
     );
     assert_eq!(
         (read.spec, read.submitted_ms),
--- a/src/jobs/final_states.rs
+++ b/src/jobs/final_states.rs
@@ -19,7 +19,7 @@
 
 impl FinalStateCache {
     /// Keeps an answer if it is final.
-    pub fn note(&mut self, answer: &JobAnswer) {
+    pub fn record_if_final(&mut self, answer: &JobAnswer) {
         if !matches!(answer.status, JobStatus::Done | JobStatus::Cancelled) {
             return;
         }
--- a/src/jobs/gradual.rs
+++ b/src/jobs/incremental.rs
@@ -8,9 +8,9 @@
 //!
 //! Pure. It must never plan a write that completes the job while a predecessor is not held on to.
 
-use super::chained::{
-    ChainError, PRECONDITIONS_PER_MUTATION, Predecessor, absent, accept_cancelled, names_cancelled,
-    new_waiting_record,
+use super::dependent::{
+    DependencyError, PRECONDITIONS_PER_MUTATION, PredecessorState, absence_preconditions,
+    accept_cancelled_transaction, any_cancelled, new_waiting_record,
 };
 use crate::controller::put;
 use crate::protocol::{Mutation, Precondition, Transaction};
@@ -20,7 +20,7 @@
 
 /// An incomplete job as it is stored.
 #[derive(Debug, Clone, Copy)]
-pub struct Stored<'a> {
+pub struct StoredWaitingJob<'a> {
     /// Its value.
     pub record: &'a WaitingRecord,
     /// The revision of its key.
@@ -29,7 +29,7 @@
 
 /// The next write of a gradual acceptance.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Step {
+pub enum AcceptanceStep {
     /// More predecessors follow.
     Incomplete(Transaction),
     /// With it the job is accepted.
@@ -40,69 +40,71 @@
 
 /// Plans the next write that accepts a job which names others, all of them accepted. `stored` is what
 /// earlier writes left of it.
-pub fn plan_step(
+pub fn plan_acceptance_step(
     name: &str,
     record: &JobRecord,
-    named: &[(String, Predecessor)],
-    stored: Option<Stored>,
+    named: &[(String, PredecessorState)],
+    stored: Option<StoredWaitingJob>,
     settings: &Settings,
-) -> Result<Step, ChainError> {
-    if names_cancelled(named)? {
-        return Ok(Step::Cancelled(cancelled(name, record, stored)));
+) -> Result<AcceptanceStep, DependencyError> {
+    if any_cancelled(named)? {
+        return Ok(AcceptanceStep::Cancelled(cancelled_transaction(
+            name, record, stored,
+        )));
     }
-    let HeldPredecessors {
+    let NextPredecessors {
         predecessors,
         preconditions,
-        still_missing,
-    } = hold_more(name, named, stored, settings);
-    let found = predecessors.len() + still_missing;
+        remaining,
+    } = add_predecessors(name, named, stored, settings);
+    let found = predecessors.len() + remaining;
     let first = new_waiting_record(record.clone(), NameList::default());
     let record = WaitingRecord {
         predecessors: NameList::from_iter(predecessors),
-        incomplete: still_missing > 0,
+        incomplete: remaining > 0,
         ..stored.map_or(first, |stored| stored.record.clone())
     };
     let mutation = put(&waiting_key(name), &record, None);
-    if mutation.value_bytes() > settings.value_bytes() {
-        return Err(ChainError::TooLong { found });
+    if mutation.value_bytes() > settings.max_value_bytes() {
+        return Err(DependencyError::TooLong { found });
     }
     let transaction = Transaction {
         preconditions,
         mutations: vec![mutation],
     };
-    Ok(match still_missing {
-        0 => Step::Complete(transaction),
-        _ => Step::Incomplete(transaction),
+    Ok(match remaining {
+        0 => AcceptanceStep::Complete(transaction),
+        _ => AcceptanceStep::Incomplete(transaction),
     })
 }
 
 /// What one write holds on to.
-struct HeldPredecessors {
+struct NextPredecessors {
     /// The predecessors in the value: those of earlier writes, then the new ones.
     predecessors: Vec<String>,
     /// That the job is as it was read, and that the new predecessors are.
     preconditions: Vec<Precondition>,
     /// Unfinished predecessors that are left to later writes.
-    still_missing: usize,
+    remaining: usize,
 }
 
 /// Adds as many unfinished predecessors as one transaction has preconditions for.
-fn hold_more(
+fn add_predecessors(
     name: &str,
-    named: &[(String, Predecessor)],
-    stored: Option<Stored>,
+    named: &[(String, PredecessorState)],
+    stored: Option<StoredWaitingJob>,
     settings: &Settings,
-) -> HeldPredecessors {
+) -> NextPredecessors {
     let held = stored.map_or(&[][..], |stored| stored.record.predecessors.names());
     let mut missing = named
         .iter()
         .filter_map(|(name, predecessor)| match predecessor {
-            Predecessor::Open(precondition) if !held.contains(name) => {
+            PredecessorState::Unfinished(precondition) if !held.contains(name) => {
                 Some((name.clone(), precondition.clone()))
             }
             _ => None,
         });
-    let mut preconditions = own_preconditions(name, stored);
+    let mut preconditions = unchanged_preconditions(name, stored);
     let max_preconditions = settings.platform.settings.state.txn_ops * PRECONDITIONS_PER_MUTATION;
     let room = max_preconditions.saturating_sub(preconditions.len());
     let mut predecessors = held.to_vec();
@@ -110,17 +112,17 @@
         predecessors.push(predecessor);
         preconditions.push(precondition);
     }
-    HeldPredecessors {
+    NextPredecessors {
         predecessors,
         preconditions,
-        still_missing: missing.count(),
+        remaining: missing.count(),
     }
 }
 
 /// Preconditions that the job is as it was read: absent, or incomplete at a revision.
-fn own_preconditions(name: &str, stored: Option<Stored>) -> Vec<Precondition> {
+fn unchanged_preconditions(name: &str, stored: Option<StoredWaitingJob>) -> Vec<Precondition> {
     let Some(stored) = stored else {
-        return absent(name);
+        return absence_preconditions(name);
     };
     vec![Precondition {
         key: waiting_key(name),
@@ -129,8 +131,13 @@
 }
 
 /// The transaction that accepts a job which is cancelled already, and drops what was stored of it.
-fn cancelled(name: &str, record: &JobRecord, stored: Option<Stored>) -> Transaction {
-    let mut transaction = accept_cancelled(name, record.clone(), own_preconditions(name, stored));
+fn cancelled_transaction(
+    name: &str,
+    record: &JobRecord,
+    stored: Option<StoredWaitingJob>,
+) -> Transaction {
+    let mut transaction =
+        accept_cancelled_transaction(name, record.clone(), unchanged_preconditions(name, stored));
     if stored.is_some() {
         let key = waiting_key(name);
         transaction.mutations.push(Mutation::Delete { key });
--- /dev/null
+++ b/src/jobs/incremental/tests.rs
@@ -0,0 +1,151 @@
+//! Unit tests of `gradual`.
+
+use super::{AcceptanceStep, StoredWaitingJob, plan_acceptance_step};
+use crate::jobs::dependent::{DependencyError, PredecessorState};
+use crate::jobs::tests::VALID_SUBMISSION;
+use crate::jobs::{ParsedSubmission, new_record, parse_submission};
+use crate::protocol::{Mutation, Precondition};
+use crate::records::{JobRecord, WaitingRecord};
+use crate::replica::{job_key, waiting_key};
+use crate::settings::Settings;
+use crate::settings::tests::small_settings;
+
+const JOB_NAME: &str = "wk-000412";
+
+fn record() -> JobRecord {
+    let ParsedSubmission::Valid(submission) = parse_submission(VALID_SUBMISSION.as_bytes()) else {
+        panic!("good")
+    };
+    new_record(submission.spec, 1_700_000_000_000)
+}
+
+/// Settings with few changes a transaction, and so 16 conditions, and small values.
+fn low_limit_settings() -> Settings {
+    let mut settings = small_settings();
+    let state = &mut settings.platform.settings.state;
+    (state.txn_ops, state.value_kb) = (4, 2.0);
+    settings
+}
+
+fn unfinished(n: u64) -> (String, PredecessorState) {
+    let name = format!("wk-{n:06}");
+    let (k, mod_revision) = (job_key(&name), n + 1);
+    (
+        name,
+        PredecessorState::Unfinished(Precondition {
+            key: k,
+            mod_revision,
+        }),
+    )
+}
+
+fn written_record(step: &AcceptanceStep) -> WaitingRecord {
+    let (AcceptanceStep::Incomplete(transaction)
+    | AcceptanceStep::Complete(transaction)
+    | AcceptanceStep::Cancelled(transaction)) = step;
+    let Mutation::Put { value: v, .. } = &transaction.mutations[0] else {
+        panic!("a put")
+    };
+    v.read().expect("a waiting job")
+}
+
+#[test]
+fn each_write_checks_the_predecessors_it_adds_and_the_last_accepts_the_job() {
+    let named: Vec<_> = (1..=40).map(unfinished).collect();
+    let mut stored: Option<WaitingRecord> = None;
+    let mut held = 0;
+    for (mod_revision, expected) in [(0, 13), (70, 28), (71, 40)] {
+        let before = stored.as_ref().map(|record| StoredWaitingJob {
+            record,
+            mod_revision,
+        });
+        let step = plan_acceptance_step(JOB_NAME, &record(), &named, before, &low_limit_settings())
+            .expect("planned");
+        let (AcceptanceStep::Incomplete(transaction)
+        | AcceptanceStep::Complete(transaction)
+        | AcceptanceStep::Cancelled(transaction)) = &step;
+        let own = if mod_revision == 0 { 3 } else { 1 };
+        assert_eq!(transaction.preconditions.len(), own + expected - held);
+        assert!(transaction.preconditions.len() <= 16);
+        let value = written_record(&step);
+        assert_eq!(value.predecessors.names().len(), expected);
+        assert_eq!(value.incomplete, expected < 40);
+        assert_eq!(matches!(step, AcceptanceStep::Complete(_)), expected == 40);
+        held = expected;
+        stored = Some(value);
+    }
+}
+
+#[test]
+fn predecessors_that_finish_between_writes_are_skipped_and_a_cancelled_one_cancels_the_job() {
+    let mut named: Vec<_> = (1..=20).map(unfinished).collect();
+    let first_step = plan_acceptance_step(JOB_NAME, &record(), &named, None, &low_limit_settings())
+        .expect("planned");
+    let value = written_record(&first_step);
+    let stored = StoredWaitingJob {
+        record: &value,
+        mod_revision: 70,
+    };
+    for (_, state) in &mut named[13..] {
+        *state = PredecessorState::Done;
+    }
+    let step = plan_acceptance_step(
+        JOB_NAME,
+        &record(),
+        &named,
+        Some(stored),
+        &low_limit_settings(),
+    )
+    .expect("planned");
+    assert!(
+        matches!(&step, AcceptanceStep::Complete(transaction) if transaction.preconditions.len() == 1)
+    );
+    named[2].1 = PredecessorState::Cancelled;
+    let step = plan_acceptance_step(
+        JOB_NAME,
+        &record(),
+        &named,
+        Some(stored),
+        &low_limit_settings(),
+    )
+    .expect("planned");
+    let AcceptanceStep::Cancelled(transaction) = step else {
+        panic!("{step:?}")
+    };
+    let drop = waiting_key(JOB_NAME);
+    assert_eq!(transaction.mutations[1], Mutation::Delete { key: drop });
+    named[5].1 = PredecessorState::NotInReplica;
+    let unknown = plan_acceptance_step(
+        JOB_NAME,
+        &record(),
+        &named,
+        Some(stored),
+        &low_limit_settings(),
+    );
+    assert_eq!(
+        unknown,
+        Err(DependencyError::NeverAccepted(unfinished(6).0))
+    );
+}
+
+#[test]
+fn predecessors_that_do_not_fit_into_a_value_are_refused() {
+    let mut stored: Option<WaitingRecord> = None;
+    let named: Vec<_> = (1..2000).map(|n| unfinished(n * 487)).collect();
+    for mod_revision in 0..200 {
+        let before = stored.as_ref().map(|record| StoredWaitingJob {
+            record,
+            mod_revision,
+        });
+        match plan_acceptance_step(JOB_NAME, &record(), &named, before, &low_limit_settings()) {
+            Ok(step) => stored = Some(written_record(&step)),
+            Err(error) => {
+                assert_eq!(error, DependencyError::TooLong { found: 1999 });
+                let names = stored.map_or(0, |s| s.predecessors.names().len());
+                assert!(names > 250, "{names}");
+                return;
+            }
+        }
+    }
+    panic!("a value of any size");
+}
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -7,18 +7,18 @@
 use crate::records::JobRecord;
 use crate::replica::{job_key, past_key, waiting_key};
 
-pub mod chained;
+pub mod dependent;
 mod errors;
 mod final_states;
-pub mod gradual;
+pub mod incremental;
 mod submission;
 
 pub use errors::{SubmissionError, UnrunnableJob};
 pub use final_states::FinalStateCache;
-pub use submission::{Read, is_job_name, read};
+pub use submission::{ParsedSubmission, is_job_name, parse_submission};
 
 /// The revision of a key that is not there, in a precondition (PROTOCOL, state service).
-const ABSENT: u64 = 0;
+const ABSENT_REVISION: u64 = 0;
 
 /// The record of a new job, submitted at `day_ms` (time of day, milliseconds since the epoch).
 pub fn new_record(spec: JobSpec, day_ms: u64) -> JobRecord {
@@ -33,10 +33,10 @@
 }
 
 /// The transaction that accepts a job: it exists under none of its keys.
-pub fn accept(name: &str, record: &JobRecord) -> Transaction {
+pub fn accept_transaction(name: &str, record: &JobRecord) -> Transaction {
     let is_absent = |key| Precondition {
         key,
-        mod_revision: ABSENT,
+        mod_revision: ABSENT_REVISION,
     };
     Transaction {
         preconditions: vec![
@@ -50,7 +50,7 @@
 
 /// The transaction that cancels a job which was read at `mod_revision`. It races with the last completion
 /// in the same key, so one of the two comes first for everybody. Values may have so many bytes.
-pub fn cancel(
+pub fn cancel_transaction(
     name: &str,
     record: &JobRecord,
     mod_revision: u64,
@@ -73,7 +73,7 @@
 }
 
 /// The answer to a user about a job whose key shows `status`, with so many tasks done and running.
-pub fn answer(name: &str, status: JobStatus, done: u32, running: u32) -> JobAnswer {
+pub fn job_answer(name: &str, status: JobStatus, done: u32, running: u32) -> JobAnswer {
     let is_over = status != JobStatus::Pending;
     let running = if is_over { 0 } else { running };
     JobAnswer {
--- a/src/jobs/submission.rs
+++ b/src/jobs/submission.rs
@@ -3,13 +3,13 @@
 //! Owns the bounds on what a submission may name. It must never refuse for what may change by itself, such
 //! as machines that are not there yet: such a job waits.
 
-use super::chained;
+use super::dependent;
 use super::errors::{SubmissionError, UnrunnableJob};
 use crate::controller::Controller;
 use crate::placement::Room;
 use crate::protocol::{JobSpec, Submission};
 use crate::records::JobRecord;
-use crate::settings::DONE_RANGE_BYTES;
+use crate::settings::MAX_DONE_RANGE_BYTES;
 
 /// Longest name of a job, and of anything else that a user names, bytes.
 pub(super) const MAX_NAME_BYTES: usize = 120;
@@ -30,12 +30,12 @@
 
 /// A submission as far as it can be read.
 #[derive(Debug)]
-pub enum Read {
+pub enum ParsedSubmission {
     /// Well-formed.
-    Good(Box<Submission>),
+    Valid(Box<Submission>),
     /// Malformed. The name is there if that part of it can be trusted: a job of this name may
     /// be known, and then a repeat of it must not be refused.
-    Bad(Option<String>, SubmissionError),
+    Invalid(Option<String>, SubmissionError),
 }
 
 /// Whether a name has the form of a job's.
@@ -45,30 +45,32 @@
 }
 
 /// Reads the body of a submission.
-pub fn read(body: &[u8]) -> Read {
+pub fn parse_submission(body: &[u8]) -> ParsedSubmission {
     let value: serde_json::Value = match serde_json::from_slice(body) {
         Ok(value) => value,
-        Err(json_error) => return Read::Bad(None, SubmissionError::NotJson(json_error)),
+        Err(json_error) => {
+            return ParsedSubmission::Invalid(None, SubmissionError::NotJson(json_error));
+        }
     };
     if !value.is_object() {
-        return Read::Bad(None, SubmissionError::NotAnObject);
+        return ParsedSubmission::Invalid(None, SubmissionError::NotAnObject);
     }
     let name = value.get("ref").and_then(|name| name.as_str());
     let Some(name) = name.filter(|name| is_job_name(name)).map(str::to_owned) else {
-        return Read::Bad(None, SubmissionError::BadName);
+        return ParsedSubmission::Invalid(None, SubmissionError::BadName);
     };
-    match read_named(value) {
-        Ok(submission) => Read::Good(Box::new(submission)),
-        Err(submission_error) => Read::Bad(Some(name), submission_error),
+    match parse_named(value) {
+        Ok(submission) => ParsedSubmission::Valid(Box::new(submission)),
+        Err(submission_error) => ParsedSubmission::Invalid(Some(name), submission_error),
     }
 }
 
 /// Reads a submission whose name is good.
-fn read_named(value: serde_json::Value) -> Result<Submission, SubmissionError> {
-    let awaits = chained::read_awaits(&value)?;
+fn parse_named(value: serde_json::Value) -> Result<Submission, SubmissionError> {
+    let awaits = dependent::parse_predecessors(&value)?;
     let submission: Submission =
         serde_json::from_value(value).map_err(SubmissionError::BadField)?;
-    check(&submission.spec)?;
+    check_ranges(&submission.spec)?;
     Ok(Submission {
         awaits,
         ..submission
@@ -76,7 +78,7 @@
 }
 
 /// Checks the ranges of what a submission says.
-fn check(spec: &JobSpec) -> Result<(), SubmissionError> {
+fn check_ranges(spec: &JobSpec) -> Result<(), SubmissionError> {
     if spec.task_count == 0 || spec.task_count > MAX_TASKS {
         return Err(SubmissionError::BadTaskCount);
     }
@@ -113,7 +115,7 @@
 
 impl Controller {
     /// Why a job can never run here, if so. The catalog must be known.
-    pub fn never_runs(&self, spec: &JobSpec) -> Option<UnrunnableJob> {
+    pub fn unrunnable_reason(&self, spec: &JobSpec) -> Option<UnrunnableJob> {
         let teams = &self.settings.platform.settings.teams;
         let Some(team) = teams.iter().find(|team| team.name == spec.team) else {
             return Some(UnrunnableJob::UnknownTeam(spec.team.clone()));
@@ -144,16 +146,16 @@
     }
 
     /// Whether a job's value fits into the state service, with room for the ranges of its done tasks.
-    pub fn fits_state(&self, record: &JobRecord) -> bool {
-        let spare = DONE_RANGE_BYTES * self.settings.open_tasks().min(SPARE_DONE_RANGES);
+    pub fn fits_value_limit(&self, record: &JobRecord) -> bool {
+        let spare = MAX_DONE_RANGE_BYTES * self.settings.max_open_tasks().min(SPARE_DONE_RANGES);
         serde_json::to_string(record)
-            .is_ok_and(|value| value.len() + spare <= self.settings.value_bytes())
+            .is_ok_and(|value| value.len() + spare <= self.settings.max_value_bytes())
     }
     /// Whether the value of a job that waits, or of the ordinary job that it becomes, fits into the
     /// state service.
-    pub fn fits_state_when_ready(&self, record: &JobRecord) -> bool {
+    pub fn fits_value_limit_when_ready(&self, record: &JobRecord) -> bool {
         let mut ready = record.clone();
         ready.ready_ms = Some(u64::MAX);
-        self.fits_state(&ready)
+        self.fits_value_limit(&ready)
     }
 }
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -1,18 +1,21 @@
 //! Unit tests of `jobs`.
 
-use super::{FinalStateCache, Read, accept, new_record, read};
+use super::{FinalStateCache, ParsedSubmission, accept_transaction, new_record, parse_submission};
 use crate::controller::Controller;
 use crate::protocol::{JobAnswer, JobSpec, JobStatus};
-use crate::settings::tests::small;
+use crate::settings::tests::small_settings;
 
-pub(crate) const GOOD: &str = r#"{"ref":"wk-000412","route":"train","crew":"blue",
+pub(crate) const VALID_SUBMISSION: &str = r#"{"ref":"wk-000412","route":"train","crew":"blue",
         "shape":"batch","urgency":"urgent","legs":4,"vcpus":1.0,"gpus":0,"ramGb":2.0,
         "kit":"img-07","sizeGb":1.0,"frames":null,"samePlace":false,"spread":false,
         "loaners":true,"rideS":20.0,"waypointS":0,"stowS":0,"dueS":100.0,"later":[1]}"#;
 
 #[test]
-fn malformed_submissions_are_rejected_with_the_field_that_is_wrong() {
-    assert!(matches!(read(GOOD.as_bytes()), Read::Good(_)));
+fn malformed_submissions_are_rejected() {
+    assert!(matches!(
+        parse_submission(VALID_SUBMISSION.as_bytes()),
+        ParsedSubmission::Valid(_)
+    ));
     let named = [
         ("\"legs\":4", "\"legs\":0"),
         ("\"legs\":4", "\"legs\":100001"),
@@ -28,9 +31,12 @@
         ("\"kit\":\"img-07\"", "\"kit\":\"\""),
     ];
     for (from, to) in named {
-        let text = GOOD.replace(from, to);
+        let text = VALID_SUBMISSION.replace(from, to);
         assert!(
-            matches!(read(text.as_bytes()), Read::Bad(Some(_), _)),
+            matches!(
+                parse_submission(text.as_bytes()),
+                ParsedSubmission::Invalid(Some(_), _)
+            ),
             "{to}"
         );
     }
@@ -39,29 +45,32 @@
         "".to_owned(),
         "[]".to_owned(),
         "{}".to_owned(),
-        GOOD.replace("wk-000412", "job-1"),
-        GOOD.replace("wk-000412", &long),
-        GOOD.replace("\"vcpus\":1.0", "\"vcpus\":1e999"),
+        VALID_SUBMISSION.replace("wk-000412", "job-1"),
+        VALID_SUBMISSION.replace("wk-000412", &long),
+        VALID_SUBMISSION.replace("\"vcpus\":1.0", "\"vcpus\":1e999"),
     ] {
         assert!(
-            matches!(read(text.as_bytes()), Read::Bad(None, _)),
+            matches!(
+                parse_submission(text.as_bytes()),
+                ParsedSubmission::Invalid(None, _)
+            ),
             "{text}"
         );
     }
 }
 
 #[test]
-fn a_job_that_no_machine_or_team_can_carry_is_named_so() {
-    let mut controller = Controller::new(small(), 1);
+fn jobs_that_can_never_run_are_refused() {
+    let mut controller = Controller::new(small_settings(), 1);
     controller.on_catalog(crate::controller::tests::catalog());
-    let Read::Good(s) = read(GOOD.as_bytes()) else {
+    let ParsedSubmission::Valid(s) = parse_submission(VALID_SUBMISSION.as_bytes()) else {
         panic!("good")
     };
-    assert_eq!(controller.never_runs(&s.spec), None);
+    assert_eq!(controller.unrunnable_reason(&s.spec), None);
     let with = |f: &dyn Fn(&mut JobSpec)| {
         let mut spec = s.spec.clone();
         f(&mut spec);
-        controller.never_runs(&spec).is_some()
+        controller.unrunnable_reason(&spec).is_some()
     };
     assert!(with(&|s| s.team = "green".into()));
     assert!(with(&|s| s.cpus = 17.0));
@@ -72,7 +81,7 @@
 }
 
 #[test]
-fn final_answers_stay_and_others_are_not_kept() {
+fn cache_keeps_only_final_answers() {
     let mut f = FinalStateCache::default();
     let a = |st| JobAnswer {
         name: "wk-1".into(),
@@ -80,16 +89,16 @@
         done: None,
         running: None,
     };
-    f.note(&a(JobStatus::Pending));
+    f.record_if_final(&a(JobStatus::Pending));
     assert!(f.get("wk-1").is_none());
-    f.note(&a(JobStatus::Done));
+    f.record_if_final(&a(JobStatus::Done));
     assert_eq!(f.get("wk-1").map(|a| a.status), Some(JobStatus::Done));
 }
 
 /// A job as the replica has it, nothing done.
-pub(crate) fn job_of(spec: JobSpec) -> crate::replica::Job {
+pub(crate) fn replica_job(spec: JobSpec) -> crate::replica::Job {
     let mut replica = crate::replica::Replica::default();
-    let transaction = accept("wk-000412", &new_record(spec, 1_700_000_000_000));
+    let transaction = accept_transaction("wk-000412", &new_record(spec, 1_700_000_000_000));
     replica.apply_own(&transaction, 1);
     let job_id = replica.names.jobs.get("wk-000412").expect("known");
     replica.jobs.remove(&job_id).expect("there")
--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -91,7 +91,7 @@
         // Each job that leaves costs two changes: those that wait to run come first.
         let pending = self.replica.pending();
         let over = self.replica.jobs.len() - pending;
-        if pending > 0 && over < self.settings.options.jobs_kept as usize {
+        if pending > 0 && over < self.settings.options.max_final_jobs as usize {
             return None;
         }
         let mut jobs = self.archivable_jobs();
@@ -132,7 +132,7 @@
     /// Moves the first of these jobs into the archive, as many as one transaction takes.
     fn archive(&self, jobs: Vec<ArchivableJob>) -> Transaction {
         let most = self.settings.platform.settings.state.txn_ops / 2;
-        let value_bytes = self.settings.value_bytes();
+        let value_bytes = self.settings.max_value_bytes();
         let mut transaction = Transaction::default();
         let mut bytes = 0;
         for mut archivable in jobs.into_iter().take(most.min(MAX_ARCHIVED_AT_ONCE)) {
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -156,7 +156,7 @@
 
     /// Up to `most` tasks of a job that are not `taken`, wherever the others are bound.
     fn candidate(&self, open: &OpenJob, job: &Job, taken: &RangeSet, most: usize) -> Candidate {
-        let value_bytes = self.settings.value_bytes();
+        let value_bytes = self.settings.max_value_bytes();
         let bindable = job.bindable(taken, value_bytes, self.replica.encoding());
         Candidate {
             job: open.job,
--- a/src/leadership/binding/limits.rs
+++ b/src/leadership/binding/limits.rs
@@ -22,7 +22,7 @@
         let options = &self.settings.options;
         Limits {
             ahead_s: self.ahead_s(now),
-            sample: options.queue_sample as usize,
+            sample: options.queue_sample_size as usize,
             most: machines.max(MIN_BINDINGS_LIMIT),
             longest_on_expensive_s: self.backlog_s() + options.fleet_horizon_s / 1.5,
             ordinary_penalty_s: match self.ordinary_wanted() {
@@ -37,7 +37,7 @@
     /// still coming up, the less: what is bound behind other jobs' tasks by a rough estimate would
     /// wait there while machines without tasks send their first heartbeat.
     fn ahead_s(&self, now: Timestamp) -> f64 {
-        let ahead_s = self.settings.options.queue_ahead_s + (self.turns_s() - 1.0).max(0.0);
+        let ahead_s = self.settings.options.queue_max_wait_s + (self.turns_s() - 1.0).max(0.0);
         let machines = self.replica.machines.len().max(1);
         let known = self.replica.machines.keys();
         let infos = known.filter_map(|&machine_id| self.machine_health(machine_id, now));
@@ -84,7 +84,7 @@
     /// Guards against one job of many hundred tasks that takes all room which comes free, while many
     /// small ones behind it miss their deadlines.
     pub(super) fn share_tasks(&self, job: &Job, fleet_cpus: f64) -> usize {
-        let cpus = fleet_cpus * self.settings.options.queue_share;
+        let cpus = fleet_cpus * self.settings.options.queue_job_share;
         let tasks = cpus / job.spec.cpus.max(MIN_TASK_CPUS);
         (tasks as usize).max(MIN_SHARE_TASKS)
     }
--- a/src/leadership/binding/open_jobs.rs
+++ b/src/leadership/binding/open_jobs.rs
@@ -103,7 +103,7 @@
                 .get(&job.team)
                 .is_some_and(|room| job.room().cpus <= room.cpus + ROOM_TOLERANCE);
             let waited_s = self.waited_s(job_id, job, now);
-            if within_limit && waited_s > self.settings.options.queue_floor_s {
+            if within_limit && waited_s > self.settings.options.queue_boost_after_s {
                 let this = StarvedJob {
                     job: job_id,
                     last_turn: self.leadership.turns.last_turn(job_id),
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -119,7 +119,7 @@
             true => 1.0,
             false => MAX_QUEUED_PART,
         };
-        let most = self.settings.value_bytes() as f64 * part;
+        let most = self.settings.max_value_bytes() as f64 * part;
         if mutation.value_bytes() as f64 > most {
             return BlockWrite::ValueFull;
         }
--- a/src/leadership/catalog.rs
+++ b/src/leadership/catalog.rs
@@ -31,7 +31,7 @@
             return None;
         }
         let value = serde_json::to_string(&machine_types);
-        let fits = value.is_ok_and(|value| value.len() <= self.settings.value_bytes());
+        let fits = value.is_ok_and(|value| value.len() <= self.settings.max_value_bytes());
         fits.then(|| Transaction {
             preconditions: Vec::new(),
             mutations: vec![put(CATALOG, &machine_types, None)],
--- a/src/leadership/job_order.rs
+++ b/src/leadership/job_order.rs
@@ -7,7 +7,7 @@
 use crate::names::JobId;
 use crate::protocol::Priority;
 use crate::replica::{Job, Replica};
-use crate::settings::Params;
+use crate::settings::DeploymentParams;
 
 /// Most seconds by which a small job counts as due earlier.
 const SMALL_JOB_BONUS_S: f64 = 60.0;
@@ -56,7 +56,7 @@
 /// What the order of jobs depends on.
 pub(crate) struct JobOrder<'a> {
     replica: &'a Replica,
-    settings: &'a Params,
+    settings: &'a DeploymentParams,
     /// Milliseconds since the day began, by the wall clock.
     day_ms: u64,
 }
--- a/src/leadership/job_order/tests.rs
+++ b/src/leadership/job_order/tests.rs
@@ -1,27 +1,27 @@
 //! Unit tests of the order of jobs.
 
 use crate::controller::Controller;
-use crate::jobs::tests::{GOOD, job_of};
-use crate::jobs::{Read, read};
+use crate::jobs::tests::{VALID_SUBMISSION, replica_job};
+use crate::jobs::{ParsedSubmission, parse_submission};
 use crate::names::{Index, JobId};
 use crate::replica::Job;
-use crate::settings::tests::small;
+use crate::settings::tests::small_settings;
 
 const SUBMITTED_MS: u64 = 1_700_000_000_000;
 
 /// A controller at a time of day, and a job that was submitted at `SUBMITTED_MS` and became ready
 /// 100 s later.
 fn at(seconds: u64, due_s: Option<f64>) -> (Controller, Job) {
-    let Read::Good(good) = read(GOOD.as_bytes()) else {
+    let ParsedSubmission::Valid(submission) = parse_submission(VALID_SUBMISSION.as_bytes()) else {
         panic!("good")
     };
-    let mut spec = good.spec;
+    let mut spec = submission.spec;
     spec.due_s = due_s;
     spec.team = "blue".into();
-    let mut job = job_of(spec);
+    let mut job = replica_job(spec);
     job.submitted_ms = SUBMITTED_MS;
     job.ready_ms = Some(SUBMITTED_MS + 100_000);
-    let mut controller = Controller::new(small(), 1);
+    let mut controller = Controller::new(small_settings(), 1);
     controller.day_ms = SUBMITTED_MS + seconds * 1000;
     (controller, job)
 }
--- a/src/leadership/machine_placement.rs
+++ b/src/leadership/machine_placement.rs
@@ -53,7 +53,7 @@
     pub(crate) fn expected_bytes(&self, machine_type: MachineTypeId) -> usize {
         let known = self.machine_types.get(&machine_type);
         let cpus = known.map_or(DEFAULT_CPUS, |machine_type| machine_type.cpus);
-        let most = self.settings.value_bytes() * 2 / 5;
+        let most = self.settings.max_value_bytes() * 2 / 5;
         (MACHINE_BYTES + (cpus * BYTES_PER_CPU) as usize).min(most)
     }
 
@@ -104,8 +104,8 @@
         let mut sizes = BlockSizes::new(BlockRules {
             min_blocks: settings.count.max(1),
             enough_blocks: ((settings.state.write_rps / 2.0) as usize).max(settings.count),
-            machines_per_block: self.settings.block_machines(),
-            room_bytes: (self.settings.value_bytes() as f64 * PLANNED_PART) as usize,
+            machines_per_block: self.settings.initial_block_machines(),
+            room_bytes: (self.settings.max_value_bytes() as f64 * PLANNED_PART) as usize,
         });
         for (&id, block) in &self.replica.blocks {
             let machines = block.machines.iter();
--- a/src/leadership/machines.rs
+++ b/src/leadership/machines.rs
@@ -35,7 +35,7 @@
     pub(super) fn observe_machines(&mut self, now: Timestamp) {
         let heartbeats = self.last_heartbeats(now);
         self.note_start_times(&heartbeats);
-        let silent_ms = self.settings.worker_gone_ms();
+        let silent_ms = self.settings.worker_expiry_ms();
         let leadership = &mut self.leadership;
         leadership.grants.note_grants(&self.replica, now);
         leadership.inventory.retain_existing(&self.replica, now);
@@ -95,7 +95,7 @@
         let machine = self.replica.machines.get(&machine_id);
         let silent_ms = observed.silent_for(machine_id, now);
         machine.is_some_and(|machine| observed.is_partitioned(machine.zone))
-            && silent_ms.is_some_and(|silent_ms| silent_ms > self.settings.worker_gone_ms())
+            && silent_ms.is_some_and(|silent_ms| silent_ms > self.settings.worker_expiry_ms())
     }
 
     /// Whether a machine is better returned than waited for: the answer to the return proves
@@ -140,7 +140,7 @@
             // what earlier holders heard counts on, and the new one gets its time.
             held_ms: self.leadership.grants.held_for(machine.block, now),
             missing: absent && known_ms > lag_ms,
-            presumed_dead_ms: self.settings.worker_gone_ms() + DEAD_AFTER_LEASE_MS,
+            presumed_dead_ms: self.settings.worker_expiry_ms() + DEAD_AFTER_LEASE_MS,
         }
     }
 
@@ -154,15 +154,15 @@
     ) -> bool {
         // An earlier holder that is cut off from all but its workers may still be answering this
         // machine, for as long as its authority lasts.
-        let unfenced_ms = self.settings.unfenced_gone_ms() + DEAD_AFTER_UNFENCED_MS;
+        let unfenced_ms = self.settings.unfenced_expiry_ms() + DEAD_AFTER_UNFENCED_MS;
         if self.cut_off(machine_id, now) {
             // With its warm cache it is worth more than what could be rented into a zone that
             // cannot be reached.
-            let cut_ms = (self.settings.options.fleet_cut_s * 1000.0) as u64;
+            let cut_ms = (self.settings.options.fleet_partition_s * 1000.0) as u64;
             return silent_ms > unfenced_ms.max(cut_ms) || evidence.missing;
         }
         (silent_ms > evidence.presumed_dead_ms && evidence.held_ms > unfenced_ms)
-            || (evidence.missing && silent_ms > self.settings.worker_gone_ms())
+            || (evidence.missing && silent_ms > self.settings.worker_expiry_ms())
     }
 
     /// Whether a machine that was never heard is dead: it takes far longer to start than others.
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -144,7 +144,7 @@
         let mut victims = self.victims();
         let evictable_cpus: f64 = victims.iter().map(|victim| victim.cpus).sum();
         let options = &self.settings.options;
-        let mut budget_cpus = options.evict_cpus.max(evictable_cpus * MAX_EVICTED_PART);
+        let mut budget_cpus = options.preempt_cpus.max(evictable_cpus * MAX_EVICTED_PART);
         let mut incoming = self.incoming_cpus();
         for job in pressing {
             if budget_cpus <= 0.0 || victims.is_empty() {
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -78,7 +78,7 @@
         let rules = Rules {
             horizon_s: self.settings.options.fleet_horizon_s,
             idle_s: self.settings.options.fleet_idle_s,
-            most: self.settings.options.fleet_most as usize,
+            most: self.settings.options.fleet_max_machines as usize,
             charge_s: MIN_CHARGE_S,
         };
         // The replica must show what is bound before idleness means anything.
@@ -291,7 +291,7 @@
     /// chance a little longer, so that not all pools are asked again at once.
     fn note_refusal(&mut self, rental: &RentRequest, now: Timestamp) {
         if let Some(pool) = self.pool_of(rental) {
-            let wait_ms = (self.settings.options.fleet_refused_s * 1000.0) as u64;
+            let wait_ms = (self.settings.options.fleet_refusal_pause_s * 1000.0) as u64;
             let until = now.plus(wait_ms + self.rng.random_range(0..wait_ms / 2 + 1));
             self.leadership.rent.note_refused(pool, until);
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 
 /// Exit code for settings that cannot be used.
-const BAD_SETTINGS: u8 = 2;
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// A cluster scheduler whose machines steal packs of work from one another.
 #[derive(Debug, Parser)]
@@ -34,20 +34,20 @@
     config: Option<PathBuf>,
 }
 
-fn read(path: &Path) -> anyhow::Result<String> {
+fn read_file(path: &Path) -> anyhow::Result<String> {
     std::fs::read_to_string(path).with_context(|| path.display().to_string())
 }
 
 fn load_settings(args: &Args) -> anyhow::Result<Settings> {
     let options = match &args.options {
-        Some(path) => Options::parse(&read(path)?)?,
+        Some(path) => Options::parse(&read_file(path)?)?,
         None => Options::default(),
     };
     let path = args.config.as_ref().context("--config is missing")?;
-    let mut settings = Settings::new(Platform::parse(&read(path)?)?, options);
+    let mut settings = Settings::new(Platform::parse(&read_file(path)?)?, options);
     if let Some(path) = &args.spillover {
         let cancel_s = settings.platform.settings.workers.cancel_s;
-        settings.spillover = Some(SpilloverSettings::parse(&read(path)?, cancel_s)?);
+        settings.spillover = Some(SpilloverSettings::parse(&read_file(path)?, cancel_s)?);
     }
     Ok(settings)
 }
@@ -86,7 +86,7 @@
         Ok(settings) => settings,
         Err(settings_error) => {
             eprintln!("quillbend: {settings_error:#}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if args.check {
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -1,8 +1,8 @@
 //! Unit tests of the replica.
 
 use super::*;
-use crate::jobs::tests::{GOOD, job_of};
-use crate::jobs::{Read, read};
+use crate::jobs::tests::{VALID_SUBMISSION, replica_job};
+use crate::jobs::{ParsedSubmission, parse_submission};
 use crate::protocol::{JobStatus, Json, KeyValue, Mutation, Transaction};
 use crate::ranges::RangeSet;
 use crate::records::{BlockRecord, DoneTasks, Encoding};
@@ -36,16 +36,16 @@
 
 #[test]
 fn whatever_order_tasks_end_in_what_is_done_fits_into_the_jobs_value() {
-    let Read::Good(good) = read(GOOD.as_bytes()) else {
+    let ParsedSubmission::Valid(submission) = parse_submission(VALID_SUBMISSION.as_bytes()) else {
         panic!("good")
     };
     for value_bytes in [1400, 4032, 32_704] {
         for task_count in [
             1, 2, 64, 99, 100, 350, 700, 1000, 1350, 5000, 20_000, 100_000,
         ] {
-            let mut spec = good.spec.clone();
+            let mut spec = submission.spec.clone();
             spec.task_count = task_count;
-            let job = job_of(spec);
+            let job = replica_job(spec);
             let open = job.most_open(value_bytes);
             let size = longest(&job, open);
             assert!(
@@ -68,16 +68,16 @@
         }
     }
     // What held large jobs back: 202 at a time in 4 KiB.
-    let mut spec = good.spec.clone();
+    let mut spec = submission.spec.clone();
     spec.task_count = 700;
-    assert_eq!(job_of(spec.clone()).most_open(4032), 700);
+    assert_eq!(replica_job(spec.clone()).most_open(4032), 700);
     // And 203 of 900 in 2 KiB, as ranges.
     spec.task_count = 900;
-    let job = job_of(spec.clone());
+    let job = replica_job(spec.clone());
     assert!(job.most_open(1984) < 250);
     assert_eq!(job.open_end(1984, Encoding::Dense), 900);
     spec.task_count = 20_000;
-    let job = job_of(spec);
+    let job = replica_job(spec);
     assert!(job.most_open(4032) > 280);
     assert!(job.open_end(4032, Encoding::Dense) > 15_000);
 }
@@ -124,12 +124,12 @@
 
 #[test]
 fn values_are_dense_only_once_it_is_recorded_that_all_controllers_read_them() {
-    let Read::Good(good) = read(GOOD.as_bytes()) else {
+    let ParsedSubmission::Valid(submission) = parse_submission(VALID_SUBMISSION.as_bytes()) else {
         panic!("good")
     };
-    let mut spec = good.spec;
+    let mut spec = submission.spec;
     spec.task_count = 900;
-    let job = job_of(spec);
+    let job = replica_job(spec);
     let mut scattered = RangeSet::new();
     for task in (1..900).step_by(2) {
         scattered.insert(task);
--- a/src/runtime/controller_actor.rs
+++ b/src/runtime/controller_actor.rs
@@ -5,7 +5,7 @@
 
 use super::cloud_client::CloudClient;
 use crate::clock::Timestamp;
-use crate::http::Shared;
+use crate::http::SharedState;
 use crate::store::StoreClient;
 use actix::prelude::*;
 use awc::Client;
@@ -16,16 +16,16 @@
 use std::time::Duration;
 
 /// Interval at which the controller looks at what is due.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 /// Calls to one peer that wait for its answer at a time. A peer that does not answer holds no more.
 const MAX_CALLS_PER_PEER: u32 = 3;
 
 /// The actor that carries out what [`Controller`](crate::controller::Controller) decides.
 pub(super) struct ControllerActor {
     /// The controller and what the HTTP handlers share with it.
-    pub(super) shared: Arc<Shared>,
+    pub(super) shared: Arc<SharedState>,
     /// Client of the state service.
-    pub(super) state: StoreClient,
+    pub(super) store: StoreClient,
     /// Client for peers and other cells.
     pub(super) client: Client,
     /// Client of the cloud.
@@ -33,25 +33,25 @@
     /// Peer addresses by host name.
     pub(super) peers: HashMap<String, String>,
     /// Calls to peers that wait for an answer.
-    pub(super) peer_calls: PeerCalls,
+    pub(super) peer_calls_in_flight: PeerCallsInFlight,
 }
 
 impl ControllerActor {
     /// An actor around `shared`; `peers` are the peer addresses by host name.
     pub(super) fn new(
-        shared: Arc<Shared>,
-        state: StoreClient,
+        shared: Arc<SharedState>,
+        store: StoreClient,
         client: Client,
         cloud: CloudClient,
         peers: HashMap<String, String>,
     ) -> Self {
         Self {
             shared,
-            state,
+            store,
             client,
             cloud,
             peers,
-            peer_calls: PeerCalls::default(),
+            peer_calls_in_flight: PeerCallsInFlight::default(),
         }
     }
 
@@ -65,7 +65,7 @@
         let (now, day_ms) = (self.now(), self.shared.clock.day_ms());
         let effects = self.shared.controller.lock().tick(now, day_ms);
         for effect in effects {
-            self.carry_out(effect, ctx);
+            self.run_effect(effect, ctx);
         }
     }
 }
@@ -74,7 +74,7 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Context<Self>) {
-        ctx.run_interval(TICK, |actor, ctx| actor.tick(ctx));
+        ctx.run_interval(TICK_INTERVAL, |actor, ctx| actor.tick(ctx));
         self.tick(ctx);
     }
 }
@@ -82,30 +82,30 @@
 /// Asks the actor to tick now instead of at the next interval.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(super) struct Wake;
+pub(super) struct TickNow;
 
-impl Handler<Wake> for ControllerActor {
+impl Handler<TickNow> for ControllerActor {
     type Result = ();
 
-    fn handle(&mut self, _: Wake, ctx: &mut Context<Self>) {
+    fn handle(&mut self, _: TickNow, ctx: &mut Context<Self>) {
         self.tick(ctx);
     }
 }
 
 /// How many calls to each peer wait for an answer.
 #[derive(Debug, Clone, Default)]
-pub(super) struct PeerCalls(Rc<RefCell<HashMap<String, u32>>>);
+pub(super) struct PeerCallsInFlight(Rc<RefCell<HashMap<String, u32>>>);
 
-impl PeerCalls {
+impl PeerCallsInFlight {
     /// Counts one more call to a peer, unless it has as many as it may have.
-    pub(super) fn begin(&self, host: &str) -> Option<PeerCall> {
+    pub(super) fn try_start(&self, host: &str) -> Option<PeerCallGuard> {
         let mut waiting = self.0.borrow_mut();
         let calls = waiting.entry(host.to_owned()).or_default();
         if *calls >= MAX_CALLS_PER_PEER {
             return None;
         }
         *calls += 1;
-        Some(PeerCall {
+        Some(PeerCallGuard {
             calls: self.clone(),
             host: host.to_owned(),
         })
@@ -114,12 +114,12 @@
 
 /// One call to a peer; it counts until it is dropped.
 #[derive(Debug)]
-pub(super) struct PeerCall {
-    calls: PeerCalls,
+pub(super) struct PeerCallGuard {
+    calls: PeerCallsInFlight,
     host: String,
 }
 
-impl Drop for PeerCall {
+impl Drop for PeerCallGuard {
     fn drop(&mut self) {
         if let Some(calls) = self.calls.0.borrow_mut().get_mut(&self.host) {
             *calls = calls.saturating_sub(1);
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -25,7 +25,7 @@
 
 impl ControllerActor {
     /// Starts what the controller asks for.
-    pub(super) fn carry_out(&mut self, effect: Effect, ctx: &mut Context<Self>) {
+    pub(super) fn run_effect(&mut self, effect: Effect, ctx: &mut Context<Self>) {
         match effect {
             Effect::NewLease { lease_ms } => self.request_lease(lease_ms, ctx),
             Effect::Renew { lease_id } => self.renew_lease(lease_id, ctx),
@@ -45,8 +45,8 @@
 
     /// Asks the state service for a lease of this length. It counts from the moment of asking.
     fn request_lease(&self, length_ms: u64, ctx: &mut Context<Self>) {
-        let (state, sent_at) = (self.state.clone(), self.now());
-        let request = async move { state.lease(length_ms).await };
+        let (store, sent_at) = (self.store.clone(), self.now());
+        let request = async move { store.lease(length_ms).await };
         ctx.spawn(request.into_actor(self).map(move |answer, actor, ctx| {
             let now = actor.now();
             {
@@ -62,8 +62,8 @@
 
     /// Renews the lease. A renewal counts from the moment of asking.
     fn renew_lease(&self, lease_id: u64, ctx: &mut Context<Self>) {
-        let (state, sent_at) = (self.state.clone(), self.now());
-        let request = async move { state.renew(lease_id).await };
+        let (store, sent_at) = (self.store.clone(), self.now());
+        let request = async move { store.renew(lease_id).await };
         ctx.spawn(request.into_actor(self).map(move |answer, actor, _| {
             let now = actor.now();
             let mut controller = actor.shared.controller.lock();
@@ -77,8 +77,8 @@
 
     /// Commits a transaction, and wakes the workers that wait for what it wrote.
     fn commit(&self, write_kind: WriteKind, transaction: Transaction, ctx: &mut Context<Self>) {
-        let state = self.state.clone();
-        let request = async move { state.commit(&transaction, COMMIT_TIMEOUT).await };
+        let store = self.store.clone();
+        let request = async move { store.commit(&transaction, COMMIT_TIMEOUT).await };
         ctx.spawn(request.into_actor(self).map(move |outcome, actor, ctx| {
             let now = actor.now();
             actor
@@ -86,7 +86,7 @@
                 .controller
                 .lock()
                 .on_commit(write_kind, outcome, now);
-            actor.shared.wake();
+            actor.shared.wake_delayed_acks();
             if matches!(outcome, CommitOutcome::Done(_)) {
                 actor.tick(ctx);
             }
@@ -103,7 +103,7 @@
         let Some(addr) = self.peers.get(&host) else {
             return;
         };
-        let Some(peer_call) = self.peer_calls.begin(&host) else {
+        let Some(call_guard) = self.peer_calls_in_flight.try_start(&host) else {
             return;
         };
         let Ok(body) = rmp_serde::to_vec_named(message) else {
@@ -120,7 +120,7 @@
             rmp_serde::from_slice::<PeerMessage>(&body).ok()
         };
         ctx.spawn(call.into_actor(self).map(move |answer, actor, _| {
-            drop(peer_call);
+            drop(call_guard);
             if let Some(message) = answer {
                 let now = actor.now();
                 actor.shared.controller.lock().on_peer_message(message, now);
@@ -149,8 +149,8 @@
 
     /// Reads the final states of jobs from the archive.
     fn read_final_states(&self, jobs: Vec<String>, ctx: &mut Context<Self>) {
-        let state = self.state.clone();
-        let request = async move { state.final_states(&jobs).await };
+        let store = self.store.clone();
+        let request = async move { store.final_states(&jobs).await };
         ctx.spawn(request.into_actor(self).map(|found, actor, ctx| {
             {
                 let mut controller = actor.shared.controller.lock();
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::{Clock, SystemClock};
 use crate::controller::Controller;
-use crate::http::{self, ApiState, Shared};
+use crate::http::{self, ApiState, SharedState};
 use crate::settings::Settings;
 use crate::store::StoreClient;
 use crate::store::read_index;
@@ -19,7 +19,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tracing::{error, info};
-use watch_loop::Watcher;
+use watch_loop::WatchActor;
 
 mod cloud_client;
 mod controller_actor;
@@ -30,9 +30,9 @@
 /// Longest wait for a connection to another service.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Open connections to other services at a time.
-const CLIENT_CONNECTIONS: usize = 64;
+const MAX_CLIENT_CONNECTIONS: usize = 64;
 /// Open connections on the peer address at a time. Only controllers and operators use it.
-const PEER_CONNECTIONS: usize = 1000;
+const MAX_PEER_CONNECTIONS: usize = 1000;
 
 /// Why the service did not start.
 #[derive(Debug, thiserror::Error)]
@@ -56,13 +56,13 @@
     let peer_listener = server::listen(&settings.platform.peer_addr).await?;
     let shared = new_shared(&settings);
     let client = new_client();
-    let state = StoreClient::new(client.clone(), &settings.platform.external.state);
+    let store = StoreClient::new(client.clone(), &settings.platform.external.state);
     let api_state = ApiState {
         shared: shared.clone(),
-        state: state.clone(),
-        pause: read_index::read_interval(&settings),
+        store: store.clone(),
+        read_interval: read_index::read_interval(&settings),
     };
-    start_actors(&settings, shared, state, client);
+    start_actors(&settings, shared, store, client);
     info!(
         host = settings.platform.host_name,
         public = settings.platform.public_addr,
@@ -71,32 +71,37 @@
     );
     let peer_server = server::serve(
         peer_listener,
-        http::back(api_state.clone()),
-        ConnectionLimit::new(PEER_CONNECTIONS),
+        http::peer_routes(api_state.clone()),
+        ConnectionLimit::new(MAX_PEER_CONNECTIONS),
     );
     actix_rt::spawn(async move {
         if let Err(start_error) = peer_server.await {
             error!(error = %start_error, "peer address is not served");
         }
     });
-    let public_limit = ConnectionLimit::new(settings.connections());
-    server::serve(public_listener, http::public(api_state), public_limit).await
+    let public_limit = ConnectionLimit::new(settings.max_connections());
+    server::serve(
+        public_listener,
+        http::public_routes(api_state),
+        public_limit,
+    )
+    .await
 }
 
 /// The state that the actors and all HTTP handlers share.
-fn new_shared(settings: &Settings) -> Arc<Shared> {
+fn new_shared(settings: &Settings) -> Arc<SharedState> {
     let clock = SystemClock::default();
     // Random choices need to differ between incarnations of the process, not to be secret.
     let seed = rand::rngs::SmallRng::from_os_rng().random::<u64>() ^ clock.day_ms().rotate_left(20);
     let controller = Controller::new(settings.clone(), seed);
-    Arc::new(Shared::new(controller, Box::new(clock)))
+    Arc::new(SharedState::new(controller, Box::new(clock)))
 }
 
 /// The HTTP client for the state service, the cloud, peers and other cells.
 fn new_client() -> Client {
     let connector = awc::Connector::new()
         .timeout(CONNECT_TIMEOUT)
-        .limit(CLIENT_CONNECTIONS);
+        .limit(MAX_CLIENT_CONNECTIONS);
     Client::builder()
         .connector(connector)
         .disable_redirects()
@@ -104,7 +109,7 @@
 }
 
 /// Starts the actor that carries out effects, then the one that watches the state service.
-fn start_actors(settings: &Settings, shared: Arc<Shared>, state: StoreClient, client: Client) {
+fn start_actors(settings: &Settings, shared: Arc<SharedState>, store: StoreClient, client: Client) {
     let cloud = CloudClient::new(client.clone(), &settings.platform.external.cloud);
     let peers = settings
         .platform
@@ -112,6 +117,6 @@
         .iter()
         .map(|peer| (peer.host_name.clone(), peer.endpoint.clone()))
         .collect();
-    let actor = ControllerActor::new(shared.clone(), state.clone(), client, cloud, peers).start();
-    Watcher::new(shared, state, actor).start();
+    let actor = ControllerActor::new(shared.clone(), store.clone(), client, cloud, peers).start();
+    WatchActor::new(shared, store, actor).start();
 }
--- a/src/runtime/server.rs
+++ b/src/runtime/server.rs
@@ -28,33 +28,33 @@
 #[derive(Debug, Clone)]
 pub(super) struct ConnectionLimit {
     open: Rc<Cell<usize>>,
-    most: usize,
+    max_open: usize,
 }
 
 impl ConnectionLimit {
-    /// At most `most` connections at a time.
-    pub(super) fn new(most: usize) -> Self {
+    /// At most `max_open` connections at a time.
+    pub(super) fn new(max_open: usize) -> Self {
         Self {
             open: Rc::default(),
-            most,
+            max_open,
         }
     }
 
     /// Counts one more connection, unless there are as many as there may be.
-    fn admit(&self) -> Option<OpenConnection> {
+    fn try_open(&self) -> Option<ConnectionGuard> {
         let open = self.open.get();
-        (open < self.most).then(|| {
+        (open < self.max_open).then(|| {
             self.open.set(open + 1);
-            OpenConnection(self.open.clone())
+            ConnectionGuard(self.open.clone())
         })
     }
 }
 
 /// One open connection; it counts until it is dropped.
 #[derive(Debug)]
-struct OpenConnection(Rc<Cell<usize>>);
+struct ConnectionGuard(Rc<Cell<usize>>);
 
-impl Drop for OpenConnection {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -115,7 +115,7 @@
                 continue;
             }
         };
-        let Some(connection) = limit.admit() else {
+        let Some(connection) = limit.try_open() else {
             // Closed at once: the load balancer goes on to another controller.
             continue;
         };
--- a/src/runtime/watch_loop.rs
+++ b/src/runtime/watch_loop.rs
@@ -4,8 +4,8 @@
 //! when the service has compacted the history that a watch needs. The loop must never stop while the
 //! process runs: a controller whose replica stands still answers from the past.
 
-use super::controller_actor::{ControllerActor, Wake};
-use crate::http::Shared;
+use super::controller_actor::{ControllerActor, TickNow};
+use crate::http::SharedState;
 use crate::replica::ROOT;
 use crate::store::{StoreClient, StoreError};
 use actix::prelude::*;
@@ -14,11 +14,11 @@
 use tracing::debug;
 
 /// Longest time that the service holds one watch open, ms.
-const WATCH_MS: u64 = 1500;
+const WATCH_TIMEOUT_MS: u64 = 1500;
 /// Least time between two watches, ms, so that a burst of changes comes in one answer.
-const MIN_WATCH_GAP_MS: u64 = 40;
+const MIN_WATCH_INTERVAL_MS: u64 = 40;
 /// Part of the state service's requests that the watches of all controllers may take.
-const WATCH_SHARE: f64 = 0.3;
+const MAX_WATCH_REQUEST_SHARE: f64 = 0.3;
 /// Pause after a request that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
@@ -32,35 +32,35 @@
 }
 
 /// The actor that watches the shared keys.
-pub(super) struct Watcher {
-    shared: Arc<Shared>,
-    state: StoreClient,
+pub(super) struct WatchActor {
+    shared: Arc<SharedState>,
+    store: StoreClient,
     actor: Addr<ControllerActor>,
 }
 
-impl Watcher {
+impl WatchActor {
     /// A watcher that wakes `actor` when something has changed.
     pub(super) fn new(
-        shared: Arc<Shared>,
-        state: StoreClient,
+        shared: Arc<SharedState>,
+        store: StoreClient,
         actor: Addr<ControllerActor>,
     ) -> Self {
         Self {
             shared,
-            state,
+            store,
             actor,
         }
     }
 }
 
-impl Actor for Watcher {
+impl Actor for WatchActor {
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Context<Self>) {
         let watch_loop = WatchLoop {
-            gap: watch_gap(&self.shared),
+            interval: watch_interval(&self.shared),
             shared: self.shared.clone(),
-            state: self.state.clone(),
+            store: self.store.clone(),
             actor: self.actor.clone(),
         };
         ctx.spawn(watch_loop.run().into_actor(self));
@@ -68,19 +68,19 @@
 }
 
 /// Time between two watches that keeps the watches of all controllers within their share of requests.
-fn watch_gap(shared: &Shared) -> Duration {
+fn watch_interval(shared: &SharedState) -> Duration {
     let controller = shared.controller.lock();
     let params = &controller.settings.platform.settings;
-    let gap_ms = params.count.max(1) as f64 * 1000.0 / (params.state.rps * WATCH_SHARE);
-    Duration::from_millis((gap_ms as u64).max(MIN_WATCH_GAP_MS))
+    let gap_ms = params.count.max(1) as f64 * 1000.0 / (params.state.rps * MAX_WATCH_REQUEST_SHARE);
+    Duration::from_millis((gap_ms as u64).max(MIN_WATCH_INTERVAL_MS))
 }
 
 /// The loop's clients and its pace.
 struct WatchLoop {
-    shared: Arc<Shared>,
-    state: StoreClient,
+    shared: Arc<SharedState>,
+    store: StoreClient,
     actor: Addr<ControllerActor>,
-    gap: Duration,
+    interval: Duration,
 }
 
 impl WatchLoop {
@@ -106,7 +106,7 @@
     /// Reads all keys into the replica.
     async fn load_all(&self) -> Result<(), StoreError> {
         let sent_at = self.shared.now();
-        let read = self.state.list(ROOT).await?;
+        let read = self.store.list(ROOT).await?;
         let first_revision = read.first_revision;
         let now = self.shared.now();
         self.shared.controller.lock().on_load(
@@ -117,7 +117,7 @@
             now,
         );
         self.shared.read_index.applied(first_revision);
-        self.actor.do_send(Wake);
+        self.actor.do_send(TickNow);
         Ok(())
     }
 
@@ -125,7 +125,7 @@
     async fn watch_changes(&self) -> Result<(), StoreError> {
         let sent_at = self.shared.now();
         let after = self.shared.controller.lock().replica.revision;
-        let response = self.state.watch(ROOT, after, WATCH_MS).await?;
+        let response = self.store.watch(ROOT, after, WATCH_TIMEOUT_MS).await?;
         let any_changes = !response.events.is_empty();
         let revision = response.revision;
         let now = self.shared.now();
@@ -133,11 +133,11 @@
             .controller
             .lock()
             .on_watch_response(response, sent_at, now);
-        self.shared.wake();
+        self.shared.wake_delayed_acks();
         self.shared.read_index.applied(revision);
         if any_changes {
-            self.actor.do_send(Wake);
-            actix_rt::time::sleep(self.gap).await;
+            self.actor.do_send(TickNow);
+            actix_rt::time::sleep(self.interval).await;
         }
         Ok(())
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -10,10 +10,11 @@
 mod platform;
 mod state_limits;
 
-pub use durations::DONE_RANGE_BYTES;
+pub use durations::MAX_DONE_RANGE_BYTES;
 pub use options::{OptionElement, Options};
 pub use platform::{
-    CloudLimits, External, Objective, Params, PeerAddress, Platform, Resources, Team, Workers,
+    CloudLimits, DeploymentParams, External, Objective, PeerAddress, Platform, Resources, Team,
+    Workers,
 };
 pub use state_limits::{NextStateLimits, StateLimits};
 
@@ -45,7 +46,7 @@
     #[error(
         "settings file: workers.cancel_s ({cancel_s}) must exceed workers.lease_s ({lease_s}) by at least 5 s"
     )]
-    NoLease {
+    CancelTimeTooShort {
         /// Time allowed for a cancellation, seconds.
         cancel_s: f64,
         /// Lease of workers, seconds.
--- a/src/settings/options.rs
+++ b/src/settings/options.rs
@@ -62,46 +62,46 @@
     /// Hops after which a steal goes anywhere, as a part of the machines.
     balance_hops: "balance/hops" = 0.25 in 0.0..=1.0;
     /// Hops after which a steal ends.
-    balance_hops_most: "balance/hops-most" = 6.0 in 1.0..=10000.0;
+    balance_max_hops: "balance/hops-most" = 6.0 in 1.0..=10000.0;
     /// Longest lease of a block, seconds.
     block_lease_s: "blocks/lease-s" = 30.0 in 5.0..=600.0;
     /// Machines in a block before another block is begun, while there are few blocks.
     block_machines: "blocks/machines" = 10.0 in 1.0..=64.0;
     /// Longest time that a bound task should wait for room on its machine, seconds.
-    queue_ahead_s: "queues/ahead-s" = 3.0 in 0.0..=600.0;
+    queue_max_wait_s: "queues/ahead-s" = 3.0 in 0.0..=600.0;
     /// Machines looked at for a binding when there are more.
-    queue_sample: "queues/sample" = 16.0 in 2.0..=1000.0;
+    queue_sample_size: "queues/sample" = 16.0 in 2.0..=1000.0;
     /// Seconds that a job waits at most for its first tasks, and for more of them, before it is
     /// served ahead of its turn.
-    queue_floor_s: "queues/floor-s" = 80.0 in 5.0..=3600.0;
+    queue_boost_after_s: "queues/floor-s" = 80.0 in 5.0..=3600.0;
     /// Part of the fleet's CPUs that one job may use at its place in the order; beyond it, and beyond
     /// 200 tasks, it has the room that no other job wants.
-    queue_share: "queues/share" = 0.03 in 0.001..=1.0;
+    queue_job_share: "queues/share" = 0.03 in 0.001..=1.0;
     /// CPUs of running tasks that may be preempted at a time for tasks of a higher priority.
-    evict_cpus: "queues/evict-cpus" = 24.0 in 0.0..=10000.0;
+    preempt_cpus: "queues/evict-cpus" = 24.0 in 0.0..=10000.0;
     /// Seconds of work that a rented CPU should find waiting.
     fleet_horizon_s: "fleet/horizon-s" = 45.0 in 1.0..=3600.0;
     /// Seconds that a machine stands idle before it is returned.
     fleet_idle_s: "fleet/idle-s" = 8.0 in 0.0..=3600.0;
     /// Seconds that a refused type and zone is left alone.
-    fleet_refused_s: "fleet/refused-s" = 15.0 in 1.0..=3600.0;
+    fleet_refusal_pause_s: "fleet/refused-s" = 15.0 in 1.0..=3600.0;
     /// Seconds for which machines are kept that fell silent together with most of their zone.
-    fleet_cut_s: "fleet/cut-s" = 90.0 in 0.0..=3600.0;
+    fleet_partition_s: "fleet/cut-s" = 90.0 in 0.0..=3600.0;
     /// Most machines rented at a time: a guard against a mistake in what is asked for, not a size of
     /// the fleet, which demand and the cloud decide.
-    fleet_most: "fleet/most" = 100000.0 in 1.0..=1000000.0;
+    fleet_max_machines: "fleet/most" = 100000.0 in 1.0..=1000000.0;
     /// Most unfinished jobs; more are answered with 429.
-    jobs_most: "jobs/most" = 20000.0 in 1.0..=1000000.0;
+    max_unfinished_jobs: "jobs/most" = 20000.0 in 1.0..=1000000.0;
     /// Jobs that are over and stay in every replica while others wait to run: each that leaves costs
     /// two changes.
-    jobs_kept: "jobs/kept" = 600.0 in 0.0..=100000.0;
+    max_final_jobs: "jobs/kept" = 600.0 in 0.0..=100000.0;
     /// Milliseconds between messages to a peer.
     peers_period_ms: "peers/period-ms" = 700.0 in 100.0..=10000.0;
     /// Seconds of silence after which a peer is suspected.
     peers_silent_s: "peers/silent-s" = 2.5 in 0.5..=60.0;
     /// Newest format of stored values that is written. An earlier one keeps the way back open to a
     /// version that reads no newer one; what was written once stays.
-    format_most: "upgrade/format-most" = 4.0 in 2.0..=4.0;
+    max_written_format: "upgrade/format-most" = 4.0 in 2.0..=4.0;
     /// Milliseconds that completions are gathered before they are written.
     flush_ms: "writes/flush-ms" = 150.0 in 10.0..=5000.0;
 }
@@ -113,7 +113,7 @@
     ///
     /// Text that is not such XML, an element that does not exist, or a value out of its range.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
-        let values = read_values(text)?;
+        let values = parse_values(text)?;
         let mut options = Options::default();
         for element in Self::TABLE {
             let Some(found) = values.get(element.path) else {
@@ -142,7 +142,7 @@
     }
 
     /// Whether a path leads to a value, or names one.
-    fn is_on_a_path(path: &str) -> bool {
+    fn is_known_path(path: &str) -> bool {
         let inner = format!("{path}/");
         path.is_empty()
             || Self::TABLE
@@ -152,15 +152,15 @@
 }
 
 /// Reads the text of every value in the file, by the path of its element; empty where it has none.
-fn read_values(text: &str) -> Result<HashMap<String, String>, SettingsError> {
+fn parse_values(text: &str) -> Result<HashMap<String, String>, SettingsError> {
     let mut reader = Reader::from_str(text);
     let mut values = OptionValues::default();
     loop {
-        match reader.read_event().map_err(|e| not_xml(&e))? {
+        match reader.read_event().map_err(|e| invalid_xml(&e))? {
             Event::Start(tag) => values.open(&tag)?,
             Event::Empty(tag) => values.empty(&tag)?,
             Event::End(_) => values.close(),
-            Event::Text(text) => values.text(&text.unescape().map_err(|e| not_xml(&e))?)?,
+            Event::Text(text) => values.text(&text.unescape().map_err(|e| invalid_xml(&e))?)?,
             Event::Eof => return values.finish(),
             _ => {}
         }
@@ -168,7 +168,7 @@
 }
 
 /// A fault of the XML text, in one line.
-fn not_xml(xml_error: &dyn std::fmt::Display) -> SettingsError {
+fn invalid_xml(xml_error: &dyn std::fmt::Display) -> SettingsError {
     SettingsError::Xml(xml_error.to_string().replace('\n', " "))
 }
 
@@ -193,7 +193,7 @@
         self.any_element = true;
         let name = String::from_utf8_lossy(tag.name().as_ref()).into_owned();
         self.open_elements.push(name);
-        if self.open_elements[0] == ROOT && Options::is_on_a_path(&self.path()) {
+        if self.open_elements[0] == ROOT && Options::is_known_path(&self.path()) {
             return Ok(());
         }
         Err(SettingsError::UnknownElement(self.open_elements.join("/")))
@@ -235,7 +235,7 @@
         if self.open_elements.is_empty() && self.any_element {
             return Ok(self.by_path);
         }
-        let what = "no complete <quillbend> element";
-        Err(SettingsError::Xml(what.to_owned()))
+        let message = "no complete <quillbend> element";
+        Err(SettingsError::Xml(message.to_owned()))
     }
 }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 /// Least time between a worker's lease and the end of a cancellation, seconds: room for a lease on blocks.
-const MIN_LEASE_ROOM_S: f64 = 5.0;
+const MIN_CANCEL_AFTER_LEASE_S: f64 = 5.0;
 
 /// Another controller of this cell.
 #[derive(Debug, Clone, Deserialize)]
@@ -55,7 +55,7 @@
     ///
     /// Guards against a guest team without a guarantee, which comes with a limit of 0: every job of it
     /// was refused as one that can never run, although it may borrow whatever is unused.
-    fn lift_zero_limits(&mut self) {
+    fn treat_zero_as_unlimited(&mut self) {
         for limit in [&mut self.cpus_max, &mut self.gpus_max] {
             if *limit <= 0.0 {
                 *limit = f64::INFINITY;
@@ -112,7 +112,7 @@
 
 /// What the deployment promises and allows.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Params {
+pub struct DeploymentParams {
     /// Number of controllers.
     pub count: usize,
     /// Zones.
@@ -157,7 +157,7 @@
     /// Addresses of the services outside.
     pub external: External,
     /// The rest.
-    pub settings: Params,
+    pub settings: DeploymentParams,
 }
 
 impl Platform {
@@ -166,14 +166,14 @@
     /// # Errors
     ///
     /// [`SettingsError::Platform`] for text that is not as expected, or a value out of its range;
-    /// [`SettingsError::NoLease`] if the times leave no room for a lease on blocks.
+    /// [`SettingsError::CancelTimeTooShort`] if the times leave no room for a lease on blocks.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let mut platform: Platform =
-            toml::from_str(text).map_err(|toml_error| in_one_line(text, &toml_error))?;
+            toml::from_str(text).map_err(|toml_error| invalid_toml(text, &toml_error))?;
         platform.check()?;
-        platform.settings.state.keep_to_next();
+        platform.settings.state.apply_next_limits();
         let teams = &mut platform.settings.teams;
-        teams.iter_mut().for_each(Team::lift_zero_limits);
+        teams.iter_mut().for_each(Team::treat_zero_as_unlimited);
         Ok(platform)
     }
 
@@ -182,11 +182,11 @@
             return Err(SettingsError::Platform("host_name is empty".to_owned()));
         }
         self.check_addresses()?;
-        self.settings.check_amounts()?;
+        self.settings.check_positive_values()?;
         self.settings.state.check_txn_ops()?;
         self.settings.state.check_next()?;
         self.settings.check_teams()?;
-        self.settings.workers.check_lease_room()
+        self.settings.workers.check_cancel_time()
     }
 
     fn check_addresses(&self) -> Result<(), SettingsError> {
@@ -209,9 +209,9 @@
     }
 }
 
-impl Params {
-    fn check_amounts(&self) -> Result<(), SettingsError> {
-        for (name, amount) in [
+impl DeploymentParams {
+    fn check_positive_values(&self) -> Result<(), SettingsError> {
+        for (name, value) in [
             ("workers.report_s", self.workers.heartbeat_s),
             ("workers.lease_s", self.workers.lease_s),
             ("workers.cancel_s", self.workers.cancel_s),
@@ -220,34 +220,34 @@
             ("state.value_kb", self.state.value_kb),
             ("cloud.rps", self.cloud.rps),
         ] {
-            check_positive(name, amount)?;
+            check_positive(name, value)?;
         }
         Ok(())
     }
 
     fn check_teams(&self) -> Result<(), SettingsError> {
         // Not `<`: a limit that is no number is refused as well.
-        let good = |team: &Team| team.cpus_max >= 0.0 && team.gpus_max >= 0.0;
-        if self.teams.iter().all(good) {
+        let is_valid = |team: &Team| team.cpus_max >= 0.0 && team.gpus_max >= 0.0;
+        if self.teams.iter().all(is_valid) {
             return Ok(());
         }
-        let what = "teams: limits must not be negative";
-        Err(SettingsError::Platform(what.to_owned()))
+        let message = "teams: limits must not be negative";
+        Err(SettingsError::Platform(message.to_owned()))
     }
 }
 
 impl Workers {
-    fn check_lease_room(&self) -> Result<(), SettingsError> {
+    fn check_cancel_time(&self) -> Result<(), SettingsError> {
         let (cancel_s, lease_s) = (self.cancel_s, self.lease_s);
-        if cancel_s < lease_s + MIN_LEASE_ROOM_S {
-            return Err(SettingsError::NoLease { cancel_s, lease_s });
+        if cancel_s < lease_s + MIN_CANCEL_AFTER_LEASE_S {
+            return Err(SettingsError::CancelTimeTooShort { cancel_s, lease_s });
         }
         Ok(())
     }
 }
 
 /// What is wrong with the TOML text, and in which line.
-fn in_one_line(text: &str, toml_error: &toml::de::Error) -> SettingsError {
+fn invalid_toml(text: &str, toml_error: &toml::de::Error) -> SettingsError {
     let line_of = |offset: usize| text[..offset.min(text.len())].matches('\n').count() + 1;
     let message = toml_error.message();
     SettingsError::Platform(match toml_error.span() {
--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -47,7 +47,7 @@
     ///
     /// Guards against a limit that falls between two writes: from its start a controller writes
     /// nothing that either of the two would refuse.
-    pub(super) fn keep_to_next(&mut self) {
+    pub(super) fn apply_next_limits(&mut self) {
         let next = &self.next;
         let smaller = |now: f64, next: Option<f64>| next.map_or(now, |next| now.min(next));
         self.rps = smaller(self.rps, next.rps);
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,18 +1,18 @@
 //! Unit tests of `settings`.
 
-use super::durations::DRIFT;
+use super::durations::MAX_CLOCK_DRIFT_RATIO;
 use super::{Options, Platform, Settings, SettingsError, StateLimits, Workers};
 
 /// A small deployment used by the tests.
 pub(crate) const PLATFORM: &str = include_str!("../../tests/support/platform.toml");
 
-pub(crate) fn small() -> Settings {
+pub(crate) fn small_settings() -> Settings {
     Settings::new(Platform::parse(PLATFORM).expect("good"), Options::default())
 }
 
 #[test]
-fn block_lease_and_worker_lease_end_before_a_cancellation_is_due() {
-    let s = small();
+fn block_lease_and_worker_lease_end_before_the_cancellation_deadline() {
+    let s = small_settings();
     assert!(s.block_lease_ms() < 30_000);
     let w = &s.platform.settings.workers;
     assert!(s.block_lease_ms() as f64 + w.lease_s * 1000.0 <= w.cancel_s * 1000.0 - 1000.0);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_times_of_every_proof_add_up_whatever_the_deployment() {
+fn derived_times_satisfy_the_safety_argument_in_every_deployment() {
     // Controllers, machines, sockets, report, lease and cancellation in seconds, value in KiB.
     for (count, machines, sockets, report_s, lease_s, cancel_s, value_kb) in [
         (3, 32, 1500, 2.0, 12.0, 37.0, 4.0),
@@ -37,7 +37,7 @@
         (5, 1830, 4101, 5.0, 26.5, 51.5, 4.0),
         (3, 1830, 3282, 5.0, 26.5, 56.5, 32.0),
     ] {
-        let mut s = small();
+        let mut s = small_settings();
         let p = &mut s.platform.settings;
         (p.count, p.state.value_kb) = (count, value_kb);
         p.resources.max_sockets = Some(sockets);
@@ -47,28 +47,28 @@
             cancel_s,
         };
         let (lease, cancel) = ((lease_s * 1000.0) as u64, (cancel_s * 1000.0) as u64);
-        let slow = |ms: u64| (ms as f64 * (1.0 + DRIFT / 2.0)) as u64;
+        let slow = |ms: u64| (ms as f64 * (1.0 + MAX_CLOCK_DRIFT_RATIO / 2.0)) as u64;
         // A holder that is cut off ends before its lease does, on whichever clock, and its
         // workers after it before a cancellation is due.
         assert!(slow(s.authority_ms()) < s.block_lease_ms());
         assert!(s.block_lease_ms() + slow(lease) + 1000 < cancel);
         // Who counts a worker's lease, or an unfenced machine's and then the worker's, counts enough.
-        assert!(s.worker_gone_ms() > slow(lease));
-        assert!(s.unfenced_gone_ms() > slow(s.block_lease_ms()) + slow(lease));
+        assert!(s.worker_expiry_ms() > slow(lease));
+        assert!(s.unfenced_expiry_ms() > slow(s.block_lease_ms()) + slow(lease));
         // An answer that waits reaches a worker before it gives up, and several reports fit
         // into its lease.
-        assert!(s.answer_wait_ms() <= 3000);
-        assert!(s.heartbeat_due_ms() * 2 < lease);
+        assert!(s.max_ack_delay_ms() <= 3000);
+        assert!(s.max_heartbeat_gap_ms() * 2 < lease);
         // One that is left alone has room for all workers and as many users.
-        assert!(s.connections() > machines + 300, "{machines} machines");
-        assert!(s.open_tasks() * 14 < s.value_bytes());
+        assert!(s.max_connections() > machines + 300, "{machines} machines");
+        assert!(s.max_open_tasks() * 14 < s.max_value_bytes());
     }
 }
 
 #[test]
-fn a_bad_platform_file_says_what_is_wrong_in_one_line() {
+fn platform_file_errors_name_the_setting_in_one_line() {
     let e = Platform::parse(&PLATFORM.replace("cancel_s = 37.0", "cancel_s = 13.0"));
-    assert!(matches!(e, Err(SettingsError::NoLease { .. })));
+    assert!(matches!(e, Err(SettingsError::CancelTimeTooShort { .. })));
     let e = Platform::parse(&PLATFORM.replace("127.0.0.1:18091", "state"))
         .expect_err("no address")
         .to_string();
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn options_have_defaults_ranges_and_errors_that_name_the_element() {
+fn options_have_defaults_and_errors_that_name_the_element() {
     let o = Options::parse("<quillbend><balance><period-s> 2.5 </period-s></balance></quillbend>");
     assert_eq!(
         o.map(|o| (o.balance_period_s, o.balance_tolerance)),
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn writes_keep_to_the_smaller_of_the_present_and_the_coming_limits() {
+fn state_limits_are_the_smaller_of_current_and_announced_ones() {
     let with = |next: &str| {
         let text = PLATFORM.replace("txn_ops = 12\n", &format!("txn_ops = 12\n{next}"));
         Platform::parse(&text).map(|p| p.settings.state)
--- a/src/spillover/borrowing.rs
+++ b/src/spillover/borrowing.rs
@@ -129,7 +129,7 @@
             }
             let done = self.replica.done_tasks(job.done.clone());
             let mut record = job.record(done, JobStatus::Cancelled);
-            record.shorten(self.settings.value_bytes());
+            record.shorten(self.settings.max_value_bytes());
             let key = job_key(name);
             if !batch.add(self.precondition(&key), put(&key, &record, None)) {
                 break;
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -134,7 +134,7 @@
         record.bring_home(self.replica.done_tasks(done));
         let key = job_key(self.replica.names.jobs.name(job_id));
         let mutation = put(&key, &record, None);
-        (mutation.value_bytes() <= self.settings.value_bytes()).then_some(mutation)
+        (mutation.value_bytes() <= self.settings.max_value_bytes()).then_some(mutation)
     }
 
     /// Recalls loans of which nothing is heard, that were declined, or that wait in vain while there is
@@ -275,7 +275,7 @@
         record.lend(&cell.name, token, settings.terms_for(cell));
         let mutation = put(&job_key(name), &record, None);
         // It must still fit when it is marked as recalled.
-        let fits = mutation.value_bytes() + RECALL_MARK_BYTES <= self.settings.value_bytes();
+        let fits = mutation.value_bytes() + RECALL_MARK_BYTES <= self.settings.max_value_bytes();
         fits.then_some((job_id, mutation))
     }
 }
--- a/src/spillover/offers.rs
+++ b/src/spillover/offers.rs
@@ -56,7 +56,7 @@
         let reason = self.reason_to_refuse(from, offer, now);
         let decision = reason.map_or(Decision::Accepted, Decision::Refused);
         let record = self.borrowed_record(from, offer, decision);
-        if !self.fits_state(&record) {
+        if !self.fits_value_limit(&record) {
             return OfferPlan::Answer(Decision::Later(Reason::NeverRuns));
         }
         let archived_revision = archived.map_or(0, |archived| archived.mod_revision);
@@ -183,7 +183,9 @@
             Some(Reason::BorrowsNothing)
         } else if (lease_s * 1000.0) as u64 > offer.terms.worker_lease_ms {
             Some(Reason::WorkerLease)
-        } else if self.replica.format < SPILLOVER_FORMAT || self.never_runs(&offer.spec).is_some() {
+        } else if self.replica.format < SPILLOVER_FORMAT
+            || self.unrunnable_reason(&offer.spec).is_some()
+        {
             Some(Reason::NeverRuns)
         } else if !reached {
             Some(Reason::Unreachable)
--- a/src/spillover/serving.rs
+++ b/src/spillover/serving.rs
@@ -99,7 +99,7 @@
         let job = self.replica.jobs.get(&job_id)?;
         let mut record = job.record(Default::default(), JobStatus::Done);
         record.bring_home(self.replica.done_tasks(RangeSet::all(job.spec.task_count)));
-        record.shorten(self.settings.value_bytes());
+        record.shorten(self.settings.max_value_bytes());
         let key = job_key(self.replica.names.jobs.name(job_id));
         Some(put(&key, &record, None))
     }
--- a/src/stealing/messages.rs
+++ b/src/stealing/messages.rs
@@ -34,7 +34,7 @@
     ) -> Option<StealMessage> {
         // In a large fleet nobody who has nothing learns of it before hundreds have been asked:
         // hops without end would take the controllers more time than all heartbeats together.
-        if f64::from(hops) > self.settings.options.balance_hops_most {
+        if f64::from(hops) > self.settings.options.balance_max_hops {
             return None;
         }
         let factors = self.stealing_factors();
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -4,8 +4,8 @@
 mod support;
 
 use quillbend::controller::CommitOutcome;
-use quillbend::jobs::chained::Predecessor;
-use quillbend::jobs::gradual::{Step, Stored, plan_step};
+use quillbend::jobs::dependent::PredecessorState;
+use quillbend::jobs::incremental::{AcceptanceStep, StoredWaitingJob, plan_acceptance_step};
 use quillbend::jobs::new_record;
 use quillbend::protocol::{JobSpec, JobStatus, Priority};
 use quillbend::replica::{job_key, past_key, waiting_key};
@@ -303,10 +303,10 @@
         w.run(1000);
         // Decided on what controller 0 shows; carried out after the other has changed the key.
         let controller = w.controller(0);
-        let named = vec![(first.clone(), controller.replica.predecessor(&first))];
+        let named = vec![(first.clone(), controller.replica.predecessor_state(&first))];
         let record = quillbend::jobs::new_record(w.spec(1), w.now);
         let planned =
-            quillbend::jobs::chained::plan_acceptance("wk-000002", record, named, &w.settings);
+            quillbend::jobs::dependent::plan_acceptance("wk-000002", record, named, &w.settings);
         if cancelled {
             w.cancel(&first);
         } else {
@@ -346,7 +346,7 @@
         None
     );
     let record = quillbend::jobs::new_record(w.spec(1), w.now);
-    let ordinary = quillbend::jobs::accept(&second, &record);
+    let ordinary = quillbend::jobs::accept_transaction(&second, &record);
     assert!(matches!(
         w.state.commit(&ordinary),
         CommitOutcome::Conflict(_)
@@ -364,7 +364,7 @@
 fn what_is_needed_is_not_archived_and_a_new_leader_or_a_full_read_loses_nothing() {
     let mut w = World::settled(22, 3, 6);
     // What is over is archived at once, also while others wait to run.
-    w.settings.options.jobs_kept = 0.0;
+    w.settings.options.max_final_jobs = 0.0;
     (0..3).for_each(|i| w.start(i));
     w.run(8000);
     w.run_ms = 3000;
@@ -476,28 +476,30 @@
 
 /// The next write by which controller 0 accepts a job that names these; what was written before is
 /// known to it.
-fn next_step(w: &World, name: &str, spec: &JobSpec, awaits: &[String]) -> Step {
+fn next_step(w: &World, name: &str, spec: &JobSpec, awaits: &[String]) -> AcceptanceStep {
     let replica = &w.controller(0).replica;
     let archived = |name: &str| match w.job(name).map(|j| j.status) {
-        Some(JobStatus::Done) => Predecessor::Done,
-        Some(JobStatus::Cancelled) => Predecessor::Cancelled,
-        _ => Predecessor::Unwatched,
+        Some(JobStatus::Done) => PredecessorState::Done,
+        Some(JobStatus::Cancelled) => PredecessorState::Cancelled,
+        _ => PredecessorState::NotInReplica,
     };
-    let known = |name: &String| match replica.predecessor(name) {
-        Predecessor::Unwatched => archived(name),
+    let known = |name: &String| match replica.predecessor_state(name) {
+        PredecessorState::NotInReplica => archived(name),
         shown => shown,
     };
     let named: Vec<_> = awaits.iter().map(|a| (a.clone(), known(a))).collect();
-    let stored = replica.incomplete_waiting(name).map(|waiting| Stored {
-        record: &waiting.record,
-        mod_revision: waiting.mod_revision,
-    });
+    let stored = replica
+        .incomplete_waiting(name)
+        .map(|waiting| StoredWaitingJob {
+            record: &waiting.record,
+            mod_revision: waiting.mod_revision,
+        });
     let record = new_record(spec.clone(), w.now);
-    plan_step(name, &record, &named, stored, &w.settings).expect("planned")
+    plan_acceptance_step(name, &record, &named, stored, &w.settings).expect("planned")
 }
 
 /// Twenty jobs that run, and the first write of a job that names them all, carried out.
-fn begun_gradually(seed: u64) -> (World, Vec<String>, Step) {
+fn begun_gradually(seed: u64) -> (World, Vec<String>, AcceptanceStep) {
     let few = PLATFORM.replace("txn_ops = 12", "txn_ops = 4");
     let mut w = World::with_platform(seed, 3, 6, &few);
     w.run(8000);
@@ -506,7 +508,7 @@
     w.run(3000);
     w.note_submission("wk-000099", w.spec(1), &awaits);
     let step = next_step(&w, "wk-000099", &w.spec(1), &awaits);
-    let Step::Incomplete(transaction) = &step else {
+    let AcceptanceStep::Incomplete(transaction) = &step else {
         panic!("{step:?}")
     };
     assert!(matches!(
@@ -538,11 +540,11 @@
     w.run(8000);
     assert_eq!(w.starts_of(&job), 0, "it is incomplete");
     let last = next_step(&w, &job, &w.spec(1), &awaits);
-    let Step::Complete(transaction) = last else {
+    let AcceptanceStep::Complete(transaction) = last else {
         panic!("{last:?}")
     };
     // The first write arrives late once more.
-    let Step::Incomplete(first) = first else {
+    let AcceptanceStep::Incomplete(first) = first else {
         panic!("{first:?}")
     };
     assert!(matches!(w.state.commit(&first), CommitOutcome::Conflict(_)));
@@ -572,7 +574,7 @@
     w.until(200_000, "what it named is archived", |w| {
         awaits.iter().all(|j| archived(w, j))
     });
-    let Step::Incomplete(first) = first else {
+    let AcceptanceStep::Incomplete(first) = first else {
         panic!("{first:?}")
     };
     assert!(matches!(w.state.commit(&first), CommitOutcome::Conflict(_)));
@@ -587,7 +589,7 @@
     assert!(matches!(w.cancel(&awaits[3]), CommitOutcome::Done(_)));
     w.run(500);
     let step = next_step(&w, &job, &w.spec(1), &awaits);
-    let Step::Cancelled(transaction) = step else {
+    let AcceptanceStep::Cancelled(transaction) = step else {
         panic!("{step:?}")
     };
     assert!(matches!(
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -581,7 +581,9 @@
         }
         // A repeat of the submission is refused by what is there, also once that was moved.
         let again = quillbend::jobs::new_record(w.spec(2), w.now);
-        let again = w.state.commit(&quillbend::jobs::accept(&job, &again));
+        let again = w
+            .state
+            .commit(&quillbend::jobs::accept_transaction(&job, &again));
         assert!(matches!(again, CommitOutcome::Conflict(_)));
         let last = w.poll_status(0, &job).expect("answered");
         match outcome {
--- a/tests/recovery_at_night.rs
+++ b/tests/recovery_at_night.rs
@@ -22,7 +22,7 @@
     let mut giant = w.spec(3000);
     (giant.team, giant.priority) = ("guest".into(), Priority::BestEffort);
     (giant.cpus, giant.memory_gb) = (0.25, 0.1);
-    assert_eq!(w.controller(0).never_runs(&giant), None);
+    assert_eq!(w.controller(0).unrunnable_reason(&giant), None);
     let giant = w.submit(1, giant);
     begins_within(&mut w, &giant, 10_000);
     w.until(10_000, "it borrows the whole fleet", |w| {
@@ -77,7 +77,7 @@
 fn a_guests_oversized_tasks_do_not_bounce_between_machines() {
     // DESIGN: a guest team's oversized task overshoots the thief and bounces back.
     let mut w = World::settled(3, 3, 6);
-    w.settings.options.queue_ahead_s = 60.0;
+    w.settings.options.queue_max_wait_s = 60.0;
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
     w.run(9000);
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -237,7 +237,7 @@
     let job = w.submit(1, w.spec(1));
     w.until(30_000, "done", |w| w.is_done(&job));
     let record = w.job(&job).expect("known");
-    let stale = quillbend::jobs::cancel(&job, &record, 1, w.settings.value_bytes());
+    let stale = quillbend::jobs::cancel_transaction(&job, &record, 1, w.settings.max_value_bytes());
     assert!(matches!(w.state.commit(&stale), CommitOutcome::Conflict(_)));
     w.run(10_000);
     assert!(w.is_done(&job), "also after it left the watched part");
@@ -318,7 +318,7 @@
 #[test]
 fn packs_move_from_heavy_to_light_machines_and_run_once() {
     let mut w = settled(17, 2);
-    w.settings.options.queue_ahead_s = 600.0;
+    w.settings.options.queue_max_wait_s = 600.0;
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
     w.until(20_000, "a leader", |w| w.leader().is_some());
@@ -336,7 +336,7 @@
 #[test]
 fn a_pending_conclusion_is_dropped_with_its_fencing_token() {
     let mut w = settled(21, 1);
-    w.settings.options.queue_ahead_s = 600.0;
+    w.settings.options.queue_max_wait_s = 600.0;
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
     w.until(20_000, "a leader", |w| w.leader().is_some());
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -106,7 +106,7 @@
             let controllers = world.controllers.len();
             world.settings.spillover = Some(spillover_settings(cell, &others, controllers));
             // What is over leaves the watched keys at once.
-            world.settings.options.jobs_kept = 0.0;
+            world.settings.options.max_final_jobs = 0.0;
             // What is there stays there.
             world.settings.options.fleet_idle_s = 3600.0;
             (0..controllers).for_each(|i| world.start(i));
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -243,7 +243,7 @@
                 };
                 let done = replica.jobs.get(&index).map_or(0, |job| job.done.len());
                 let answer =
-                    jobs::answer(job, status, done, node.controller.running_task_count(index));
+                    jobs::job_answer(job, status, done, node.controller.running_task_count(index));
                 feed(self.origin(controller), Kind::UserAnswer, &json(&answer));
             }
         }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use quillbend::clock::Timestamp;
 use quillbend::controller::{CommitOutcome, Controller, Effect, HeartbeatResponse, WriteKind};
 use quillbend::jobs;
-use quillbend::jobs::chained::{self, Acceptance, Predecessor, plan_acceptance};
+use quillbend::jobs::dependent::{self, Acceptance, PredecessorState, plan_acceptance};
 use quillbend::protocol::{
     Catalog, CloudMachine, Command, ExitReason, Heartbeat, JobKind, JobSpec, JobStatus,
     MachineNames, Mutation, PeerMessage, Priority, Transaction,
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -1,9 +1,9 @@
 //! What users do, and what they are told.
 
 use super::{
-    Acceptance, BlockRecord, CommitOutcome, JobKind, JobRecord, JobSpec, JobStatus, Predecessor,
-    Priority, StoreFault, Transaction, WaitingRecord, World, chained, digest, job_key, jobs,
-    past_key, plan_acceptance, waiting_key,
+    Acceptance, BlockRecord, CommitOutcome, JobKind, JobRecord, JobSpec, JobStatus,
+    PredecessorState, Priority, StoreFault, Transaction, WaitingRecord, World, dependent, digest,
+    job_key, jobs, past_key, plan_acceptance, waiting_key,
 };
 
 impl World {
@@ -66,7 +66,7 @@
     pub fn submit(&mut self, n: u32, spec: JobSpec) -> String {
         let name = format!("wk-{n:06}");
         self.specs.insert(name.clone(), spec.clone());
-        let transaction = jobs::accept(&name, &jobs::new_record(spec, self.now));
+        let transaction = jobs::accept_transaction(&name, &jobs::new_record(spec, self.now));
         digest::transaction(self.origin(0), &transaction);
         assert!(
             matches!(self.state.commit(&transaction), CommitOutcome::Done(_)),
@@ -93,14 +93,14 @@
             return None;
         }
         let named = awaits.iter().map(|a| {
-            let shown = controller.replica.predecessor(a);
+            let shown = controller.replica.predecessor_state(a);
             let archived = || match self.job(a).map(|j| j.status) {
-                Some(JobStatus::Done) => Predecessor::Done,
-                Some(JobStatus::Cancelled) => Predecessor::Cancelled,
-                _ => Predecessor::Unwatched,
+                Some(JobStatus::Done) => PredecessorState::Done,
+                Some(JobStatus::Cancelled) => PredecessorState::Cancelled,
+                _ => PredecessorState::NotInReplica,
             };
             let known = match shown {
-                Predecessor::Unwatched => archived(),
+                PredecessorState::NotInReplica => archived(),
                 shown => shown,
             };
             (a.clone(), known)
@@ -172,12 +172,17 @@
         let transaction = match self.waiting(name) {
             Some(record) => {
                 let mod_revision = self.state.mod_revision(&waiting_key(name));
-                chained::cancel_waiting(name, &record, mod_revision)
+                dependent::cancel_waiting_transaction(name, &record, mod_revision)
             }
             None => {
                 let record = self.job(name).expect("known");
                 let mod_revision = self.state.mod_revision(&job_key(name));
-                jobs::cancel(name, &record, mod_revision, self.settings.value_bytes())
+                jobs::cancel_transaction(
+                    name,
+                    &record,
+                    mod_revision,
+                    self.settings.max_value_bytes(),
+                )
             }
         };
         digest::transaction(self.origin(0), &transaction);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -164,7 +164,7 @@
         jobs.push(w.submit(n, spec));
     }
     w.until(60_000, "all run", |w| w.running() == 460);
-    let most = w.settings.value_bytes();
+    let most = w.settings.max_value_bytes();
     let largest = |w: &World| {
         let blocks = w.state.list("qb/block/").0;
         blocks.iter().map(|b| b.value.size()).max().unwrap_or(0)
@@ -206,9 +206,9 @@
 
 /// Two controllers of this version, one of which leads, and one that reads format 2 as the latest; a
 /// job of 900 small tasks, and machines with room for half of them.
-fn large_job_beside_an_older_version(format_most: f64) -> (World, String) {
+fn large_job_beside_an_older_version(max_written_format: f64) -> (World, String) {
     let mut w = World::in_production(9, 3, 30);
-    w.settings.options.format_most = format_most;
+    w.settings.options.max_written_format = max_written_format;
     w.old_format = CHAINS_FORMAT;
     w.old = vec![false, false, true];
     w.crash(2);
