--- a/src/http/cancellation.rs
+++ b/src/http/cancellation.rs
@@ -1,8 +1,7 @@
-//! Cancelling a job.
+//! Cancellation of jobs.
 //!
-//! A cancellation is one compare-and-swap of the job's value as it was read, so it races in the same key
-//! with a completion, and with a waiting job that becomes an ordinary one. It must never be confirmed
-//! before it is written.
+//! A cancellation is a compare-and-swap on the job's key, which completions also write, and so does the
+//! promotion of a waiting job to an ordinary one. It must never be confirmed before it is committed.
 
 use super::lookup::UnfinishedJob;
 use super::responses::{
@@ -14,16 +13,16 @@
 use crate::store::CommitOutcome;
 use actix_web::HttpResponse;
 
-/// Tries of a cancellation whose precondition failed, because the job's value changed meanwhile.
+/// Maximum attempts at a cancellation; an attempt fails when the job's value changes after it was read.
 const MAX_CANCELLATION_ATTEMPTS: usize = 6;
 
-/// The answer for a job that is over, in this state.
+/// The response for a job in this final state.
 fn final_status_response(name: &str, status: JobStatus) -> HttpResponse {
     HttpResponse::Ok().json(serde_json::json!({ "ref": name, "status": status }))
 }
 
 impl ApiState {
-    /// Cancels a job, unless it is over already; either way the answer says in which state it ended.
+    /// Cancels a job unless it is already final; the response contains its final state in both cases.
     pub(super) async fn cancel(&self, name: &str) -> HttpResponse {
         if let Some(answer) = self.cached_final_state(name) {
             return final_status_response(name, answer.status);
@@ -41,16 +40,19 @@
                 Ok(None) => return no_such_job(),
                 Err(store_error) => return read_failed(&store_error),
             };
-            let Some(open) = found.unfinished else {
+            let Some(unfinished) = found.unfinished else {
                 let answer = self.job_answer(name, found.status, found.done_tasks);
                 return final_status_response(name, answer.status);
             };
-            match self.commit_cancellation(name, &open, value_bytes).await {
+            match self
+                .commit_cancellation(name, &unfinished, value_bytes)
+                .await
+            {
                 CommitOutcome::Done(_) => {
                     let answer = self.job_answer(name, JobStatus::Cancelled, found.done_tasks);
                     return final_status_response(name, answer.status);
                 }
-                // A completion was recorded meanwhile: look again.
+                // The job's value changed after it was read: read it again.
                 CommitOutcome::Conflict(_) => {}
                 CommitOutcome::Refused => return too_many_requests(),
                 CommitOutcome::Unknown | CommitOutcome::NoLease | CommitOutcome::Malformed => {
@@ -61,7 +63,7 @@
         unavailable("the job keeps changing")
     }
 
-    /// Writes a cancellation, and shows it in the own replica at once.
+    /// Commits a cancellation and applies it to the local replica.
     async fn commit_cancellation(
         &self,
         name: &str,
--- a/src/http/cells.rs
+++ b/src/http/cells.rs
@@ -1,7 +1,7 @@
-//! Requests of controllers of other cells: offers of loans and reports about them (spillover).
+//! Requests from controllers of other cells: loan offers and reports about loans (spillover).
 //!
-//! Owns the order of things for a request that writes: it is decided by the controller, written, and only then
-//! answered. A decision must never be answered before it is recorded.
+//! The controller decides on a request, the decision is committed, and only then is the response sent. A
+//! decision must never be sent before it is recorded.
 
 use super::peers::message_pack;
 use super::responses::refuse;
@@ -16,10 +16,10 @@
     CellAnswer, Decision, LoanReport, Offer, OfferAnswer, Reason, RequestBody,
 };
 
-/// Tries of an offer: one more after the archive was read.
+/// Maximum attempts at deciding an offer: a second one after the archive was read.
 const MAX_OFFER_ATTEMPTS: usize = 2;
 
-/// `POST /cell`: takes a request of another cell, or one that a controller of this cell relays.
+/// `POST /cell`: handles a request from another cell, or one relayed by a controller of this cell.
 pub(super) async fn cell(
     request: HttpRequest,
     api_state: web::Data<ApiState>,
@@ -46,7 +46,7 @@
 }
 
 impl ApiState {
-    /// Answers a request that is not refused.
+    /// Handles a request that passed `refuse_cell_request`.
     async fn answer_cell(&self, request: &CellRequest) -> CellAnswer {
         match &request.body {
             RequestBody::Offer(offers) if self.is_acting_leader() => {
@@ -66,14 +66,14 @@
         self.shared.controller.lock().answer_cell(request, now)
     }
 
-    /// Whether this controller is the leader and may act as such now.
+    /// Whether this controller is the leader and has authority to act.
     fn is_acting_leader(&self) -> bool {
         let now = self.shared.now();
         let controller = self.shared.controller.lock();
         controller.leads().is_some() && controller.has_authority(now)
     }
 
-    /// Records the outcomes of loans that a borrower reports. What fails is reported again.
+    /// Records loan outcomes reported by a borrower. The borrower repeats the report if a write fails.
     async fn record_loan_ends(&self, from: &str, reports: &[LoanReport]) {
         let now = self.shared.now();
         let transactions = self
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Decides about one offer, and records the decision.
+    /// Decides on one offer and records the decision.
     async fn decide_offer(&self, from: &str, offer: &Offer<JobSpec>) -> Decision {
         let mut archived = None;
         for _ in 0..MAX_OFFER_ATTEMPTS {
@@ -123,7 +123,7 @@
         Decision::Later(Reason::State)
     }
 
-    /// Reads a job that is over from the archive; none if it is not there or cannot be read.
+    /// Reads a job from the archive; `None` if it is missing or cannot be read.
     async fn archived_job(&self, job: &str) -> Option<Archived> {
         let item = self.store.read(&past_key(job), READ_TIMEOUT).await.ok()??;
         Some(Archived {
--- a/src/http/dependent_submission.rs
+++ b/src/http/dependent_submission.rs
@@ -1,15 +1,15 @@
-//! Submissions that name other jobs which have to be done first (job dependencies).
+//! Submission of jobs with predecessors (job dependencies).
 //!
-//! Owns the loop of reading the predecessors, planning a write and committing it, until the job is accepted.
-//! What is known of a predecessor must be at least as new as the request, and every write must hold on to it by
-//! preconditions: a predecessor that changes in between fails the write, and it is planned again.
+//! Reads the predecessors, plans a write and commits it, in a loop until the job is accepted. The state of a
+//! predecessor must be at least as new as the request, and every write has preconditions on the
+//! predecessors' keys: if one of them changes in between, the write fails and is planned again.
 
 use super::responses::{read_failed, refuse, unavailable};
 use super::submission::{NewJob, failed_write_response};
 use super::{ApiState, READ_TIMEOUT};
 use crate::controller::Controller;
 use crate::jobs::dependent::{Acceptance, DependencyError, PredecessorState, plan_acceptance};
-use crate::jobs::incremental::{AcceptanceStep, StoredWaitingJob, plan_acceptance_step};
+use crate::jobs::incremental::{AcceptanceStep, StoredWaitingJob, plan_next_write};
 use crate::protocol::{JobStatus, Transaction};
 use crate::records::Encoding;
 use crate::store::{CommitOutcome, StoreError};
@@ -18,18 +18,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Tries of an acceptance whose preconditions failed, because a predecessor changed meanwhile.
+/// Maximum attempts at an acceptance; an attempt fails when a predecessor changes after it was read.
 const MAX_ACCEPTANCE_ATTEMPTS: usize = 5;
-/// Longest time for accepting a job that names others; users wait 5 s (PROTOCOL, submissions).
+/// Timeout for accepting a job with predecessors; users wait 5 s for a response (PROTOCOL, submissions).
 const ACCEPTANCE_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// The next write of a submission that names other jobs.
+/// The next write of a submission with predecessors.
 enum PlannedWrite {
-    /// The job is accepted with it, in this state.
+    /// Accepts the job, in this state.
     Accept(Transaction, JobStatus),
-    /// The job waits and is accepted with it.
+    /// Accepts the job as waiting for its predecessors.
     AcceptWaiting(Transaction),
-    /// More writes follow.
+    /// Stores part of the predecessors; more writes follow.
     Continue(Transaction),
 }
 
@@ -65,13 +65,13 @@
     }
 }
 
-/// Why a chained submission is refused, unless its job is known.
+/// Why a submission with predecessors is refused, if its job was not accepted before.
 #[derive(Debug, thiserror::Error)]
 enum DependentJobRefusal {
-    /// It can never run.
+    /// The job can never run.
     #[error(transparent)]
     NeverRuns(#[from] DependencyError),
-    /// It would wait for others, which a controller of an older version cannot read.
+    /// The job would have to wait for predecessors, which a controller of an older version cannot read.
     #[error("a controller still runs an older version")]
     OlderVersion,
 }
@@ -86,26 +86,26 @@
     }
 }
 
-/// What became of one write of a chained submission.
+/// The result of one write of a submission with predecessors.
 enum AcceptanceProgress {
-    /// The submission is answered.
+    /// The submission is complete, with this response.
     Answered(HttpResponse),
-    /// One of several writes is carried out.
+    /// One of several writes is committed.
     Continues,
-    /// A predecessor has changed: the write has to be planned again.
+    /// A predecessor has changed, so the write must be planned again.
     PredecessorChanged,
 }
 
 impl NewJob {
-    /// Plans the next write: the whole acceptance in one, or, where one transaction has too few
-    /// preconditions for all unfinished jobs that it names, a step of a gradual one.
+    /// Plans the next write. If one transaction has too few preconditions for all unfinished predecessors,
+    /// the job is accepted incrementally, in several writes.
     fn plan(
         &self,
         named: &[(String, PredecessorState)],
         controller: &Controller,
     ) -> Result<PlannedWrite, DependencyError> {
         let step = |stored: Option<StoredWaitingJob>, named: &[(String, PredecessorState)]| {
-            plan_acceptance_step(
+            plan_next_write(
                 &self.name,
                 &self.record,
                 named,
@@ -114,10 +114,10 @@
             )
             .map(PlannedWrite::from)
         };
-        if let Some(begun) = controller.replica.incomplete_waiting(&self.name) {
+        if let Some(incomplete) = controller.replica.incomplete_waiting(&self.name) {
             let stored = StoredWaitingJob {
-                record: &begun.record,
-                mod_revision: begun.mod_revision,
+                record: &incomplete.record,
+                mod_revision: incomplete.mod_revision,
             };
             return step(Some(stored), named);
         }
@@ -134,8 +134,8 @@
 }
 
 impl ApiState {
-    /// Accepts a job that names others. What is known of them is at least as new as the request,
-    /// and whatever changes in between fails the preconditions of the transaction.
+    /// Accepts a job with predecessors. Their state is at least as new as the request, and a change in
+    /// between fails the preconditions of the transaction.
     pub(super) async fn submit_dependent(&self, job: NewJob) -> HttpResponse {
         let deadline = Instant::now() + ACCEPTANCE_TIMEOUT;
         let mut attempts = 0;
@@ -157,7 +157,7 @@
         unavailable("the jobs that it names keep changing")
     }
 
-    /// Plans the next write of a chained submission.
+    /// Plans the next write, or refuses it while a controller of an older version runs.
     fn plan_dependent_write(
         &self,
         job: &NewJob,
@@ -175,7 +175,7 @@
         Ok(plan)
     }
 
-    /// Sends one write of a chained submission.
+    /// Commits one planned write.
     async fn commit_dependent_write(
         &self,
         job: &NewJob,
@@ -194,7 +194,7 @@
             (CommitOutcome::Done(revision), PlannedWrite::Accept(transaction, status)) => {
                 self.finish_acceptance(job, transaction, *status, revision)
             }
-            // Either the job is known, or a predecessor has changed.
+            // Either the job was accepted before, or a predecessor has changed.
             (CommitOutcome::Conflict(_), _) => match self.look_up(&job.name).await {
                 Ok(Some(found)) => HttpResponse::Ok().json(self.job_answer(
                     &job.name,
@@ -209,7 +209,7 @@
         AcceptanceProgress::Answered(response)
     }
 
-    /// What is known now of the jobs that a submission names.
+    /// The current states of the jobs that a submission names.
     async fn predecessor_states(
         &self,
         names: &[String],
@@ -221,17 +221,17 @@
             .await?;
         let mut named: Vec<(String, PredecessorState)> = {
             let controller = self.shared.controller.lock();
-            let watched = names
+            let states = names
                 .iter()
                 .map(|name| (name.clone(), controller.replica.predecessor_state(name)));
-            watched.collect()
+            states.collect()
         };
-        // A key moves from the watched part to the archive in one step, and stays there: what the
-        // replica does not show is in the archive or was never accepted.
-        let unwatched = named
+        // A job moves to the archive in one transaction and stays there, so a job that is missing from
+        // the replica is archived or was never accepted.
+        let not_in_replica = named
             .iter_mut()
             .filter(|(_, predecessor)| *predecessor == PredecessorState::NotInReplica);
-        for (name, predecessor) in unwatched {
+        for (name, predecessor) in not_in_replica {
             *predecessor = match self.archived_status(name, deadline).await? {
                 Some(JobStatus::Done) => PredecessorState::Done,
                 Some(_) => PredecessorState::Cancelled,
@@ -241,7 +241,7 @@
         Ok(named)
     }
 
-    /// The final state of a job under no watched key; none if it was never accepted.
+    /// The final state of a job that is not in the replica; `None` if it was never accepted.
     async fn archived_status(
         &self,
         name: &str,
@@ -250,11 +250,14 @@
         if let Some(answer) = self.cached_final_state(name) {
             return Ok(Some(answer.status));
         }
-        let left = deadline.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return Err(StoreError::RateLimited);
         }
-        let archived = self.store.archived(name, left.min(READ_TIMEOUT)).await?;
+        let archived = self
+            .store
+            .archived(name, remaining.min(READ_TIMEOUT))
+            .await?;
         let archived = archived.filter(|record| record.borrowed().is_none());
         Ok(archived.map(|record| record.status))
     }
--- a/src/http/lookup.rs
+++ b/src/http/lookup.rs
@@ -1,8 +1,8 @@
-//! Looking a job up, as of now or later.
+//! Linearizable lookup of a job.
 //!
-//! Owns the rule that an answer is never older than one that any controller gave before: the replica
-//! catches up first, and what it does not show is read from the archive. Loans of other cells are never
-//! shown to this cell's users.
+//! A response is never older than one that any controller gave before: the replica catches up first, and
+//! jobs missing from it are read from the archive. Jobs borrowed from other cells are never shown to this
+//! cell's users.
 
 use super::responses::{read_failed, store_unreachable};
 use super::{ApiState, READ_TIMEOUT};
@@ -14,26 +14,26 @@
 use actix_web::HttpResponse;
 use std::sync::Arc;
 
-/// A job as the state service has it now.
+/// A job as currently stored.
 pub(super) struct FoundJob {
-    /// Its state as users see it.
+    /// The state that users see.
     pub(super) status: JobStatus,
-    /// Tasks done, as all keys together show them.
+    /// Number of done tasks over all keys that list some.
     pub(super) done_tasks: u32,
-    /// Its value, if it is not over and may be cancelled.
+    /// The stored value, if the job is unfinished and can be cancelled.
     pub(super) unfinished: Option<UnfinishedJob>,
 }
 
-/// The value of a job that is not over, with the revision of its key.
+/// The stored value of an unfinished job, with the revision of its key.
 pub(super) enum UnfinishedJob {
-    /// An ordinary job.
+    /// A job without unfinished predecessors.
     Ordinary(Box<JobRecord>, u64),
-    /// A job that waits for others.
+    /// A job that waits for its predecessors.
     Waiting(Arc<WaitingRecord>, u64),
 }
 
 impl UnfinishedJob {
-    /// The transaction that cancels the job; values may have so many bytes.
+    /// The transaction that cancels the job; `value_bytes` limits the size of its value.
     pub(super) fn cancel_transaction(&self, name: &str, value_bytes: usize) -> Transaction {
         match self {
             UnfinishedJob::Ordinary(record, mod_revision) => {
@@ -46,51 +46,51 @@
     }
 }
 
-/// What a replica shows of a job, as this cell's users see it: loans of other cells they do not.
+/// Finds a job in the replica. Jobs borrowed from other cells are hidden from this cell's users.
 fn find_in_replica(replica: &Replica, name: &str) -> Option<FoundJob> {
     let job_id = replica.names.jobs.get(name)?;
     if let Some(job) = replica.jobs.get(&job_id) {
         if job.borrowed().is_some() {
             return None;
         }
-        let open = || {
+        let unfinished = || {
             let record = job.record(replica.done_tasks(job.stored.clone()), job.status);
             UnfinishedJob::Ordinary(Box::new(record), job.mod_revision)
         };
         return Some(FoundJob {
             status: job.status,
             done_tasks: job.done.len(),
-            unfinished: (job.status == JobStatus::Pending).then(open),
+            unfinished: (job.status == JobStatus::Pending).then(unfinished),
         });
     }
     let waiting = replica.accepted_waiting(job_id)?;
-    let open = || UnfinishedJob::Waiting(waiting.record.clone(), waiting.mod_revision);
+    let unfinished = || UnfinishedJob::Waiting(waiting.record.clone(), waiting.mod_revision);
     Some(FoundJob {
         status: waiting.status(),
         done_tasks: 0,
-        unfinished: (!waiting.cancelled).then(open),
+        unfinished: (!waiting.cancelled).then(unfinished),
     })
 }
 
 impl ApiState {
-    /// Looks a job up as of now or later: an answer older than one that any controller gave
-    /// before is impossible.
+    /// Looks up a job. The replica catches up first, so the result is never older than one that any
+    /// controller returned before.
     pub(super) async fn look_up(&self, name: &str) -> Result<Option<FoundJob>, StoreError> {
         let read_index = &self.shared.read_index;
         read_index
             .catch_up(&self.store, self.read_interval, READ_TIMEOUT)
             .await?;
-        let watched = {
+        let in_replica = {
             let controller = self.shared.controller.lock();
             if controller.replica.is_unreadable(name) {
                 return Err(StoreError::InvalidResponse(format!("the value of {name}")));
             }
             find_in_replica(&controller.replica, name)
         };
-        if watched.is_some() {
-            return Ok(watched);
+        if in_replica.is_some() {
+            return Ok(in_replica);
         }
-        // It left the watched part, or was never accepted.
+        // The job was archived, or was never accepted.
         let archived = self.store.archived(name, READ_TIMEOUT).await?;
         let archived = archived.filter(|record| record.borrowed().is_none());
         Ok(archived.map(|record| FoundJob {
@@ -100,7 +100,7 @@
         }))
     }
 
-    /// The answer to a user about a job in this state; a final state is remembered.
+    /// The response for a job in this state; final states are cached.
     pub(super) fn job_answer(&self, name: &str, status: JobStatus, done: u32) -> JobAnswer {
         let running = {
             let controller = self.shared.controller.lock();
@@ -112,13 +112,13 @@
         answer
     }
 
-    /// The final state of a job, if it is remembered.
+    /// The final state of a job, if it is cached.
     pub(super) fn cached_final_state(&self, name: &str) -> Option<JobAnswer> {
         self.shared.final_states.lock().get(name).cloned()
     }
 
-    /// Answers for a job if it is known, and with `refusal` if not. Known jobs are answered for before
-    /// any judgement that could refuse them: a repeated submission is idempotent.
+    /// Responds with the job's state if it was accepted, and with `refusal` otherwise. A submission of a job
+    /// that is already accepted must not be refused: submissions are idempotent.
     pub(super) async fn answer_if_known_or(
         &self,
         name: &str,
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,10 +1,10 @@
-//! HTTP: users, workers and health checks on the public address; peers, other cells and operators on
+//! HTTP API: users, workers and health checks on the public address; peers, other cells and operators on
 //! the peer address.
 //!
-//! Owns the routes and what all handlers share. Handlers read a request, ask the controller or the state
-//! service, and put the answer into words; they decide nothing about jobs, tasks or machines. A lock must
-//! never be held across an await, and no job may be answered for from a replica that is older than an
-//! answer given before ([`ReadIndex`](crate::store::read_index::ReadIndex)).
+//! Owns the routes and the state that all handlers share. Handlers parse a request, call the controller or
+//! the key-value store and serialize the response; they make no decisions about jobs, tasks or machines. A
+//! lock must never be held across an await, and a job's state must never be older than one in an earlier
+//! response ([`ReadIndex`](crate::store::read_index::ReadIndex)).
 
 use actix_web::body::MessageBody;
 use actix_web::dev::{ServiceRequest, ServiceResponse};
@@ -27,23 +27,23 @@
 mod users;
 mod workers;
 
-/// Longest wait for a read of the state service.
+/// Timeout of a read from the key-value store.
 const READ_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Longest wait for the outcome of a transaction; after it the outcome is in doubt.
+/// Timeout of a transaction; after it the outcome is in doubt.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Largest body on the public address, bytes.
+/// Maximum size of a request body on the public address, bytes.
 const MAX_PUBLIC_BODY_BYTES: usize = 64 * 1024;
-/// Largest body on the peer address, bytes.
+/// Maximum size of a request body on the peer address, bytes.
 const MAX_PEER_BODY_BYTES: usize = 4 << 20;
 
-/// The body of a request, if it came whole and is not too large.
+/// The body of a request; an error if it is incomplete or too large.
 type BodyResult = Result<web::Bytes, actix_web::Error>;
 
 async fn no_such_path(_: HttpRequest) -> HttpResponse {
     refuse(StatusCode::NOT_FOUND, "no such path")
 }
 
-/// Routes of the public address.
+/// Routes of the public address, for users, workers and health checks.
 pub fn public_routes(
     api_state: ApiState,
 ) -> App<
@@ -67,7 +67,7 @@
         .default_service(web::to(no_such_path))
 }
 
-/// Routes of the peer address.
+/// Routes of the peer address, for peers, other cells and operators.
 pub fn peer_routes(
     api_state: ApiState,
 ) -> App<
--- a/src/http/peers.rs
+++ b/src/http/peers.rs
@@ -1,4 +1,4 @@
-//! Messages of the other controllers of this cell.
+//! Messages from the other controllers of this cell.
 
 use super::responses::{refuse, unavailable};
 use super::{ApiState, BodyResult};
@@ -6,7 +6,7 @@
 use actix_web::http::StatusCode;
 use actix_web::{HttpResponse, web};
 
-/// `POST /peer`: takes a peer's message, and answers with one of this controller.
+/// `POST /peer`: handles a peer message and responds with one from this controller.
 pub(super) async fn peer(api_state: web::Data<ApiState>, body: BodyResult) -> HttpResponse {
     let parsed = body
         .ok()
@@ -15,17 +15,17 @@
         return refuse(StatusCode::BAD_REQUEST, "not a peer's message");
     };
     let now = api_state.shared.now();
-    let answer = api_state
+    let response = api_state
         .shared
         .controller
         .lock()
         .respond_to_peer(message, now);
-    message_pack(&answer)
+    message_pack(&response)
 }
 
-/// An answer in MessagePack, as peers and other cells read it.
-pub(super) fn message_pack(answer: &impl serde::Serialize) -> HttpResponse {
-    match rmp_serde::to_vec_named(answer) {
+/// A response in MessagePack, the encoding between controllers.
+pub(super) fn message_pack(response: &impl serde::Serialize) -> HttpResponse {
+    match rmp_serde::to_vec_named(response) {
         Ok(body) => HttpResponse::Ok().body(body),
         Err(_) => unavailable("no answer"),
     }
--- a/src/http/responses.rs
+++ b/src/http/responses.rs
@@ -1,46 +1,45 @@
-//! Answers that are the same for several requests. Their texts are part of the interface: scripts of
-//! users may look for them.
+//! Responses shared by several handlers. Their texts are part of the API: users' scripts may match them.
 
 use crate::store::StoreError;
 use actix_web::HttpResponse;
 use actix_web::http::StatusCode;
 
-/// Text of the answer while the state service cannot be asked.
+/// Error text while the key-value store is unreachable.
 const STORE_UNREACHABLE: &str = "the state service is out of reach";
 
-/// Refuses a request that cannot be served now, and says when to try again.
+/// An error that may be temporary, with a `Retry-After` header.
 pub(super) fn try_later(status: StatusCode, reason: &str) -> HttpResponse {
     HttpResponse::build(status)
         .insert_header(("Retry-After", "1"))
         .json(serde_json::json!({ "error": reason }))
 }
 
-/// 503: the request may succeed later.
+/// 503: the request may succeed if it is retried.
 pub(super) fn unavailable(reason: &str) -> HttpResponse {
     try_later(StatusCode::SERVICE_UNAVAILABLE, reason)
 }
 
-/// 503: the state service cannot be asked.
+/// 503: the key-value store is unreachable.
 pub(super) fn store_unreachable() -> HttpResponse {
     unavailable(STORE_UNREACHABLE)
 }
 
-/// 503: a transaction was sent, and its outcome is in doubt.
+/// 503: a transaction was sent and its outcome is in doubt.
 pub(super) fn outcome_unknown() -> HttpResponse {
     unavailable("the state service did not answer")
 }
 
-/// 429: the state service has no budget left for this request.
+/// 429: the key-value store's rate limit is used up.
 pub(super) fn too_many_requests() -> HttpResponse {
     try_later(StatusCode::TOO_MANY_REQUESTS, "too many requests")
 }
 
-/// Refuses a request that will not succeed however often it is repeated.
+/// An error that retrying does not resolve.
 pub(super) fn refuse(status: StatusCode, reason: &str) -> HttpResponse {
     HttpResponse::build(status).json(serde_json::json!({ "error": reason }))
 }
 
-/// 400: the body did not come whole, or is too large.
+/// 400: the body is incomplete or too large.
 pub(super) fn bad_body() -> HttpResponse {
     refuse(
         StatusCode::BAD_REQUEST,
@@ -53,7 +52,7 @@
     refuse(StatusCode::NOT_FOUND, "no such job")
 }
 
-/// The answer to a request for which the state service could not be read.
+/// The response when a read from the key-value store failed.
 pub(super) fn read_failed(store_error: &StoreError) -> HttpResponse {
     match store_error {
         StoreError::RateLimited => too_many_requests(),
--- a/src/http/shared.rs
+++ b/src/http/shared.rs
@@ -1,7 +1,7 @@
-//! What the handlers of all requests share with the actors of the runtime.
+//! State that the HTTP handlers share with the actors of the runtime.
 //!
-//! Owns the controller's lock, the cache of final states and the workers that wait for an answer. A lock
-//! must never be held across an await, and no two of them at a time.
+//! Owns the controller's lock, the cache of final states and the delayed acks. A lock must never be held
+//! across an await, and no two locks at a time.
 
 use crate::clock::{Clock, Timestamp};
 use crate::controller::Controller;
@@ -15,36 +15,36 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Shortest time of a request that the histogram can show, microseconds.
+/// Lower bound of the latency histogram, microseconds.
 const MIN_LATENCY_US: u64 = 1;
-/// Longest time of a request that the histogram can show, microseconds.
+/// Upper bound of the latency histogram, microseconds.
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// Significant digits of the times in the histogram.
+/// Significant digits of the latency histogram.
 const LATENCY_DIGITS: u8 = 2;
 
-/// The state of the process that actors and handlers share.
+/// The process-wide state that actors and handlers share.
 pub struct SharedState {
-    /// The controller.
+    /// The scheduler's state machine.
     pub controller: Mutex<Controller>,
-    /// Final states of jobs, which never change.
+    /// Cached final states of jobs, which never change.
     pub final_states: Mutex<FinalStateCache>,
-    /// Requests that wait until the replica has caught up.
+    /// Linearizable reads that wait until the replica has caught up.
     pub read_index: ReadIndex,
-    /// The steady clock and the time of day.
+    /// The monotonic clock and the wall clock.
     pub clock: Box<dyn Clock + Send + Sync>,
-    /// Machines without tasks whose heartbeats are answered later, by name.
+    /// Wakers of the delayed acks to machines without tasks, by machine name.
     pub delayed_acks: Mutex<HashMap<String, oneshot::Sender<()>>>,
-    /// How long requests of users and workers took here, microseconds; answers that wait for a
-    /// task count in full.
+    /// Latencies of requests on the public address, microseconds, including the time for which an ack is
+    /// delayed.
     pub latency: Mutex<Histogram<u64>>,
 }
 
 impl SharedState {
-    /// The shared state of a process that has just begun.
+    /// Creates the state at process start.
     ///
     /// # Panics
     ///
-    /// Never: the bounds of the histogram are constants that it accepts.
+    /// Never: the bounds of the histogram are valid constants.
     pub fn new(controller: Controller, clock: Box<dyn Clock + Send + Sync>) -> Self {
         let latency = Histogram::new_with_bounds(MIN_LATENCY_US, MAX_LATENCY_US, LATENCY_DIGITS);
         Self {
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Now on the steady clock.
+    /// The current time on the monotonic clock.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Answers the heartbeats that waited for what the replica now shows.
+    /// Sends the delayed acks of machines to which the replica now shows bound tasks.
     pub fn wake_delayed_acks(&self) {
         let woken_machines = self.controller.lock().woken_machines();
         if woken_machines.is_empty() {
@@ -71,27 +71,27 @@
         let mut delayed_acks = self.delayed_acks.lock();
         for machine in woken_machines {
             if let Some(waker) = delayed_acks.remove(&machine) {
-                // The worker may have closed the connection: nobody waits then.
+                // The handler is gone if the worker closed the connection.
                 let _ = waker.send(());
             }
         }
     }
 }
 
-/// What each handler is given. Cheap to clone. The client of the state service belongs to one thread,
-/// hence one value a thread, all around the same [`SharedState`].
+/// The state passed to each handler; cheap to clone. The client of the key-value store is bound to one
+/// thread, so each thread has its own value with the same [`SharedState`].
 #[derive(Clone)]
 pub struct ApiState {
-    /// The state of the process.
+    /// The process-wide state.
     pub shared: Arc<SharedState>,
-    /// Client of the state service.
+    /// Client of the key-value store.
     pub store: StoreClient,
-    /// Least time between two reads by which requests of users wait for the replica to catch up.
+    /// Minimum time between two reads of the store's revision for linearizable reads.
     pub read_interval: Duration,
 }
 
 impl ApiState {
-    /// Whether the state service is likely to answer: otherwise a user is better answered at once.
+    /// Whether the key-value store answered recently. If not, requests fail at once instead of timing out.
     pub(super) fn is_store_reachable(&self) -> bool {
         let now = self.shared.now();
         self.shared.controller.lock().state_ok(now)
--- a/src/http/status.rs
+++ b/src/http/status.rs
@@ -1,4 +1,4 @@
-//! Health check, status page, and the latency that it shows.
+//! Health check, status page, and the latency shown on it.
 
 use super::ApiState;
 use super::responses::unavailable;
@@ -7,7 +7,7 @@
 use actix_web::middleware::Next;
 use actix_web::{HttpResponse, web};
 
-/// `GET /ready`: whether this controller can serve users and workers now.
+/// `GET /ready`: returns 200 if this controller can serve users and workers, otherwise 503.
 pub(super) async fn ready(api_state: web::Data<ApiState>) -> HttpResponse {
     let now = api_state.shared.now();
     if api_state.shared.controller.lock().ready(now) {
@@ -17,7 +17,7 @@
     }
 }
 
-/// `GET /status`: the status page, JSON.
+/// `GET /status`: returns the status page as JSON.
 pub(super) async fn status(api_state: web::Data<ApiState>) -> HttpResponse {
     let now = api_state.shared.now();
     let mut page = api_state.shared.controller.lock().status_page(now);
@@ -31,7 +31,7 @@
     HttpResponse::Ok().json(page)
 }
 
-/// Measures how long a request takes, from its head to the answer's.
+/// Records the latency of a request, from its head to the head of the response.
 pub(super) async fn measure_latency(
     request: ServiceRequest,
     next: Next<impl MessageBody>,
@@ -39,11 +39,11 @@
     let shared = request
         .app_data::<web::Data<ApiState>>()
         .map(|api_state| api_state.shared.clone());
-    let began = std::time::Instant::now();
-    let answer = next.call(request).await;
+    let started_at = std::time::Instant::now();
+    let response = next.call(request).await;
     if let Some(shared) = shared {
-        let micros = began.elapsed().as_micros() as u64;
+        let micros = started_at.elapsed().as_micros() as u64;
         shared.latency.lock().saturating_record(micros.max(1));
     }
-    answer
+    response
 }
--- a/src/http/submission.rs
+++ b/src/http/submission.rs
@@ -1,7 +1,7 @@
-//! Submissions. Those that name other jobs go on in `dependent_submission`.
+//! Submission of jobs. Jobs with predecessors are accepted by `dependent_submission`.
 //!
-//! A submission is an idempotent request: a known job is answered for before anything that could refuse it.
-//! It must never be confirmed before the transaction that accepts the job is carried out.
+//! Submissions are idempotent: a job that was accepted before is never refused. A submission must never be
+//! confirmed before the transaction that accepts the job is committed.
 
 use super::responses::{
     outcome_unknown, refuse, store_unreachable, too_many_requests, try_later, unavailable,
@@ -15,18 +15,19 @@
 use actix_web::http::StatusCode;
 use std::time::Duration;
 
-/// Pause before the one more try of a write that the state service refused for its budget.
+/// Pause before the single retry of a write that the key-value store refused because of its rate limit.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// A job that is about to be accepted.
+
+/// A submitted job that is not accepted yet.
 pub(super) struct NewJob {
     pub(super) name: String,
     pub(super) record: JobRecord,
-    /// Names of the jobs that have to be done first.
+    /// Names of the jobs that must be done first.
     pub(super) predecessors: Vec<String>,
 }
 
 impl ApiState {
-    /// Takes a submission.
+    /// Handles a submission.
     pub(super) async fn submit(&self, body: &[u8]) -> HttpResponse {
         let submission = match jobs::parse_submission(body) {
             ParsedSubmission::Valid(submission) => *submission,
@@ -66,7 +67,7 @@
         }
     }
 
-    /// The refusal of a job that cannot be accepted, unless it is known.
+    /// The refusal of a new job that cannot be accepted; `None` if it can.
     fn refusal(&self, job: &NewJob) -> Option<HttpResponse> {
         if let Some(reason) = self.unrunnable_reason(job) {
             let reason = reason.to_string();
@@ -74,7 +75,7 @@
                 job = job.name,
                 class = job.record.spec.class,
                 reason,
-                "submission refused"
+                "submission rejected"
             );
             return Some(refuse(StatusCode::UNPROCESSABLE_ENTITY, &reason));
         }
@@ -82,7 +83,7 @@
             .then(|| try_later(StatusCode::TOO_MANY_REQUESTS, "too many unfinished jobs"))
     }
 
-    /// Why a job can never run, if so.
+    /// Why a job can never run; `None` if it can.
     fn unrunnable_reason(&self, job: &NewJob) -> Option<UnrunnableJob> {
         let controller = self.shared.controller.lock();
         let fits = || controller.fits_value_limit_when_ready(&job.record);
@@ -91,14 +92,14 @@
             .or_else(|| (!fits()).then_some(UnrunnableJob::TooLong))
     }
 
-    /// Whether there are more unfinished jobs than can be kept in memory. What was accepted stays
-    /// accepted.
+    /// Whether the limit of unfinished jobs, which bounds memory use, is reached. Jobs that are already
+    /// accepted are not affected.
     fn is_job_limit_reached(&self) -> bool {
         let controller = self.shared.controller.lock();
         controller.replica.unfinished() >= controller.settings.options.max_unfinished_jobs as usize
     }
 
-    /// Accepts a job that names no others.
+    /// Accepts a job without predecessors.
     async fn submit_ordinary(&self, job: NewJob) -> HttpResponse {
         let transaction = jobs::accept_transaction(&job.name, &job.record);
         match self.commit_with_retry(&transaction).await {
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Sends the transaction that accepts a job. The budget of changes comes back within moments:
-    /// one more try, while gathered writes give way.
+    /// Commits a transaction that accepts a job, with one retry if the store's rate limit is used up. The
+    /// limit recovers quickly, and the controller slows down its batched writes meanwhile.
     pub(super) async fn commit_with_retry(&self, transaction: &Transaction) -> CommitOutcome {
         let outcome = self.store.commit(transaction, WRITE_TIMEOUT).await;
         if outcome != CommitOutcome::Refused {
@@ -126,7 +127,7 @@
         self.store.commit(transaction, WRITE_TIMEOUT).await
     }
 
-    /// The answer to a submission that was accepted.
+    /// Applies the committed transaction to the replica and responds that the job is accepted.
     pub(super) fn finish_acceptance(
         &self,
         job: &NewJob,
@@ -162,7 +163,7 @@
     }
 }
 
-/// The answer to a submission that the state service did not take.
+/// The response to a submission whose transaction was not committed.
 pub(super) fn failed_write_response(outcome: CommitOutcome) -> HttpResponse {
     match outcome {
         CommitOutcome::Refused => too_many_requests(),
--- a/src/http/users.rs
+++ b/src/http/users.rs
@@ -1,6 +1,6 @@
-//! Requests of users: submitting, polling and cancelling jobs (PROTOCOL, users).
+//! Handlers for users: submit, poll and cancel jobs (PROTOCOL, users).
 //!
-//! The handlers only read the request; [`ApiState`] answers it.
+//! They only extract the request's parameters; [`ApiState`] produces the response.
 
 use super::responses::{bad_body, no_such_job};
 use super::{ApiState, BodyResult};
@@ -15,12 +15,12 @@
     }
 }
 
-/// `GET /api/jobs/{name}`: the state of a job.
+/// `GET /api/jobs/{name}`: returns the state of a job.
 pub(super) async fn poll(api_state: web::Data<ApiState>, name: web::Path<String>) -> HttpResponse {
     api_state.poll(&name).await
 }
 
-/// `POST /api/jobs/{name}/cancel`: cancels a job that is not over.
+/// `POST /api/jobs/{name}/cancel`: cancels an unfinished job.
 pub(super) async fn cancel(
     api_state: web::Data<ApiState>,
     name: web::Path<String>,
@@ -29,7 +29,7 @@
 }
 
 impl ApiState {
-    /// Answers a poll.
+    /// Returns the state of a job, or 404 if no job of this name was accepted.
     async fn poll(&self, name: &str) -> HttpResponse {
         if !jobs::is_job_name(name) {
             return no_such_job();
--- a/src/http/workers.rs
+++ b/src/http/workers.rs
@@ -1,7 +1,7 @@
 //! Heartbeats of workers (PROTOCOL, reports).
 //!
-//! Owns the wait of a worker without tasks. Whatever is answered is what the controller says at the
-//! moment of answering; a worker that waited must never get an answer from before its wait.
+//! Delays the ack to a worker without tasks until a task is bound to it. The controller computes a delayed
+//! ack only when it is sent, so that a worker never receives commands from before the delay.
 
 use super::responses::{bad_body, refuse, unavailable};
 use super::{ApiState, BodyResult, READ_TIMEOUT};
@@ -12,10 +12,10 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Which heartbeat a worker waits with: its epoch, and the number of the heartbeat in it.
+/// Identifies a heartbeat of a worker: the worker's epoch and the sequence number within it.
 type HeartbeatNumber = (u64, u64);
 
-/// `POST /v1/report`: takes a heartbeat, and answers with commands.
+/// `POST /v1/report`: handles a heartbeat and responds with commands.
 pub(super) async fn heartbeat(api_state: web::Data<ApiState>, body: BodyResult) -> HttpResponse {
     let Ok(body) = body else {
         return bad_body();
@@ -33,7 +33,7 @@
     into_http_response(response)
 }
 
-/// Puts the controller's answer into words.
+/// Converts the controller's response to HTTP.
 fn into_http_response(response: HeartbeatResponse) -> HttpResponse {
     match response {
         HeartbeatResponse::HeartbeatAck(ack) => HttpResponse::Ok().json(ack),
@@ -50,13 +50,14 @@
 }
 
 impl ApiState {
-    /// Takes a heartbeat, if need be after the replica has caught up with the state service.
+    /// Passes a heartbeat to the controller. If the controller cannot confirm yet that it holds the machine,
+    /// the replica catches up with the key-value store first.
     async fn process_heartbeat(&self, heartbeat: Heartbeat) -> HeartbeatResponse {
         let now = self.shared.now();
-        // Only what shows no fencing token yet may have to be taken once more.
-        let kept = (heartbeat.token == NO_TOKEN).then(|| heartbeat.clone());
+        // Only a heartbeat without a fencing token can need a second pass.
+        let copy = (heartbeat.token == NO_TOKEN).then(|| heartbeat.clone());
         let response = self.shared.controller.lock().on_heartbeat(heartbeat, now);
-        let (HeartbeatResponse::Unconfirmed, Some(heartbeat)) = (&response, kept) else {
+        let (HeartbeatResponse::Unconfirmed, Some(heartbeat)) = (&response, copy) else {
             return response;
         };
         let read_index = &self.shared.read_index;
@@ -73,7 +74,7 @@
             .on_confirmed_heartbeat(heartbeat, now)
     }
 
-    /// How long the answer should wait for a task; none if it should go at once.
+    /// How long to delay the ack while waiting for a task; `None` to send it at once.
     fn ack_delay(
         &self,
         response: &HeartbeatResponse,
@@ -92,7 +93,7 @@
         Some(Duration::from_millis(wait_ms))
     }
 
-    /// The answer once a task has come or the wait is over: whichever it was, it is what holds then.
+    /// Waits until a task is bound or `wait` has passed. Either way the ack reflects the state at that time.
     async fn delayed_ack(
         &self,
         wait: Duration,
--- a/src/jobs/dependent.rs
+++ b/src/jobs/dependent.rs
@@ -1,7 +1,7 @@
-//! Submissions that name other jobs which have to be done first (job dependencies).
+//! Acceptance of jobs with predecessors, which must be done first (job dependencies).
 //!
-//! Pure: plans the transaction that accepts such a job, holding on to its predecessors by preconditions. A
-//! job must never be accepted while what is known of a predecessor may be out of date.
+//! Plans the transaction that accepts such a job, with preconditions on the keys of its predecessors;
+//! performs no I/O. A job must never be accepted on outdated knowledge of a predecessor.
 
 use super::{ABSENT_REVISION, SubmissionError, accept_transaction, is_job_name};
 use crate::controller::put;
@@ -11,30 +11,30 @@
 use crate::settings::Settings;
 use std::collections::HashSet;
 
-/// Preconditions that the state service takes for each mutation that it takes in a transaction (PROTOCOL).
+/// Number of preconditions that the key-value store allows in a transaction per allowed mutation (PROTOCOL).
 pub(super) const PRECONDITIONS_PER_MUTATION: usize = 4;
 
-/// What is known of a job that a submission names.
+/// The state of a job that a submission names as predecessor.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PredecessorState {
-    /// Finally done.
+    /// The job is done.
     Done,
-    /// Cancelled.
+    /// The job is cancelled.
     Cancelled,
-    /// Accepted and not over; the precondition holds as long as that is so and its key unchanged.
+    /// Accepted and unfinished. The precondition holds until the job's key changes.
     Unfinished(Precondition),
-    /// Under no watched key: archived, or never accepted.
+    /// The replica does not have the job: it is archived, or was never accepted.
     NotInReplica,
 }
 
-/// How a submission that names other jobs is accepted.
+/// How a job with predecessors is accepted.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Acceptance {
-    /// All that it names is done: an ordinary job.
+    /// All predecessors are done: it becomes an ordinary job.
     Ordinary(Transaction),
-    /// It waits for jobs that are not over.
+    /// It waits for unfinished predecessors.
     Waiting(Transaction),
-    /// It names a job that was cancelled, and is cancelled itself.
+    /// A predecessor is cancelled, so the job is cancelled too.
     Cancelled(Transaction),
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The job's state once it is accepted.
+    /// The job's state after acceptance.
     pub fn status(&self) -> JobStatus {
         match self {
             Self::Cancelled(_) => JobStatus::Cancelled,
@@ -57,30 +57,30 @@
     }
 }
 
-/// Why a submission that names other jobs can never run.
+/// Why a job with predecessors cannot be accepted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DependencyError {
-    /// It names a job that was never accepted.
+    /// A predecessor was never accepted.
     #[error("awaits: {0} was never accepted")]
     NeverAccepted(String),
-    /// More jobs that are not over than one transaction can hold on to.
+    /// More unfinished predecessors than one transaction has preconditions for.
     #[error("awaits: {found} jobs that are not over; at most {most} fit into one submission")]
     TooMany {
-        /// Unfinished jobs named.
+        /// Number of unfinished predecessors.
         found: usize,
-        /// Most of them.
+        /// Maximum in one submission.
         most: usize,
     },
-    /// More jobs that are not over than one value has room for.
+    /// More unfinished predecessors than fit into one value.
     #[error("awaits: the names of {found} jobs that are not over do not fit into a value")]
     TooLong {
-        /// Unfinished jobs named.
+        /// Number of unfinished predecessors.
         found: usize,
     },
 }
 
-/// Reads the jobs that a submission names: none if the field is absent, null or empty. A job named
-/// twice counts once.
+/// Parses the predecessors of a submission, without duplicates. The list is empty if the field is absent,
+/// null or empty.
 pub(super) fn parse_predecessors(
     submission: &serde_json::Value,
 ) -> Result<Vec<String>, SubmissionError> {
@@ -101,14 +101,14 @@
     Ok(names)
 }
 
-/// Most unfinished jobs that a submission may name in one transaction: each of them costs a
-/// precondition, besides those that the job is new.
+/// Maximum number of unfinished predecessors in one transaction. Each needs one precondition, besides those
+/// that the job's own keys are absent.
 pub fn max_unfinished_predecessors(settings: &Settings) -> usize {
     let preconditions = settings.platform.settings.state.txn_ops * PRECONDITIONS_PER_MUTATION;
     preconditions.saturating_sub(absence_preconditions("").len())
 }
 
-/// Preconditions that a job stands under none of its keys.
+/// Preconditions that none of a job's keys exists.
 pub(super) fn absence_preconditions(name: &str) -> Vec<Precondition> {
     let keys = [job_key(name), past_key(name), waiting_key(name)];
     let preconditions = keys.into_iter().map(|key| Precondition {
@@ -118,11 +118,10 @@
     preconditions.collect()
 }
 
-/// Plans the transaction that accepts a job which names others.
+/// Plans the transaction that accepts a job with predecessors.
 ///
-/// Each named job that is not over is held on to by a precondition on its key: once the transaction
-/// is carried out, every replica that shows the job shows those that it waits for as well, and none
-/// of them is archived while it does.
+/// The transaction has a precondition on the key of each unfinished predecessor. Once it is committed, every
+/// replica that has the job also has its predecessors, and none of them is archived while the job waits.
 pub fn plan_acceptance(
     name: &str,
     record: JobRecord,
@@ -157,7 +156,7 @@
     }))
 }
 
-/// The value of a new job that waits for others.
+/// The value of a new job that waits for its predecessors.
 pub(super) fn new_waiting_record(record: JobRecord, predecessors: NameList) -> WaitingRecord {
     WaitingRecord {
         spec: record.spec,
@@ -168,7 +167,7 @@
     }
 }
 
-/// Whether a job that a submission names was cancelled. All that it names must have been accepted.
+/// Whether any predecessor is cancelled; an error if one was never accepted.
 pub(super) fn any_cancelled(named: &[(String, PredecessorState)]) -> Result<bool, DependencyError> {
     let unknown = named
         .iter()
@@ -176,12 +175,12 @@
     if let Some((unknown, _)) = unknown {
         return Err(DependencyError::NeverAccepted(unknown.clone()));
     }
-    let cancelled =
+    let is_cancelled =
         |(_, predecessor): &(String, PredecessorState)| *predecessor == PredecessorState::Cancelled;
-    Ok(named.iter().any(cancelled))
+    Ok(named.iter().any(is_cancelled))
 }
 
-/// The transaction that accepts a job which is cancelled already, under these preconditions.
+/// The transaction that accepts a job as cancelled, directly into the archive, under these preconditions.
 pub(super) fn accept_cancelled_transaction(
     name: &str,
     mut record: JobRecord,
@@ -195,8 +194,8 @@
     }
 }
 
-/// The transaction that cancels a job which waits, as it was read at `mod_revision`. It races in
-/// the same key with its becoming an ordinary job.
+/// The transaction that cancels a waiting job which was read at `mod_revision`. Its promotion to an ordinary
+/// job writes the same key, so only one of the two can succeed.
 pub fn cancel_waiting_transaction(
     name: &str,
     record: &WaitingRecord,
@@ -220,7 +219,7 @@
 }
 
 impl Replica {
-    /// What the replica shows of a job that a submission names.
+    /// The state of a predecessor as the replica shows it.
     pub fn predecessor_state(&self, name: &str) -> PredecessorState {
         let job = self.names.jobs.get(name);
         let Some(status) = job.and_then(|job| self.status_of(job)) else {
--- a/src/jobs/dependent/tests.rs
+++ b/src/jobs/dependent/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `chained`.
+//! Unit tests of `dependent`.
 
 use super::{
     Acceptance, DependencyError, PredecessorState, max_unfinished_predecessors, plan_acceptance,
@@ -17,18 +17,18 @@
 
 fn record() -> JobRecord {
     let ParsedSubmission::Valid(submission) = parse_submission(VALID_SUBMISSION.as_bytes()) else {
-        panic!("good")
+        panic!("a valid submission")
     };
     new_record(submission.spec, 1_700_000_000_000)
 }
 
 fn unfinished(n: u64) -> (String, PredecessorState) {
     let name = format!("wk-{n:018}");
-    let (k, mod_revision) = (job_key(&name), n + 1);
+    let (unfinished_key, mod_revision) = (job_key(&name), n + 1);
     (
         name,
         PredecessorState::Unfinished(Precondition {
-            key: k,
+            key: unfinished_key,
             mod_revision,
         }),
     )
@@ -73,7 +73,7 @@
     assert_eq!(
         ordinary.transaction().preconditions.len(),
         3,
-        "it is new under each of its keys"
+        "one precondition for each of its absent keys"
     );
     let waiting = plan(vec![done(1), unfinished(2), unfinished(3)]);
     assert!(matches!(&waiting, Acceptance::Waiting(_)));
@@ -124,10 +124,10 @@
     let settings = small_settings();
     let named = vec![unfinished(2), unfinished(3), unfinished(30)];
     let planned = plan_acceptance("wk-000412", record(), named, &settings).expect("planned");
-    let Mutation::Put { value: v, .. } = &planned.transaction().mutations[0] else {
-        panic!("a put")
+    let Mutation::Put { value: json, .. } = &planned.transaction().mutations[0] else {
+        panic!("the first mutation is not a put")
     };
-    let read: WaitingRecord = v.read().expect("read");
+    let read: WaitingRecord = json.read().expect("the value decodes");
     assert_eq!(
         read.predecessors.names(),
         [unfinished(2).0, unfinished(3).0, unfinished(30).0]
--- a/src/jobs/final_states.rs
+++ b/src/jobs/final_states.rs
@@ -1,24 +1,24 @@
-//! Final states of jobs that users were answered with before.
+//! Cache of the final states of jobs.
 //!
-//! Owns a bounded cache of answers that can never change, so that repeated polls of jobs that are over cost
-//! the state service nothing. It must never keep an answer that is not final.
+//! Final states never change, so repeated polls of a final job need no read from the key-value store. The
+//! cache must never contain a state that is not final.
 
 use crate::protocol::{JobAnswer, JobStatus};
 use std::collections::{HashMap, VecDeque};
 
-/// Final answers kept in memory.
+/// Maximum number of cached answers.
 const MAX_ANSWERS: usize = 5000;
 
-/// Final answers; a bounded number of the latest.
+/// Cache of final answers that evicts the oldest entry when it is full.
 #[derive(Debug, Default)]
 pub struct FinalStateCache {
     by_name: HashMap<String, JobAnswer>,
-    /// Names from the oldest to the latest.
+    /// Job names in insertion order.
     order: VecDeque<String>,
 }
 
 impl FinalStateCache {
-    /// Keeps an answer if it is final.
+    /// Caches an answer if its state is final.
     pub fn record_if_final(&mut self, answer: &JobAnswer) {
         if !matches!(answer.status, JobStatus::Done | JobStatus::Cancelled) {
             return;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The final answer for a job, if it is remembered.
+    /// The cached answer for a job.
     pub fn get(&self, name: &str) -> Option<&JobAnswer> {
         self.by_name.get(name)
     }
--- a/src/jobs/incremental.rs
+++ b/src/jobs/incremental.rs
@@ -1,12 +1,13 @@
-//! Submissions that name more unfinished jobs than one transaction has preconditions for.
+//! Incremental acceptance of jobs with more unfinished predecessors than one transaction has preconditions.
 //!
-//! The value of the waiting job is written several times. Each write adds predecessors and holds on to
-//! them by preconditions on their keys, and none of them is archived from then on, so every replica that
-//! shows the value shows all predecessors in it. Until the last write the job is *incomplete*: its user
-//! has not been answered that it is accepted, nobody knows it, and it never becomes ready. One that its user
-//! has given up is dropped by the leader.
+//! The value of the waiting job is written several times. Each write adds predecessors, with preconditions
+//! on their keys. Predecessors are not archived once they are listed, so a replica that has the value also
+//! has all predecessors in it. Until the last write the job is *incomplete*: its acceptance has not been
+//! confirmed to the user, lookups do not find it, and it never becomes ready. The leader deletes incomplete
+//! jobs whose users have given up.
 //!
-//! Pure. It must never plan a write that completes the job while a predecessor is not held on to.
+//! Performs no I/O. The write that completes a job must never be planned before the value lists every
+//! unfinished predecessor.
 
 use super::dependent::{
     DependencyError, PRECONDITIONS_PER_MUTATION, PredecessorState, absence_preconditions,
@@ -21,26 +22,26 @@
 /// An incomplete job as it is stored.
 #[derive(Debug, Clone, Copy)]
 pub struct StoredWaitingJob<'a> {
-    /// Its value.
+    /// The stored value.
     pub record: &'a WaitingRecord,
     /// The revision of its key.
     pub mod_revision: u64,
 }
 
-/// The next write of a gradual acceptance.
+/// The next write of an incremental acceptance.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AcceptanceStep {
-    /// More predecessors follow.
+    /// Adds predecessors; more writes follow.
     Incomplete(Transaction),
-    /// With it the job is accepted.
+    /// Adds the last predecessors and accepts the job.
     Complete(Transaction),
-    /// A predecessor was cancelled: with it the job is accepted and cancelled.
+    /// A predecessor was cancelled, so the job is accepted as cancelled.
     Cancelled(Transaction),
 }
 
-/// Plans the next write that accepts a job which names others, all of them accepted. `stored` is what
-/// earlier writes left of it.
-pub fn plan_acceptance_step(
+/// Plans the next write for a job whose predecessors have all been accepted. `stored` is the result of the
+/// earlier writes, or `None` for the first one.
+pub fn plan_next_write(
     name: &str,
     record: &JobRecord,
     named: &[(String, PredecessorState)],
@@ -78,37 +79,37 @@
     })
 }
 
-/// What one write holds on to.
+/// The predecessors and preconditions of one write.
 struct NextPredecessors {
-    /// The predecessors in the value: those of earlier writes, then the new ones.
+    /// Predecessors in the value: those of earlier writes, then the new ones.
     predecessors: Vec<String>,
-    /// That the job is as it was read, and that the new predecessors are.
+    /// Preconditions that the job and the new predecessors have not changed since they were read.
     preconditions: Vec<Precondition>,
-    /// Unfinished predecessors that are left to later writes.
+    /// Number of unfinished predecessors left for later writes.
     remaining: usize,
 }
 
-/// Adds as many unfinished predecessors as one transaction has preconditions for.
+/// Adds as many unfinished predecessors as the preconditions of one transaction allow.
 fn add_predecessors(
     name: &str,
     named: &[(String, PredecessorState)],
     stored: Option<StoredWaitingJob>,
     settings: &Settings,
 ) -> NextPredecessors {
-    let held = stored.map_or(&[][..], |stored| stored.record.predecessors.names());
+    let listed = stored.map_or(&[][..], |stored| stored.record.predecessors.names());
     let mut missing = named
         .iter()
         .filter_map(|(name, predecessor)| match predecessor {
-            PredecessorState::Unfinished(precondition) if !held.contains(name) => {
+            PredecessorState::Unfinished(precondition) if !listed.contains(name) => {
                 Some((name.clone(), precondition.clone()))
             }
             _ => None,
         });
     let mut preconditions = unchanged_preconditions(name, stored);
     let max_preconditions = settings.platform.settings.state.txn_ops * PRECONDITIONS_PER_MUTATION;
-    let room = max_preconditions.saturating_sub(preconditions.len());
-    let mut predecessors = held.to_vec();
-    for (predecessor, precondition) in missing.by_ref().take(room) {
+    let free_preconditions = max_preconditions.saturating_sub(preconditions.len());
+    let mut predecessors = listed.to_vec();
+    for (predecessor, precondition) in missing.by_ref().take(free_preconditions) {
         predecessors.push(predecessor);
         preconditions.push(precondition);
     }
@@ -119,7 +120,7 @@
     }
 }
 
-/// Preconditions that the job is as it was read: absent, or incomplete at a revision.
+/// Preconditions that the job has not changed since it was read: absent, or incomplete at a revision.
 fn unchanged_preconditions(name: &str, stored: Option<StoredWaitingJob>) -> Vec<Precondition> {
     let Some(stored) = stored else {
         return absence_preconditions(name);
@@ -130,7 +131,7 @@
     }]
 }
 
-/// The transaction that accepts a job which is cancelled already, and drops what was stored of it.
+/// The transaction that accepts a job as cancelled and deletes its incomplete value.
 fn cancelled_transaction(
     name: &str,
     record: &JobRecord,
--- a/src/jobs/incremental/tests.rs
+++ b/src/jobs/incremental/tests.rs
@@ -1,6 +1,6 @@
-//! Unit tests of `gradual`.
+//! Unit tests of `incremental`.
 
-use super::{AcceptanceStep, StoredWaitingJob, plan_acceptance_step};
+use super::{AcceptanceStep, StoredWaitingJob, plan_next_write};
 use crate::jobs::dependent::{DependencyError, PredecessorState};
 use crate::jobs::tests::VALID_SUBMISSION;
 use crate::jobs::{ParsedSubmission, new_record, parse_submission};
@@ -14,13 +14,13 @@
 
 fn record() -> JobRecord {
     let ParsedSubmission::Valid(submission) = parse_submission(VALID_SUBMISSION.as_bytes()) else {
-        panic!("good")
+        panic!("a valid submission")
     };
     new_record(submission.spec, 1_700_000_000_000)
 }
 
-/// Settings with few changes a transaction, and so 16 conditions, and small values.
-fn low_limit_settings() -> Settings {
+/// Settings with 4 changes per transaction, and so 16 preconditions, and values of 2 KiB.
+fn low_limits() -> Settings {
     let mut settings = small_settings();
     let state = &mut settings.platform.settings.state;
     (state.txn_ops, state.value_kb) = (4, 2.0);
@@ -29,11 +29,11 @@
 
 fn unfinished(n: u64) -> (String, PredecessorState) {
     let name = format!("wk-{n:06}");
-    let (k, mod_revision) = (job_key(&name), n + 1);
+    let (unfinished_key, mod_revision) = (job_key(&name), n + 1);
     (
         name,
         PredecessorState::Unfinished(Precondition {
-            key: k,
+            key: unfinished_key,
             mod_revision,
         }),
     )
@@ -43,35 +43,35 @@
     let (AcceptanceStep::Incomplete(transaction)
     | AcceptanceStep::Complete(transaction)
     | AcceptanceStep::Cancelled(transaction)) = step;
-    let Mutation::Put { value: v, .. } = &transaction.mutations[0] else {
-        panic!("a put")
+    let Mutation::Put { value: json, .. } = &transaction.mutations[0] else {
+        panic!("the first mutation is not a put")
     };
-    v.read().expect("a waiting job")
+    json.read().expect("the value of a waiting job")
 }
 
 #[test]
 fn each_write_checks_the_predecessors_it_adds_and_the_last_accepts_the_job() {
     let named: Vec<_> = (1..=40).map(unfinished).collect();
     let mut stored: Option<WaitingRecord> = None;
-    let mut held = 0;
+    let mut listed = 0;
     for (mod_revision, expected) in [(0, 13), (70, 28), (71, 40)] {
         let before = stored.as_ref().map(|record| StoredWaitingJob {
             record,
             mod_revision,
         });
-        let step = plan_acceptance_step(JOB_NAME, &record(), &named, before, &low_limit_settings())
-            .expect("planned");
+        let step =
+            plan_next_write(JOB_NAME, &record(), &named, before, &low_limits()).expect("planned");
         let (AcceptanceStep::Incomplete(transaction)
         | AcceptanceStep::Complete(transaction)
         | AcceptanceStep::Cancelled(transaction)) = &step;
         let own = if mod_revision == 0 { 3 } else { 1 };
-        assert_eq!(transaction.preconditions.len(), own + expected - held);
+        assert_eq!(transaction.preconditions.len(), own + expected - listed);
         assert!(transaction.preconditions.len() <= 16);
         let value = written_record(&step);
         assert_eq!(value.predecessors.names().len(), expected);
         assert_eq!(value.incomplete, expected < 40);
         assert_eq!(matches!(step, AcceptanceStep::Complete(_)), expected == 40);
-        held = expected;
+        listed = expected;
         stored = Some(value);
     }
 }
@@ -79,8 +79,8 @@
 #[test]
 fn predecessors_that_finish_between_writes_are_skipped_and_a_cancelled_one_cancels_the_job() {
     let mut named: Vec<_> = (1..=20).map(unfinished).collect();
-    let first_step = plan_acceptance_step(JOB_NAME, &record(), &named, None, &low_limit_settings())
-        .expect("planned");
+    let first_step =
+        plan_next_write(JOB_NAME, &record(), &named, None, &low_limits()).expect("planned");
     let value = written_record(&first_step);
     let stored = StoredWaitingJob {
         record: &value,
@@ -89,39 +89,24 @@
     for (_, state) in &mut named[13..] {
         *state = PredecessorState::Done;
     }
-    let step = plan_acceptance_step(
-        JOB_NAME,
-        &record(),
-        &named,
-        Some(stored),
-        &low_limit_settings(),
-    )
-    .expect("planned");
+    let step =
+        plan_next_write(JOB_NAME, &record(), &named, Some(stored), &low_limits()).expect("planned");
     assert!(
         matches!(&step, AcceptanceStep::Complete(transaction) if transaction.preconditions.len() == 1)
     );
     named[2].1 = PredecessorState::Cancelled;
-    let step = plan_acceptance_step(
-        JOB_NAME,
-        &record(),
-        &named,
-        Some(stored),
-        &low_limit_settings(),
-    )
-    .expect("planned");
+    let step =
+        plan_next_write(JOB_NAME, &record(), &named, Some(stored), &low_limits()).expect("planned");
     let AcceptanceStep::Cancelled(transaction) = step else {
         panic!("{step:?}")
     };
-    let drop = waiting_key(JOB_NAME);
-    assert_eq!(transaction.mutations[1], Mutation::Delete { key: drop });
-    named[5].1 = PredecessorState::NotInReplica;
-    let unknown = plan_acceptance_step(
-        JOB_NAME,
-        &record(),
-        &named,
-        Some(stored),
-        &low_limit_settings(),
+    let deleted_key = waiting_key(JOB_NAME);
+    assert_eq!(
+        transaction.mutations[1],
+        Mutation::Delete { key: deleted_key }
     );
+    named[5].1 = PredecessorState::NotInReplica;
+    let unknown = plan_next_write(JOB_NAME, &record(), &named, Some(stored), &low_limits());
     assert_eq!(
         unknown,
         Err(DependencyError::NeverAccepted(unfinished(6).0))
@@ -137,7 +122,7 @@
             record,
             mod_revision,
         });
-        match plan_acceptance_step(JOB_NAME, &record(), &named, before, &low_limit_settings()) {
+        match plan_next_write(JOB_NAME, &record(), &named, before, &low_limits()) {
             Ok(step) => stored = Some(written_record(&step)),
             Err(error) => {
                 assert_eq!(error, DependencyError::TooLong { found: 1999 });
@@ -147,5 +132,5 @@
             }
         }
     }
-    panic!("a value of any size");
+    panic!("the value grew without limit");
 }
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,7 +1,7 @@
-//! What users may submit, how a job is accepted and cancelled, and what users are answered about it.
+//! Validation, acceptance and cancellation of jobs, and the responses to users about them.
 //!
-//! Pure: plans transactions and answers from what it is given, and sends nothing. A transaction planned here
-//! must always carry the preconditions that make it a compare-and-swap of what was read.
+//! Plans transactions and responses from its arguments and performs no I/O. Every transaction planned here
+//! must have the preconditions that make it a compare-and-swap of the values that were read.
 
 use crate::protocol::{JobAnswer, JobSpec, JobStatus, Json, Mutation, Precondition, Transaction};
 use crate::records::JobRecord;
@@ -17,10 +17,10 @@
 pub use final_states::FinalStateCache;
 pub use submission::{ParsedSubmission, is_job_name, parse_submission};
 
-/// The revision of a key that is not there, in a precondition (PROTOCOL, state service).
+/// The revision that a precondition gives for a missing key (PROTOCOL, state service).
 const ABSENT_REVISION: u64 = 0;
 
-/// The record of a new job, submitted at `day_ms` (time of day, milliseconds since the epoch).
+/// The record of a new job, submitted at `day_ms` (wall clock, milliseconds since the epoch).
 pub fn new_record(spec: JobSpec, day_ms: u64) -> JobRecord {
     JobRecord {
         spec,
@@ -32,7 +32,7 @@
     }
 }
 
-/// The transaction that accepts a job: it exists under none of its keys.
+/// The transaction that accepts a job; its preconditions are that none of the job's keys exists.
 pub fn accept_transaction(name: &str, record: &JobRecord) -> Transaction {
     let is_absent = |key| Precondition {
         key,
@@ -48,8 +48,8 @@
     }
 }
 
-/// The transaction that cancels a job which was read at `mod_revision`. It races with the last completion
-/// in the same key, so one of the two comes first for everybody. Values may have so many bytes.
+/// The transaction that cancels a job which was read at `mod_revision`. The last completion writes the same
+/// key, so only one of the two can succeed. `value_bytes` limits the size of the job's value.
 pub fn cancel_transaction(
     name: &str,
     record: &JobRecord,
@@ -72,7 +72,7 @@
     }
 }
 
-/// The answer to a user about a job whose key shows `status`, with so many tasks done and running.
+/// The response for a job with this stored status and these numbers of done and running tasks.
 pub fn job_answer(name: &str, status: JobStatus, done: u32, running: u32) -> JobAnswer {
     let is_over = status != JobStatus::Pending;
     let running = if is_over { 0 } else { running };
--- a/src/jobs/submission.rs
+++ b/src/jobs/submission.rs
@@ -1,7 +1,7 @@
-//! Reading and judging a submission: malformed (400), or well-formed but never able to run (422).
+//! Parsing and validation of submissions: malformed ones (400), and jobs that can never run (422).
 //!
-//! Owns the bounds on what a submission may name. It must never refuse for what may change by itself, such
-//! as machines that are not there yet: such a job waits.
+//! Owns the limits on a submission's fields. A job must never be refused for a temporary condition, such as
+//! missing machines; it waits instead.
 
 use super::dependent;
 use super::errors::{SubmissionError, UnrunnableJob};
@@ -11,40 +11,40 @@
 use crate::records::JobRecord;
 use crate::settings::MAX_DONE_RANGE_BYTES;
 
-/// Longest name of a job, and of anything else that a user names, bytes.
+/// Maximum length of a name in a submission, bytes.
 pub(super) const MAX_NAME_BYTES: usize = 120;
-/// Most tasks of a job.
+/// Maximum number of tasks of a job.
 pub(super) const MAX_TASKS: u32 = 100_000;
-/// Most machine types that a submission lists.
+/// Maximum number of machine types in a submission.
 const MAX_MACHINE_TYPES: usize = 64;
-/// Largest amount or time in a submission.
+/// Largest amount or duration in a submission.
 const MAX_AMOUNT: f64 = 1e9;
-/// Rounding that a sum of amounts may have against a team's limit.
+/// Tolerance for rounding when an amount is compared with a team's limit.
 const LIMIT_TOLERANCE: f64 = 1e-6;
-/// Ranges of done tasks for which a new job's value must have room.
+/// Number of ranges of done tasks for which a new job's value must leave space.
 const SPARE_DONE_RANGES: usize = 64;
-/// What the name of a job begins with; digits follow.
+/// Prefix of a job name; digits follow.
 const JOB_NAME_PREFIX: &str = "wk-";
-/// Most digits of a job's name.
+/// Maximum number of digits in a job name.
 const MAX_JOB_NAME_DIGITS: usize = 18;
 
-/// A submission as far as it can be read.
+/// The result of parsing a submission.
 #[derive(Debug)]
 pub enum ParsedSubmission {
-    /// Well-formed.
+    /// The submission is well-formed.
     Valid(Box<Submission>),
-    /// Malformed. The name is there if that part of it can be trusted: a job of this name may
-    /// be known, and then a repeat of it must not be refused.
+    /// The submission is malformed. The job name is present if it is valid: if a job of this name was
+    /// accepted before, the submission must not be refused.
     Invalid(Option<String>, SubmissionError),
 }
 
-/// Whether a name has the form of a job's.
+/// Whether a name has the form of a job name.
 pub fn is_job_name(name: &str) -> bool {
     let digits = name.strip_prefix(JOB_NAME_PREFIX).unwrap_or("");
     (1..=MAX_JOB_NAME_DIGITS).contains(&digits.len()) && digits.bytes().all(|b| b.is_ascii_digit())
 }
 
-/// Reads the body of a submission.
+/// Parses the body of a submission.
 pub fn parse_submission(body: &[u8]) -> ParsedSubmission {
     let value: serde_json::Value = match serde_json::from_slice(body) {
         Ok(value) => value,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Reads a submission whose name is good.
+/// Parses a submission whose job name is valid.
 fn parse_named(value: serde_json::Value) -> Result<Submission, SubmissionError> {
     let awaits = dependent::parse_predecessors(&value)?;
     let submission: Submission =
@@ -77,7 +77,7 @@
     })
 }
 
-/// Checks the ranges of what a submission says.
+/// Checks the ranges of a submission's fields.
 fn check_ranges(spec: &JobSpec) -> Result<(), SubmissionError> {
     if spec.task_count == 0 || spec.task_count > MAX_TASKS {
         return Err(SubmissionError::BadTaskCount);
@@ -114,7 +114,7 @@
 }
 
 impl Controller {
-    /// Why a job can never run here, if so. The catalog must be known.
+    /// Why a job can never run in this cell; `None` if it can. The catalog must be known.
     pub fn unrunnable_reason(&self, spec: &JobSpec) -> Option<UnrunnableJob> {
         let teams = &self.settings.platform.settings.teams;
         let Some(team) = teams.iter().find(|team| team.name == spec.team) else {
@@ -133,7 +133,7 @@
             gpus: spec.gpus,
             memory_gb: spec.memory_gb,
         };
-        let fits = self.machine_types.values().any(|machine_type| {
+        let any_fits = self.machine_types.values().any(|machine_type| {
             let allowed = spec.machine_types.as_ref();
             allowed.is_none_or(|labels| labels.contains(&machine_type.name))
                 && spec
@@ -142,17 +142,18 @@
                     .is_none_or(|zone| machine_type.zones.contains(zone))
                 && needed.fits(&machine_type.into())
         });
-        (!fits).then_some(UnrunnableJob::NoMachineType)
+        (!any_fits).then_some(UnrunnableJob::NoMachineType)
     }
 
-    /// Whether a job's value fits into the state service, with room for the ranges of its done tasks.
+    /// Whether a job's value, with space for its ranges of done tasks, is within the value size limit.
     pub fn fits_value_limit(&self, record: &JobRecord) -> bool {
         let spare = MAX_DONE_RANGE_BYTES * self.settings.max_open_tasks().min(SPARE_DONE_RANGES);
         serde_json::to_string(record)
             .is_ok_and(|value| value.len() + spare <= self.settings.max_value_bytes())
     }
-    /// Whether the value of a job that waits, or of the ordinary job that it becomes, fits into the
-    /// state service.
+
+    /// Whether a job's value is within the size limit even after the job has waited for predecessors and its
+    /// ready time is set.
     pub fn fits_value_limit_when_ready(&self, record: &JobRecord) -> bool {
         let mut ready = record.clone();
         ready.ready_ms = Some(u64::MAX);
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -5,6 +5,7 @@
 use crate::protocol::{JobAnswer, JobSpec, JobStatus};
 use crate::settings::tests::small_settings;
 
+/// A well-formed submission, with the unknown field `later`.
 pub(crate) const VALID_SUBMISSION: &str = r#"{"ref":"wk-000412","route":"train","crew":"blue",
         "shape":"batch","urgency":"urgent","legs":4,"vcpus":1.0,"gpus":0,"ramGb":2.0,
         "kit":"img-07","sizeGb":1.0,"frames":null,"samePlace":false,"spread":false,
@@ -16,7 +17,7 @@
         parse_submission(VALID_SUBMISSION.as_bytes()),
         ParsedSubmission::Valid(_)
     ));
-    let named = [
+    let with_valid_name = [
         ("\"legs\":4", "\"legs\":0"),
         ("\"legs\":4", "\"legs\":100001"),
         ("\"legs\":4", "\"legs\":-1"),
@@ -30,7 +31,7 @@
         ("\"spread\":false", "\"spread\":0"),
         ("\"kit\":\"img-07\"", "\"kit\":\"\""),
     ];
-    for (from, to) in named {
+    for (from, to) in with_valid_name {
         let text = VALID_SUBMISSION.replace(from, to);
         assert!(
             matches!(
@@ -64,7 +65,7 @@
     let mut controller = Controller::new(small_settings(), 1);
     controller.on_catalog(crate::controller::tests::catalog());
     let ParsedSubmission::Valid(s) = parse_submission(VALID_SUBMISSION.as_bytes()) else {
-        panic!("good")
+        panic!("a valid submission")
     };
     assert_eq!(controller.unrunnable_reason(&s.spec), None);
     let with = |f: &dyn Fn(&mut JobSpec)| {
@@ -82,24 +83,31 @@
 
 #[test]
 fn cache_keeps_only_final_answers() {
-    let mut f = FinalStateCache::default();
-    let a = |st| JobAnswer {
+    let mut cache = FinalStateCache::default();
+    let answer = |job_status| JobAnswer {
         name: "wk-1".into(),
-        status: st,
+        status: job_status,
         done: None,
         running: None,
     };
-    f.record_if_final(&a(JobStatus::Pending));
-    assert!(f.get("wk-1").is_none());
-    f.record_if_final(&a(JobStatus::Done));
-    assert_eq!(f.get("wk-1").map(|a| a.status), Some(JobStatus::Done));
+    cache.record_if_final(&answer(JobStatus::Pending));
+    assert!(cache.get("wk-1").is_none());
+    cache.record_if_final(&answer(JobStatus::Done));
+    assert_eq!(
+        cache.get("wk-1").map(|answer| answer.status),
+        Some(JobStatus::Done)
+    );
 }
 
-/// A job as the replica has it, nothing done.
+/// The job of this specification as a replica stores it, without done tasks.
 pub(crate) fn replica_job(spec: JobSpec) -> crate::replica::Job {
     let mut replica = crate::replica::Replica::default();
     let transaction = accept_transaction("wk-000412", &new_record(spec, 1_700_000_000_000));
     replica.apply_own(&transaction, 1);
-    let job_id = replica.names.jobs.get("wk-000412").expect("known");
-    replica.jobs.remove(&job_id).expect("there")
+    let job_id = replica
+        .names
+        .jobs
+        .get("wk-000412")
+        .expect("job name is in the table");
+    replica.jobs.remove(&job_id).expect("job is in the replica")
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
-//! The program: reads its settings and runs the service.
+//! Command-line program that loads the settings and runs the service.
 //!
-//! Owns the command line, the log's level and the exit codes: 2 for settings that cannot be used, 1 for a
-//! service that cannot start. The XML file and the TOML file are both read before anything is bound.
+//! Owns the command line, the log level and the exit codes: 2 for invalid settings, 1 for a service that
+//! cannot start. The XML files and the TOML file are read before any address is bound.
 
 use anyhow::Context as _;
 use clap::Parser;
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Exit code for settings that cannot be used.
+/// Exit code for invalid settings.
 const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// A cluster scheduler whose machines steal packs of work from one another.
--- a/src/runtime/cloud_client.rs
+++ b/src/runtime/cloud_client.rs
@@ -1,7 +1,7 @@
-//! Client of the cloud: its catalog, its machines, renting and returning (PROTOCOL, cloud).
+//! Client of the cloud API: catalog, list of machines, rental and return requests (PROTOCOL, cloud).
 //!
-//! Owns the cloud's address and the bounds on its answers. It must never call a request refused whose
-//! outcome is in doubt: a machine may have been rented although no answer came.
+//! Owns the cloud's address, timeouts and response size limits. A rental request whose outcome is in doubt
+//! must never be reported as refused: a machine may have been rented although no response arrived.
 
 use crate::leadership::RentOutcome;
 use crate::protocol::{Catalog, CloudMachine, MachineNames, MachinePage, RentRequest};
@@ -10,18 +10,19 @@
 use std::time::Duration;
 use tracing::error;
 
-/// Longest wait for an answer of the cloud, and again for its body.
+/// Timeout for a response of the cloud, and again for its body.
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(3);
-/// Largest catalog or page of machines, bytes.
+/// Maximum size of the catalog or of a page of machines, bytes.
 const MAX_READ_BODY_BYTES: usize = 16 << 20;
-/// Largest answer to renting or returning, bytes.
+/// Maximum size of the response to a rental or return request, bytes.
 const MAX_WRITE_BODY_BYTES: usize = 1 << 20;
-/// Machines on a page of the list.
+/// Number of machines in a page of the list.
 const PAGE_MACHINES: usize = 500;
-/// Text of the 503 by which the cloud says that nothing was rented. Any other 503 leaves it open.
+/// Text in the 503 by which the cloud confirms that nothing was rented. After any other 503 the outcome is in
+/// doubt.
 const NO_CAPACITY: &str = "no capacity";
 
-/// The client. Cheap to clone; connections are kept and shared.
+/// Client of the cloud API. Cheap to clone; clones share the connection pool.
 #[derive(Clone)]
 pub(super) struct CloudClient {
     client: Client,
@@ -29,7 +30,7 @@
 }
 
 impl CloudClient {
-    /// A client of the cloud at `addr`, host and port.
+    /// Creates a client of the cloud at `addr` (host and port).
     pub(super) fn new(client: Client, addr: &str) -> Self {
         Self {
             client,
@@ -37,12 +38,12 @@
         }
     }
 
-    /// Reads the catalog of machine types; none on any failure.
+    /// Reads the catalog of machine types; `None` on any failure.
     pub(super) async fn catalog(self) -> Option<Catalog> {
         self.get(&format!("{}/catalog", self.base_url)).await
     }
 
-    /// Reads the list of machines to its end; none if any page fails.
+    /// Reads all pages of the list of machines; `None` if any page fails.
     pub(super) async fn list_machines(self) -> Option<Vec<CloudMachine>> {
         let mut machines: Vec<CloudMachine> = Vec::new();
         loop {
@@ -55,15 +56,15 @@
                 after.unwrap_or_default()
             );
             let page: MachinePage = self.get(&url).await?;
-            let more_follow = page.has_next && !page.machines.is_empty();
+            let has_more = page.has_next && !page.machines.is_empty();
             machines.extend(page.machines);
-            if !more_follow {
+            if !has_more {
                 return Some(machines);
             }
         }
     }
 
-    /// Rents machines. The request is idempotent by its id.
+    /// Rents machines. The request id makes the request idempotent.
     pub(super) async fn rent(self, request: RentRequest) -> RentOutcome {
         let url = format!("{}/machines", self.base_url);
         match self.post(url, &request).await {
@@ -81,7 +82,7 @@
                 error!(
                     answer,
                     request_id = request.request_id,
-                    "cloud rejected rent request as malformed"
+                    "cloud rejected rental request as malformed"
                 );
                 RentOutcome::Refused
             }
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Returns machines; whether the cloud confirmed it.
+    /// Returns machines to the cloud. The result is whether the cloud confirmed it.
     pub(super) async fn return_machines(self, machines: Vec<String>) -> bool {
         let url = format!("{}/machines/return", self.base_url);
         let answer = self.post(url, &MachineNames { machines }).await;
--- a/src/runtime/controller_actor.rs
+++ b/src/runtime/controller_actor.rs
@@ -1,7 +1,7 @@
-//! The actor that lets the controller act when something is due, and passes answers back to it.
+//! The actor that ticks the controller and runs the effects that it returns.
 //!
-//! Owns the timer of the process. All effects of one tick are started in the order in which the
-//! controller gave them; `effects` says how each is carried out.
+//! Owns the timer of the process. The effects of one tick are started in the order in which the controller
+//! returned them; `effects` implements each of them.
 
 use super::cloud_client::CloudClient;
 use crate::clock::Timestamp;
@@ -15,29 +15,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval at which the controller looks at what is due.
+/// Interval between ticks of the controller.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Calls to one peer that wait for its answer at a time. A peer that does not answer holds no more.
+/// Maximum calls to one peer in flight, so that an unresponsive peer does not use up connections.
 const MAX_CALLS_PER_PEER: u32 = 3;
 
-/// The actor that carries out what [`Controller`](crate::controller::Controller) decides.
+/// The actor that executes the decisions of [`Controller`](crate::controller::Controller).
 pub(super) struct ControllerActor {
-    /// The controller and what the HTTP handlers share with it.
+    /// The controller and the other state shared with the HTTP handlers.
     pub(super) shared: Arc<SharedState>,
-    /// Client of the state service.
+    /// Client of the key-value store.
     pub(super) store: StoreClient,
-    /// Client for peers and other cells.
+    /// HTTP client for peers and other cells.
     pub(super) client: Client,
-    /// Client of the cloud.
+    /// Client of the cloud API.
     pub(super) cloud: CloudClient,
     /// Peer addresses by host name.
     pub(super) peers: HashMap<String, String>,
-    /// Calls to peers that wait for an answer.
+    /// Number of calls in flight to each peer.
     pub(super) peer_calls_in_flight: PeerCallsInFlight,
 }
 
 impl ControllerActor {
-    /// An actor around `shared`; `peers` are the peer addresses by host name.
+    /// Creates the actor; `peers` maps host names to peer addresses.
     pub(super) fn new(
         shared: Arc<SharedState>,
         store: StoreClient,
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Now on the process's steady clock.
+    /// The current time on the monotonic clock.
     pub(super) fn now(&self) -> Timestamp {
         self.shared.now()
     }
 
-    /// Lets the controller act, and starts the effects that it asks for.
+    /// Ticks the controller and starts the effects that it returns.
     pub(super) fn tick(&mut self, ctx: &mut Context<Self>) {
         let (now, day_ms) = (self.now(), self.shared.clock.day_ms());
         let effects = self.shared.controller.lock().tick(now, day_ms);
@@ -79,7 +79,7 @@
     }
 }
 
-/// Asks the actor to tick now instead of at the next interval.
+/// Requests a tick now instead of at the next interval.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(super) struct TickNow;
@@ -92,15 +92,15 @@
     }
 }
 
-/// How many calls to each peer wait for an answer.
+/// Number of calls in flight to each peer.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PeerCallsInFlight(Rc<RefCell<HashMap<String, u32>>>);
 
 impl PeerCallsInFlight {
-    /// Counts one more call to a peer, unless it has as many as it may have.
+    /// Counts one more call to a peer, or returns `None` if the limit is reached.
     pub(super) fn try_start(&self, host: &str) -> Option<PeerCallGuard> {
-        let mut waiting = self.0.borrow_mut();
-        let calls = waiting.entry(host.to_owned()).or_default();
+        let mut in_flight = self.0.borrow_mut();
+        let calls = in_flight.entry(host.to_owned()).or_default();
         if *calls >= MAX_CALLS_PER_PEER {
             return None;
         }
@@ -112,7 +112,7 @@
     }
 }
 
-/// One call to a peer; it counts until it is dropped.
+/// Guard of one call to a peer, which counts until the guard is dropped.
 #[derive(Debug)]
 pub(super) struct PeerCallGuard {
     calls: PeerCallsInFlight,
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -1,7 +1,7 @@
-//! How each effect of the controller is carried out: one step an effect.
+//! Execution of the controller's effects.
 //!
-//! Every step starts a call, and passes its answer to the controller when it comes. Where an answer makes
-//! new work due, the step ticks the controller at once. Steps must never wait for one another.
+//! Each effect starts a request and passes the response to the controller when it arrives. Where a response
+//! makes new work due, the controller is ticked at once. Effects must never wait for one another.
 
 use super::controller_actor::ControllerActor;
 use crate::controller::{Effect, WriteKind};
@@ -12,19 +12,19 @@
 use actix::prelude::*;
 use std::time::Duration;
 
-/// Longest wait for the outcome of a transaction; after it the outcome is in doubt.
+/// Timeout of a transaction; after it the outcome is in doubt.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Longest wait for the answer of a peer.
+/// Timeout of a request to a peer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Largest answer of a peer, bytes.
+/// Maximum size of a peer's response, bytes.
 const MAX_PEER_BODY_BYTES: usize = 4 << 20;
-/// Longest wait for the answer of another cell: it may write several completions or loans first.
+/// Timeout of a request to another cell, which may have to write several completions or loans first.
 const CELL_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Largest answer of another cell, bytes.
+/// Maximum size of the response of another cell, bytes.
 const MAX_CELL_BODY_BYTES: usize = 4 << 20;
 
 impl ControllerActor {
-    /// Starts what the controller asks for.
+    /// Starts an effect without waiting for its result.
     pub(super) fn run_effect(&mut self, effect: Effect, ctx: &mut Context<Self>) {
         match effect {
             Effect::NewLease { lease_ms } => self.request_lease(lease_ms, ctx),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Asks the state service for a lease of this length. It counts from the moment of asking.
+    /// Requests a lease of `length_ms` from the key-value store. The lease counts from when the request is sent.
     fn request_lease(&self, length_ms: u64, ctx: &mut Context<Self>) {
         let (store, sent_at) = (self.store.clone(), self.now());
         let request = async move { store.lease(length_ms).await };
@@ -60,7 +60,7 @@
         }));
     }
 
-    /// Renews the lease. A renewal counts from the moment of asking.
+    /// Renews the lease. A renewal counts from when the request is sent.
     fn renew_lease(&self, lease_id: u64, ctx: &mut Context<Self>) {
         let (store, sent_at) = (self.store.clone(), self.now());
         let request = async move { store.renew(lease_id).await };
@@ -75,7 +75,7 @@
         }));
     }
 
-    /// Commits a transaction, and wakes the workers that wait for what it wrote.
+    /// Commits a transaction, then sends the delayed acks of machines to which it bound tasks.
     fn commit(&self, write_kind: WriteKind, transaction: Transaction, ctx: &mut Context<Self>) {
         let store = self.store.clone();
         let request = async move { store.commit(&transaction, COMMIT_TIMEOUT).await };
@@ -93,8 +93,8 @@
         }));
     }
 
-    /// Sends a message to a peer. It is dropped if the peer's address is not known, or if too many calls
-    /// wait for the peer already: the next message says the same and more.
+    /// Sends a message to a peer. The message is dropped if the peer's address is unknown or too many calls
+    /// to the peer are in flight; the next message supersedes it.
     fn send_to_peer(&self, host: HostId, message: &PeerMessage, ctx: &mut Context<Self>) {
         let host = {
             let controller = self.shared.controller.lock();
@@ -164,7 +164,7 @@
         }));
     }
 
-    /// Rents machines.
+    /// Sends a rental request to the cloud.
     fn rent(&self, request: RentRequest, ctx: &mut Context<Self>) {
         let call = self.cloud.clone().rent(request.clone());
         ctx.spawn(call.into_actor(self).map(move |outcome, actor, ctx| {
@@ -178,7 +178,7 @@
         }));
     }
 
-    /// Returns machines.
+    /// Sends a return request to the cloud.
     fn return_machines(&self, machines: Vec<String>, ctx: &mut Context<Self>) {
         let call = self.cloud.clone().return_machines(machines.clone());
         ctx.spawn(call.into_actor(self).map(move |returned, actor, ctx| {
@@ -192,7 +192,7 @@
         }));
     }
 
-    /// Asks a controller of another cell. The controller hears of a call without an answer as well.
+    /// Sends a request to a controller of another cell. A missing response is reported to the controller too.
     fn call_cell(&self, cell_call: CellCall, ctx: &mut Context<Self>) {
         let sent_at = self.now();
         let request = rmp_serde::to_vec_named(&cell_call.request).map(|body| {
--- a/src/runtime/mod.rs
+++ b/src/runtime/mod.rs
@@ -1,8 +1,8 @@
-//! The input and output around [`Controller`]: actors, the watch loop and the HTTP listeners.
+//! The I/O around [`Controller`]: actors, the watch loop and the HTTP listeners.
 //!
-//! Owns the process's clients, timers and sockets, and puts them together in [`run`]. It decides nothing:
-//! whatever arrives is passed to the controller, and the [`Effect`](crate::controller::Effect)s that the
-//! controller asks for are carried out. It must never hold the controller's lock across an await.
+//! Owns the process's clients, timers and sockets, which [`run`] sets up. It makes no decisions: input is
+//! passed to the controller, and the [`Effect`](crate::controller::Effect)s that the controller returns are
+//! executed. The controller's lock must never be held across an await.
 
 use crate::clock::{Clock, SystemClock};
 use crate::controller::Controller;
@@ -27,14 +27,14 @@
 mod server;
 mod watch_loop;
 
-/// Longest wait for a connection to another service.
+/// Timeout for connecting to another service.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Open connections to other services at a time.
+/// Maximum number of open connections to other services.
 const MAX_CLIENT_CONNECTIONS: usize = 64;
-/// Open connections on the peer address at a time. Only controllers and operators use it.
+/// Maximum number of open connections on the peer address, which only controllers and operators use.
 const MAX_PEER_CONNECTIONS: usize = 1000;
 
-/// Why the service did not start.
+/// Why the service could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// An address cannot be bound.
@@ -42,15 +42,15 @@
     Listen {
         /// The address.
         addr: String,
-        /// The system's reason.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The HTTP service cannot be put together.
+    /// The HTTP service cannot be initialized.
     #[error("cannot start the HTTP service")]
     Http,
 }
 
-/// Runs the service until it is killed. Returns only if it cannot start.
+/// Runs the service until the process is killed. Returns only if the service cannot start.
 pub async fn run(settings: Settings) -> Result<(), StartError> {
     let public_listener = server::listen(&settings.platform.public_addr).await?;
     let peer_listener = server::listen(&settings.platform.peer_addr).await?;
@@ -76,7 +76,7 @@
     );
     actix_rt::spawn(async move {
         if let Err(start_error) = peer_server.await {
-            error!(error = %start_error, "peer address is not served");
+            error!(error = %start_error, "failed to serve the peer address");
         }
     });
     let public_limit = ConnectionLimit::new(settings.max_connections());
@@ -88,16 +88,16 @@
     .await
 }
 
-/// The state that the actors and all HTTP handlers share.
+/// Creates the state that the actors and the HTTP handlers share.
 fn new_shared(settings: &Settings) -> Arc<SharedState> {
     let clock = SystemClock::default();
-    // Random choices need to differ between incarnations of the process, not to be secret.
+    // Random choices must differ between incarnations of the process, but need not be secret.
     let seed = rand::rngs::SmallRng::from_os_rng().random::<u64>() ^ clock.day_ms().rotate_left(20);
     let controller = Controller::new(settings.clone(), seed);
     Arc::new(SharedState::new(controller, Box::new(clock)))
 }
 
-/// The HTTP client for the state service, the cloud, peers and other cells.
+/// Creates the HTTP client for the key-value store, the cloud, peers and other cells.
 fn new_client() -> Client {
     let connector = awc::Connector::new()
         .timeout(CONNECT_TIMEOUT)
@@ -108,7 +108,7 @@
         .finish()
 }
 
-/// Starts the actor that carries out effects, then the one that watches the state service.
+/// Starts the actor that runs effects, then the one that watches the key-value store.
 fn start_actors(settings: &Settings, shared: Arc<SharedState>, store: StoreClient, client: Client) {
     let cloud = CloudClient::new(client.clone(), &settings.platform.external.cloud);
     let peers = settings
--- a/src/runtime/server.rs
+++ b/src/runtime/server.rs
@@ -1,7 +1,7 @@
-//! Listeners, and the HTTP/1.1 service on them, all on the thread of the actors.
+//! Listeners and the HTTP/1.1 service on them, all on the thread of the actors.
 //!
-//! Owns the sockets that take connections and the bound on how many are open. It must never let incoming
-//! connections use up the sockets that the controller needs for its own calls.
+//! Owns the listening sockets and the limit of open connections. Incoming connections must never use up the
+//! sockets that the controller needs for its own requests.
 
 use super::StartError;
 use actix_service::{IntoServiceFactory, Service, ServiceFactory, map_config};
@@ -13,18 +13,18 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tracing::debug;
 
-/// Connections that the system keeps for us until they are accepted.
+/// Maximum number of connections that the operating system queues until they are accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// How long an idle connection stays open.
+/// How long an idle connection is kept open.
 const KEEP_ALIVE: Duration = Duration::from_secs(20);
-/// Longest time until the head of a request is there.
+/// Timeout for receiving the head of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest time for closing a connection in order.
+/// Timeout for shutting down a connection.
 const DISCONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after accepting failed, for instance for want of file descriptors.
+/// Pause after a failed accept, for example when no file descriptors are left.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Bound on the open connections of one listener.
+/// Limit of the open connections of one listener.
 #[derive(Debug, Clone)]
 pub(super) struct ConnectionLimit {
     open: Rc<Cell<usize>>,
@@ -32,7 +32,7 @@
 }
 
 impl ConnectionLimit {
-    /// At most `max_open` connections at a time.
+    /// Allows at most `max_open` connections at a time.
     pub(super) fn new(max_open: usize) -> Self {
         Self {
             open: Rc::default(),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Counts one more connection, unless there are as many as there may be.
+    /// Counts one more connection, or returns `None` if the limit is reached.
     fn try_open(&self) -> Option<ConnectionGuard> {
         let open = self.open.get();
         (open < self.max_open).then(|| {
@@ -50,7 +50,7 @@
     }
 }
 
-/// One open connection; it counts until it is dropped.
+/// Guard of one open connection, which counts until the guard is dropped.
 #[derive(Debug)]
 struct ConnectionGuard(Rc<Cell<usize>>);
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// Binds an address. A restarted controller takes its address over at once.
+/// Listens on an address. Address reuse lets a restarted controller bind its address at once.
 pub(super) async fn listen(addr: &str) -> Result<TcpListener, StartError> {
     let fail = |source| StartError::Listen {
         addr: addr.to_owned(),
@@ -79,7 +79,7 @@
     socket.listen(LISTEN_BACKLOG).map_err(fail)
 }
 
-/// Serves one listener on this thread, for as long as the process runs.
+/// Serves one listener on this thread until the process ends.
 pub(super) async fn serve<F, S, B>(
     listener: TcpListener,
     app: F,
@@ -110,20 +110,20 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(io_error) => {
-                debug!(error = %io_error, "accepting a connection failed");
+                debug!(error = %io_error, "failed to accept a connection");
                 actix_rt::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
             }
         };
         let Some(connection) = limit.try_open() else {
-            // Closed at once: the load balancer goes on to another controller.
+            // Dropping the stream closes it, and the load balancer tries another controller.
             continue;
         };
         let _ = stream.set_nodelay(true);
         let service = service.clone();
         actix_rt::spawn(async move {
             if let Err(dispatch_error) = service.call(stream).await {
-                debug!(error = %dispatch_error, "connection ended with an error");
+                debug!(error = %dispatch_error, "connection closed with an error");
             }
             drop(connection);
         });
--- a/src/runtime/watch_loop.rs
+++ b/src/runtime/watch_loop.rs
@@ -1,8 +1,8 @@
-//! The watch loop: keeps the replica up to date with the shared keys of the state service.
+//! The watch loop, which keeps the replica up to date with the shared keys of the key-value store.
 //!
-//! Reads all keys once, then watches from the revision that the replica has. It reads them all again only
-//! when the service has compacted the history that a watch needs. The loop must never stop while the
-//! process runs: a controller whose replica stands still answers from the past.
+//! Reads all keys once, then watches for changes after the replica's revision. It reads all keys again only
+//! if the store has compacted the history that the watch needs. The loop must never stop while the process
+//! runs: a controller whose replica is not updated returns outdated responses.
 
 use super::controller_actor::{ControllerActor, TickNow};
 use crate::http::SharedState;
@@ -13,21 +13,21 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// Longest time that the service holds one watch open, ms.
+/// Longest time for which the store keeps one watch request open, ms.
 const WATCH_TIMEOUT_MS: u64 = 1500;
-/// Least time between two watches, ms, so that a burst of changes comes in one answer.
+/// Minimum time between two watch requests, ms, so that a burst of changes arrives in one response.
 const MIN_WATCH_INTERVAL_MS: u64 = 40;
-/// Part of the state service's requests that the watches of all controllers may take.
+/// Share of the store's request rate limit for the watches of all controllers together.
 const MAX_WATCH_REQUEST_SHARE: f64 = 0.3;
-/// Pause after a request that failed.
+/// Pause after a failed request.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// What the next request of the loop is.
+/// The next request of the loop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NextRead {
-    /// All keys.
+    /// Reads all keys.
     All,
-    /// What changed after the replica's revision.
+    /// Watches for changes after the replica's revision.
     Changes,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl WatchActor {
-    /// A watcher that wakes `actor` when something has changed.
+    /// Creates an actor that ticks `actor` when the replica has changed.
     pub(super) fn new(
         shared: Arc<SharedState>,
         store: StoreClient,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Time between two watches that keeps the watches of all controllers within their share of requests.
+/// Time between two watch requests that keeps the watches of all controllers within their share of requests.
 fn watch_interval(shared: &SharedState) -> Duration {
     let controller = shared.controller.lock();
     let params = &controller.settings.platform.settings;
@@ -75,7 +75,7 @@
     Duration::from_millis((gap_ms as u64).max(MIN_WATCH_INTERVAL_MS))
 }
 
-/// The loop's clients and its pace.
+/// The clients of the loop and the interval between its watch requests.
 struct WatchLoop {
     shared: Arc<SharedState>,
     store: StoreClient,
@@ -84,7 +84,7 @@
 }
 
 impl WatchLoop {
-    /// Reads and watches for as long as the process runs.
+    /// Reads and watches until the process ends.
     async fn run(self) {
         let mut next_read = NextRead::All;
         loop {
@@ -96,14 +96,14 @@
                 Ok(()) => next_read = NextRead::Changes,
                 Err(StoreError::Compacted) => next_read = NextRead::All,
                 Err(store_error) => {
-                    debug!(error = %store_error, "watch of the state service failed");
+                    debug!(error = %store_error, "watch of the key-value store failed");
                     actix_rt::time::sleep(RETRY_PAUSE).await;
                 }
             }
         }
     }
 
-    /// Reads all keys into the replica.
+    /// Loads all keys into the replica.
     async fn load_all(&self) -> Result<(), StoreError> {
         let sent_at = self.shared.now();
         let read = self.store.list(ROOT).await?;
@@ -121,7 +121,7 @@
         Ok(())
     }
 
-    /// Waits for changes, and applies them to the replica.
+    /// Waits for changes and applies them to the replica.
     async fn watch_changes(&self) -> Result<(), StoreError> {
         let sent_at = self.shared.now();
         let after = self.shared.controller.lock().replica.revision;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! Settings: the platform's file (TOML), the operators' file (XML), and the times derived from both.
+//! Settings: the platform's file (TOML), the operators' files (XML), and durations derived from them.
 //!
-//! Owns what a controller is given at its start, checked and complete. Settings never change while the process
-//! runs. What the derived times must keep to for safety stands in `durations`.
+//! Settings are validated at startup and never change while the process runs. The safety conditions of the
+//! derived durations are documented in `durations`.
 
 use quillbend_spillover::settings::SpilloverSettings;
 
@@ -18,55 +18,55 @@
 };
 pub use state_limits::{NextStateLimits, StateLimits};
 
-/// Settings that cannot be used. The text is one line and names what is wrong.
+/// Invalid settings. The text is a single line that names the faulty setting.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum SettingsError {
-    /// The platform's file cannot be read as such.
+    /// The platform's file is not valid TOML, or a value in it is invalid.
     #[error("settings file: {0}")]
     Platform(String),
-    /// The operators' file is not the XML expected.
+    /// The operators' file is not XML of the expected structure.
     #[error("options file: {0}")]
     Xml(String),
-    /// An element of the operators' file that does not exist.
+    /// The operators' file contains an unknown element.
     #[error("options file: unknown element <{0}>")]
     UnknownElement(String),
-    /// A value outside its range.
+    /// A value in the operators' file is not a number within its range.
     #[error("options file: <{element}> must be a number from {min} to {max}, not {found:?}")]
     OutOfRange {
-        /// The element.
+        /// Path of the element.
         element: String,
-        /// Smallest value.
+        /// Smallest allowed value.
         min: f64,
-        /// Largest value.
+        /// Largest allowed value.
         max: f64,
-        /// What stands there.
+        /// The text in the file.
         found: String,
     },
-    /// The times leave no room for a lease on blocks.
+    /// The time allowed for a cancellation is too short for a lease on blocks.
     #[error(
         "settings file: workers.cancel_s ({cancel_s}) must exceed workers.lease_s ({lease_s}) by at least 5 s"
     )]
     CancelTimeTooShort {
         /// Time allowed for a cancellation, seconds.
         cancel_s: f64,
-        /// Lease of workers, seconds.
+        /// Lease of a worker, seconds.
         lease_s: f64,
     },
 }
 
-/// All settings of a controller; the derived times are its methods.
+/// All settings of a controller. Its methods compute derived durations and limits.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The platform's file.
+    /// Settings from the platform's file.
     pub platform: Platform,
-    /// The operators' file.
+    /// Settings from the operators' file.
     pub options: Options,
-    /// The operators' file that turns on spillover between cells.
+    /// Settings of spillover between cells; `None` if it is disabled.
     pub spillover: Option<SpilloverSettings>,
 }
 
 impl Settings {
-    /// Puts both files together, without spillover.
+    /// Combines both files, with spillover disabled.
     pub fn new(platform: Platform, options: Options) -> Self {
         Self {
             platform,
--- a/src/settings/options.rs
+++ b/src/settings/options.rs
@@ -1,32 +1,32 @@
-//! The operators' own settings (XML): `<quillbend>` with one element a setting.
+//! The operators' settings (XML): a `<quillbend>` element with one element for each setting.
 //!
-//! Owns the table of elements with their defaults and ranges; `--list-options` prints it. A file must never be
-//! taken in part: whatever is unknown or out of its range refuses all of it.
+//! Owns the table of elements with their defaults and ranges, which `--list-options` prints. A file must
+//! never be applied in part: an unknown element or a value out of range makes the whole file invalid.
 
 use super::SettingsError;
 use quick_xml::Reader;
 use quick_xml::events::{BytesStart, Event};
 use std::collections::HashMap;
 
-/// Name of the element around all others.
+/// Name of the root element.
 const ROOT: &str = "quillbend";
 
 /// An element of the operators' file.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OptionElement {
-    /// Names of the elements around it, without the root, and its own, divided by `/`.
+    /// Path of element names below the root, separated by `/`.
     pub path: &'static str,
     /// Value if the element is absent.
     pub default: f64,
-    /// Smallest value.
+    /// Smallest allowed value.
     pub min: f64,
-    /// Largest value.
+    /// Largest allowed value.
     pub max: f64,
 }
 
 macro_rules! options {
     ($($(#[$doc:meta])* $field:ident: $path:literal = $default:literal in $min:literal..=$max:literal;)*) => {
-        /// The operators' own settings, from the XML file.
+        /// Settings from the operators' XML file.
         #[derive(Debug, Clone, PartialEq)]
         pub struct Options { $($(#[$doc])* pub $field: f64,)* }
 
@@ -35,7 +35,7 @@
         }
 
         impl Options {
-            /// Every element of the file.
+            /// All elements that the file can contain.
             pub const TABLE: &'static [OptionElement] = &[$(OptionElement {
                 path: $path,
                 default: $default,
@@ -53,65 +53,65 @@
 options! {
     /// Seconds between rounds of work stealing.
     balance_period_s: "balance/period-s" = 5.0 in 1.0..=600.0;
-    /// Tolerance of a balanced queue, as a part of the mean.
+    /// Deviation from the mean load within which a queue counts as balanced, as a fraction of the mean.
     balance_tolerance: "balance/tolerance" = 0.05 in 0.001..=1.0;
-    /// Load of a pack, as a part of the tolerance.
+    /// Load of a pack, as a fraction of the tolerance.
     balance_pack: "balance/pack" = 0.4 in 0.01..=1.0;
     /// Number of most loaded machines among which a stealing machine picks its victim.
     balance_targets: "balance/targets" = 4.0 in 1.0..=64.0;
-    /// Hops after which a steal goes anywhere, as a part of the machines.
+    /// Hops after which a steal request is sent to random machines, as a fraction of the number of machines.
     balance_hops: "balance/hops" = 0.25 in 0.0..=1.0;
-    /// Hops after which a steal ends.
+    /// Maximum number of hops of a steal request.
     balance_max_hops: "balance/hops-most" = 6.0 in 1.0..=10000.0;
-    /// Longest lease of a block, seconds.
+    /// Maximum lease of a block, seconds.
     block_lease_s: "blocks/lease-s" = 30.0 in 5.0..=600.0;
-    /// Machines in a block before another block is begun, while there are few blocks.
+    /// Number of machines in a block before a new block is created, while there are few blocks.
     block_machines: "blocks/machines" = 10.0 in 1.0..=64.0;
-    /// Longest time that a bound task should wait for room on its machine, seconds.
+    /// Longest time that a bound task should wait for free resources on its machine, seconds.
     queue_max_wait_s: "queues/ahead-s" = 3.0 in 0.0..=600.0;
-    /// Machines looked at for a binding when there are more.
+    /// Maximum number of machines sampled for a binding.
     queue_sample_size: "queues/sample" = 16.0 in 2.0..=1000.0;
-    /// Seconds that a job waits at most for its first tasks, and for more of them, before it is
-    /// served ahead of its turn.
+    /// Seconds that a job waits for its first tasks, or for more of them, before it is served ahead of the
+    /// regular order.
     queue_boost_after_s: "queues/floor-s" = 80.0 in 5.0..=3600.0;
-    /// Part of the fleet's CPUs that one job may use at its place in the order; beyond it, and beyond
-    /// 200 tasks, it has the room that no other job wants.
+    /// Fraction of the fleet's CPUs that one job may use at its position in the order. Beyond it, and beyond
+    /// 200 tasks, the job gets only resources that no other job needs.
     queue_job_share: "queues/share" = 0.03 in 0.001..=1.0;
-    /// CPUs of running tasks that may be preempted at a time for tasks of a higher priority.
+    /// CPUs of running tasks that may be preempted at once for tasks of a higher priority.
     preempt_cpus: "queues/evict-cpus" = 24.0 in 0.0..=10000.0;
-    /// Seconds of work that a rented CPU should find waiting.
+    /// Seconds of queued work for each CPU that the fleet is sized for.
     fleet_horizon_s: "fleet/horizon-s" = 45.0 in 1.0..=3600.0;
-    /// Seconds that a machine stands idle before it is returned.
+    /// Seconds for which a machine is idle before it is returned.
     fleet_idle_s: "fleet/idle-s" = 8.0 in 0.0..=3600.0;
-    /// Seconds that a refused type and zone is left alone.
+    /// Seconds before a refused machine type and zone is requested again.
     fleet_refusal_pause_s: "fleet/refused-s" = 15.0 in 1.0..=3600.0;
-    /// Seconds for which machines are kept that fell silent together with most of their zone.
+    /// Seconds for which machines are kept that became silent together with most of their zone.
     fleet_partition_s: "fleet/cut-s" = 90.0 in 0.0..=3600.0;
-    /// Most machines rented at a time: a guard against a mistake in what is asked for, not a size of
-    /// the fleet, which demand and the cloud decide.
+    /// Maximum number of machines rented at a time. It only guards against erroneous demand; the size of the
+    /// fleet follows from demand and the cloud's capacity.
     fleet_max_machines: "fleet/most" = 100000.0 in 1.0..=1000000.0;
-    /// Most unfinished jobs; more are answered with 429.
+    /// Maximum number of unfinished jobs; further submissions get status 429.
     max_unfinished_jobs: "jobs/most" = 20000.0 in 1.0..=1000000.0;
-    /// Jobs that are over and stay in every replica while others wait to run: each that leaves costs
-    /// two changes.
+    /// Number of final jobs that stay in every replica while others are pending, because archiving a job
+    /// costs two changes.
     max_final_jobs: "jobs/kept" = 600.0 in 0.0..=100000.0;
     /// Milliseconds between messages to a peer.
     peers_period_ms: "peers/period-ms" = 700.0 in 100.0..=10000.0;
     /// Seconds of silence after which a peer is suspected.
     peers_silent_s: "peers/silent-s" = 2.5 in 0.5..=60.0;
-    /// Newest format of stored values that is written. An earlier one keeps the way back open to a
-    /// version that reads no newer one; what was written once stays.
+    /// Newest format in which values are stored. An older format allows a rollback to a version that cannot
+    /// read newer ones; values that are already stored keep their format.
     max_written_format: "upgrade/format-most" = 4.0 in 2.0..=4.0;
-    /// Milliseconds that completions are gathered before they are written.
+    /// Milliseconds for which completions are batched before they are written.
     flush_ms: "writes/flush-ms" = 150.0 in 10.0..=5000.0;
 }
 
 impl Options {
-    /// Reads the XML text: `<quillbend>` with the elements of [`Options::TABLE`].
+    /// Parses the XML text: `<quillbend>` with elements of [`Options::TABLE`].
     ///
     /// # Errors
     ///
-    /// Text that is not such XML, an element that does not exist, or a value out of its range.
+    /// If the text is not such XML, contains an unknown element, or a value is out of its range.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let values = parse_values(text)?;
         let mut options = Options::default();
@@ -136,12 +136,12 @@
         Ok(options)
     }
 
-    /// Whether a path names a value.
+    /// Whether a path is that of a setting.
     fn is_value(path: &str) -> bool {
         Self::TABLE.iter().any(|element| element.path == path)
     }
 
-    /// Whether a path leads to a value, or names one.
+    /// Whether a path is that of a setting or of an element that contains one.
     fn is_known_path(path: &str) -> bool {
         let inner = format!("{path}/");
         path.is_empty()
@@ -151,7 +151,7 @@
     }
 }
 
-/// Reads the text of every value in the file, by the path of its element; empty where it has none.
+/// Reads the text of every setting in the file, by path; an element without text has an empty one.
 fn parse_values(text: &str) -> Result<HashMap<String, String>, SettingsError> {
     let mut reader = Reader::from_str(text);
     let mut values = OptionValues::default();
@@ -167,19 +167,19 @@
     }
 }
 
-/// A fault of the XML text, in one line.
+/// Converts an XML error to a single line.
 fn invalid_xml(xml_error: &dyn std::fmt::Display) -> SettingsError {
     SettingsError::Xml(xml_error.to_string().replace('\n', " "))
 }
 
-/// The values found while a file is read.
+/// The settings found while a file is parsed.
 #[derive(Debug, Default)]
 struct OptionValues {
-    /// Names of the elements that are open, from the root.
+    /// Names of the open elements, from the root.
     open_elements: Vec<String>,
-    /// Whether any element was there.
+    /// Whether any element was found.
     any_element: bool,
-    /// Text of the values by path.
+    /// Text of the settings by path.
     by_path: HashMap<String, String>,
 }
 
@@ -199,7 +199,7 @@
         Err(SettingsError::UnknownElement(self.open_elements.join("/")))
     }
 
-    /// An element without content: a value that stood there before counts no more.
+    /// Handles an element without content. It replaces an earlier value of the same path.
     fn empty(&mut self, tag: &BytesStart) -> Result<(), SettingsError> {
         self.open(tag)?;
         let path = self.path();
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,60 +1,61 @@
-//! The platform's file (TOML): addresses, teams, and what the deployment promises and allows (DEPLOY).
+//! The platform's file (TOML): addresses, teams, and the guarantees and limits of the deployment (DEPLOY).
 //!
-//! Owns the field names of that file, which are renamed here only, and its checks. It must never refuse a
-//! field that it does not know: later versions of the platform add some.
+//! Maps the file's field names to those used in this crate and validates the values. Unknown fields must be
+//! ignored, because later versions of the platform add some.
 
 use super::SettingsError;
 use super::state_limits::{StateLimits, check_positive};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Least time between a worker's lease and the end of a cancellation, seconds: room for a lease on blocks.
+/// Minimum difference between the time allowed for a cancellation and a worker's lease, seconds; leaves time
+/// for a lease on blocks.
 const MIN_CANCEL_AFTER_LEASE_S: f64 = 5.0;
 
 /// Another controller of this cell.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PeerAddress {
-    /// Name.
+    /// The controller's host name.
     pub host_name: String,
-    /// Zone.
+    /// Zone of the controller; empty if not given.
     #[serde(default)]
     pub zone: String,
-    /// Its address for peers.
+    /// Address for peer messages, with a port.
     pub endpoint: String,
 }
 
-/// Addresses of the services outside.
+/// Addresses of external services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct External {
-    /// Cloud.
+    /// Address of the cloud API.
     pub cloud: String,
-    /// State service.
+    /// Address of the key-value store.
     pub state: String,
 }
 
 /// A team with its quota.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// Name.
+    /// Name, as submissions give it.
     pub name: String,
     /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Most CPUs; infinite where the file says 0, which means none (DEPLOY: no limit).
+    /// Maximum CPUs; infinite if the file has 0, which means no limit (DEPLOY).
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Most GPUs, likewise.
+    /// Maximum GPUs; infinite if the file has 0.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
 impl Team {
-    /// Takes a limit of 0 as none.
+    /// Replaces a limit of 0 by infinity.
     ///
-    /// Guards against a guest team without a guarantee, which comes with a limit of 0: every job of it
-    /// was refused as one that can never run, although it may borrow whatever is unused.
+    /// Guest teams without a guarantee have a limit of 0. Without this, all their jobs were refused as
+    /// unrunnable, although they may use unused capacity.
     fn treat_zero_as_unlimited(&mut self) {
         for limit in [&mut self.cpus_max, &mut self.gpus_max] {
             if *limit <= 0.0 {
@@ -67,83 +68,83 @@
 /// A service-level objective for a class of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// `deadline`, `wait`, `finished` and others.
+    /// Kind of objective: `deadline`, `wait`, `finished` and others.
     #[serde(default)]
     pub kind: String,
-    /// Class.
+    /// Class of jobs to which the objective applies.
     #[serde(default)]
     pub class: String,
-    /// Time it is measured against, seconds.
+    /// Target time, seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Multiple of the deadline that it is measured against.
+    /// Target time as a multiple of the deadline.
     #[serde(default)]
     pub times: Option<f64>,
 }
 
-/// Times of the workers.
+/// Heartbeat interval, lease and cancellation time of workers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
-    /// Interval of heartbeats, seconds.
+    /// Interval between heartbeats, seconds.
     #[serde(rename = "report_s")]
     pub heartbeat_s: f64,
-    /// Lease of a worker, seconds: without an accepted heartbeat for so long it drops its tasks.
+    /// Lease of a worker, seconds. A worker whose heartbeats are not acknowledged for so long drops its tasks.
     pub lease_s: f64,
-    /// Time that a cancellation has until no task of the job may run, seconds.
+    /// Time after a cancellation by which no task of the job may run, seconds.
     pub cancel_s: f64,
 }
 
 /// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Calls a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Age that its lists may have, seconds.
+    /// Maximum age of the cloud's list of machines, seconds.
     pub list_lag_s: f64,
 }
 
-/// What a controller may use.
+/// Resource limits of a controller.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct Resources {
-    /// Sockets.
+    /// Maximum number of sockets; `None` means no limit is given.
     #[serde(default)]
     pub max_sockets: Option<usize>,
 }
 
-/// What the deployment promises and allows.
+/// Guarantees and limits of the deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct DeploymentParams {
-    /// Number of controllers.
+    /// Number of controllers in the cell.
     pub count: usize,
-    /// Zones.
+    /// Names of the cell's zones.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Bound on the error of the time of day, milliseconds.
+    /// Maximum error of the wall clock, milliseconds.
     #[serde(default)]
     pub clock_error_ms: f64,
-    /// Teams.
+    /// Teams with their quotas.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// Service-level objectives.
+    /// Service-level objectives of the job classes.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Workers.
+    /// Heartbeat interval, lease and cancellation time of workers.
     pub workers: Workers,
-    /// State service.
+    /// Limits of the key-value store.
     pub state: StateLimits,
-    /// Cloud.
+    /// Limits of the cloud API.
     pub cloud: CloudLimits,
-    /// What this controller may use.
+    /// Resource limits of this controller.
     #[serde(default)]
     pub resources: Resources,
 }
 
-/// The platform's file.
+/// Contents of the platform's file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Platform {
-    /// This controller's name.
+    /// Host name of this controller.
     pub host_name: String,
-    /// Its zone.
+    /// Zone of this controller; empty if not given.
     #[serde(default)]
     pub zone: String,
     /// Address for users and workers.
@@ -154,19 +155,19 @@
     /// The other controllers.
     #[serde(rename = "known", default)]
     pub peers: Vec<PeerAddress>,
-    /// Addresses of the services outside.
+    /// Addresses of external services.
     pub external: External,
-    /// The rest.
+    /// Guarantees and limits of the deployment.
     pub settings: DeploymentParams,
 }
 
 impl Platform {
-    /// Reads the TOML text; unknown fields are ignored.
+    /// Parses the TOML text; unknown fields are ignored.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Platform`] for text that is not as expected, or a value out of its range;
-    /// [`SettingsError::CancelTimeTooShort`] if the times leave no room for a lease on blocks.
+    /// [`SettingsError::Platform`] if the text is malformed or a value is invalid;
+    /// [`SettingsError::CancelTimeTooShort`] if there is no time for a lease on blocks.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let mut platform: Platform =
             toml::from_str(text).map_err(|toml_error| invalid_toml(text, &toml_error))?;
@@ -226,7 +227,7 @@
     }
 
     fn check_teams(&self) -> Result<(), SettingsError> {
-        // Not `<`: a limit that is no number is refused as well.
+        // `>=` instead of a negated `<`, so that NaN is rejected too.
         let is_valid = |team: &Team| team.cpus_max >= 0.0 && team.gpus_max >= 0.0;
         if self.teams.iter().all(is_valid) {
             return Ok(());
@@ -246,7 +247,7 @@
     }
 }
 
-/// What is wrong with the TOML text, and in which line.
+/// Converts a TOML error to a single line with its line number.
 fn invalid_toml(text: &str, toml_error: &toml::de::Error) -> SettingsError {
     let line_of = |offset: usize| text[..offset.min(text.len())].matches('\n').count() + 1;
     let message = toml_error.message();
--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -1,52 +1,52 @@
-//! Limits of the state service, present and announced (DEPLOY, `settings.state`).
+//! Limits of the key-value store, current and announced (DEPLOY, `settings.state`).
 //!
-//! Owns the rule that a controller keeps to the smaller of the two from its start.
+//! From its start, a controller observes the smaller of the two.
 
 use super::SettingsError;
 use serde::Deserialize;
 
-/// Fewest changes in a transaction with which a controller can work: a pack moves between two
-/// blocks in one, and a block is split into several.
+/// Minimum number of changes per transaction that a controller needs: a pack moves between two blocks in one
+/// transaction, and a block is split into several.
 const MIN_TXN_OPS: usize = 4;
 
-/// Limits of the state service.
+/// Limits of the key-value store.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
-    /// Requests a second, of all controllers together.
+    /// Requests per second, for all controllers together.
     pub rps: f64,
-    /// Changes a second, of all controllers together.
+    /// Changes per second, for all controllers together.
     pub write_rps: f64,
-    /// Size of a value, KiB.
+    /// Maximum size of a value, KiB.
     pub value_kb: f64,
-    /// Changes in a transaction.
+    /// Maximum number of changes in a transaction.
     pub txn_ops: usize,
-    /// Limits that the service will have from some moment on, without notice.
+    /// Limits that the store will apply from some later time on, without further notice.
     #[serde(default)]
     pub next: NextStateLimits,
 }
 
-/// Limits that the state service will have later; what is absent stays as it is.
+/// Announced limits of the key-value store; an absent limit stays as it is.
 #[derive(Debug, Clone, Default, Deserialize)]
 pub struct NextStateLimits {
-    /// Requests a second.
+    /// Requests per second, for all controllers together.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Changes a second.
+    /// Changes per second, for all controllers together.
     #[serde(default)]
     pub write_rps: Option<f64>,
-    /// Size of a value, KiB.
+    /// Maximum size of a value, KiB.
     #[serde(default)]
     pub value_kb: Option<f64>,
-    /// Changes in a transaction.
+    /// Maximum number of changes in a transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
 
 impl StateLimits {
-    /// Takes the smaller of the present and the later limits for each of them.
+    /// Replaces each limit by the smaller of the current and the announced one.
     ///
-    /// Guards against a limit that falls between two writes: from its start a controller writes
-    /// nothing that either of the two would refuse.
+    /// A limit can be lowered between two writes, so a controller never writes anything that the store would
+    /// refuse under either of them.
     pub(super) fn apply_next_limits(&mut self) {
         let next = &self.next;
         let smaller = |now: f64, next: Option<f64>| next.map_or(now, |next| now.min(next));
@@ -58,12 +58,12 @@
             .map_or(self.txn_ops, |next| self.txn_ops.min(next));
     }
 
-    /// Checks the present number of changes in a transaction.
+    /// Checks that the current limit of changes in a transaction is sufficient.
     pub(super) fn check_txn_ops(&self) -> Result<(), SettingsError> {
         check_txn_ops("state.txn_ops", self.txn_ops)
     }
 
-    /// Checks the limits that the service will have later.
+    /// Checks the announced limits.
     pub(super) fn check_next(&self) -> Result<(), SettingsError> {
         for (name, limit) in [
             ("state.next.rps", self.next.rps),
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -3,11 +3,15 @@
 use super::durations::MAX_CLOCK_DRIFT_RATIO;
 use super::{Options, Platform, Settings, SettingsError, StateLimits, Workers};
 
-/// A small deployment used by the tests.
+/// Platform file of a small deployment.
 pub(crate) const PLATFORM: &str = include_str!("../../tests/support/platform.toml");
 
+/// Settings of a small deployment with default options.
 pub(crate) fn small_settings() -> Settings {
-    Settings::new(Platform::parse(PLATFORM).expect("good"), Options::default())
+    Settings::new(
+        Platform::parse(PLATFORM).expect("valid platform file"),
+        Options::default(),
+    )
 }
 
 #[test]
@@ -22,13 +26,13 @@
     assert_eq!(
         long.block_lease_ms(),
         30_000,
-        "the design's value is the upper bound"
+        "the block lease is at most 30 s"
     );
 }
 
 #[test]
 fn derived_times_satisfy_the_safety_argument_in_every_deployment() {
-    // Controllers, machines, sockets, report, lease and cancellation in seconds, value in KiB.
+    // Controllers, machines, sockets; heartbeat interval, lease and cancellation in seconds; value in KiB.
     for (count, machines, sockets, report_s, lease_s, cancel_s, value_kb) in [
         (3, 32, 1500, 2.0, 12.0, 37.0, 4.0),
         (3, 40, 1800, 3.0, 19.0, 49.0, 32.0),
@@ -47,19 +51,20 @@
             cancel_s,
         };
         let (lease, cancel) = ((lease_s * 1000.0) as u64, (cancel_s * 1000.0) as u64);
-        let slow = |ms: u64| (ms as f64 * (1.0 + MAX_CLOCK_DRIFT_RATIO / 2.0)) as u64;
-        // A holder that is cut off ends before its lease does, on whichever clock, and its
-        // workers after it before a cancellation is due.
-        assert!(slow(s.authority_ms()) < s.block_lease_ms());
-        assert!(s.block_lease_ms() + slow(lease) + 1000 < cancel);
-        // Who counts a worker's lease, or an unfenced machine's and then the worker's, counts enough.
-        assert!(s.worker_expiry_ms() > slow(lease));
-        assert!(s.unfenced_expiry_ms() > slow(s.block_lease_ms()) + slow(lease));
-        // An answer that waits reaches a worker before it gives up, and several reports fit
-        // into its lease.
+        let with_drift = |ms: u64| (ms as f64 * (1.0 + MAX_CLOCK_DRIFT_RATIO / 2.0)) as u64;
+        // On any clock, the authority of a disconnected holder ends before its lease, and the leases of its
+        // workers end before the cancellation deadline.
+        assert!(with_drift(s.authority_ms()) < s.block_lease_ms());
+        assert!(s.block_lease_ms() + with_drift(lease) + 1000 < cancel);
+        // The expiry times are longer than a worker's lease, and than a holder's lease followed by a
+        // worker's.
+        assert!(s.worker_expiry_ms() > with_drift(lease));
+        assert!(s.unfenced_expiry_ms() > with_drift(s.block_lease_ms()) + with_drift(lease));
+        // A delayed ack reaches the worker before its timeout, and at least two heartbeats fit into its
+        // lease.
         assert!(s.max_ack_delay_ms() <= 3000);
         assert!(s.max_heartbeat_gap_ms() * 2 < lease);
-        // One that is left alone has room for all workers and as many users.
+        // The last remaining controller has connections for all workers and for 300 users.
         assert!(s.max_connections() > machines + 300, "{machines} machines");
         assert!(s.max_open_tasks() * 14 < s.max_value_bytes());
     }
@@ -70,11 +75,11 @@
     let e = Platform::parse(&PLATFORM.replace("cancel_s = 37.0", "cancel_s = 13.0"));
     assert!(matches!(e, Err(SettingsError::CancelTimeTooShort { .. })));
     let e = Platform::parse(&PLATFORM.replace("127.0.0.1:18091", "state"))
-        .expect_err("no address")
+        .expect_err("invalid address")
         .to_string();
     assert!(e.contains("external.state") && !e.contains('\n'), "{e}");
     let e = Platform::parse(&PLATFORM.replace("count = 3", "count = \"x\""))
-        .expect_err("no number")
+        .expect_err("not a number")
         .to_string();
     assert!(e.contains("line") && !e.contains('\n'), "{e}");
 }
@@ -86,7 +91,7 @@
         o.map(|o| (o.balance_period_s, o.balance_tolerance)),
         Ok((2.5, 0.05))
     );
-    for (text, says) in [
+    for (text, expected) in [
         (
             "<quillbend><balance><period-s>0</period-s></balance></quillbend>",
             "<balance/period-s>",
@@ -104,7 +109,7 @@
         ("<quillbend>", "quillbend"),
     ] {
         let e = Options::parse(text).expect_err(text).to_string();
-        assert!(e.contains(says) && !e.contains('\n'), "{e}");
+        assert!(e.contains(expected) && !e.contains('\n'), "{e}");
     }
 }
 
@@ -115,14 +120,20 @@
         Platform::parse(&text).map(|p| p.settings.state)
     };
     let limits = |s: &StateLimits| (s.rps, s.write_rps, s.value_kb, s.txn_ops);
-    let now = with("").expect("good");
-    assert_eq!(limits(&now), (150.0, 25.0, 4.0, 12));
-    let none = with("[settings.state.next]\nsomething_new = 1\n").expect("good");
-    assert_eq!(limits(&none), limits(&now));
+    let current = with("").expect("valid limits");
+    assert_eq!(limits(&current), (150.0, 25.0, 4.0, 12));
+    let unknown_field = with("[settings.state.next]\nsomething_new = 1\n").expect("valid limits");
+    assert_eq!(limits(&unknown_field), limits(&current));
     let lower = "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 18.0\n";
-    assert_eq!(limits(&with(lower).expect("good")), (150.0, 18.0, 2.0, 4));
+    assert_eq!(
+        limits(&with(lower).expect("valid limits")),
+        (150.0, 18.0, 2.0, 4)
+    );
     let higher = "[settings.state.next]\nvalue_kb = 8.0\ntxn_ops = 40\nrps = 100\n";
-    assert_eq!(limits(&with(higher).expect("good")), (100.0, 25.0, 4.0, 12));
+    assert_eq!(
+        limits(&with(higher).expect("valid limits")),
+        (100.0, 25.0, 4.0, 12)
+    );
     for (bad, named) in [
         ("value_kb = 0.0", "state.next.value_kb"),
         ("write_rps = -1.0", "state.next.write_rps"),
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -5,7 +5,7 @@
 
 use quillbend::controller::CommitOutcome;
 use quillbend::jobs::dependent::PredecessorState;
-use quillbend::jobs::incremental::{AcceptanceStep, StoredWaitingJob, plan_acceptance_step};
+use quillbend::jobs::incremental::{AcceptanceStep, StoredWaitingJob, plan_next_write};
 use quillbend::jobs::new_record;
 use quillbend::protocol::{JobSpec, JobStatus, Priority};
 use quillbend::replica::{job_key, past_key, waiting_key};
@@ -495,7 +495,7 @@
             mod_revision: waiting.mod_revision,
         });
     let record = new_record(spec.clone(), w.now);
-    plan_acceptance_step(name, &record, &named, stored, &w.settings).expect("planned")
+    plan_next_write(name, &record, &named, stored, &w.settings).expect("planned")
 }
 
 /// Twenty jobs that run, and the first write of a job that names them all, carried out.
