--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -13,8 +13,8 @@
 pub use durations::MAX_DONE_RANGE_BYTES;
 pub use options::{OptionElement, Options};
 pub use platform::{
-    CloudLimits, DeploymentParams, External, Objective, PeerAddress, Platform, Resources, Team,
-    Workers,
+    CloudLimits, DeploymentParams, ExternalServices, Objective, PeerAddress, Platform,
+    ResourceLimits, Team, WorkerTimes,
 };
 pub use state_limits::{NextStateLimits, StateLimits};
 
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -26,7 +26,7 @@
 
 /// Addresses of external services.
 #[derive(Debug, Clone, Deserialize)]
-pub struct External {
+pub struct ExternalServices {
     /// Address of the cloud API.
     pub cloud: String,
     /// Address of the key-value store.
@@ -84,7 +84,7 @@
 
 /// Heartbeat interval, lease and cancellation time of workers.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Workers {
+pub struct WorkerTimes {
     /// Interval between heartbeats, seconds.
     #[serde(rename = "report_s")]
     pub heartbeat_s: f64,
@@ -94,7 +94,7 @@
     pub cancel_s: f64,
 }
 
-/// Limits of the cloud.
+/// Limits of the cloud API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
     /// Requests per second.
@@ -105,7 +105,7 @@
 
 /// Resource limits of a controller.
 #[derive(Debug, Clone, Default, Deserialize)]
-pub struct Resources {
+pub struct ResourceLimits {
     /// Maximum number of sockets; `None` means no limit is given.
     #[serde(default)]
     pub max_sockets: Option<usize>,
@@ -129,14 +129,14 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Heartbeat interval, lease and cancellation time of workers.
-    pub workers: Workers,
+    pub workers: WorkerTimes,
     /// Limits of the key-value store.
     pub state: StateLimits,
     /// Limits of the cloud API.
     pub cloud: CloudLimits,
     /// Resource limits of this controller.
     #[serde(default)]
-    pub resources: Resources,
+    pub resources: ResourceLimits,
 }
 
 /// Contents of the platform's file.
@@ -156,7 +156,7 @@
     #[serde(rename = "known", default)]
     pub peers: Vec<PeerAddress>,
     /// Addresses of external services.
-    pub external: External,
+    pub external: ExternalServices,
     /// Guarantees and limits of the deployment.
     pub settings: DeploymentParams,
 }
@@ -237,7 +237,7 @@
     }
 }
 
-impl Workers {
+impl WorkerTimes {
     fn check_cancel_time(&self) -> Result<(), SettingsError> {
         let (cancel_s, lease_s) = (self.cancel_s, self.lease_s);
         if cancel_s < lease_s + MIN_CANCEL_AFTER_LEASE_S {
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,7 +1,7 @@
 //! Unit tests of `settings`.
 
 use super::durations::MAX_CLOCK_DRIFT_RATIO;
-use super::{Options, Platform, Settings, SettingsError, StateLimits, Workers};
+use super::{Options, Platform, Settings, SettingsError, StateLimits, WorkerTimes};
 
 /// Platform file of a small deployment.
 pub(crate) const PLATFORM: &str = include_str!("../../tests/support/platform.toml");
@@ -45,7 +45,7 @@
         let p = &mut s.platform.settings;
         (p.count, p.state.value_kb) = (count, value_kb);
         p.resources.max_sockets = Some(sockets);
-        p.workers = Workers {
+        p.workers = WorkerTimes {
             heartbeat_s: report_s,
             lease_s,
             cancel_s,
