--- a/src/controller/blocks/merging.rs
+++ b/src/controller/blocks/merging.rs
@@ -68,7 +68,7 @@
     /// Workers reject tokens lower than one that they have seen, so the reverse would make them
     /// ignore every answer (PROTOCOL, tokens).
     fn select_merge(&self, now: Timestamp) -> Option<(BlockId, BlockId)> {
-        let room = (self.settings.value_bytes() as f64 * MAX_EXPECTED_FILL) as usize;
+        let room = (self.settings.max_value_bytes() as f64 * MAX_EXPECTED_FILL) as usize;
         let mut small = self.small_blocks(room, now);
         small.sort_by_key(|block| (block.expected_bytes, block.id));
         let [first, second, ..] = small.as_slice() else {
@@ -118,7 +118,7 @@
         }
         intent.blocks.extend(other_intent.blocks);
         intent.outcomes.extend(other_intent.outcomes);
-        let max_bytes = (self.settings.value_bytes() as f64 * MAX_INITIAL_FILL) as usize;
+        let max_bytes = (self.settings.max_value_bytes() as f64 * MAX_INITIAL_FILL) as usize;
         let mut transaction = Transaction::default();
         for (id, edit) in [(kept, &edit), (emptied, &BlockEdit::default())] {
             let mutation = put(&block_key(id), &self.replica.block_record(edit), None);
--- a/src/controller/formats.rs
+++ b/src/controller/formats.rs
@@ -149,7 +149,7 @@
 
     /// Plans to record the format that all controllers read, limited by the operators' setting.
     pub(crate) fn plan_format(&mut self, now: Timestamp) -> Option<Transaction> {
-        let max_format = self.settings.options.format_most as u32;
+        let max_format = self.settings.options.max_written_format as u32;
         let format = self.common_format(now).min(max_format);
         if format <= self.replica.format || !self.peer_silence_is_conclusive(now) {
             return None;
--- a/src/http/cells.rs
+++ b/src/http/cells.rs
@@ -1,7 +1,7 @@
-//! Requests of controllers of other cells: offers of loans and reports about them (spillover).
+//! Requests from controllers of other cells: loan offers and reports about loans (spillover).
 //!
-//! Owns the order of things for a request that writes: it is decided by the controller, written, and only then
-//! answered. A decision must never be answered before it is recorded.
+//! The controller decides on a request, the decision is committed, and only then is the response sent. A
+//! decision must never be sent before it is recorded.
 
 use super::peers::message_pack;
 use super::responses::refuse;
@@ -16,10 +16,10 @@
     CellAnswer, Decision, LoanReport, Offer, OfferAnswer, Reason, RequestBody,
 };
 
-/// Tries of an offer: one more after the archive was read.
-const OFFER_TRIES: usize = 2;
+/// Maximum attempts at deciding an offer: a second one after the archive was read.
+const MAX_OFFER_ATTEMPTS: usize = 2;
 
-/// `POST /cell`: takes a request of another cell, or one that a controller of this cell relays.
+/// `POST /cell`: handles a request from another cell, or one relayed by a controller of this cell.
 pub(super) async fn cell(
     request: HttpRequest,
     api_state: web::Data<ApiState>,
@@ -46,35 +46,35 @@
 }
 
 impl ApiState {
-    /// Answers a request that is not refused.
+    /// Handles a request that passed `refuse_cell_request`.
     async fn answer_cell(&self, request: &CellRequest) -> CellAnswer {
         match &request.body {
-            RequestBody::Offer(offers) if self.leads() => {
+            RequestBody::Offer(offers) if self.is_acting_leader() => {
                 let mut answers = Vec::new();
                 for offer in offers {
                     answers.push(OfferAnswer {
                         loan: offer.loan.clone(),
-                        decision: self.decide(&request.from, offer).await,
+                        decision: self.decide_offer(&request.from, offer).await,
                     });
                 }
                 return CellAnswer::Offers(answers);
             }
-            RequestBody::Confirm { loans, .. } => self.end_loans(&request.from, loans).await,
+            RequestBody::Confirm { loans, .. } => self.record_loan_ends(&request.from, loans).await,
             RequestBody::Offer(_) | RequestBody::Status => {}
         }
         let now = self.shared.now();
         self.shared.controller.lock().answer_cell(request, now)
     }
 
-    /// Whether this controller is the leader and may act as such now.
-    fn leads(&self) -> bool {
+    /// Whether this controller is the leader and has authority to act.
+    fn is_acting_leader(&self) -> bool {
         let now = self.shared.now();
         let controller = self.shared.controller.lock();
         controller.leads().is_some() && controller.has_authority(now)
     }
 
-    /// Records the outcomes of loans that a borrower reports. What fails is reported again.
-    async fn end_loans(&self, from: &str, reports: &[LoanReport]) {
+    /// Records loan outcomes reported by a borrower. The borrower repeats the report if a write fails.
+    async fn record_loan_ends(&self, from: &str, reports: &[LoanReport]) {
         let now = self.shared.now();
         let transactions = self
             .shared
@@ -83,7 +83,7 @@
             .plan_loan_ends(from, reports, now);
         for transaction in transactions {
             if let CommitOutcome::Done(revision) =
-                self.state.commit(&transaction, WRITE_TIMEOUT).await
+                self.store.commit(&transaction, WRITE_TIMEOUT).await
             {
                 self.shared
                     .controller
@@ -93,10 +93,10 @@
         }
     }
 
-    /// Decides about one offer, and records the decision.
-    async fn decide(&self, from: &str, offer: &Offer<JobSpec>) -> Decision {
+    /// Decides on one offer and records the decision.
+    async fn decide_offer(&self, from: &str, offer: &Offer<JobSpec>) -> Decision {
         let mut archived = None;
-        for _ in 0..OFFER_TRIES {
+        for _ in 0..MAX_OFFER_ATTEMPTS {
             let plan = {
                 let now = self.shared.now();
                 let controller = self.shared.controller.lock();
@@ -109,7 +109,7 @@
                     decision,
                 } => (transaction, decision),
             };
-            match self.state.commit(&transaction, WRITE_TIMEOUT).await {
+            match self.store.commit(&transaction, WRITE_TIMEOUT).await {
                 CommitOutcome::Done(revision) => {
                     let mut controller = self.shared.controller.lock();
                     controller.replica.apply_own_commit(&transaction, revision);
@@ -123,10 +123,10 @@
         Decision::Later(Reason::State)
     }
 
-    /// Reads a job that is over from the archive; none if it is not there or cannot be read.
+    /// Reads a job from the archive; `None` if it is missing or cannot be read.
     async fn archived_job(&self, job: &str) -> Option<Archived> {
         let item = self
-            .state
+            .store
             .read(&archive_key(job), READ_TIMEOUT)
             .await
             .ok()??;
--- a/src/http/lookup.rs
+++ b/src/http/lookup.rs
@@ -1,12 +1,12 @@
-//! Looking a job up, as of now or later.
+//! Linearizable lookup of a job.
 //!
-//! Owns the rule that an answer is never older than one that any controller gave before: the replica
-//! catches up first, and what it does not show is read from the archive. Loans of other cells are never
-//! shown to this cell's users.
+//! A response is never older than one that any controller gave before: the replica catches up first, and
+//! jobs missing from it are read from the archive. Jobs borrowed from other cells are never shown to this
+//! cell's users.
 
-use super::responses::{read_failed, state_out_of_reach};
+use super::responses::{read_failed, store_unreachable};
 use super::{ApiState, READ_TIMEOUT};
-use crate::jobs::{self, chained};
+use crate::jobs::{self, dependent};
 use crate::protocol::{JobAnswer, JobStatus, Transaction};
 use crate::records::{JobRecord, WaitingRecord};
 use crate::replica::Replica;
@@ -14,120 +14,126 @@
 use actix_web::HttpResponse;
 use std::sync::Arc;
 
-/// A job as the state service has it now.
+/// A job as currently stored.
 pub(super) struct FoundJob {
-    /// Its state as users see it.
+    /// The state that users see.
     pub(super) status: JobStatus,
-    /// Tasks done, as all keys together show them.
-    pub(super) done: u32,
-    /// Its value, if it is not over and may be cancelled.
-    pub(super) open: Option<OpenJob>,
+    /// Number of done tasks over all keys that list some.
+    pub(super) done_tasks: u32,
+    /// The stored value, if the job is unfinished and can be cancelled.
+    pub(super) unfinished: Option<UnfinishedJob>,
 }
 
-/// The value of a job that is not over, with the revision of its key.
-pub(super) enum OpenJob {
-    /// An ordinary job.
+/// The stored value of an unfinished job, with the revision of its key.
+pub(super) enum UnfinishedJob {
+    /// A job without unfinished predecessors.
     Ordinary(Box<JobRecord>, u64),
-    /// A job that waits for others.
+    /// A job that waits for its predecessors.
     Waiting(Arc<WaitingRecord>, u64),
 }
 
-impl OpenJob {
-    /// The transaction that cancels the job; values may have so many bytes.
-    pub(super) fn cancel(&self, name: &str, value_bytes: usize) -> Transaction {
+impl UnfinishedJob {
+    /// The transaction that cancels the job; `value_bytes` limits the size of its value.
+    pub(super) fn cancel_transaction(&self, name: &str, value_bytes: usize) -> Transaction {
         match self {
-            OpenJob::Ordinary(record, mod_revision) => {
-                jobs::cancel(name, record, *mod_revision, value_bytes)
+            UnfinishedJob::Ordinary(record, mod_revision) => {
+                jobs::cancel_transaction(name, record, *mod_revision, value_bytes)
             }
-            OpenJob::Waiting(record, mod_revision) => {
-                chained::cancel_waiting(name, record, *mod_revision)
+            UnfinishedJob::Waiting(record, mod_revision) => {
+                dependent::cancel_waiting_transaction(name, record, *mod_revision)
             }
         }
     }
 }
 
-/// What a replica shows of a job, as this cell's users see it: loans of other cells they do not.
-fn found_in(replica: &Replica, name: &str) -> Option<FoundJob> {
+/// Finds a job in the replica. Jobs borrowed from other cells are hidden from this cell's users.
+fn find_in_replica(replica: &Replica, name: &str) -> Option<FoundJob> {
     let job_id = replica.names.jobs.get(name)?;
     if let Some(job) = replica.jobs.get(&job_id) {
         if job.borrowed_from().is_some() {
             return None;
         }
-        let open = || {
+        let unfinished = || {
             let record = job.to_record(replica.done_tasks(job.stored_done.clone()), job.status);
-            OpenJob::Ordinary(Box::new(record), job.mod_revision)
+            UnfinishedJob::Ordinary(Box::new(record), job.mod_revision)
         };
         return Some(FoundJob {
             status: job.status,
-            done: job.done.len(),
-            open: (job.status == JobStatus::Pending).then(open),
+            done_tasks: job.done.len(),
+            unfinished: (job.status == JobStatus::Pending).then(unfinished),
         });
     }
     let waiting = replica.accepted_waiting(job_id)?;
-    let open = || OpenJob::Waiting(waiting.record.clone(), waiting.mod_revision);
+    let unfinished = || UnfinishedJob::Waiting(waiting.record.clone(), waiting.mod_revision);
     Some(FoundJob {
         status: waiting.status(),
-        done: 0,
-        open: (!waiting.cancelled).then(open),
+        done_tasks: 0,
+        unfinished: (!waiting.cancelled).then(unfinished),
     })
 }
 
 impl ApiState {
-    /// Looks a job up as of now or later: an answer older than one that any controller gave
-    /// before is impossible.
+    /// Looks up a job. The replica catches up first, so the result is never older than one that any
+    /// controller returned before.
     pub(super) async fn look_up(&self, name: &str) -> Result<Option<FoundJob>, StoreError> {
         let read_index = &self.shared.read_index;
         read_index
-            .catch_up(&self.state, self.pause, READ_TIMEOUT)
+            .catch_up(&self.store, self.read_interval, READ_TIMEOUT)
             .await?;
-        let watched = {
+        let in_replica = {
             let controller = self.shared.controller.lock();
             if controller.replica.is_unreadable(name) {
                 return Err(StoreError::InvalidResponse(format!("the value of {name}")));
             }
-            found_in(&controller.replica, name)
+            find_in_replica(&controller.replica, name)
         };
-        if watched.is_some() {
-            return Ok(watched);
+        if in_replica.is_some() {
+            return Ok(in_replica);
         }
-        // It left the watched part, or was never accepted.
-        let archived = self.state.archived_job(name, READ_TIMEOUT).await?;
+        // The job was archived, or was never accepted.
+        let archived = self.store.archived_job(name, READ_TIMEOUT).await?;
         let archived = archived.filter(|record| record.borrowed_from().is_none());
         Ok(archived.map(|record| FoundJob {
             status: record.status,
-            done: record.done.tasks.len(),
-            open: None,
+            done_tasks: record.done.tasks.len(),
+            unfinished: None,
         }))
     }
 
-    /// The answer to a user about a job in this state; a final state is remembered.
-    pub(super) fn answer(&self, name: &str, status: JobStatus, done: u32) -> JobAnswer {
+    /// The response for a job in this state; final states are cached.
+    pub(super) fn job_answer(&self, name: &str, status: JobStatus, done: u32) -> JobAnswer {
         let running = {
             let controller = self.shared.controller.lock();
             let job_id = controller.replica.names.jobs.get(name);
             job_id.map_or(0, |job_id| controller.running_task_count(job_id))
         };
-        let answer = jobs::answer(name, status, done, running);
-        self.shared.finals.lock().note(&answer);
+        let answer = jobs::job_answer(name, status, done, running);
+        self.shared.final_states.lock().record_if_final(&answer);
         answer
     }
 
-    /// The final state of a job, if it is remembered.
-    pub(super) fn remembered(&self, name: &str) -> Option<JobAnswer> {
-        self.shared.finals.lock().get(name).cloned()
+    /// The final state of a job, if it is cached.
+    pub(super) fn cached_final_state(&self, name: &str) -> Option<JobAnswer> {
+        self.shared.final_states.lock().get(name).cloned()
     }
 
-    /// Answers for a job if it is known, and with `refusal` if not. Known jobs are answered for before
-    /// any judgement that could refuse them: a repeated submission is idempotent.
-    pub(super) async fn known_or(&self, name: &str, refusal: HttpResponse) -> HttpResponse {
-        if let Some(answer) = self.remembered(name) {
+    /// Responds with the job's state if it was accepted, and with `refusal` otherwise. A submission of a job
+    /// that is already accepted must not be refused: submissions are idempotent.
+    pub(super) async fn answer_if_known_or(
+        &self,
+        name: &str,
+        refusal: HttpResponse,
+    ) -> HttpResponse {
+        if let Some(answer) = self.cached_final_state(name) {
             return HttpResponse::Ok().json(answer);
         }
-        if !self.state_up() {
-            return state_out_of_reach();
+        if !self.is_store_reachable() {
+            return store_unreachable();
         }
         match self.look_up(name).await {
-            Ok(Some(found)) => HttpResponse::Ok().json(self.answer(name, found.status, found.done)),
+            Ok(Some(found)) => {
+                HttpResponse::Ok().json(self.job_answer(name, found.status, found.done_tasks))
+            }
             Ok(None) => refusal,
             Err(store_error) => read_failed(&store_error),
         }
--- a/src/jobs/chained.rs
+++ b/src/jobs/dependent.rs
@@ -1,9 +1,9 @@
-//! Submissions that name other jobs which have to be done first (job dependencies).
+//! Acceptance of jobs with predecessors, which must be done first (job dependencies).
 //!
-//! Pure: plans the transaction that accepts such a job, holding on to its predecessors by preconditions. A
-//! job must never be accepted while what is known of a predecessor may be out of date.
+//! Plans the transaction that accepts such a job, with preconditions on the keys of its predecessors;
+//! performs no I/O. A job must never be accepted on outdated knowledge of a predecessor.
 
-use super::{ABSENT, SubmissionError, accept, is_job_name};
+use super::{ABSENT_REVISION, SubmissionError, accept_transaction, is_job_name};
 use crate::controller::put;
 use crate::protocol::{JobStatus, Json, Mutation, Precondition, Transaction};
 use crate::records::{JobRecord, NameList, WaitingRecord};
@@ -11,30 +11,30 @@
 use crate::settings::Settings;
 use std::collections::HashSet;
 
-/// Preconditions that the state service takes for each mutation that it takes in a transaction (PROTOCOL).
+/// Number of preconditions that the key-value store allows in a transaction per allowed mutation (PROTOCOL).
 pub(super) const PRECONDITIONS_PER_MUTATION: usize = 4;
 
-/// What is known of a job that a submission names.
+/// The state of a job that a submission names as predecessor.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Predecessor {
-    /// Finally done.
+pub enum PredecessorState {
+    /// The job is done.
     Done,
-    /// Cancelled.
+    /// The job is cancelled.
     Cancelled,
-    /// Accepted and not over; the precondition holds as long as that is so and its key unchanged.
-    Open(Precondition),
-    /// Under no watched key: archived, or never accepted.
-    Unwatched,
+    /// Accepted and unfinished. The precondition holds until the job's key changes.
+    Unfinished(Precondition),
+    /// The replica does not have the job: it is archived, or was never accepted.
+    NotInReplica,
 }
 
-/// How a submission that names other jobs is accepted.
+/// How a job with predecessors is accepted.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Acceptance {
-    /// All that it names is done: an ordinary job.
+    /// All predecessors are done: it becomes an ordinary job.
     Ordinary(Transaction),
-    /// It waits for jobs that are not over.
+    /// It waits for unfinished predecessors.
     Waiting(Transaction),
-    /// It names a job that was cancelled, and is cancelled itself.
+    /// A predecessor is cancelled, so the job is cancelled too.
     Cancelled(Transaction),
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The job's state once it is accepted.
+    /// The job's state after acceptance.
     pub fn status(&self) -> JobStatus {
         match self {
             Self::Cancelled(_) => JobStatus::Cancelled,
@@ -57,31 +57,33 @@
     }
 }
 
-/// Why a submission that names other jobs can never run.
+/// Why a job with predecessors cannot be accepted.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum ChainError {
-    /// It names a job that was never accepted.
+pub enum DependencyError {
+    /// A predecessor was never accepted.
     #[error("awaits: {0} was never accepted")]
     NeverAccepted(String),
-    /// More jobs that are not over than one transaction can hold on to.
+    /// More unfinished predecessors than one transaction has preconditions for.
     #[error("awaits: {found} jobs that are not over; at most {most} fit into one submission")]
     TooMany {
-        /// Unfinished jobs named.
+        /// Number of unfinished predecessors.
         found: usize,
-        /// Most of them.
+        /// Maximum in one submission.
         most: usize,
     },
-    /// More jobs that are not over than one value has room for.
+    /// More unfinished predecessors than fit into one value.
     #[error("awaits: the names of {found} jobs that are not over do not fit into a value")]
     TooLong {
-        /// Unfinished jobs named.
+        /// Number of unfinished predecessors.
         found: usize,
     },
 }
 
-/// Reads the jobs that a submission names: none if the field is absent, null or empty. A job named
-/// twice counts once.
-pub(super) fn read_awaits(submission: &serde_json::Value) -> Result<Vec<String>, SubmissionError> {
+/// Parses the predecessors of a submission, without duplicates. The list is empty if the field is absent,
+/// null or empty.
+pub(super) fn parse_predecessors(
+    submission: &serde_json::Value,
+) -> Result<Vec<String>, SubmissionError> {
     let list = match submission.get("awaits") {
         None | Some(serde_json::Value::Null) => return Ok(Vec::new()),
         Some(serde_json::Value::Array(list)) => list,
@@ -99,54 +101,53 @@
     Ok(names)
 }
 
-/// Most unfinished jobs that a submission may name in one transaction: each of them costs a
-/// precondition, besides those that the job is new.
-pub fn most_open(settings: &Settings) -> usize {
+/// Maximum number of unfinished predecessors in one transaction. Each needs one precondition, besides those
+/// that the job's own keys are absent.
+pub fn max_unfinished_predecessors(settings: &Settings) -> usize {
     let preconditions = settings.platform.settings.state.txn_ops * PRECONDITIONS_PER_MUTATION;
-    preconditions.saturating_sub(absent("").len())
+    preconditions.saturating_sub(absence_preconditions("").len())
 }
 
-/// Preconditions that a job stands under none of its keys.
-pub(super) fn absent(name: &str) -> Vec<Precondition> {
+/// Preconditions that none of a job's keys exists.
+pub(super) fn absence_preconditions(name: &str) -> Vec<Precondition> {
     let keys = [job_key(name), archive_key(name), waiting_key(name)];
     let preconditions = keys.into_iter().map(|key| Precondition {
         key,
-        mod_revision: ABSENT,
+        mod_revision: ABSENT_REVISION,
     });
     preconditions.collect()
 }
 
-/// Plans the transaction that accepts a job which names others.
+/// Plans the transaction that accepts a job with predecessors.
 ///
-/// Each named job that is not over is held on to by a precondition on its key: once the transaction
-/// is carried out, every replica that shows the job shows those that it waits for as well, and none
-/// of them is archived while it does.
+/// The transaction has a precondition on the key of each unfinished predecessor. Once it is committed, every
+/// replica that has the job also has its predecessors, and none of them is archived while the job waits.
 pub fn plan_acceptance(
     name: &str,
     record: JobRecord,
-    named: Vec<(String, Predecessor)>,
+    named: Vec<(String, PredecessorState)>,
     settings: &Settings,
-) -> Result<Acceptance, ChainError> {
-    if names_cancelled(&named)? {
-        let transaction = accept_cancelled(name, record, absent(name));
+) -> Result<Acceptance, DependencyError> {
+    if any_cancelled(&named)? {
+        let transaction = accept_cancelled_transaction(name, record, absence_preconditions(name));
         return Ok(Acceptance::Cancelled(transaction));
     }
     let mut predecessors = Vec::new();
-    let mut preconditions = absent(name);
+    let mut preconditions = absence_preconditions(name);
     for (predecessor, state) in named {
-        if let Predecessor::Open(precondition) = state {
+        if let PredecessorState::Unfinished(precondition) = state {
             preconditions.push(precondition);
             predecessors.push(predecessor);
         }
     }
     if predecessors.is_empty() {
-        return Ok(Acceptance::Ordinary(accept(name, &record)));
+        return Ok(Acceptance::Ordinary(accept_transaction(name, &record)));
     }
-    let (found, most) = (predecessors.len(), most_open(settings));
+    let (found, most) = (predecessors.len(), max_unfinished_predecessors(settings));
     let waiting = new_waiting_record(record, NameList::from_iter(predecessors));
     let mutation = put(&waiting_key(name), &waiting, None);
-    if found > most || mutation.value_bytes() > settings.value_bytes() {
-        return Err(ChainError::TooMany { found, most });
+    if found > most || mutation.value_bytes() > settings.max_value_bytes() {
+        return Err(DependencyError::TooMany { found, most });
     }
     let mutations = vec![mutation];
     Ok(Acceptance::Waiting(Transaction {
@@ -155,7 +156,7 @@
     }))
 }
 
-/// The value of a new job that waits for others.
+/// The value of a new job that waits for its predecessors.
 pub(super) fn new_waiting_record(record: JobRecord, predecessors: NameList) -> WaitingRecord {
     WaitingRecord {
         spec: record.spec,
@@ -166,21 +167,21 @@
     }
 }
 
-/// Whether a job that a submission names was cancelled. All that it names must have been accepted.
-pub(super) fn names_cancelled(named: &[(String, Predecessor)]) -> Result<bool, ChainError> {
+/// Whether any predecessor is cancelled; an error if one was never accepted.
+pub(super) fn any_cancelled(named: &[(String, PredecessorState)]) -> Result<bool, DependencyError> {
     let unknown = named
         .iter()
-        .find(|(_, predecessor)| *predecessor == Predecessor::Unwatched);
+        .find(|(_, predecessor)| *predecessor == PredecessorState::NotInReplica);
     if let Some((unknown, _)) = unknown {
-        return Err(ChainError::NeverAccepted(unknown.clone()));
+        return Err(DependencyError::NeverAccepted(unknown.clone()));
     }
-    let cancelled =
-        |(_, predecessor): &(String, Predecessor)| *predecessor == Predecessor::Cancelled;
-    Ok(named.iter().any(cancelled))
+    let is_cancelled =
+        |(_, predecessor): &(String, PredecessorState)| *predecessor == PredecessorState::Cancelled;
+    Ok(named.iter().any(is_cancelled))
 }
 
-/// The transaction that accepts a job which is cancelled already, under these preconditions.
-pub(super) fn accept_cancelled(
+/// The transaction that accepts a job as cancelled, directly into the archive, under these preconditions.
+pub(super) fn accept_cancelled_transaction(
     name: &str,
     mut record: JobRecord,
     preconditions: Vec<Precondition>,
@@ -193,9 +194,13 @@
     }
 }
 
-/// The transaction that cancels a job which waits, as it was read at `mod_revision`. It races in
-/// the same key with its becoming an ordinary job.
-pub fn cancel_waiting(name: &str, record: &WaitingRecord, mod_revision: u64) -> Transaction {
+/// The transaction that cancels a waiting job which was read at `mod_revision`. Its promotion to an ordinary
+/// job writes the same key, so only one of the two can succeed.
+pub fn cancel_waiting_transaction(
+    name: &str,
+    record: &WaitingRecord,
+    mod_revision: u64,
+) -> Transaction {
     let record = WaitingRecord {
         status: JobStatus::Cancelled,
         ..record.clone()
@@ -214,19 +219,19 @@
 }
 
 impl Replica {
-    /// What the replica shows of a job that a submission names.
-    pub fn predecessor(&self, name: &str) -> Predecessor {
+    /// The state of a predecessor as the replica shows it.
+    pub fn predecessor_state(&self, name: &str) -> PredecessorState {
         let job = self.names.jobs.get(name);
         let Some(status) = job.and_then(|job| self.job_status(job)) else {
-            return Predecessor::Unwatched;
+            return PredecessorState::NotInReplica;
         };
         match status {
-            JobStatus::Done => Predecessor::Done,
-            JobStatus::Cancelled => Predecessor::Cancelled,
+            JobStatus::Done => PredecessorState::Done,
+            JobStatus::Cancelled => PredecessorState::Cancelled,
             JobStatus::Pending | JobStatus::Running => {
                 let (ordinary, waiting) = (job_key(name), waiting_key(name));
                 let mod_revision = self.mod_revision(&ordinary);
-                Predecessor::Open(match mod_revision {
+                PredecessorState::Unfinished(match mod_revision {
                     0 => Precondition {
                         mod_revision: self.mod_revision(&waiting),
                         key: waiting,
--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -93,7 +93,7 @@
         // Archiving a job costs two writes, so jobs that wait to run take precedence.
         let pending = self.replica.pending_count();
         let final_jobs = self.replica.jobs.len() - pending;
-        if pending > 0 && final_jobs < self.settings.options.jobs_kept as usize {
+        if pending > 0 && final_jobs < self.settings.options.max_final_jobs as usize {
             return None;
         }
         let mut jobs = self.archivable_jobs();
@@ -135,7 +135,7 @@
     /// Plans archiving the first of these jobs, as many as fit into one transaction.
     fn archive_transaction(&self, jobs: Vec<ArchivableJob>) -> Transaction {
         let max_jobs = self.settings.platform.settings.state.txn_ops / 2;
-        let value_bytes = self.settings.value_bytes();
+        let value_bytes = self.settings.max_value_bytes();
         let mut transaction = Transaction::default();
         let mut bytes = 0;
         for mut archivable in jobs.into_iter().take(max_jobs.min(MAX_ARCHIVED_AT_ONCE)) {
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -183,7 +183,7 @@
         taken: &RangeSet,
         max_tasks: usize,
     ) -> CandidateJob {
-        let value_bytes = self.settings.value_bytes();
+        let value_bytes = self.settings.max_value_bytes();
         let bindable = job.bindable(taken, value_bytes, self.replica.encoding());
         CandidateJob {
             job: bindable_job.job,
--- a/src/leadership/binding/bindable_jobs.rs
+++ b/src/leadership/binding/bindable_jobs.rs
@@ -103,7 +103,7 @@
                 .get(&job.team)
                 .is_some_and(|room| job.task_resources().cpus <= room.cpus + RESOURCE_TOLERANCE);
             let waited_s = self.waited_s(job_id, job, now);
-            if within_limit && waited_s > self.settings.options.queue_floor_s {
+            if within_limit && waited_s > self.settings.options.queue_boost_after_s {
                 let this = StarvedJob {
                     job: job_id,
                     last_boosted_at: self.leadership.binding_schedule.last_boosted_at(job_id),
--- a/src/leadership/binding/limits.rs
+++ b/src/leadership/binding/limits.rs
@@ -22,7 +22,7 @@
         let options = &self.settings.options;
         PlanLimits {
             max_wait_s: self.ahead_s(now),
-            sample_size: options.queue_sample as usize,
+            sample_size: options.queue_sample_size as usize,
             max_bindings: machines.max(MIN_BINDINGS_LIMIT),
             max_run_on_expensive_s: self.backlog_s() + options.fleet_horizon_s / 1.5,
             on_demand_penalty_s: match self.has_on_demand_only_jobs() {
@@ -37,8 +37,8 @@
     /// shrinks with the share of machines that are still booting: a task queued behind other tasks
     /// on a rough estimate would wait there while new machines come up idle.
     fn ahead_s(&self, now: Timestamp) -> f64 {
-        let ahead_s =
-            self.settings.options.queue_ahead_s + (self.block_write_intervals_s() - 1.0).max(0.0);
+        let ahead_s = self.settings.options.queue_max_wait_s
+            + (self.block_write_intervals_s() - 1.0).max(0.0);
         let machines = self.replica.machines.len().max(1);
         let known = self.replica.machines.keys();
         let infos = known.filter_map(|&machine_id| self.machine_health(machine_id, now));
@@ -85,7 +85,7 @@
     /// Prevents a job of several hundred tasks from taking all room that becomes free while many
     /// small jobs behind it miss their deadlines.
     pub(super) fn max_tasks_in_share(&self, job: &Job, fleet_cpus: f64) -> usize {
-        let cpus = fleet_cpus * self.settings.options.queue_share;
+        let cpus = fleet_cpus * self.settings.options.queue_job_share;
         let tasks = cpus / job.spec.cpus.max(MIN_TASK_CPUS);
         (tasks as usize).max(MIN_SHARE_TASKS)
     }
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -121,7 +121,7 @@
             true => 1.0,
             false => MAX_QUEUE_FRACTION,
         };
-        let max_bytes = self.settings.value_bytes() as f64 * fraction;
+        let max_bytes = self.settings.max_value_bytes() as f64 * fraction;
         if mutation.value_bytes() as f64 > max_bytes {
             return BlockWrite::ValueFull;
         }
--- a/src/leadership/job_order.rs
+++ b/src/leadership/job_order.rs
@@ -7,7 +7,7 @@
 use crate::names::JobId;
 use crate::protocol::Priority;
 use crate::replica::{Job, Replica};
-use crate::settings::Params;
+use crate::settings::DeploymentParams;
 
 /// Maximum number of seconds by which a small job counts as due earlier.
 const SMALL_JOB_BONUS_S: f64 = 60.0;
@@ -56,7 +56,7 @@
 /// The inputs of the serving order.
 pub(crate) struct JobOrder<'a> {
     replica: &'a Replica,
-    settings: &'a Params,
+    settings: &'a DeploymentParams,
     /// Wall-clock time, milliseconds since the Unix epoch.
     day_ms: u64,
 }
--- a/src/leadership/machine_placement.rs
+++ b/src/leadership/machine_placement.rs
@@ -56,7 +56,7 @@
     pub(crate) fn expected_bytes(&self, machine_type: MachineTypeId) -> usize {
         let known = self.machine_types.get(&machine_type);
         let cpus = known.map_or(DEFAULT_CPUS, |machine_type| machine_type.cpus);
-        let max_bytes = self.settings.value_bytes() * 2 / 5;
+        let max_bytes = self.settings.max_value_bytes() * 2 / 5;
         (MACHINE_BYTES + (cpus * BYTES_PER_CPU) as usize).min(max_bytes)
     }
 
@@ -108,8 +108,8 @@
         let mut sizes = BlockSizes::new(BlockRules {
             min_blocks: settings.count.max(1),
             target_blocks: ((settings.state.write_rps / 2.0) as usize).max(settings.count),
-            machines_per_block: self.settings.block_machines(),
-            max_expected_bytes: (self.settings.value_bytes() as f64 * MAX_PLANNED_FRACTION)
+            machines_per_block: self.settings.initial_block_machines(),
+            max_expected_bytes: (self.settings.max_value_bytes() as f64 * MAX_PLANNED_FRACTION)
                 as usize,
         });
         for (&id, block) in &self.replica.blocks {
--- a/src/leadership/machines.rs
+++ b/src/leadership/machines.rs
@@ -38,7 +38,7 @@
     pub(super) fn observe_machines(&mut self, now: Timestamp) {
         let heartbeats = self.last_heartbeats(now);
         self.observe_start_times(&heartbeats);
-        let silent_ms = self.settings.worker_gone_ms();
+        let silent_ms = self.settings.worker_expiry_ms();
         let leadership = &mut self.leadership;
         leadership.grants.observe_grants(&self.replica, now);
         leadership.inventory.retain_existing(&self.replica, now);
@@ -102,7 +102,7 @@
         let machine = self.replica.machines.get(&machine_id);
         let silent_ms = observed.since_last_heartbeat_ms(machine_id, now);
         machine.is_some_and(|machine| observed.is_zone_partitioned(machine.zone))
-            && silent_ms.is_some_and(|silent_ms| silent_ms > self.settings.worker_gone_ms())
+            && silent_ms.is_some_and(|silent_ms| silent_ms > self.settings.worker_expiry_ms())
     }
 
     /// Whether a machine should be returned rather than waited for. The confirmed return proves
@@ -154,7 +154,7 @@
             // gets time to receive its own.
             held_ms: self.leadership.grants.held_for_ms(machine.block, now),
             missing_from_lists: absent && known_ms > lag_ms,
-            presumed_dead_ms: self.settings.worker_gone_ms() + PRESUMED_DEAD_AFTER_LEASE_MS,
+            presumed_dead_ms: self.settings.worker_expiry_ms() + PRESUMED_DEAD_AFTER_LEASE_MS,
         }
     }
 
@@ -168,15 +168,15 @@
     ) -> bool {
         // An earlier holder that can reach only its workers may still be answering this machine
         // until its authority expires.
-        let unfenced_ms = self.settings.unfenced_gone_ms() + PRESUMED_DEAD_AFTER_UNFENCED_MS;
+        let unfenced_ms = self.settings.unfenced_expiry_ms() + PRESUMED_DEAD_AFTER_UNFENCED_MS;
         if self.is_partitioned_off(machine_id, now) {
             // The machine has a warm cache and is worth more than a replacement in a zone that
             // cannot be reached.
-            let partition_wait_ms = (self.settings.options.fleet_cut_s * 1000.0) as u64;
+            let partition_wait_ms = (self.settings.options.fleet_partition_s * 1000.0) as u64;
             return silent_ms > unfenced_ms.max(partition_wait_ms) || evidence.missing_from_lists;
         }
         (silent_ms > evidence.presumed_dead_ms && evidence.held_ms > unfenced_ms)
-            || (evidence.missing_from_lists && silent_ms > self.settings.worker_gone_ms())
+            || (evidence.missing_from_lists && silent_ms > self.settings.worker_expiry_ms())
     }
 
     /// Whether a machine that has never sent a heartbeat is presumed dead: it has taken far longer
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -149,7 +149,7 @@
         let preemptible_cpus: f64 = victims.iter().map(|victim| victim.cpus).sum();
         let options = &self.settings.options;
         let mut budget_cpus = options
-            .evict_cpus
+            .preempt_cpus
             .max(preemptible_cpus * MAX_PREEMPTED_FRACTION);
         let mut being_freed = self.cpus_being_freed();
         for job in preemptors {
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -82,7 +82,7 @@
         let rules = ScalingParams {
             horizon_s: self.settings.options.fleet_horizon_s,
             idle_s: self.settings.options.fleet_idle_s,
-            max_machines: self.settings.options.fleet_most as usize,
+            max_machines: self.settings.options.fleet_max_machines as usize,
             min_charge_s: MIN_CHARGE_S,
         };
         // The replica must show all bindings before an empty queue means that a machine is idle.
@@ -304,7 +304,7 @@
     /// requested. The random extra delay keeps all pools from being retried at once.
     fn record_refusal(&mut self, rental: &RentalRequest, now: Timestamp) {
         if let Some(pool) = self.pool_of(rental) {
-            let wait_ms = (self.settings.options.fleet_refused_s * 1000.0) as u64;
+            let wait_ms = (self.settings.options.fleet_refusal_pause_s * 1000.0) as u64;
             let until = now.plus(wait_ms + self.rng.random_range(0..wait_ms / 2 + 1));
             self.leadership.rental_requests.record_refused(pool, until);
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
-//! The program: reads its settings and runs the service.
+//! Command-line program that loads the settings and runs the service.
 //!
-//! Owns the command line, the log's level and the exit codes: 2 for settings that cannot be used, 1 for a
-//! service that cannot start. The XML file and the TOML file are both read before anything is bound.
+//! Owns the command line, the log level and the exit codes: 2 for invalid settings, 1 for a service that
+//! cannot start. The XML files and the TOML file are read before any address is bound.
 
 use anyhow::Context as _;
 use clap::Parser;
@@ -10,8 +10,8 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Exit code for settings that cannot be used.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for invalid settings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// A cluster scheduler whose machines steal packs of work from one another.
 #[derive(Debug, Parser)]
@@ -34,20 +34,20 @@
     config: Option<PathBuf>,
 }
 
-fn read(path: &Path) -> anyhow::Result<String> {
+fn read_file(path: &Path) -> anyhow::Result<String> {
     std::fs::read_to_string(path).with_context(|| path.display().to_string())
 }
 
 fn load_settings(args: &Args) -> anyhow::Result<Settings> {
     let options = match &args.options {
-        Some(path) => Options::parse(&read(path)?)?,
+        Some(path) => Options::parse(&read_file(path)?)?,
         None => Options::default(),
     };
     let path = args.config.as_ref().context("--config is missing")?;
-    let mut settings = Settings::new(Platform::parse(&read(path)?)?, options);
+    let mut settings = Settings::new(Platform::parse(&read_file(path)?)?, options);
     if let Some(path) = &args.spillover {
         let cancel_s = settings.platform.settings.workers.cancel_s;
-        settings.spillover = Some(SpilloverSettings::parse(&read(path)?, cancel_s)?);
+        settings.spillover = Some(SpilloverSettings::parse(&read_file(path)?, cancel_s)?);
     }
     Ok(settings)
 }
@@ -86,7 +86,7 @@
         Ok(settings) => settings,
         Err(settings_error) => {
             eprintln!("quillbend: {settings_error:#}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(EXIT_INVALID_SETTINGS);
         }
     };
     if args.check {
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -1,8 +1,8 @@
 //! Unit tests of the replica.
 
 use super::*;
-use crate::jobs::tests::{GOOD, job_of};
-use crate::jobs::{Read, read};
+use crate::jobs::tests::{VALID_SUBMISSION, replica_job};
+use crate::jobs::{ParsedSubmission, parse_submission};
 use crate::protocol::{JobStatus, Json, KeyValue, Mutation, Transaction};
 use crate::ranges::RangeSet;
 use crate::records::{BlockRecord, DoneTasks, Encoding};
@@ -36,16 +36,16 @@
 
 #[test]
 fn done_tasks_fit_into_the_jobs_value_in_any_completion_order() {
-    let Read::Good(good) = read(GOOD.as_bytes()) else {
+    let ParsedSubmission::Valid(submission) = parse_submission(VALID_SUBMISSION.as_bytes()) else {
         panic!("the sample submission must be valid")
     };
     for value_bytes in [1400, 4032, 32_704] {
         for task_count in [
             1, 2, 64, 99, 100, 350, 700, 1000, 1350, 5000, 20_000, 100_000,
         ] {
-            let mut spec = good.spec.clone();
+            let mut spec = submission.spec.clone();
             spec.task_count = task_count;
-            let job = job_of(spec);
+            let job = replica_job(spec);
             let open = job.max_open_tasks(value_bytes);
             let size = longest_value_bytes(&job, open);
             assert!(
@@ -68,16 +68,16 @@
         }
     }
     // A single limit for all jobs allowed only 202 open tasks in 4 KiB.
-    let mut spec = good.spec.clone();
+    let mut spec = submission.spec.clone();
     spec.task_count = 700;
-    assert_eq!(job_of(spec.clone()).max_open_tasks(4032), 700);
+    assert_eq!(replica_job(spec.clone()).max_open_tasks(4032), 700);
     // As ranges, only 203 of 900 tasks fitted into 2 KiB.
     spec.task_count = 900;
-    let job = job_of(spec.clone());
+    let job = replica_job(spec.clone());
     assert!(job.max_open_tasks(1984) < 250);
     assert_eq!(job.open_window_end(1984, Encoding::Dense), 900);
     spec.task_count = 20_000;
-    let job = job_of(spec);
+    let job = replica_job(spec);
     assert!(job.max_open_tasks(4032) > 280);
     assert!(job.open_window_end(4032, Encoding::Dense) > 15_000);
 }
@@ -124,12 +124,12 @@
 
 #[test]
 fn values_are_dense_only_after_the_dense_format_is_recorded() {
-    let Read::Good(good) = read(GOOD.as_bytes()) else {
+    let ParsedSubmission::Valid(submission) = parse_submission(VALID_SUBMISSION.as_bytes()) else {
         panic!("the sample submission must be valid")
     };
-    let mut spec = good.spec;
+    let mut spec = submission.spec;
     spec.task_count = 900;
-    let job = job_of(spec);
+    let job = replica_job(spec);
     let mut alternating = RangeSet::new();
     for task in (1..900).step_by(2) {
         alternating.insert(task);
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -1,7 +1,7 @@
-//! How each effect of the controller is carried out: one step an effect.
+//! Execution of the controller's effects.
 //!
-//! Every step starts a call, and passes its answer to the controller when it comes. Where an answer makes
-//! new work due, the step ticks the controller at once. Steps must never wait for one another.
+//! Each effect starts a request and passes the response to the controller when it arrives. Where a response
+//! makes new work due, the controller is ticked at once. Effects must never wait for one another.
 
 use super::controller_actor::ControllerActor;
 use crate::controller::{Effect, WriteKind};
@@ -12,20 +12,20 @@
 use actix::prelude::*;
 use std::time::Duration;
 
-/// Longest wait for the outcome of a transaction; after it the outcome is in doubt.
+/// Timeout of a transaction; after it the outcome is in doubt.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Longest wait for the answer of a peer.
+/// Timeout of a request to a peer.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Largest answer of a peer, bytes.
+/// Maximum size of a peer's response, bytes.
 const MAX_PEER_BODY_BYTES: usize = 4 << 20;
-/// Longest wait for the answer of another cell: it may write several completions or loans first.
+/// Timeout of a request to another cell, which may have to write several completions or loans first.
 const CELL_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Largest answer of another cell, bytes.
+/// Maximum size of the response of another cell, bytes.
 const MAX_CELL_BODY_BYTES: usize = 4 << 20;
 
 impl ControllerActor {
-    /// Starts what the controller asks for.
-    pub(super) fn carry_out(&mut self, effect: Effect, ctx: &mut Context<Self>) {
+    /// Starts an effect without waiting for its result.
+    pub(super) fn run_effect(&mut self, effect: Effect, ctx: &mut Context<Self>) {
         match effect {
             Effect::RequestLease { lease_ms } => self.request_lease(lease_ms, ctx),
             Effect::RenewLease { lease_id } => self.renew_lease(lease_id, ctx),
@@ -43,10 +43,10 @@
         }
     }
 
-    /// Asks the state service for a lease of this length. It counts from the moment of asking.
+    /// Requests a lease of `length_ms` from the key-value store. The lease counts from when the request is sent.
     fn request_lease(&self, length_ms: u64, ctx: &mut Context<Self>) {
-        let (state, sent_at) = (self.state.clone(), self.now());
-        let request = async move { state.lease(length_ms).await };
+        let (store, sent_at) = (self.store.clone(), self.now());
+        let request = async move { store.lease(length_ms).await };
         ctx.spawn(request.into_actor(self).map(move |answer, actor, ctx| {
             let now = actor.now();
             {
@@ -60,10 +60,10 @@
         }));
     }
 
-    /// Renews the lease. A renewal counts from the moment of asking.
+    /// Renews the lease. A renewal counts from when the request is sent.
     fn renew_lease(&self, lease_id: u64, ctx: &mut Context<Self>) {
-        let (state, sent_at) = (self.state.clone(), self.now());
-        let request = async move { state.renew(lease_id).await };
+        let (store, sent_at) = (self.store.clone(), self.now());
+        let request = async move { store.renew(lease_id).await };
         ctx.spawn(request.into_actor(self).map(move |answer, actor, _| {
             let now = actor.now();
             let mut controller = actor.shared.controller.lock();
@@ -75,10 +75,10 @@
         }));
     }
 
-    /// Commits a transaction, and wakes the workers that wait for what it wrote.
+    /// Commits a transaction, then sends the delayed acks of machines to which it bound tasks.
     fn commit(&self, write_kind: WriteKind, transaction: Transaction, ctx: &mut Context<Self>) {
-        let state = self.state.clone();
-        let request = async move { state.commit(&transaction, COMMIT_TIMEOUT).await };
+        let store = self.store.clone();
+        let request = async move { store.commit(&transaction, COMMIT_TIMEOUT).await };
         ctx.spawn(request.into_actor(self).map(move |outcome, actor, ctx| {
             let now = actor.now();
             actor
@@ -86,15 +86,15 @@
                 .controller
                 .lock()
                 .on_commit(write_kind, outcome, now);
-            actor.shared.wake();
+            actor.shared.wake_delayed_acks();
             if matches!(outcome, CommitOutcome::Done(_)) {
                 actor.tick(ctx);
             }
         }));
     }
 
-    /// Sends a message to a peer. It is dropped if the peer's address is not known, or if too many calls
-    /// wait for the peer already: the next message says the same and more.
+    /// Sends a message to a peer. The message is dropped if the peer's address is unknown or too many calls
+    /// to the peer are in flight; the next message supersedes it.
     fn send_to_peer(&self, host: ControllerId, message: &PeerMessage, ctx: &mut Context<Self>) {
         let host = {
             let controller = self.shared.controller.lock();
@@ -103,7 +103,7 @@
         let Some(addr) = self.peers.get(&host) else {
             return;
         };
-        let Some(peer_call) = self.peer_calls.begin(&host) else {
+        let Some(call_guard) = self.peer_calls_in_flight.try_start(&host) else {
             return;
         };
         let Ok(body) = rmp_serde::to_vec_named(message) else {
@@ -120,7 +120,7 @@
             rmp_serde::from_slice::<PeerMessage>(&body).ok()
         };
         ctx.spawn(call.into_actor(self).map(move |answer, actor, _| {
-            drop(peer_call);
+            drop(call_guard);
             if let Some(message) = answer {
                 let now = actor.now();
                 actor.shared.controller.lock().on_peer_message(message, now);
@@ -149,8 +149,8 @@
 
     /// Reads the final states of jobs from the archive.
     fn read_final_states(&self, jobs: Vec<String>, ctx: &mut Context<Self>) {
-        let state = self.state.clone();
-        let request = async move { state.archived_statuses(&jobs).await };
+        let store = self.store.clone();
+        let request = async move { store.archived_statuses(&jobs).await };
         ctx.spawn(request.into_actor(self).map(|found, actor, ctx| {
             {
                 let mut controller = actor.shared.controller.lock();
@@ -164,7 +164,7 @@
         }));
     }
 
-    /// Rents machines.
+    /// Sends a rental request to the cloud.
     fn rent(&self, request: RentalRequest, ctx: &mut Context<Self>) {
         let call = self.cloud.clone().rent(request.clone());
         ctx.spawn(call.into_actor(self).map(move |outcome, actor, ctx| {
@@ -178,7 +178,7 @@
         }));
     }
 
-    /// Returns machines.
+    /// Sends a return request to the cloud.
     fn return_machines(&self, machines: Vec<String>, ctx: &mut Context<Self>) {
         let call = self.cloud.clone().return_machines(machines.clone());
         ctx.spawn(call.into_actor(self).map(move |returned, actor, ctx| {
@@ -192,7 +192,7 @@
         }));
     }
 
-    /// Asks a controller of another cell. The controller hears of a call without an answer as well.
+    /// Sends a request to a controller of another cell. A missing response is reported to the controller too.
     fn call_cell(&self, cell_call: CellCall, ctx: &mut Context<Self>) {
         let sent_at = self.now();
         let request = rmp_serde::to_vec_named(&cell_call.request).map(|body| {
--- a/src/runtime/watch_loop.rs
+++ b/src/runtime/watch_loop.rs
@@ -1,11 +1,11 @@
-//! The watch loop: keeps the replica up to date with the shared keys of the state service.
+//! The watch loop, which keeps the replica up to date with the shared keys of the key-value store.
 //!
-//! Reads all keys once, then watches from the revision that the replica has. It reads them all again only
-//! when the service has compacted the history that a watch needs. The loop must never stop while the
-//! process runs: a controller whose replica stands still answers from the past.
+//! Reads all keys once, then watches for changes after the replica's revision. It reads all keys again only
+//! if the store has compacted the history that the watch needs. The loop must never stop while the process
+//! runs: a controller whose replica is not updated returns outdated responses.
 
-use super::controller_actor::{ControllerActor, Wake};
-use crate::http::Shared;
+use super::controller_actor::{ControllerActor, TickNow};
+use crate::http::SharedState;
 use crate::replica::WATCHED_PREFIX;
 use crate::store::{StoreClient, StoreError};
 use actix::prelude::*;
@@ -13,78 +13,78 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// Longest time that the service holds one watch open, ms.
-const WATCH_MS: u64 = 1500;
-/// Least time between two watches, ms, so that a burst of changes comes in one answer.
-const MIN_WATCH_GAP_MS: u64 = 40;
-/// Part of the state service's requests that the watches of all controllers may take.
-const WATCH_SHARE: f64 = 0.3;
-/// Pause after a request that failed.
+/// Longest time for which the store keeps one watch request open, ms.
+const WATCH_TIMEOUT_MS: u64 = 1500;
+/// Minimum time between two watch requests, ms, so that a burst of changes arrives in one response.
+const MIN_WATCH_INTERVAL_MS: u64 = 40;
+/// Share of the store's request rate limit for the watches of all controllers together.
+const MAX_WATCH_REQUEST_SHARE: f64 = 0.3;
+/// Pause after a failed request.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// What the next request of the loop is.
+/// The next request of the loop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NextRead {
-    /// All keys.
+    /// Reads all keys.
     All,
-    /// What changed after the replica's revision.
+    /// Watches for changes after the replica's revision.
     Changes,
 }
 
 /// The actor that watches the shared keys.
-pub(super) struct Watcher {
-    shared: Arc<Shared>,
-    state: StoreClient,
+pub(super) struct WatchActor {
+    shared: Arc<SharedState>,
+    store: StoreClient,
     actor: Addr<ControllerActor>,
 }
 
-impl Watcher {
-    /// A watcher that wakes `actor` when something has changed.
+impl WatchActor {
+    /// Creates an actor that ticks `actor` when the replica has changed.
     pub(super) fn new(
-        shared: Arc<Shared>,
-        state: StoreClient,
+        shared: Arc<SharedState>,
+        store: StoreClient,
         actor: Addr<ControllerActor>,
     ) -> Self {
         Self {
             shared,
-            state,
+            store,
             actor,
         }
     }
 }
 
-impl Actor for Watcher {
+impl Actor for WatchActor {
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Context<Self>) {
         let watch_loop = WatchLoop {
-            gap: watch_gap(&self.shared),
+            interval: watch_interval(&self.shared),
             shared: self.shared.clone(),
-            state: self.state.clone(),
+            store: self.store.clone(),
             actor: self.actor.clone(),
         };
         ctx.spawn(watch_loop.run().into_actor(self));
     }
 }
 
-/// Time between two watches that keeps the watches of all controllers within their share of requests.
-fn watch_gap(shared: &Shared) -> Duration {
+/// Time between two watch requests that keeps the watches of all controllers within their share of requests.
+fn watch_interval(shared: &SharedState) -> Duration {
     let controller = shared.controller.lock();
     let params = &controller.settings.platform.settings;
-    let gap_ms = params.count.max(1) as f64 * 1000.0 / (params.state.rps * WATCH_SHARE);
-    Duration::from_millis((gap_ms as u64).max(MIN_WATCH_GAP_MS))
+    let gap_ms = params.count.max(1) as f64 * 1000.0 / (params.state.rps * MAX_WATCH_REQUEST_SHARE);
+    Duration::from_millis((gap_ms as u64).max(MIN_WATCH_INTERVAL_MS))
 }
 
-/// The loop's clients and its pace.
+/// The clients of the loop and the interval between its watch requests.
 struct WatchLoop {
-    shared: Arc<Shared>,
-    state: StoreClient,
+    shared: Arc<SharedState>,
+    store: StoreClient,
     actor: Addr<ControllerActor>,
-    gap: Duration,
+    interval: Duration,
 }
 
 impl WatchLoop {
-    /// Reads and watches for as long as the process runs.
+    /// Reads and watches until the process ends.
     async fn run(self) {
         let mut next_read = NextRead::All;
         loop {
@@ -96,17 +96,17 @@
                 Ok(()) => next_read = NextRead::Changes,
                 Err(StoreError::Compacted) => next_read = NextRead::All,
                 Err(store_error) => {
-                    debug!(error = %store_error, "watch of the state service failed");
+                    debug!(error = %store_error, "watch of the key-value store failed");
                     actix_rt::time::sleep(RETRY_PAUSE).await;
                 }
             }
         }
     }
 
-    /// Reads all keys into the replica.
+    /// Loads all keys into the replica.
     async fn load_all(&self) -> Result<(), StoreError> {
         let sent_at = self.shared.now();
-        let read = self.state.list(WATCHED_PREFIX).await?;
+        let read = self.store.list(WATCHED_PREFIX).await?;
         let first_revision = read.first_revision;
         let now = self.shared.now();
         self.shared.controller.lock().on_replica_read(
@@ -117,15 +117,18 @@
             now,
         );
         self.shared.read_index.on_revision_applied(first_revision);
-        self.actor.do_send(Wake);
+        self.actor.do_send(TickNow);
         Ok(())
     }
 
-    /// Waits for changes, and applies them to the replica.
+    /// Waits for changes and applies them to the replica.
     async fn watch_changes(&self) -> Result<(), StoreError> {
         let sent_at = self.shared.now();
         let after = self.shared.controller.lock().replica.revision;
-        let response = self.state.watch(WATCHED_PREFIX, after, WATCH_MS).await?;
+        let response = self
+            .store
+            .watch(WATCHED_PREFIX, after, WATCH_TIMEOUT_MS)
+            .await?;
         let any_changes = !response.events.is_empty();
         let revision = response.revision;
         let now = self.shared.now();
@@ -133,11 +136,11 @@
             .controller
             .lock()
             .on_watch_response(response, sent_at, now);
-        self.shared.wake();
+        self.shared.wake_delayed_acks();
         self.shared.read_index.on_revision_applied(revision);
         if any_changes {
-            self.actor.do_send(Wake);
-            actix_rt::time::sleep(self.gap).await;
+            self.actor.do_send(TickNow);
+            actix_rt::time::sleep(self.interval).await;
         }
         Ok(())
     }
--- a/src/spillover/serving.rs
+++ b/src/spillover/serving.rs
@@ -102,7 +102,7 @@
             self.replica
                 .done_tasks(RangeSet::below(job.spec.task_count)),
         );
-        record.shorten(self.settings.value_bytes());
+        record.shorten(self.settings.max_value_bytes());
         let key = job_key(self.replica.names.jobs.name(job_id));
         Some(put(&key, &record, None))
     }
--- a/src/stealing/messages.rs
+++ b/src/stealing/messages.rs
@@ -35,7 +35,7 @@
     ) -> Option<StealMessage> {
         // In a large fleet a steal that finds no work could visit hundreds of machines. Without
         // this limit the hops would cost the controllers more time than all heartbeats together.
-        if f64::from(hops) > self.settings.options.balance_hops_most {
+        if f64::from(hops) > self.settings.options.balance_max_hops {
             return None;
         }
         let factors = self.stealing_factors();
