--- a/crates/spillover/src/confirmation.rs
+++ b/crates/spillover/src/confirmation.rs
@@ -7,13 +7,13 @@
 //! service showed that the loan stands. Without one, nothing of the loan is started, and what runs is
 //! stopped.
 
-use crate::message::{LoanId, Standing, StandingAnswer, TransferToken};
+use crate::message::{LoanId, LoanStatus, LoanStatusResponse, TransferToken};
 use std::collections::BTreeMap;
 
 /// How long a controller that has just begun, or just learned of a loan, waits for its first
 /// confirmation before it stops what runs, ms. Meanwhile it does not answer the machines concerned,
 /// so the leases of their workers are not renewed.
-const FIRST_ANSWER_MS: u64 = 3000;
+const FIRST_CONFIRMATION_TIMEOUT_MS: u64 = 3000;
 
 /// What may be done with the tasks of a loan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,10 +34,10 @@
     /// When this controller learned of it.
     known_since: u64,
     /// The latest moment, on this controller's clock, at which the loan surely stood.
-    stood_at: Option<u64>,
-    over: bool,
+    confirmed_at: Option<u64>,
+    ended: bool,
     /// The lender has recorded its end.
-    acknowledged: bool,
+    end_acknowledged: bool,
 }
 
 /// The loans that a controller knows of, by the names of their jobs.
@@ -48,7 +48,7 @@
 
 impl Confirmations {
     /// Records a loan that the replica shows. A later transfer of the same job replaces an earlier one.
-    pub fn note(&mut self, loan: &LoanId, lease_ms: u64, now: u64) {
+    pub fn record_loan(&mut self, loan: &LoanId, lease_ms: u64, now: u64) {
         let known = self.loans.get(&loan.job);
         if known.is_some_and(|known| known.token >= loan.token) {
             return;
@@ -57,9 +57,9 @@
             token: loan.token,
             lease_ms,
             known_since: now,
-            stood_at: None,
-            over: false,
-            acknowledged: false,
+            confirmed_at: None,
+            ended: false,
+            end_acknowledged: false,
         };
         self.loans.insert(loan.job.clone(), recent);
     }
@@ -71,70 +71,73 @@
 
     /// Takes the lender's answer to a question that was sent at `sent`. `reported_end`: whether the question
     /// reported the loan's end, so that the lender knows of it.
-    pub fn on_answer(&mut self, answer: &StandingAnswer, sent: u64, reported_end: bool) {
-        let Some(known) = self.loans.get_mut(&answer.loan.job) else {
+    pub fn on_response(&mut self, response: &LoanStatusResponse, sent_at: u64, reported_end: bool) {
+        let Some(known) = self.loans.get_mut(&response.loan.job) else {
             return;
         };
-        if known.token != answer.loan.token {
+        if known.token != response.loan.token {
             return;
         }
-        match answer.standing {
-            Standing::Stands => {
-                let stood_at = sent.saturating_sub(answer.age_ms);
-                known.stood_at = known.stood_at.max(Some(stood_at));
+        match response.status {
+            LoanStatus::Active => {
+                let confirmed_at = sent_at.saturating_sub(response.age_ms);
+                known.confirmed_at = known.confirmed_at.max(Some(confirmed_at));
             }
-            Standing::Over => {
-                known.over = true;
-                known.acknowledged |= reported_end;
+            LoanStatus::Ended => {
+                known.ended = true;
+                known.end_acknowledged |= reported_end;
             }
-            Standing::Unknown => {}
+            LoanStatus::Unknown => {}
         }
     }
 
     /// What may be done with the tasks of a loan now.
     pub fn permission(&self, job: &str, token: TransferToken, now: u64) -> Permission {
-        let Some(known) = self.known(job, token) else {
+        let Some(known) = self.find(job, token) else {
             return Permission::Wait;
         };
-        if known.over {
+        if known.ended {
             return Permission::Stop;
         }
-        match known.stood_at {
+        match known.confirmed_at {
             Some(at) if now < at.saturating_add(known.lease_ms) => Permission::Run,
-            None if now.saturating_sub(known.known_since) < FIRST_ANSWER_MS => Permission::Wait,
+            None if now.saturating_sub(known.known_since) < FIRST_CONFIRMATION_TIMEOUT_MS => {
+                Permission::Wait
+            }
             _ => Permission::Stop,
         }
     }
 
     /// What this controller can tell another one of its cell about a loan.
-    pub fn relay(&self, loan: &LoanId, now: u64) -> StandingAnswer {
-        let known = self.known(&loan.job, loan.token);
-        let (standing, age_ms) = match known {
-            Some(known) if known.over => (Standing::Over, 0),
+    pub fn relayed_status(&self, loan: &LoanId, now: u64) -> LoanStatusResponse {
+        let known = self.find(&loan.job, loan.token);
+        let (status, age_ms) = match known {
+            Some(known) if known.ended => (LoanStatus::Ended, 0),
             Some(KnownLoan {
-                stood_at: Some(at), ..
-            }) => (Standing::Stands, now.saturating_sub(*at)),
-            _ => (Standing::Unknown, 0),
+                confirmed_at: Some(at),
+                ..
+            }) => (LoanStatus::Active, now.saturating_sub(*at)),
+            _ => (LoanStatus::Unknown, 0),
         };
-        StandingAnswer {
+        LoanStatusResponse {
             loan: loan.clone(),
-            standing,
+            status,
             age_ms,
         }
     }
 
     /// Whether the lender said that a loan no longer stands.
-    pub fn is_over(&self, job: &str, token: TransferToken) -> bool {
-        self.known(job, token).is_some_and(|known| known.over)
+    pub fn has_ended(&self, job: &str, token: TransferToken) -> bool {
+        self.find(job, token).is_some_and(|known| known.ended)
     }
 
     /// Whether the lender has recorded a loan's end: nobody asks about it any more.
-    pub fn is_acknowledged(&self, job: &str, token: TransferToken) -> bool {
-        self.known(job, token)
-            .is_some_and(|known| known.acknowledged)
+    pub fn is_end_acknowledged(&self, job: &str, token: TransferToken) -> bool {
+        self.find(job, token)
+            .is_some_and(|known| known.end_acknowledged)
     }
 
-    fn known(&self, job: &str, token: TransferToken) -> Option<&KnownLoan> {
+    fn find(&self, job: &str, token: TransferToken) -> Option<&KnownLoan> {
         self.loans.get(job).filter(|known| known.token == token)
     }
 }
--- a/crates/spillover/src/contact.rs
+++ b/crates/spillover/src/endpoint_selector.rs
@@ -5,49 +5,49 @@
 /// The controllers of a cell, asked in turn: one that answers is asked again, one that does not
 /// makes way for the next.
 #[derive(Debug, Clone)]
-pub struct Contact {
+pub struct EndpointSelector {
     addresses: Vec<String>,
     /// Position of the address that is asked next.
     current: usize,
     in_flight: bool,
     /// When the last question was sent, unless it failed.
-    asked_at: Option<u64>,
+    last_sent_at: Option<u64>,
     paused_until: u64,
     /// When the latest question that was answered had been sent.
-    answered_at: Option<u64>,
+    last_answered_sent_at: Option<u64>,
 }
 
-impl Contact {
+impl EndpointSelector {
     /// A contact that was never asked; `addresses` must not be empty.
     pub fn new(addresses: Vec<String>) -> Self {
         Self {
             addresses,
             current: 0,
             in_flight: false,
-            asked_at: None,
+            last_sent_at: None,
             paused_until: 0,
-            answered_at: None,
+            last_answered_sent_at: None,
         }
     }
 
     /// The address to ask now, if no question is in flight and the last one is a period ago. The
     /// caller asks it.
-    pub fn ask(&mut self, now: u64, period_ms: u64) -> Option<String> {
+    pub fn start_request(&mut self, now: u64, period_ms: u64) -> Option<String> {
         let due = self
-            .asked_at
-            .is_none_or(|asked_at| now.saturating_sub(asked_at) >= period_ms);
+            .last_sent_at
+            .is_none_or(|last_sent_at| now.saturating_sub(last_sent_at) >= period_ms);
         if self.in_flight || !due || now < self.paused_until {
             return None;
         }
         self.in_flight = true;
-        self.asked_at = Some(now);
+        self.last_sent_at = Some(now);
         self.addresses.get(self.current).cloned()
     }
 
     /// A question sent at `sent` was answered.
-    pub fn on_answer(&mut self, sent: u64) {
+    pub fn on_response(&mut self, sent_at: u64) {
         self.in_flight = false;
-        self.answered_at = self.answered_at.max(Some(sent));
+        self.last_answered_sent_at = self.last_answered_sent_at.max(Some(sent_at));
     }
 
     /// A question had no answer, or one of a controller that cannot help: the next one is asked after
@@ -55,18 +55,18 @@
     pub fn on_failure(&mut self, now: u64, pause_ms: u64) {
         self.in_flight = false;
         self.current = (self.current + 1) % self.addresses.len().max(1);
-        self.asked_at = None;
+        self.last_sent_at = None;
         self.paused_until = now.saturating_add(pause_ms);
     }
 
     /// Whether a question that was sent within the last so many ms was answered.
     pub fn answered_within(&self, ms: u64, now: u64) -> bool {
-        self.answered_at
-            .is_some_and(|answered_at| now.saturating_sub(answered_at) <= ms)
+        self.last_answered_sent_at
+            .is_some_and(|last_answered_sent_at| now.saturating_sub(last_answered_sent_at) <= ms)
     }
 
     /// When the latest question that was answered had been sent; none if none ever was.
-    pub fn last_answered(&self) -> Option<u64> {
-        self.answered_at
+    pub fn last_answered_sent_at(&self) -> Option<u64> {
+        self.last_answered_sent_at
     }
 }
--- a/crates/spillover/src/lib.rs
+++ b/crates/spillover/src/lib.rs
@@ -7,7 +7,7 @@
 //! no input or output and reads no clock. See `docs/spillover.md` for the safety argument.
 
 pub mod confirmation;
-pub mod contact;
+pub mod endpoint_selector;
 pub mod message;
 pub mod policy;
 pub mod settings;
--- a/crates/spillover/src/message.rs
+++ b/crates/spillover/src/message.rs
@@ -98,22 +98,23 @@
 
 /// The answer to a [`CellRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum CellAnswer {
+pub enum CellResponse {
     /// Answer to [`RequestBody::Status`].
     Status(CellStatus),
     /// Answer to [`RequestBody::Offer`], one for each loan offered.
-    Offers(Vec<OfferAnswer>),
+    Offers(Vec<OfferResponse>),
     /// Answer to [`RequestBody::Confirm`], one for each loan asked about.
-    Standings(Vec<StandingAnswer>),
+    #[serde(rename = "Standings")]
+    LoanStatuses(Vec<LoanStatusResponse>),
     /// Only the cell's leader can answer that.
     NotLeader,
     /// The request is refused as a whole.
-    Refused(Refusal),
+    Refused(RequestRefusal),
 }
 
 /// Why a request is refused as a whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum Refusal {
+pub enum RequestRefusal {
     /// The sender's messages have another version.
     #[error("messages of another version")]
     Version,
@@ -127,28 +128,29 @@
 
 /// The answer to one offer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OfferAnswer {
+pub struct OfferResponse {
     /// The transfer.
     pub loan: LoanId,
     /// What became of it.
-    pub decision: Decision,
+    pub decision: OfferDecision,
 }
 
 /// What became of an offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Decision {
+pub enum OfferDecision {
     /// It is recorded as a loan.
     Accepted,
     /// It is recorded as refused: this transfer can never run here, whatever copies of the offer
     /// still arrive.
-    Refused(Reason),
+    Refused(RejectionReason),
     /// Nothing is recorded; the offer may be repeated.
-    Later(Reason),
+    #[serde(rename = "Later")]
+    Deferred(RejectionReason),
 }
 
 /// Why an offer is not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-pub enum Reason {
+pub enum RejectionReason {
     /// The cell borrows nothing.
     #[error("this cell borrows nothing")]
     BorrowsNothing,
@@ -169,30 +171,35 @@
     Unreachable,
     /// The store did not answer, or the job's key changed meanwhile.
     #[error("the state service did not answer")]
-    State,
+    #[serde(rename = "State")]
+    StoreUnavailable,
     /// The transfer is over here.
     #[error("the transfer is over")]
-    Over,
+    #[serde(rename = "Over")]
+    TransferEnded,
 }
 
 /// What a lender says of a loan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct StandingAnswer {
+pub struct LoanStatusResponse {
     /// The transfer.
     pub loan: LoanId,
     /// Whether it stands.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub status: LoanStatus,
     /// Age of the knowledge that this rests on, ms.
     pub age_ms: u64,
 }
 
 /// Whether a loan stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum LoanStatus {
     /// The job belongs to the borrower under this token.
-    Stands,
+    #[serde(rename = "Stands")]
+    Active,
     /// It does not, and never will again under this token.
-    Over,
+    #[serde(rename = "Over")]
+    Ended,
     /// The controller that was asked does not know.
     Unknown,
 }
--- a/crates/spillover/src/policy.rs
+++ b/crates/spillover/src/policy.rs
@@ -9,7 +9,7 @@
 /// CPUs that a task counts for at least.
 const MIN_TASK_CPUS: f64 = 0.01;
 /// Sums of sizes may exceed a limit by this, for they are rounded.
-const ROUNDING: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// A job of which nothing has begun, in the order in which the lender would serve it.
 #[derive(Debug, Clone, PartialEq)]
@@ -65,15 +65,15 @@
                 .zone
                 .as_ref()
                 .is_none_or(|zone| machine_type.zones.contains(zone))
-            && self.task.cpus <= machine_type.cpus + ROUNDING
-            && self.task.gpus <= machine_type.gpus + ROUNDING
-            && self.task.memory_gb <= machine_type.memory_gb + ROUNDING
+            && self.task.cpus <= machine_type.cpus + ROUNDING_TOLERANCE
+            && self.task.gpus <= machine_type.gpus + ROUNDING_TOLERANCE
+            && self.task.memory_gb <= machine_type.memory_gb + ROUNDING_TOLERANCE
     }
 }
 
 /// What the lender itself has to offer.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct HomeLoad {
+pub struct LocalLoad {
     /// CPUs of all machines in service.
     pub fleet_cpus: f64,
     /// Those of them that nothing is bound to.
@@ -99,9 +99,9 @@
 ///
 /// What is free is handed out in the order of the jobs. A job beyond it waits until the work that is
 /// bound or ahead of it is done, at the rate of the whole fleet or of its team's whole limit.
-pub fn predict_waits(home: &HomeLoad, jobs: &[WaitingJob]) -> Vec<f64> {
-    let mut fleet = Queue::new(home.fleet_cpus, home.free_cpus, home.bound_s);
-    let mut teams: BTreeMap<&str, Queue> = home
+pub fn predict_waits(local: &LocalLoad, jobs: &[WaitingJob]) -> Vec<f64> {
+    let mut fleet = Queue::new(local.fleet_cpus, local.free_cpus, local.bound_s);
+    let mut teams: BTreeMap<&str, Queue> = local
         .teams
         .iter()
         .map(|(name, team)| {
@@ -111,9 +111,11 @@
         .collect();
     let mut waits = Vec::with_capacity(jobs.len());
     for job in jobs {
-        let for_fleet = fleet.join(job);
-        let for_team = teams.get_mut(job.team.as_str()).map(|team| team.join(job));
-        waits.push(for_fleet.max(for_team.unwrap_or(0.0)));
+        let fleet_wait_s = fleet.enqueue(job);
+        let team_wait_s = teams
+            .get_mut(job.team.as_str())
+            .map(|team| team.enqueue(job));
+        waits.push(fleet_wait_s.max(team_wait_s.unwrap_or(0.0)));
     }
     waits
 }
@@ -136,8 +138,8 @@
     }
 
     /// Puts a job at the end; the seconds until its first task begins.
-    fn join(&mut self, job: &WaitingJob) -> f64 {
-        let begins_at_once = self.free_cpus + ROUNDING >= job.task.cpus;
+    fn enqueue(&mut self, job: &WaitingJob) -> f64 {
+        let begins_at_once = self.free_cpus + ROUNDING_TOLERANCE >= job.task.cpus;
         let wait_s = match begins_at_once {
             true => 0.0,
             false => self.ahead_s / self.cpus.max(job.task.cpus).max(MIN_TASK_CPUS),
@@ -152,27 +154,27 @@
 /// and ends when it is short.
 #[derive(Debug, Clone, Default)]
 pub struct Hysteresis {
-    lends: bool,
-    long_since: Option<u64>,
+    is_lending: bool,
+    above_start_since: Option<u64>,
 }
 
 impl Hysteresis {
     /// Takes the longest predicted wait, seconds, at a moment, ms; whether to lend now.
     pub fn update(&mut self, longest_wait_s: f64, policy: &PolicySettings, now: u64) -> bool {
         if longest_wait_s >= policy.start_above_s {
-            let since = *self.long_since.get_or_insert(now);
+            let since = *self.above_start_since.get_or_insert(now);
             let sustained_ms = (policy.sustain_s * 1000.0) as u64;
-            self.lends |= now.saturating_sub(since) >= sustained_ms;
+            self.is_lending |= now.saturating_sub(since) >= sustained_ms;
         } else {
-            self.long_since = None;
-            self.lends &= longest_wait_s > policy.stop_below_s;
+            self.above_start_since = None;
+            self.is_lending &= longest_wait_s > policy.stop_below_s;
         }
-        self.lends
+        self.is_lending
     }
 
     /// Whether the cell lends.
-    pub fn lends(&self) -> bool {
-        self.lends
+    pub fn is_lending(&self) -> bool {
+        self.is_lending
     }
 }
 
@@ -189,50 +191,58 @@
 
 /// A job to be lent.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Choice {
-    /// The job's place in the list of waiting jobs.
-    pub position: usize,
-    /// The borrower's place in the list of borrowers.
-    pub borrower: usize,
+pub struct LoanChoice {
+    /// The job's borrower_index in the list of waiting jobs.
+    pub job_index: usize,
+    /// The borrower's borrower_index in the list of borrowers.
+    pub borrower_index: usize,
 }
 
 /// Chooses the jobs that gain most from being lent, and for each the cell where it begins first.
 ///
-/// `barred` says which job may not go to which cell, for it was returned from there a moment ago.
-pub fn choose(
+/// `is_excluded` says which job may not go to which cell, for it was returned from there a moment ago.
+pub fn choose_loans(
     jobs: &[WaitingJob],
     waits: &[f64],
     borrowers: &[Borrower],
     policy: &PolicySettings,
-    barred: impl Fn(&str, &str) -> bool,
-) -> Vec<Choice> {
-    let mut promised: Vec<f64> = borrowers
+    is_excluded: impl Fn(&str, &str) -> bool,
+) -> Vec<LoanChoice> {
+    let mut promised_cpus: Vec<f64> = borrowers
         .iter()
         .map(|borrower| borrower.promised_cpus)
         .collect();
     let mut order: Vec<usize> = (0..jobs.len())
-        .filter(|&position| jobs[position].lendable)
+        .filter(|&job_index| jobs[job_index].lendable)
         .collect();
     order.sort_by(|&a, &b| waits[b].total_cmp(&waits[a]).then(a.cmp(&b)));
     let mut chosen = Vec::new();
-    for position in order {
+    for job_index in order {
         if chosen.len() >= policy.jobs_per_period {
             break;
         }
-        let job = &jobs[position];
-        let gain_in = |place: usize| {
-            let borrower = &borrowers[place];
-            if barred(&job.name, &borrower.cell) {
+        let job = &jobs[job_index];
+        let gain_in = |borrower_index: usize| {
+            let borrower = &borrowers[borrower_index];
+            if is_excluded(&job.name, &borrower.cell) {
                 return None;
             }
-            let gain_s = gain_s(job, waits[position], borrower, promised[place])?;
-            (gain_s > policy.margin_s).then_some((gain_s, place))
+            let gain_s = gain_s(
+                job,
+                waits[job_index],
+                borrower,
+                promised_cpus[borrower_index],
+            )?;
+            (gain_s > policy.margin_s).then_some((gain_s, borrower_index))
         };
         let best = (0..borrowers.len()).filter_map(gain_in);
         let best = best.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
-        if let Some((_, borrower)) = best {
-            promised[borrower] += job.cpus();
-            chosen.push(Choice { position, borrower });
+        if let Some((_, borrower_index)) = best {
+            promised_cpus[borrower_index] += job.cpus();
+            chosen.push(LoanChoice {
+                job_index,
+                borrower_index,
+            });
         }
     }
     chosen
@@ -240,18 +250,25 @@
 
 /// By how many seconds a job would begin earlier in a cell than at home; none if that cell cannot or
 /// will not take it.
-fn gain_s(job: &WaitingJob, home_wait_s: f64, borrower: &Borrower, promised: f64) -> Option<f64> {
+fn gain_s(
+    job: &WaitingJob,
+    local_wait_s: f64,
+    borrower: &Borrower,
+    promised_cpus: f64,
+) -> Option<f64> {
     let status = &borrower.status;
     let team = status.teams.iter().find(|team| team.name == job.team)?;
-    let within = |most: Option<f64>, needed: f64| most.is_none_or(|most| needed <= most + ROUNDING);
+    let within = |most: Option<f64>, needed: f64| {
+        most.is_none_or(|most| needed <= most + ROUNDING_TOLERANCE)
+    };
     let allowed = within(team.cpus, job.task.cpus) && within(team.gpus, job.task.gpus);
     // It begins where one task has room, and goes on as more comes free.
     let room_cpus = status
         .room_cpus
         .min(team.free_cpus.unwrap_or(f64::INFINITY));
-    let has_room = promised + job.task.cpus <= room_cpus + ROUNDING;
-    let lends_itself = status.lent_classes.contains(&job.class);
-    if !allowed || !has_room || lends_itself {
+    let has_room = promised_cpus + job.task.cpus <= room_cpus + ROUNDING_TOLERANCE;
+    let lends_class = status.lent_classes.contains(&job.class);
+    if !allowed || !has_room || lends_class {
         return None;
     }
     let fitting = status
@@ -264,16 +281,16 @@
             false => 0.0,
         })
         .min_by(f64::total_cmp)?;
-    Some(home_wait_s - status.wait_s - fetch_s)
+    Some(local_wait_s - status.wait_s - fetch_s)
 }
 
 /// A loan that stands, as its lender knows it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LoanState {
+pub struct LoanActivity {
     /// Milliseconds since a controller of the borrower last asked about it, or since it was lent.
-    pub silent_ms: u64,
+    pub since_last_report_ms: u64,
     /// Whether one ever asked: the borrower has it.
-    pub heard: bool,
+    pub was_reported: bool,
     /// Milliseconds since any task of it was bound there, or since it was lent.
     pub idle_ms: u64,
 }
@@ -288,16 +305,16 @@
 }
 
 /// Whether a loan is to be recalled, and why. `silent_ms`: silence after which it is.
-pub fn recall(
-    loan: &LoanState,
-    home_has_room: bool,
-    silent_ms: u64,
+pub fn recall_reason(
+    loan: &LoanActivity,
+    has_local_capacity: bool,
+    max_silence_ms: u64,
     policy: &PolicySettings,
 ) -> Option<RecallReason> {
-    if loan.silent_ms >= silent_ms {
+    if loan.since_last_report_ms >= max_silence_ms {
         return Some(RecallReason::Silent);
     }
-    let patience_ms = (policy.idle_s * 1000.0) as u64;
-    let idle = loan.heard && loan.idle_ms >= patience_ms;
-    (home_has_room && idle).then_some(RecallReason::RoomAtHome)
+    let idle_limit_ms = (policy.idle_s * 1000.0) as u64;
+    let idle = loan.was_reported && loan.idle_ms >= idle_limit_ms;
+    (has_local_capacity && idle).then_some(RecallReason::RoomAtHome)
 }
--- a/crates/spillover/src/settings.rs
+++ b/crates/spillover/src/settings.rs
@@ -239,7 +239,7 @@
 
 impl SpilloverSettings {
     /// Spillover turned off: the cell has no name, knows no other, lends and borrows nothing.
-    pub fn off() -> Self {
+    pub fn disabled() -> Self {
         Self {
             cell: String::new(),
             lend: false,
@@ -304,7 +304,7 @@
     /// What is cancelled must be gone in time even if the borrower hears nothing of it.
     fn check_times(&self, cancel_s: f64) -> Result<(), SpilloverError> {
         for cell in &self.cells {
-            let sum_s = self.terms_for(cell).gone_after_ms() as f64 / 1000.0;
+            let sum_s = self.loan_terms(cell).tasks_stopped_after_ms() as f64 / 1000.0;
             if sum_s > cancel_s {
                 return Err(SpilloverError::CancelTime {
                     cell: cell.name.clone(),
@@ -317,7 +317,7 @@
     }
 
     /// The times of a loan to another cell.
-    pub fn terms_for(&self, cell: &CellSettings) -> LoanTerms {
+    pub fn loan_terms(&self, cell: &CellSettings) -> LoanTerms {
         let ms = |seconds: f64| (seconds * 1000.0) as u64;
         LoanTerms {
             lease_ms: ms(self.loan.lease_s),
@@ -326,14 +326,14 @@
     }
 
     /// Another cell by its name.
-    pub fn cell_named(&self, name: &str) -> Option<&CellSettings> {
+    pub fn cell_by_name(&self, name: &str) -> Option<&CellSettings> {
         self.cells.iter().find(|cell| cell.name == name)
     }
 }
 
 impl CellSettings {
     /// Whether a message of this cell may come from an address.
-    pub fn may_send_from(&self, address: IpAddr) -> bool {
+    pub fn allows_source(&self, address: IpAddr) -> bool {
         let mut networks = self.networks.iter();
         self.networks.is_empty() || networks.any(|network| network.contains(&address))
     }
--- a/crates/spillover/src/terms.rs
+++ b/crates/spillover/src/terms.rs
@@ -3,9 +3,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Part by which two steady clocks may diverge: twice the bound of the protocol, for two ends.
-const DRIFT: f64 = 0.001;
+const MAX_RELATIVE_CLOCK_DRIFT: f64 = 0.001;
 /// Time that the last answer to a worker may take on its way, and timers that fire late, ms.
-const MARGIN_MS: u64 = 2000;
+const DELIVERY_MARGIN_MS: u64 = 2000;
 
 /// The times of one loan, as its lender set them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,8 +23,8 @@
     /// Whatever was confirmed was confirmed from a replica older than that record. The borrower's
     /// holders act on it for the lease at most; the workers that they answered until then drop their
     /// tasks when their own lease ends.
-    pub fn gone_after_ms(&self) -> u64 {
+    pub fn tasks_stopped_after_ms(&self) -> u64 {
         let sum = (self.lease_ms + self.worker_lease_ms) as f64;
-        (sum * (1.0 + DRIFT)).ceil() as u64 + MARGIN_MS
+        (sum * (1.0 + MAX_RELATIVE_CLOCK_DRIFT)).ceil() as u64 + DELIVERY_MARGIN_MS
     }
 }
--- a/crates/spillover/tests/decisions.rs
+++ b/crates/spillover/tests/decisions.rs
@@ -1,13 +1,13 @@
 //! The lender's decisions, the borrower's permissions, and the settings.
 
 use quillbend_spillover::confirmation::{Confirmations, Permission};
-use quillbend_spillover::contact::Contact;
+use quillbend_spillover::endpoint_selector::EndpointSelector;
 use quillbend_spillover::message::{
-    CellStatus, LoanId, MachineType, Standing, StandingAnswer, TeamLimit, TransferToken,
+    CellStatus, LoanId, LoanStatus, LoanStatusResponse, MachineType, TeamLimit, TransferToken,
 };
 use quillbend_spillover::policy::{
-    Borrower, HomeLoad, Hysteresis, LoanState, RecallReason, TaskNeeds, TeamLoad, WaitingJob,
-    choose, predict_waits, recall,
+    Borrower, Hysteresis, LoanActivity, LocalLoad, RecallReason, TaskNeeds, TeamLoad, WaitingJob,
+    choose_loans, predict_waits, recall_reason,
 };
 use quillbend_spillover::settings::{PolicySettings, SpilloverSettings};
 use std::collections::BTreeMap;
@@ -21,10 +21,10 @@
     }
 }
 
-fn stands(token: u64, age_ms: u64) -> StandingAnswer {
-    StandingAnswer {
+fn active(token: u64, age_ms: u64) -> LoanStatusResponse {
+    LoanStatusResponse {
         loan: loan(token),
-        standing: Standing::Stands,
+        status: LoanStatus::Active,
         age_ms,
     }
 }
@@ -36,13 +36,13 @@
 #[test]
 fn a_confirmation_counts_from_the_request_less_the_age_of_the_answer() {
     let mut confirmations = Confirmations::default();
-    confirmations.note(&loan(7), LEASE_MS, 1000);
+    confirmations.record_loan(&loan(7), LEASE_MS, 1000);
     assert_eq!(permission(&confirmations, 7, 1500), Permission::Wait);
-    confirmations.on_answer(&stands(7, 400), 2000, false);
+    confirmations.on_response(&active(7, 400), 2000, false);
     assert_eq!(permission(&confirmations, 7, 11_599), Permission::Run);
     assert_eq!(permission(&confirmations, 7, 11_600), Permission::Stop);
     // An older answer that arrives later takes nothing back and adds nothing.
-    confirmations.on_answer(&stands(7, 0), 1000, false);
+    confirmations.on_response(&active(7, 0), 1000, false);
     assert_eq!(permission(&confirmations, 7, 11_599), Permission::Run);
     assert_eq!(permission(&confirmations, 7, 11_600), Permission::Stop);
 }
@@ -50,7 +50,7 @@
 #[test]
 fn without_a_first_answer_a_controller_waits_for_a_moment_and_then_stops() {
     let mut confirmations = Confirmations::default();
-    confirmations.note(&loan(7), LEASE_MS, 1000);
+    confirmations.record_loan(&loan(7), LEASE_MS, 1000);
     assert_eq!(permission(&confirmations, 7, 3999), Permission::Wait);
     assert_eq!(permission(&confirmations, 7, 4000), Permission::Stop);
 }
@@ -58,22 +58,22 @@
 #[test]
 fn an_end_is_final_for_its_transfer_and_says_nothing_of_the_next() {
     let mut confirmations = Confirmations::default();
-    confirmations.note(&loan(7), LEASE_MS, 0);
-    confirmations.on_answer(&stands(7, 0), 0, false);
-    let over = StandingAnswer {
-        standing: Standing::Over,
-        ..stands(7, 0)
+    confirmations.record_loan(&loan(7), LEASE_MS, 0);
+    confirmations.on_response(&active(7, 0), 0, false);
+    let ended = LoanStatusResponse {
+        status: LoanStatus::Ended,
+        ..active(7, 0)
     };
-    confirmations.on_answer(&over, 100, false);
-    confirmations.on_answer(&stands(7, 0), 200, false);
+    confirmations.on_response(&ended, 100, false);
+    confirmations.on_response(&active(7, 0), 200, false);
     assert_eq!(permission(&confirmations, 7, 300), Permission::Stop);
-    assert!(!confirmations.is_acknowledged("wk-000001", TransferToken(7)));
-    confirmations.on_answer(&over, 400, true);
-    assert!(confirmations.is_acknowledged("wk-000001", TransferToken(7)));
-    confirmations.note(&loan(9), LEASE_MS, 500);
-    confirmations.on_answer(&over, 600, true);
+    assert!(!confirmations.is_end_acknowledged("wk-000001", TransferToken(7)));
+    confirmations.on_response(&ended, 400, true);
+    assert!(confirmations.is_end_acknowledged("wk-000001", TransferToken(7)));
+    confirmations.record_loan(&loan(9), LEASE_MS, 500);
+    confirmations.on_response(&ended, 600, true);
     assert_eq!(permission(&confirmations, 9, 600), Permission::Wait);
-    confirmations.on_answer(&stands(9, 0), 600, false);
+    confirmations.on_response(&active(9, 0), 600, false);
     assert_eq!(permission(&confirmations, 9, 700), Permission::Run);
     assert_eq!(permission(&confirmations, 7, 700), Permission::Wait);
 }
@@ -81,29 +81,36 @@
 #[test]
 fn a_relayed_confirmation_reaches_no_further_than_the_first() {
     let (mut one, mut other) = (Confirmations::default(), Confirmations::default());
-    one.note(&loan(7), LEASE_MS, 0);
-    other.note(&loan(7), LEASE_MS, 0);
-    assert_eq!(one.relay(&loan(7), 100).standing, Standing::Unknown);
-    one.on_answer(&stands(7, 300), 1000, false);
-    let relayed = one.relay(&loan(7), 5000);
+    one.record_loan(&loan(7), LEASE_MS, 0);
+    other.record_loan(&loan(7), LEASE_MS, 0);
+    assert_eq!(
+        one.relayed_status(&loan(7), 100).status,
+        LoanStatus::Unknown
+    );
+    one.on_response(&active(7, 300), 1000, false);
+    let relayed = one.relayed_status(&loan(7), 5000);
     assert_eq!(relayed.age_ms, 4300);
-    other.on_answer(&relayed, 5000, false);
+    other.on_response(&relayed, 5000, false);
     assert_eq!(permission(&other, 7, 10_699), Permission::Run);
     assert_eq!(permission(&other, 7, 10_700), Permission::Stop);
 }
 
 #[test]
 fn a_controller_that_does_not_answer_makes_way_for_the_next() {
-    let mut contact = Contact::new(vec!["a".into(), "b".into()]);
-    assert_eq!(contact.ask(0, 1000).as_deref(), Some("a"));
-    assert_eq!(contact.ask(2000, 1000), None, "one question at a time");
-    contact.on_answer(0);
-    assert!(contact.answered_within(5000, 4000));
-    assert_eq!(contact.ask(2000, 1000).as_deref(), Some("a"));
-    contact.on_failure(2500, 300);
-    assert_eq!(contact.ask(2700, 1000), None);
-    assert_eq!(contact.ask(2800, 1000).as_deref(), Some("b"));
-    assert!(!contact.answered_within(1000, 2800));
+    let mut selector = EndpointSelector::new(vec!["a".into(), "b".into()]);
+    assert_eq!(selector.start_request(0, 1000).as_deref(), Some("a"));
+    assert_eq!(
+        selector.start_request(2000, 1000),
+        None,
+        "one question at a time"
+    );
+    selector.on_response(0);
+    assert!(selector.answered_within(5000, 4000));
+    assert_eq!(selector.start_request(2000, 1000).as_deref(), Some("a"));
+    selector.on_failure(2500, 300);
+    assert_eq!(selector.start_request(2700, 1000), None);
+    assert_eq!(selector.start_request(2800, 1000).as_deref(), Some("b"));
+    assert!(!selector.answered_within(1000, 2800));
 }
 
 fn job(name: &str, tasks: u32) -> WaitingJob {
@@ -125,13 +132,13 @@
     }
 }
 
-fn home(free_cpus: f64) -> HomeLoad {
+fn local_load(free_cpus: f64) -> LocalLoad {
     let blue = TeamLoad {
         limit_cpus: 8.0,
         free_cpus: free_cpus.min(8.0),
         bound_s: 40.0,
     };
-    HomeLoad {
+    LocalLoad {
         fleet_cpus: 8.0,
         free_cpus,
         bound_s: 40.0,
@@ -142,12 +149,12 @@
 #[test]
 fn waits_grow_with_what_is_bound_and_ahead() {
     let jobs = [job("a", 8), job("b", 8), job("c", 8)];
-    assert_eq!(predict_waits(&home(8.0), &jobs), [0.0, 15.0, 25.0]);
-    assert_eq!(predict_waits(&home(0.0), &jobs), [5.0, 15.0, 25.0]);
+    assert_eq!(predict_waits(&local_load(8.0), &jobs), [0.0, 15.0, 25.0]);
+    assert_eq!(predict_waits(&local_load(0.0), &jobs), [5.0, 15.0, 25.0]);
     // The limit of a team holds its jobs up while the fleet has room.
-    let mut roomy = home(100.0);
-    roomy.fleet_cpus = 100.0;
-    assert_eq!(predict_waits(&roomy, &jobs), [0.0, 15.0, 25.0]);
+    let mut large_fleet = local_load(100.0);
+    large_fleet.fleet_cpus = 100.0;
+    assert_eq!(predict_waits(&large_fleet, &jobs), [0.0, 15.0, 25.0]);
 }
 
 fn borrower(cell: &str, room_cpus: f64) -> Borrower {
@@ -179,7 +186,7 @@
 }
 
 fn chosen(jobs: &[WaitingJob], waits: &[f64], borrowers: &[Borrower]) -> Vec<(usize, usize)> {
-    let choices = choose(
+    let choices = choose_loans(
         jobs,
         waits,
         borrowers,
@@ -188,7 +195,7 @@
     );
     choices
         .iter()
-        .map(|choice| (choice.position, choice.borrower))
+        .map(|choice| (choice.job_index, choice.borrower_index))
         .collect()
 }
 
@@ -209,11 +216,11 @@
 
 #[test]
 fn what_cannot_run_there_stays_at_home() {
-    let there = borrower("east", 100.0);
+    let borrower = borrower("east", 100.0);
     let one = |change: fn(&mut WaitingJob)| {
         let mut job = job("a", 4);
         change(&mut job);
-        chosen(&[job], &[100.0], std::slice::from_ref(&there))
+        chosen(&[job], &[100.0], std::slice::from_ref(&borrower))
     };
     assert_eq!(one(|_| {}), vec![(0, 0)]);
     assert_eq!(one(|job| job.lendable = false), vec![]);
@@ -225,17 +232,21 @@
         one(|job| job.machine_types = Some(vec!["large".into()])),
         vec![]
     );
-    let mut used = there.clone();
-    used.status.teams[0].free_cpus = Some(0.5);
-    assert_eq!(chosen(&[job("a", 4)], &[100.0], &[used]), vec![]);
-    let mut lends = there.clone();
-    lends.status.lent_classes = vec!["compare".into()];
-    assert_eq!(chosen(&[job("a", 4)], &[100.0], &[lends]), vec![]);
+    let mut team_at_limit = borrower.clone();
+    team_at_limit.status.teams[0].free_cpus = Some(0.5);
+    assert_eq!(chosen(&[job("a", 4)], &[100.0], &[team_at_limit]), vec![]);
+    let mut lending = borrower.clone();
+    lending.status.lent_classes = vec!["compare".into()];
+    assert_eq!(chosen(&[job("a", 4)], &[100.0], &[lending]), vec![]);
     let policy = PolicySettings::default();
-    let barred = choose(&[job("a", 4)], &[100.0], &[there], &policy, |job, cell| {
-        job == "a" && cell == "east"
-    });
-    assert_eq!(barred, vec![]);
+    let excluded = choose_loans(
+        &[job("a", 4)],
+        &[100.0],
+        &[borrower],
+        &policy,
+        |job, cell| job == "a" && cell == "east",
+    );
+    assert_eq!(excluded, vec![]);
 }
 
 #[test]
@@ -260,36 +271,36 @@
 #[test]
 fn a_loan_is_recalled_when_nothing_is_heard_or_it_waits_in_vain() {
     let policy = PolicySettings::default();
-    let idle = LoanState {
-        silent_ms: 1000,
-        heard: true,
+    let idle = LoanActivity {
+        since_last_report_ms: 1000,
+        was_reported: true,
         idle_ms: 10_000,
     };
-    let recall = |loan: LoanState, room: bool| recall(&loan, room, 15_000, &policy);
+    let recall = |loan: LoanActivity, room: bool| recall_reason(&loan, room, 15_000, &policy);
     assert_eq!(recall(idle, false), None);
     assert_eq!(recall(idle, true), Some(RecallReason::RoomAtHome));
-    let never_heard = LoanState {
-        heard: false,
+    let never_reported = LoanActivity {
+        was_reported: false,
         ..idle
     };
     assert_eq!(
-        recall(never_heard, true),
+        recall(never_reported, true),
         None,
         "it may not have arrived yet"
     );
-    let busy = LoanState {
+    let busy = LoanActivity {
         idle_ms: 9000,
         ..idle
     };
     assert_eq!(recall(busy, true), None);
-    let silent = LoanState {
-        silent_ms: 15_000,
+    let silent = LoanActivity {
+        since_last_report_ms: 15_000,
         ..busy
     };
     assert_eq!(recall(silent, false), Some(RecallReason::Silent));
 }
 
-const GOOD: &str = r#"<spillover cell="lannion">
+const VALID_SETTINGS: &str = r#"<spillover cell="lannion">
   <loan lease-s="10" ask-s="2" silent-s="15"/>
   <policy start-above-s="30"/>
   <cell name="rennes" worker-lease-s="12">
@@ -302,18 +313,18 @@
 
 #[test]
 fn the_file_is_read_and_what_it_leaves_out_has_its_default() {
-    let settings = SpilloverSettings::parse(GOOD, 37.0).expect("good");
+    let settings = SpilloverSettings::parse(VALID_SETTINGS, 37.0).expect("good");
     assert!(settings.lend && settings.borrow);
     assert_eq!(settings.policy.start_above_s, 30.0);
     assert_eq!(settings.policy.stop_below_s, 5.0);
-    let rennes = settings.cell_named("rennes").expect("named");
+    let rennes = settings.cell_by_name("rennes").expect("named");
     assert_eq!(rennes.controllers.len(), 2);
-    assert!(rennes.may_send_from("10.0.1.7".parse().expect("an address")));
-    assert!(!rennes.may_send_from("10.0.2.7".parse().expect("an address")));
-    let brest = settings.cell_named("brest").expect("named");
-    assert!(brest.may_send_from("10.0.2.7".parse().expect("an address")));
+    assert!(rennes.allows_source("10.0.1.7".parse().expect("an address")));
+    assert!(!rennes.allows_source("10.0.2.7".parse().expect("an address")));
+    let brest = settings.cell_by_name("brest").expect("named");
+    assert!(brest.allows_source("10.0.2.7".parse().expect("an address")));
     // 10 s and 12 s, with drift and margin.
-    assert_eq!(settings.terms_for(rennes).gone_after_ms(), 24_022);
+    assert_eq!(settings.loan_terms(rennes).tasks_stopped_after_ms(), 24_022);
 }
 
 #[test]
@@ -362,8 +373,8 @@
         ),
         ("</spillover>", "", ""),
     ] {
-        let text = GOOD.replacen(from, to, 1);
-        assert_ne!(text, GOOD, "{from}");
+        let text = VALID_SETTINGS.replacen(from, to, 1);
+        assert_ne!(text, VALID_SETTINGS, "{from}");
         let line = SpilloverSettings::parse(&text, 37.0)
             .expect_err(from)
             .to_string();
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -134,7 +134,7 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let endpoints: Vec<String> = platform.peers.iter().map(|p| p.endpoint.clone()).collect();
         let spillover = Spillover::new(settings.spillover.as_ref(), &endpoints);
-        let format = match spillover.is_on() {
+        let format = match spillover.is_enabled() {
             true => SPILLOVER_FORMAT,
             false => CURRENT_FORMAT,
         };
--- a/src/controller/peers/messages.rs
+++ b/src/controller/peers/messages.rs
@@ -124,7 +124,7 @@
             cancelled: Vec::new(),
             grants: Vec::new(),
             format: self.formats.own(),
-            loans: self.spillover.heard_loans(now),
+            loans: self.spillover.reported_loans(now),
         }
     }
 
@@ -202,7 +202,7 @@
         self.accept_cancellations(&message.cancelled);
         self.accept_grants(message.grants);
         self.adopt_run_time_ratios(message.ratios);
-        self.spillover.on_heard_loans(message.loans, now);
+        self.spillover.on_reported_loans(message.loans, now);
         for steal_message in message.steal_messages {
             self.on_steal_message(steal_message, now);
         }
@@ -216,7 +216,7 @@
             };
             let job = self.replica.jobs.get(&job_id);
             let pending = job.is_some_and(|job| job.status == JobStatus::Pending);
-            if pending && !self.is_loan(job_id) {
+            if pending && !self.is_borrowed(job_id) {
                 self.peers.reported_cancellations.insert(job_id);
             }
         }
@@ -254,7 +254,7 @@
             self.peers.forget_reported_cancellation(job);
             // A loan that was given up may come again, under another fencing token; whether it
             // stands its lender says.
-            if self.is_loan(job) {
+            if self.is_borrowed(job) {
                 continue;
             }
             let name = self.replica.names.jobs.name(job).to_owned();
--- a/src/http/cells.rs
+++ b/src/http/cells.rs
@@ -8,12 +8,12 @@
 use super::{ApiState, BodyResult, MAX_PEER_BODY_BYTES, READ_TIMEOUT, WRITE_TIMEOUT};
 use crate::protocol::JobSpec;
 use crate::replica::past_key;
-use crate::spillover::{Archived, CellRequest, OfferPlan};
+use crate::spillover::{ArchivedJob, CellRequest, OfferPlan};
 use crate::store::CommitOutcome;
 use actix_web::http::StatusCode;
 use actix_web::{HttpRequest, HttpResponse, web};
 use quillbend_spillover::message::{
-    CellAnswer, Decision, LoanReport, Offer, OfferAnswer, Reason, RequestBody,
+    CellResponse, LoanReport, Offer, OfferDecision, OfferResponse, RejectionReason, RequestBody,
 };
 
 /// Tries of an offer: one more after the archive was read.
@@ -47,23 +47,23 @@
 
 impl ApiState {
     /// Answers a request that is not refused.
-    async fn answer_cell(&self, request: &CellRequest) -> CellAnswer {
+    async fn answer_cell(&self, request: &CellRequest) -> CellResponse {
         match &request.body {
             RequestBody::Offer(offers) if self.leads() => {
                 let mut answers = Vec::new();
                 for offer in offers {
-                    answers.push(OfferAnswer {
+                    answers.push(OfferResponse {
                         loan: offer.loan.clone(),
                         decision: self.decide(&request.from, offer).await,
                     });
                 }
-                return CellAnswer::Offers(answers);
+                return CellResponse::Offers(answers);
             }
             RequestBody::Confirm { loans, .. } => self.end_loans(&request.from, loans).await,
             RequestBody::Offer(_) | RequestBody::Status => {}
         }
         let now = self.shared.now();
-        self.shared.controller.lock().answer_cell(request, now)
+        self.shared.controller.lock().respond_to_cell(request, now)
     }
 
     /// Whether this controller is the leader and may act as such now.
@@ -94,7 +94,7 @@
     }
 
     /// Decides about one offer, and records the decision.
-    async fn decide(&self, from: &str, offer: &Offer<JobSpec>) -> Decision {
+    async fn decide(&self, from: &str, offer: &Offer<JobSpec>) -> OfferDecision {
         let mut archived = None;
         for _ in 0..OFFER_TRIES {
             let plan = {
@@ -103,7 +103,7 @@
                 controller.plan_offer(from, offer, archived.as_ref(), now)
             };
             let (transaction, decision) = match plan {
-                OfferPlan::Answer(decision) => return decision,
+                OfferPlan::Respond(decision) => return decision,
                 OfferPlan::Write {
                     transaction,
                     decision,
@@ -120,13 +120,13 @@
                 _ => break,
             }
         }
-        Decision::Later(Reason::State)
+        OfferDecision::Deferred(RejectionReason::StoreUnavailable)
     }
 
     /// Reads a job that is over from the archive; none if it is not there or cannot be read.
-    async fn archived_job(&self, job: &str) -> Option<Archived> {
+    async fn archived_job(&self, job: &str) -> Option<ArchivedJob> {
         let item = self.state.read(&past_key(job), READ_TIMEOUT).await.ok()??;
-        Some(Archived {
+        Some(ArchivedJob {
             record: item.value.read().ok()?,
             mod_revision: item.mod_revision,
         })
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -208,7 +208,7 @@
         ctx.spawn(call.into_actor(self).map(move |answer, actor, _| {
             let now = actor.now();
             let mut controller = actor.shared.controller.lock();
-            controller.on_cell_answer(&cell_call, answer, sent_at, now);
+            controller.on_cell_response(&cell_call, answer, sent_at, now);
         }));
     }
 }
--- a/src/spillover/borrowing.rs
+++ b/src/spillover/borrowing.rs
@@ -9,18 +9,18 @@
 use crate::protocol::{Heartbeat, JobStatus, TaskPhase, Transaction};
 use crate::replica::{Job, job_key};
 use quillbend_spillover::confirmation::Permission;
-use quillbend_spillover::message::{CellAnswer, LoanId, LoanReport, Progress, RequestBody};
+use quillbend_spillover::message::{CellResponse, LoanId, LoanReport, Progress, RequestBody};
 
 /// Interval of questions while nothing is borrowed: they show that the lender can be reached, ms.
-const IDLE_ASK_MS: u64 = 5000;
+const IDLE_REQUEST_PERIOD_MS: u64 = 5000;
 /// Pause after a question without an answer, ms.
-const RETRY_MS: u64 = 400;
+const RETRY_DELAY_MS: u64 = 400;
 /// The same while nothing is borrowed, ms.
-const IDLE_RETRY_MS: u64 = 2500;
+const IDLE_RETRY_DELAY_MS: u64 = 2500;
 
 impl Controller {
     /// Records the loans that the replica shows as borrowed, and forgets the others.
-    pub(super) fn note_borrowed(&mut self, now: Timestamp) {
+    pub(super) fn record_borrowed_loans(&mut self, now: Timestamp) {
         for (job_id, job) in self.replica.transferred() {
             let Some(mark) = job.borrowed() else { continue };
             let loan = LoanId {
@@ -29,7 +29,7 @@
             };
             self.spillover
                 .confirmations
-                .note(&loan, mark.lease_ms, now.0);
+                .record_loan(&loan, mark.lease_ms, now.0);
         }
         let replica = &self.replica;
         let is_borrowed = |name: &str| {
@@ -41,29 +41,29 @@
 
     /// Asks each lender, and where that does not answer the other controllers of this cell, whether
     /// the loans stand.
-    pub(super) fn ask_confirmations(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        let ask_ms = (self.spillover.settings.loan.ask_s * 1000.0) as u64;
-        for cell in 0..self.spillover.cells.len() {
-            let name = self.spillover.settings.cells[cell].name.clone();
+    pub(super) fn request_confirmations(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        let request_period_ms = (self.spillover.settings.loan.ask_s * 1000.0) as u64;
+        for cell_index in 0..self.spillover.cells.len() {
+            let name = self.spillover.settings.cells[cell_index].name.clone();
             let loans = self.loan_reports(&name, now);
             let period_ms = if loans.is_empty() {
-                IDLE_ASK_MS
+                IDLE_REQUEST_PERIOD_MS
             } else {
-                ask_ms
+                request_period_ms
             };
-            let link = &mut self.spillover.cells[cell];
-            let unanswered = !link.origin.answered_within(2 * ask_ms, now.0);
-            let mut asked = Vec::new();
-            if let Some(address) = link.origin.ask(now.0, period_ms) {
-                asked.push((address, false));
+            let link = &mut self.spillover.cells[cell_index];
+            let lender_unresponsive = !link.lender.answered_within(2 * request_period_ms, now.0);
+            let mut targets = Vec::new();
+            if let Some(address) = link.lender.start_request(now.0, period_ms) {
+                targets.push((address, false));
             }
             if !loans.is_empty()
-                && unanswered
-                && let Some(address) = link.relay.ask(now.0, ask_ms)
+                && lender_unresponsive
+                && let Some(address) = link.relay.start_request(now.0, request_period_ms)
             {
-                asked.push((address, true));
+                targets.push((address, true));
             }
-            for (address, relayed) in asked {
+            for (address, relayed) in targets {
                 let request = self.spillover.cell_request(RequestBody::Confirm {
                     origin: name.clone(),
                     loans: loans.clone(),
@@ -71,7 +71,7 @@
                 out.push(Effect::Cell(Box::new(CellCall {
                     address,
                     request,
-                    cell,
+                    cell_index,
                     relayed,
                 })));
             }
@@ -89,7 +89,7 @@
                     token: mark.token,
                 },
                 confirmed: self.spillover.permission(job, name, now) == Permission::Run,
-                progress: self.progress(job_id, job),
+                progress: self.loan_progress(job_id, job),
             })
         });
         loans.collect()
@@ -98,7 +98,7 @@
     /// How far a loan is. That it was cancelled and that no queue lists any of its tasks is proof: each
     /// task left its queue on proof that it is on no machine, and none that is bound to a job which is
     /// over is ever started.
-    fn progress(&self, job_id: JobId, job: &Job) -> Progress {
+    fn loan_progress(&self, job_id: JobId, job: &Job) -> Progress {
         let bound = self.replica.bound_len(job_id);
         match job.status {
             JobStatus::Done => Progress::Done,
@@ -120,11 +120,11 @@
         let mut batch = self.transfer_batch();
         for (job_id, job) in self.replica.transferred() {
             let name = self.replica.names.jobs.name(job_id);
-            let over = job.borrowed().is_some_and(|mark| {
+            let ended = job.borrowed().is_some_and(|mark| {
                 let confirmations = &self.spillover.confirmations;
-                confirmations.is_over(name, mark.token)
+                confirmations.has_ended(name, mark.token)
             });
-            if !over || job.status != JobStatus::Pending {
+            if !ended || job.status != JobStatus::Pending {
                 continue;
             }
             let done = self.replica.done_tasks(job.done.clone());
@@ -144,7 +144,7 @@
         let name = self.replica.names.jobs.name(job_id);
         job.borrowed().is_none_or(|mark| {
             let confirmations = &self.spillover.confirmations;
-            confirmations.is_acknowledged(name, mark.token)
+            confirmations.is_end_acknowledged(name, mark.token)
         })
     }
 
@@ -171,37 +171,37 @@
 
 impl Spillover {
     /// A lender, or a relay, answered whether loans stand. `reported` is what the question said of them.
-    pub(super) fn on_standings(
+    pub(super) fn on_loan_statuses(
         &mut self,
         call: &CellCall,
         reported: &[LoanReport],
-        answer: Option<CellAnswer>,
-        sent: Timestamp,
+        response: Option<CellResponse>,
+        sent_at: Timestamp,
         now: Timestamp,
     ) {
-        let link = &mut self.cells[call.cell];
-        let contact = match call.relayed {
+        let link = &mut self.cells[call.cell_index];
+        let selector = match call.relayed {
             true => &mut link.relay,
-            false => &mut link.origin,
+            false => &mut link.lender,
         };
-        let Some(CellAnswer::Standings(standings)) = answer else {
+        let Some(CellResponse::LoanStatuses(statuses)) = response else {
             let pause_ms = if reported.is_empty() {
-                IDLE_RETRY_MS
+                IDLE_RETRY_DELAY_MS
             } else {
-                RETRY_MS
+                RETRY_DELAY_MS
             };
-            contact.on_failure(now.0, pause_ms);
+            selector.on_failure(now.0, pause_ms);
             return;
         };
-        contact.on_answer(sent.0);
-        for standing in standings {
+        selector.on_response(sent_at.0);
+        for response in statuses {
             let reported_end = !call.relayed
                 && reported.iter().any(|report| {
-                    let over = !matches!(report.progress, Progress::Pending { .. });
-                    report.loan == standing.loan && over
+                    let ended = !matches!(report.progress, Progress::Pending { .. });
+                    report.loan == response.loan && ended
                 });
             let confirmations = &mut self.confirmations;
-            confirmations.on_answer(&standing, sent.0, reported_end);
+            confirmations.on_response(&response, sent_at.0, reported_end);
         }
     }
 }
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -13,13 +13,13 @@
 use crate::records::Transfer;
 use crate::replica::{Job, job_key};
 use quillbend_spillover::message::{LoanId, TransferToken};
-use quillbend_spillover::policy::{self, Borrower, LoanState};
+use quillbend_spillover::policy::{self, Borrower, LoanActivity};
 use quillbend_spillover::settings::PolicySettings;
 use std::collections::BTreeSet;
 use tracing::info;
 
 /// How long a job that was returned is not lent to the same cell, ms.
-const BARRED_MS: u64 = 20_000;
+const RELEND_DELAY_MS: u64 = 20_000;
 /// Bytes that a lent job's value grows by when it is marked as recalled.
 const RECALL_MARK_BYTES: usize = 16;
 
@@ -33,7 +33,7 @@
 
 impl Controller {
     /// Records the loans that the replica shows as lent, and forgets the others.
-    pub(super) fn note_lent(&mut self, now: Timestamp) {
+    pub(super) fn record_lent_loans(&mut self, now: Timestamp) {
         let mut shown = BTreeSet::new();
         for (job_id, job) in self.replica.transferred() {
             let Some(mark) = job.lent() else { continue };
@@ -59,12 +59,14 @@
             }
         }
         self.spillover.lent.retain(|job, _| shown.contains(job));
-        self.spillover.barred.retain(|_, until| now < *until);
+        self.spillover
+            .relend_not_before
+            .retain(|_, until| now < *until);
     }
 
     /// The next write about transfers, of the leader.
     pub(crate) fn plan_transfers(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
-        if !self.uses_spillover() {
+        if !self.handles_transfers() {
             return None;
         }
         self.plan_returns(now)
@@ -88,7 +90,7 @@
                 expired,
             } = due_return;
             let name = self.replica.names.jobs.name(job_id).to_owned();
-            let Some(mutation) = self.returned_loan(job_id, &RangeSet::new()) else {
+            let Some(mutation) = self.return_mutation(job_id, &RangeSet::new()) else {
                 continue;
             };
             if !batch.add(self.precondition(&job_key(&name)), mutation) {
@@ -97,8 +99,8 @@
             info!(job = name, cell, expired, "loan returned");
             self.spillover.counters.expired += u64::from(expired);
             self.spillover.counters.returned += u64::from(!expired);
-            let until = now.plus(BARRED_MS);
-            self.spillover.barred.insert((name, cell), until);
+            let until = now.plus(RELEND_DELAY_MS);
+            self.spillover.relend_not_before.insert((name, cell), until);
         }
         batch.finish()
     }
@@ -110,7 +112,7 @@
         let loan = self.spillover.lent.get(name)?;
         let expired = loan
             .recalled_at
-            .is_some_and(|at| now.since(at) > mark.terms.gone_after_ms());
+            .is_some_and(|at| now.since(at) > mark.terms.tasks_stopped_after_ms());
         let due = job.status == JobStatus::Pending && (loan.refused || expired);
         due.then(|| DueReturn {
             job_id,
@@ -126,10 +128,14 @@
 
     /// The write that makes a lent job an ordinary one again; these tasks were done elsewhere. None if the
     /// value would be too large.
-    pub(super) fn returned_loan(&self, job_id: JobId, done_there: &RangeSet) -> Option<Mutation> {
+    pub(super) fn return_mutation(
+        &self,
+        job_id: JobId,
+        done_elsewhere: &RangeSet,
+    ) -> Option<Mutation> {
         let job = self.replica.jobs.get(&job_id)?;
         let mut done = job.done.clone();
-        done.union(done_there);
+        done.union(done_elsewhere);
         let mut record = job.record(Default::default(), JobStatus::Pending);
         record.bring_home(self.replica.done_tasks(done));
         let key = job_key(self.replica.names.jobs.name(job_id));
@@ -141,8 +147,8 @@
     /// room at home.
     fn plan_recalls(&mut self, now: Timestamp) -> Option<Transaction> {
         let settings = &self.spillover.settings;
-        let silent_ms = (settings.loan.silent_s * 1000.0) as u64;
-        let mut room_cpus = match self.spillover.hysteresis.lends() {
+        let max_silence_ms = (settings.loan.silent_s * 1000.0) as u64;
+        let mut free_cpus = match self.spillover.hysteresis.is_lending() {
             true => 0.0,
             false => self.spillover.idle_cpus,
         };
@@ -158,14 +164,14 @@
             if job.status != JobStatus::Pending {
                 continue;
             }
-            let state = LoanState {
-                silent_ms: now.since(loan.heard_at.unwrap_or(loan.known_since)),
-                heard: loan.heard_at.is_some(),
-                idle_ms: now.since(loan.busy_at.unwrap_or(loan.known_since)),
+            let activity = LoanActivity {
+                since_last_report_ms: now.since(loan.last_report_at.unwrap_or(loan.known_since)),
+                was_reported: loan.last_report_at.is_some(),
+                idle_ms: now.since(loan.last_bound_at.unwrap_or(loan.known_since)),
             };
             let cpus = f64::from(job.spec.task_count) * job.spec.cpus;
-            let has_room = cpus <= room_cpus;
-            let reason = policy::recall(&state, has_room, silent_ms, &settings.policy);
+            let fits = cpus <= free_cpus;
+            let reason = policy::recall_reason(&activity, fits, max_silence_ms, &settings.policy);
             if reason.is_none() && !loan.declined {
                 continue;
             }
@@ -179,7 +185,7 @@
                 break;
             }
             info!(job = name, cell = mark.cell, ?reason, "recalling loan");
-            room_cpus -= cpus;
+            free_cpus -= cpus;
         }
         let transaction = batch.finish();
         let recalled = transaction
@@ -209,13 +215,13 @@
     /// that are in flight or in doubt are counted.
     fn plan_loans(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
         let policy = self.spillover.settings.policy.clone();
-        if !self.transfers_open()
+        if !self.transfers_enabled()
             || !self.grace_period_over(now)
-            || now < self.spillover.next_policy
+            || now < self.spillover.next_policy_at
         {
             return None;
         }
-        self.spillover.next_policy = now.plus((policy.period_s * 1000.0) as u64);
+        self.spillover.next_policy_at = now.plus((policy.period_s * 1000.0) as u64);
         let forecast = self.wait_forecast(now);
         self.spillover.longest_wait_s = forecast.longest_wait_s();
         self.spillover.idle_cpus = forecast.idle_cpus();
@@ -236,19 +242,22 @@
         now: Timestamp,
     ) -> Option<(Transaction, WriteIntent)> {
         let WaitForecast { jobs, waits_s, .. } = forecast;
-        let (places, borrowers): (Vec<usize>, Vec<Borrower>) =
-            self.spillover.known_borrowers(now).into_iter().unzip();
-        let barred = |job: &str, cell: &str| {
+        let (cell_indices, borrowers): (Vec<usize>, Vec<Borrower>) = self
+            .spillover
+            .borrowers_with_recent_status(now)
+            .into_iter()
+            .unzip();
+        let is_excluded = |job: &str, cell: &str| {
             let key = (job.to_owned(), cell.to_owned());
-            self.spillover.barred.contains_key(&key)
+            self.spillover.relend_not_before.contains_key(&key)
         };
-        let choices = policy::choose(jobs, waits_s, &borrowers, policy, barred);
+        let choices = policy::choose_loans(jobs, waits_s, &borrowers, policy, is_excluded);
         let token = TransferToken(self.replica.latest());
         let (mut batch, mut intent) = (self.transfer_batch(), WriteIntent::default());
         for choice in choices {
-            let (job, borrower) = (&jobs[choice.position], &borrowers[choice.borrower]);
-            let place = places[choice.borrower];
-            let Some((job_id, mutation)) = self.loan_of(&job.name, place, token) else {
+            let (job, borrower) = (&jobs[choice.job_index], &borrowers[choice.borrower_index]);
+            let cell_index = cell_indices[choice.borrower_index];
+            let Some((job_id, mutation)) = self.lend_mutation(&job.name, cell_index, token) else {
                 continue;
             };
             if !batch.add(self.precondition(&job_key(&job.name)), mutation) {
@@ -257,11 +266,11 @@
             info!(
                 job = job.name,
                 cell = borrower.cell,
-                wait_s = waits_s[choice.position],
+                wait_s = waits_s[choice.job_index],
                 wait_there_s = borrower.status.wait_s,
                 "lending job"
             );
-            self.spillover.cells[place].promised_cpus += job.cpus();
+            self.spillover.cells[cell_index].promised_cpus += job.cpus();
             intent.lent.push(job_id);
         }
         self.spillover.counters.lent += intent.lent.len() as u64;
@@ -270,12 +279,17 @@
 
     /// The write that lends a job to the cell at a place in the settings. None if the value would be too
     /// large.
-    fn loan_of(&self, name: &str, place: usize, token: TransferToken) -> Option<(JobId, Mutation)> {
+    fn lend_mutation(
+        &self,
+        name: &str,
+        cell_index: usize,
+        token: TransferToken,
+    ) -> Option<(JobId, Mutation)> {
         let (job_id, job) = self.replica.job_named(name)?;
         let settings = &self.spillover.settings;
-        let cell = &settings.cells[place];
+        let cell = &settings.cells[cell_index];
         let mut record = job.record(Default::default(), JobStatus::Pending);
-        record.lend(&cell.name, token, settings.terms_for(cell));
+        record.lend(&cell.name, token, settings.loan_terms(cell));
         let mutation = put(&job_key(name), &record, None);
         // It must still fit when it is marked as recalled.
         let fits = mutation.value_bytes() + RECALL_MARK_BYTES <= self.settings.value_bytes();
--- a/src/spillover/load.rs
+++ b/src/spillover/load.rs
@@ -10,11 +10,11 @@
 use crate::protocol::JobStatus;
 use crate::replica::Job;
 use quillbend_spillover::message::{CellStatus, MachineType, TeamLimit};
-use quillbend_spillover::policy::{HomeLoad, TaskNeeds, TeamLoad, WaitingJob, predict_waits};
+use quillbend_spillover::policy::{LocalLoad, TaskNeeds, TeamLoad, WaitingJob, predict_waits};
 use std::collections::BTreeMap;
 
 /// What a cell could do for a newcomer.
-struct Spare {
+struct SpareCapacity {
     /// Seconds until a task that comes now would probably begin: at once where a machine has room, a
     /// start of a machine later where more can be rented, and else after all that waits.
     wait_s: f64,
@@ -30,7 +30,7 @@
     pub(super) jobs: Vec<WaitingJob>,
     /// For how long each probably waits, seconds.
     pub(super) waits_s: Vec<f64>,
-    home: HomeLoad,
+    local: LocalLoad,
 }
 
 impl WaitForecast {
@@ -41,8 +41,8 @@
 
     /// CPUs of this cell that nothing is bound to or waits for.
     pub(super) fn idle_cpus(&self) -> f64 {
-        let asked: f64 = self.jobs.iter().map(WaitingJob::cpus).sum();
-        (self.home.free_cpus - asked).max(0.0)
+        let requested_cpus: f64 = self.jobs.iter().map(WaitingJob::cpus).sum();
+        (self.local.free_cpus - requested_cpus).max(0.0)
     }
 }
 
@@ -56,18 +56,18 @@
 impl Controller {
     /// For how long each job of which something waits will probably wait here.
     pub(super) fn wait_forecast(&self, now: Timestamp) -> WaitForecast {
-        let jobs = self.waiting_in_order(now);
-        let home = self.home_load(now);
-        let waits_s = predict_waits(&home, &jobs);
+        let jobs = self.waiting_jobs_in_order(now);
+        let local = self.local_load(now);
+        let waits_s = predict_waits(&local, &jobs);
         WaitForecast {
             jobs,
             waits_s,
-            home,
+            local,
         }
     }
 
     /// The jobs of which something waits, in the order in which they are served.
-    fn waiting_in_order(&self, now: Timestamp) -> Vec<WaitingJob> {
+    fn waiting_jobs_in_order(&self, now: Timestamp) -> Vec<WaitingJob> {
         let being_bound: HashSet<JobId> = self
             .writes
             .pending_bindings()
@@ -122,8 +122,8 @@
     }
 
     /// What the machines and the teams' limits have to offer.
-    fn home_load(&self, now: Timestamp) -> HomeLoad {
-        let mut load = HomeLoad::default();
+    fn local_load(&self, now: Timestamp) -> LocalLoad {
+        let mut load = LocalLoad::default();
         for rented in self.fleet(now) {
             let used = self.used_on(rented.machine).cpus;
             load.fleet_cpus += rented.size.cpus;
@@ -143,32 +143,32 @@
             let Some(team_id) = self.replica.names.teams.get(&team.name) else {
                 continue;
             };
-            let of_team = TeamLoad {
+            let team_load = TeamLoad {
                 limit_cpus: team.cpus_max,
                 free_cpus: room.get(&team_id).map_or(0.0, |room| room.cpus),
                 bound_s: bound_s.get(&team_id).copied().unwrap_or(0.0),
             };
-            load.teams.insert(team.name.clone(), of_team);
+            load.teams.insert(team.name.clone(), team_load);
         }
         load
     }
 
     /// What this cell could do for a newcomer.
-    fn spare(&self, now: Timestamp) -> Spare {
-        let load = self.home_load(now);
-        let waiting = self.waiting_in_order(now);
-        let asked: f64 = waiting.iter().map(WaitingJob::cpus).sum();
+    fn spare_capacity(&self, now: Timestamp) -> SpareCapacity {
+        let load = self.local_load(now);
+        let waiting = self.waiting_jobs_in_order(now);
+        let requested_cpus: f64 = waiting.iter().map(WaitingJob::cpus).sum();
         let work: f64 = waiting.iter().map(|job| job.cpus() * job.run_s).sum();
         let queue_s = (work + load.bound_s) / load.fleet_cpus.max(1.0);
         let start_s = self.rentable_start_s(now);
-        let idle_cpus = (load.free_cpus - asked).max(0.0);
+        let idle_cpus = (load.free_cpus - requested_cpus).max(0.0);
         let mut team_cpus = BTreeMap::new();
-        for (team, of_team) in load.teams {
+        for (team, team_load) in load.teams {
             let of_jobs = waiting.iter().filter(|job| job.team == team);
-            let asked: f64 = of_jobs.map(WaitingJob::cpus).sum();
-            team_cpus.insert(team, (of_team.free_cpus - asked).max(0.0));
+            let requested_cpus: f64 = of_jobs.map(WaitingJob::cpus).sum();
+            team_cpus.insert(team, (team_load.free_cpus - requested_cpus).max(0.0));
         }
-        Spare {
+        SpareCapacity {
             wait_s: match idle_cpus >= 1.0 {
                 true => 0.0,
                 false => start_s.map_or(queue_s, |start_s| start_s.min(queue_s)),
@@ -183,10 +183,10 @@
     }
 
     /// CPUs of further loans that this cell would take.
-    fn room_for_loans(&self, spare: &Spare) -> f64 {
+    fn loan_capacity_cpus(&self, spare: &SpareCapacity) -> f64 {
         let settings = &self.spillover.settings;
         if !settings.borrow
-            || self.spillover.hysteresis.lends()
+            || self.spillover.hysteresis.is_lending()
             || spare.wait_s > settings.policy.start_above_s
         {
             return 0.0;
@@ -206,7 +206,7 @@
 
     /// How this cell is doing, for lenders.
     pub(super) fn cell_status(&self, now: Timestamp) -> CellStatus {
-        let spare = self.spare(now);
+        let spare = self.spare_capacity(now);
         let finite = |limit: f64| limit.is_finite().then_some(limit);
         let teams = self.settings.platform.settings.teams.iter();
         let mut machine_types: Vec<MachineType> = self
@@ -224,7 +224,7 @@
         machine_types.sort_by(|one, other| one.name.cmp(&other.name));
         CellStatus {
             wait_s: spare.wait_s,
-            room_cpus: self.room_for_loans(&spare),
+            room_cpus: self.loan_capacity_cpus(&spare),
             teams: teams
                 .map(|team| TeamLimit {
                     name: team.name.clone(),
--- a/src/spillover/mod.rs
+++ b/src/spillover/mod.rs
@@ -23,7 +23,7 @@
 mod serving;
 mod status_page;
 
-pub use offers::{Archived, OfferPlan};
+pub use offers::{ArchivedJob, OfferPlan};
 
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
@@ -34,8 +34,8 @@
 use crate::replica::Job;
 use batch::Batch;
 use quillbend_spillover::confirmation::{Confirmations, Permission};
-use quillbend_spillover::contact::Contact;
-use quillbend_spillover::message::{CellAnswer, CellStatus, LoanId, RequestBody, VERSION};
+use quillbend_spillover::endpoint_selector::EndpointSelector;
+use quillbend_spillover::message::{CellResponse, CellStatus, LoanId, RequestBody, VERSION};
 use quillbend_spillover::policy::Hysteresis;
 use quillbend_spillover::settings::SpilloverSettings;
 use std::collections::BTreeMap;
@@ -51,7 +51,7 @@
     /// The request.
     pub request: CellRequest,
     /// Place of the cell in the settings.
-    pub cell: usize,
+    pub cell_index: usize,
     /// Whether another controller of our own cell is asked for what it knows of that cell's loans.
     pub relayed: bool,
 }
@@ -72,9 +72,9 @@
     /// CPUs of this cell that nothing was bound to or waited for at that time.
     idle_cpus: f64,
     /// When the lender's policy is applied next.
-    next_policy: Timestamp,
+    next_policy_at: Timestamp,
     /// Until when a job is not lent again to the cell that returned it, by the names of both.
-    barred: HashMap<(String, String), Timestamp>,
+    relend_not_before: HashMap<(String, String), Timestamp>,
     counters: SpilloverCounters,
 }
 
@@ -82,11 +82,11 @@
 #[derive(Debug)]
 struct CellLink {
     /// Its controllers, asked for confirmations.
-    origin: Contact,
+    lender: EndpointSelector,
     /// The controllers of our own cell, asked for what they know of its loans.
-    relay: Contact,
+    relay: EndpointSelector,
     /// Its leader, asked for its status and offered loans.
-    borrower: Contact,
+    borrower: EndpointSelector,
     /// Its latest status, and when it arrived.
     status: Option<(CellStatus, Timestamp)>,
     /// CPUs of loans that it was given since it sent its status.
@@ -100,9 +100,9 @@
     /// When this controller learned of it.
     known_since: Timestamp,
     /// When the borrower last reported on it.
-    heard_at: Option<Timestamp>,
+    last_report_at: Option<Timestamp>,
     /// When something of it was last bound there, as far as was reported.
-    busy_at: Option<Timestamp>,
+    last_bound_at: Option<Timestamp>,
     /// The borrower has recorded it.
     accepted: bool,
     /// The borrower has recorded that this transfer can never run there.
@@ -119,8 +119,8 @@
         Self {
             id,
             known_since: now,
-            heard_at: None,
-            busy_at: None,
+            last_report_at: None,
+            last_bound_at: None,
             accepted: false,
             refused: false,
             declined: false,
@@ -153,11 +153,13 @@
 impl Spillover {
     /// With the operators' file, or turned off.
     pub(crate) fn new(settings: Option<&SpilloverSettings>, peers: &[String]) -> Self {
-        let settings = settings.cloned().unwrap_or_else(SpilloverSettings::off);
+        let settings = settings
+            .cloned()
+            .unwrap_or_else(SpilloverSettings::disabled);
         let link = |controllers: &[String]| CellLink {
-            origin: Contact::new(controllers.to_vec()),
-            relay: Contact::new(peers.to_vec()),
-            borrower: Contact::new(controllers.to_vec()),
+            lender: EndpointSelector::new(controllers.to_vec()),
+            relay: EndpointSelector::new(peers.to_vec()),
+            borrower: EndpointSelector::new(controllers.to_vec()),
             status: None,
             promised_cpus: 0.0,
         };
@@ -170,42 +172,42 @@
             hysteresis: Hysteresis::default(),
             longest_wait_s: 0.0,
             idle_cpus: 0.0,
-            next_policy: Timestamp(0),
-            barred: HashMap::default(),
+            next_policy_at: Timestamp(0),
+            relend_not_before: HashMap::default(),
             counters: SpilloverCounters::default(),
         }
     }
 
     /// Whether the operators have turned it on.
-    pub(crate) fn is_on(&self) -> bool {
+    pub(crate) fn is_enabled(&self) -> bool {
         !self.settings.cell.is_empty()
     }
 
     /// What this controller has heard of the loans of its cell, for its peers.
-    pub(crate) fn heard_loans(&self, now: Timestamp) -> Vec<HeardLoan> {
+    pub(crate) fn reported_loans(&self, now: Timestamp) -> Vec<HeardLoan> {
         let loans = self.lent.values();
-        let heard = loans.filter_map(|loan| {
+        let reported = loans.filter_map(|loan| {
             Some(HeardLoan {
                 job: loan.id.job.clone(),
                 token: loan.id.token.0,
-                age_ms: now.since(loan.heard_at?),
-                bound: loan.busy_at.is_some() && loan.busy_at == loan.heard_at,
+                age_ms: now.since(loan.last_report_at?),
+                bound: loan.last_bound_at.is_some() && loan.last_bound_at == loan.last_report_at,
             })
         });
-        heard.collect()
+        reported.collect()
     }
 
     /// A peer has heard of loans of this cell.
-    pub(crate) fn on_heard_loans(&mut self, heard: Vec<HeardLoan>, now: Timestamp) {
-        for report in heard {
+    pub(crate) fn on_reported_loans(&mut self, reports: Vec<HeardLoan>, now: Timestamp) {
+        for report in reports {
             let Some(loan) = self.lent.get_mut(&report.job) else {
                 continue;
             };
             if loan.id.token.0 == report.token {
                 let at = Timestamp(now.0.saturating_sub(report.age_ms));
-                loan.heard_at = loan.heard_at.max(Some(at));
+                loan.last_report_at = loan.last_report_at.max(Some(at));
                 if report.bound {
-                    loan.busy_at = loan.busy_at.max(Some(at));
+                    loan.last_bound_at = loan.last_bound_at.max(Some(at));
                 }
                 loan.accepted = true;
             }
@@ -240,54 +242,58 @@
 
 impl Controller {
     /// Whether loans may be made: every controller reads them.
-    pub(crate) fn transfers_open(&self) -> bool {
-        self.spillover.is_on() && self.replica.synced && self.replica.format >= SPILLOVER_FORMAT
+    pub(crate) fn transfers_enabled(&self) -> bool {
+        self.spillover.is_enabled()
+            && self.replica.synced
+            && self.replica.format >= SPILLOVER_FORMAT
     }
 
     /// Whether spillover is turned on, or loans are left of a time when it was.
-    fn uses_spillover(&self) -> bool {
-        self.spillover.is_on() || self.replica.has_transfers()
+    fn handles_transfers(&self) -> bool {
+        self.spillover.is_enabled() || self.replica.has_transfers()
     }
 
     /// Records the loans that the replica shows, and asks other cells what is due.
     pub(crate) fn tick_spillover(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        if !self.uses_spillover() {
+        if !self.handles_transfers() {
             return;
         }
-        self.note_borrowed(now);
-        self.note_lent(now);
-        if self.transfers_open() {
-            self.ask_confirmations(now, out);
+        self.record_borrowed_loans(now);
+        self.record_lent_loans(now);
+        if self.transfers_enabled() {
+            self.request_confirmations(now, out);
             if self.leads().is_some() && self.has_authority(now) {
-                self.ask_borrowers(now, out);
+                self.query_borrowers(now, out);
             }
         }
     }
 
     /// Whether a job was borrowed from another cell.
-    pub(crate) fn is_loan(&self, job_id: JobId) -> bool {
+    pub(crate) fn is_borrowed(&self, job_id: JobId) -> bool {
         let job = self.replica.jobs.get(&job_id);
         job.is_some_and(|job| job.borrowed().is_some())
     }
 
     /// A call to another cell was answered, or was not; it was sent at `sent`.
-    pub fn on_cell_answer(
+    pub fn on_cell_response(
         &mut self,
         call: &CellCall,
-        answer: Option<CellAnswer>,
-        sent: Timestamp,
+        response: Option<CellResponse>,
+        sent_at: Timestamp,
         now: Timestamp,
     ) {
         match &call.request.body {
             RequestBody::Confirm { loans, .. } => {
-                self.spillover.on_standings(call, loans, answer, sent, now);
+                self.spillover
+                    .on_loan_statuses(call, loans, response, sent_at, now);
+            }
+            RequestBody::Status => {
+                self.spillover
+                    .on_status_response(call.cell_index, response, sent_at, now)
             }
-            RequestBody::Status => self
-                .spillover
-                .on_borrower_status(call.cell, answer, sent, now),
             RequestBody::Offer(offers) => {
                 self.spillover
-                    .on_offer_answers(call.cell, offers, answer, sent, now);
+                    .on_offer_responses(call.cell_index, offers, response, sent_at, now);
             }
         }
     }
--- a/src/spillover/offers.rs
+++ b/src/spillover/offers.rs
@@ -8,17 +8,17 @@
 use crate::protocol::{JobSpec, JobStatus, Mutation, Precondition, Transaction};
 use crate::records::{BorrowedMark, JobRecord, SPILLOVER_FORMAT, Transfer};
 use crate::replica::{Job, job_key, past_key, waiting_key};
-use quillbend_spillover::message::{Decision, Offer, Reason};
+use quillbend_spillover::message::{Offer, OfferDecision, RejectionReason};
 use tracing::info;
 
 /// A borrower accepts only while the lender answered a question sent within this time, ms.
-const REACHED_WITHIN_MS: u64 = 15_000;
+const LENDER_RESPONSE_MAX_AGE_MS: u64 = 15_000;
 /// CPUs may exceed the room by this, for sums are rounded.
-const ROUNDING_CPUS: f64 = 1e-6;
+const CPU_ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// A job in the archive, with the revision of its key.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Archived {
+pub struct ArchivedJob {
     /// Its value.
     pub record: JobRecord,
     /// Revision of its key.
@@ -34,10 +34,10 @@
         /// The transaction.
         transaction: Transaction,
         /// The decision that it records.
-        decision: Decision,
+        decision: OfferDecision,
     },
     /// Nothing is to be written.
-    Answer(Decision),
+    Respond(OfferDecision),
 }
 
 impl Controller {
@@ -47,44 +47,49 @@
         &self,
         from: &str,
         offer: &Offer<JobSpec>,
-        archived: Option<&Archived>,
+        archived: Option<&ArchivedJob>,
         now: Timestamp,
     ) -> OfferPlan {
-        if let Some(decision) = self.known_offer(from, offer, archived) {
-            return OfferPlan::Answer(decision);
+        if let Some(decision) = self.decision_for_known_job(from, offer, archived) {
+            return OfferPlan::Respond(decision);
         }
-        let reason = self.reason_to_refuse(from, offer, now);
-        let decision = reason.map_or(Decision::Accepted, Decision::Refused);
+        let reason = self.refusal_reason(from, offer, now);
+        let decision = reason.map_or(OfferDecision::Accepted, OfferDecision::Refused);
         let record = self.borrowed_record(from, offer, decision);
         if !self.fits_state(&record) {
-            return OfferPlan::Answer(Decision::Later(Reason::NeverRuns));
+            return OfferPlan::Respond(OfferDecision::Deferred(RejectionReason::NeverRuns));
         }
         let archived_revision = archived.map_or(0, |archived| archived.mod_revision);
         OfferPlan::Write {
-            transaction: self.decision_write(&offer.loan.job, &record, decision, archived_revision),
+            transaction: self.decision_transaction(
+                &offer.loan.job,
+                &record,
+                decision,
+                archived_revision,
+            ),
             decision,
         }
     }
 
     /// The write that records a decision about an offer of a job. `archived_revision` is the revision of the
     /// job's key in the archive, 0 if there is none.
-    fn decision_write(
+    fn decision_transaction(
         &self,
         job: &str,
         record: &JobRecord,
-        decision: Decision,
+        decision: OfferDecision,
         archived_revision: u64,
     ) -> Transaction {
         let precondition = |key, mod_revision| Precondition { key, mod_revision };
         // An earlier transfer that is over gives way to this one.
-        let earlier = self.earlier_loan_revision(job);
+        let earlier = self.ended_loan_revision(job);
         let preconditions = vec![
             precondition(job_key(job), earlier.unwrap_or(0)),
             precondition(waiting_key(job), 0),
             precondition(past_key(job), archived_revision),
         ];
         let mutations = match decision {
-            Decision::Accepted => {
+            OfferDecision::Accepted => {
                 let mut mutations = vec![put(&job_key(job), record, None)];
                 if archived_revision > 0 {
                     mutations.push(Mutation::Delete { key: past_key(job) });
@@ -104,18 +109,18 @@
     /// The decision about an offer of a loan that is known under the same token. A refusal is the
     /// lender's proof that nothing of it runs here: one that was cancelled is not called refused as long
     /// as a queue lists any of its tasks.
-    fn decision_on_repeat(&self, name: &str, job: &Job) -> Decision {
+    fn decision_on_repeated_offer(&self, name: &str, job: &Job) -> OfferDecision {
         match job.status {
-            JobStatus::Cancelled if self.earlier_loan_revision(name).is_some() => {
-                Decision::Refused(Reason::Over)
+            JobStatus::Cancelled if self.ended_loan_revision(name).is_some() => {
+                OfferDecision::Refused(RejectionReason::TransferEnded)
             }
-            JobStatus::Cancelled => Decision::Later(Reason::Over),
-            _ => Decision::Accepted,
+            JobStatus::Cancelled => OfferDecision::Deferred(RejectionReason::TransferEnded),
+            _ => OfferDecision::Accepted,
         }
     }
 
     /// The revision of a loan under a job's name that is over and of which no queue lists anything.
-    fn earlier_loan_revision(&self, name: &str) -> Option<u64> {
+    fn ended_loan_revision(&self, name: &str) -> Option<u64> {
         let (job_id, job) = self.replica.job_named(name)?;
         let over = job.borrowed().is_some()
             && job.status != JobStatus::Pending
@@ -125,31 +130,35 @@
     }
 
     /// The decision about an offer of which something is known here already.
-    fn known_offer(
+    fn decision_for_known_job(
         &self,
         from: &str,
         offer: &Offer<JobSpec>,
-        archived: Option<&Archived>,
-    ) -> Option<Decision> {
+        archived: Option<&ArchivedJob>,
+    ) -> Option<OfferDecision> {
         let name = &offer.loan.job;
         let replica = &self.replica;
         if replica.is_unreadable(name) {
-            return Some(Decision::Later(Reason::State));
+            return Some(OfferDecision::Deferred(RejectionReason::StoreUnavailable));
         }
         if let Some((_, job)) = replica.job_named(name) {
             let mark = job.borrowed().filter(|mark| mark.cell == from);
             return Some(match mark {
-                Some(mark) if mark.token == offer.loan.token => self.decision_on_repeat(name, job),
-                Some(mark) if mark.token > offer.loan.token => Decision::Later(Reason::Over),
-                Some(_) if self.earlier_loan_revision(name).is_some() => return None,
+                Some(mark) if mark.token == offer.loan.token => {
+                    self.decision_on_repeated_offer(name, job)
+                }
+                Some(mark) if mark.token > offer.loan.token => {
+                    OfferDecision::Deferred(RejectionReason::TransferEnded)
+                }
+                Some(_) if self.ended_loan_revision(name).is_some() => return None,
                 // The transfer before is not over here yet.
-                Some(_) => Decision::Later(Reason::State),
-                None => Decision::Later(Reason::NameTaken),
+                Some(_) => OfferDecision::Deferred(RejectionReason::StoreUnavailable),
+                None => OfferDecision::Deferred(RejectionReason::NameTaken),
             });
         }
         let job_id = replica.names.jobs.get(name);
         if job_id.is_some_and(|job_id| replica.waiting.jobs.contains_key(&job_id)) {
-            return Some(Decision::Later(Reason::NameTaken));
+            return Some(OfferDecision::Deferred(RejectionReason::NameTaken));
         }
         let record = &archived?.record;
         let mark = record.borrowed().filter(|mark| mark.cell == from);
@@ -158,55 +167,60 @@
             Some(mark)
                 if mark.token == offer.loan.token && record.status == JobStatus::Cancelled =>
             {
-                Some(Decision::Refused(Reason::Over))
+                Some(OfferDecision::Refused(RejectionReason::TransferEnded))
             }
-            Some(_) => Some(Decision::Later(Reason::Over)),
-            None => Some(Decision::Later(Reason::NameTaken)),
+            Some(_) => Some(OfferDecision::Deferred(RejectionReason::TransferEnded)),
+            None => Some(OfferDecision::Deferred(RejectionReason::NameTaken)),
         }
     }
 
     /// Why an offer is refused for good, if so.
-    fn reason_to_refuse(
+    fn refusal_reason(
         &self,
         from: &str,
         offer: &Offer<JobSpec>,
         now: Timestamp,
-    ) -> Option<Reason> {
+    ) -> Option<RejectionReason> {
         let settings = &self.spillover.settings;
-        let place = settings.cells.iter().position(|cell| cell.name == from);
-        let reached = place.is_some_and(|place| {
-            let contact = &self.spillover.cells[place].origin;
-            contact.answered_within(REACHED_WITHIN_MS, now.0)
+        let cell_index = settings.cells.iter().position(|cell| cell.name == from);
+        let lender_responsive = cell_index.is_some_and(|cell_index| {
+            let selector = &self.spillover.cells[cell_index].lender;
+            selector.answered_within(LENDER_RESPONSE_MAX_AGE_MS, now.0)
         });
         let lease_s = self.settings.platform.settings.workers.lease_s;
         if !settings.borrow {
-            Some(Reason::BorrowsNothing)
+            Some(RejectionReason::BorrowsNothing)
         } else if (lease_s * 1000.0) as u64 > offer.terms.worker_lease_ms {
-            Some(Reason::WorkerLease)
+            Some(RejectionReason::WorkerLease)
         } else if self.replica.format < SPILLOVER_FORMAT || self.never_runs(&offer.spec).is_some() {
-            Some(Reason::NeverRuns)
-        } else if !reached {
-            Some(Reason::Unreachable)
-        } else if self.lacks_room_for(&offer.spec, now) {
-            Some(Reason::NoRoom)
+            Some(RejectionReason::NeverRuns)
+        } else if !lender_responsive {
+            Some(RejectionReason::Unreachable)
+        } else if self.lacks_capacity_for(&offer.spec, now) {
+            Some(RejectionReason::NoRoom)
         } else {
             None
         }
     }
 
     /// Whether no task of a job would find room here, or this cell lends work of its class itself.
-    fn lacks_room_for(&self, spec: &JobSpec, now: Timestamp) -> bool {
+    fn lacks_capacity_for(&self, spec: &JobSpec, now: Timestamp) -> bool {
         let status = self.cell_status(now);
         let team = status.teams.iter().find(|team| team.name == spec.team);
         let room_cpus = team.map_or(0.0, |team| {
             let free_cpus = team.free_cpus.unwrap_or(f64::INFINITY);
             status.room_cpus.min(free_cpus)
         });
-        room_cpus + ROUNDING_CPUS < spec.cpus || status.lent_classes.contains(&spec.class)
+        room_cpus + CPU_ROUNDING_TOLERANCE < spec.cpus || status.lent_classes.contains(&spec.class)
     }
 
     /// The value of a loan here: pending, or over where it is refused.
-    fn borrowed_record(&self, from: &str, offer: &Offer<JobSpec>, decision: Decision) -> JobRecord {
+    fn borrowed_record(
+        &self,
+        from: &str,
+        offer: &Offer<JobSpec>,
+        decision: OfferDecision,
+    ) -> JobRecord {
         let since = |age_ms: u64| self.day_ms.saturating_sub(age_ms);
         let mark = BorrowedMark {
             cell: from.to_owned(),
@@ -216,7 +230,7 @@
         JobRecord {
             spec: offer.spec.clone(),
             status: match decision {
-                Decision::Accepted => JobStatus::Pending,
+                OfferDecision::Accepted => JobStatus::Pending,
                 _ => JobStatus::Cancelled,
             },
             done: Default::default(),
@@ -227,11 +241,11 @@
     }
 
     /// A decision about an offer was recorded, or nothing had to be.
-    pub fn on_offer_decided(&mut self, offer: &Offer<JobSpec>, decision: Decision) {
+    pub fn on_offer_decided(&mut self, offer: &Offer<JobSpec>, decision: OfferDecision) {
         let job = &offer.loan.job;
         match decision {
-            Decision::Accepted => self.spillover.counters.borrowed += 1,
-            Decision::Refused(reason) | Decision::Later(reason) => {
+            OfferDecision::Accepted => self.spillover.counters.borrowed += 1,
+            OfferDecision::Refused(reason) | OfferDecision::Deferred(reason) => {
                 self.spillover.counters.refused += 1;
                 info!(job, %reason, "loan offer not accepted");
             }
--- a/src/spillover/serving.rs
+++ b/src/spillover/serving.rs
@@ -12,8 +12,8 @@
 use crate::records::JobRecord;
 use crate::replica::{Job, job_key};
 use quillbend_spillover::message::{
-    CellAnswer, LoanId, LoanReport, Progress, Refusal, RequestBody, Standing, StandingAnswer,
-    VERSION,
+    CellResponse, LoanId, LoanReport, LoanStatus, LoanStatusResponse, Progress, RequestBody,
+    RequestRefusal, VERSION,
 };
 use std::net::IpAddr;
 use tracing::{info, warn};
@@ -24,26 +24,26 @@
         &mut self,
         request: &CellRequest,
         source: Option<IpAddr>,
-    ) -> Option<CellAnswer> {
+    ) -> Option<CellResponse> {
         let settings = &self.spillover.settings;
         // Controllers of this cell ask each other only for what they know of loans.
         let relayed = matches!(request.body, RequestBody::Confirm { .. });
-        let own = relayed && self.spillover.is_on() && request.from == settings.cell;
-        let cell = settings.cell_named(&request.from);
-        let allowed = |ip: IpAddr| cell.is_some_and(|cell| cell.may_send_from(ip));
-        let known = own || (cell.is_some() && source.is_none_or(allowed));
+        let own_cell = relayed && self.spillover.is_enabled() && request.from == settings.cell;
+        let cell = settings.cell_by_name(&request.from);
+        let allowed = |ip: IpAddr| cell.is_some_and(|cell| cell.allows_source(ip));
+        let is_known = own_cell || (cell.is_some() && source.is_none_or(allowed));
         let refusal = if request.version != VERSION {
-            Refusal::Version
-        } else if !known {
-            Refusal::UnknownCell
-        } else if !self.transfers_open() || self.is_outdated() {
-            return Some(CellAnswer::Refused(Refusal::NotReady));
+            RequestRefusal::Version
+        } else if !is_known {
+            RequestRefusal::UnknownCell
+        } else if !self.transfers_enabled() || self.is_outdated() {
+            return Some(CellResponse::Refused(RequestRefusal::NotReady));
         } else {
             return None;
         };
         warn!(cell = request.from, reason = %refusal, "cell request refused");
         self.spillover.counters.rejected += 1;
-        Some(CellAnswer::Refused(refusal))
+        Some(CellResponse::Refused(refusal))
     }
 
     /// What the status of loans makes this cell write: the ends of loans. Each has the condition that the
@@ -56,18 +56,18 @@
     ) -> Vec<Transaction> {
         let mut transactions = Vec::new();
         for report in reports {
-            let Some(job_id) = self.job_lent_as(from, &report.loan) else {
+            let Some(job_id) = self.lent_job(from, &report.loan) else {
                 continue;
             };
-            self.spillover.note_report(report, now);
+            self.spillover.record_report(report, now);
             let mutation = match &report.progress {
                 Progress::Pending { .. } => continue,
-                Progress::Done => self.finished_loan(job_id),
+                Progress::Done => self.finish_mutation(job_id),
                 Progress::Returned { done } => {
                     let mut tasks = RangeSet::new();
                     done.iter()
                         .for_each(|&(first, last)| tasks.insert_range(first, last + 1));
-                    self.returned_loan(job_id, &tasks)
+                    self.return_mutation(job_id, &tasks)
                 }
             };
             let key = job_key(&report.loan.job);
@@ -95,7 +95,7 @@
     }
 
     /// The write that records that a lent job is done.
-    fn finished_loan(&self, job_id: JobId) -> Option<Mutation> {
+    fn finish_mutation(&self, job_id: JobId) -> Option<Mutation> {
         let job = self.replica.jobs.get(&job_id)?;
         let mut record = job.record(Default::default(), JobStatus::Done);
         record.bring_home(self.replica.done_tasks(RangeSet::all(job.spec.task_count)));
@@ -105,7 +105,7 @@
     }
 
     /// The job of a loan that this cell has made and not ended, recalled or not.
-    fn job_lent_as(&self, borrower: &str, loan: &LoanId) -> Option<JobId> {
+    fn lent_job(&self, borrower: &str, loan: &LoanId) -> Option<JobId> {
         let (job_id, job) = self.replica.job_named(&loan.job)?;
         let mark = job.lent()?;
         let same = mark.cell == borrower && mark.token == loan.token;
@@ -114,68 +114,77 @@
 
     /// The answer to a request, after what it made this cell write. Offers are answered by the HTTP handler,
     /// one decision after the other.
-    pub fn answer_cell(&mut self, request: &CellRequest, now: Timestamp) -> CellAnswer {
+    pub fn respond_to_cell(&mut self, request: &CellRequest, now: Timestamp) -> CellResponse {
         match &request.body {
-            RequestBody::Status if self.leads().is_none() => CellAnswer::NotLeader,
-            RequestBody::Status => CellAnswer::Status(self.cell_status(now)),
-            RequestBody::Offer(_) => CellAnswer::NotLeader,
+            RequestBody::Status if self.leads().is_none() => CellResponse::NotLeader,
+            RequestBody::Status => CellResponse::Status(self.cell_status(now)),
+            RequestBody::Offer(_) => CellResponse::NotLeader,
             RequestBody::Confirm { loans, .. } => {
                 let relayed = request.from == self.spillover.settings.cell;
-                let answers = loans.iter().map(|report| match relayed {
-                    true => self.spillover.confirmations.relay(&report.loan, now.0),
-                    false => self.standing(&request.from, &report.loan, now),
+                let responses = loans.iter().map(|report| match relayed {
+                    true => self
+                        .spillover
+                        .confirmations
+                        .relayed_status(&report.loan, now.0),
+                    false => self.loan_status(&request.from, &report.loan, now),
                 });
-                CellAnswer::Standings(answers.collect())
+                CellResponse::LoanStatuses(responses.collect())
             }
         }
     }
 
     /// Whether a loan stands, as far as this controller's replica shows, and how old that is.
-    fn standing(&self, borrower: &str, loan: &LoanId, now: Timestamp) -> StandingAnswer {
-        let answer = |standing, age_ms| StandingAnswer {
+    fn loan_status(&self, borrower: &str, loan: &LoanId, now: Timestamp) -> LoanStatusResponse {
+        let response = |status, age_ms| LoanStatusResponse {
             loan: loan.clone(),
-            standing,
+            status,
             age_ms,
         };
         let Some(age_ms) = self.replica_age_ms(now) else {
-            return answer(Standing::Unknown, 0);
+            return response(LoanStatus::Unknown, 0);
         };
-        let standing = match self.replica.job_named(&loan.job) {
-            Some((job_id, job)) => self.standing_of(job_id, job, borrower, loan),
+        let status = match self.replica.job_named(&loan.job) {
+            Some((job_id, job)) => self.status_of_known_job(job_id, job, borrower, loan),
             // What is no longer under a watched key is over; but it may not be there yet.
             None if self.replica.revision > loan.token.0
                 && !self.replica.is_unreadable(&loan.job) =>
             {
-                Standing::Over
+                LoanStatus::Ended
             }
-            None => Standing::Unknown,
+            None => LoanStatus::Unknown,
         };
-        answer(standing, age_ms)
+        response(status, age_ms)
     }
 
     /// Whether a loan of a job that the replica shows stands.
-    fn standing_of(&self, job_id: JobId, job: &Job, borrower: &str, loan: &LoanId) -> Standing {
+    fn status_of_known_job(
+        &self,
+        job_id: JobId,
+        job: &Job,
+        borrower: &str,
+        loan: &LoanId,
+    ) -> LoanStatus {
         if self.replica.is_unreadable(&loan.job) {
-            return Standing::Unknown;
+            return LoanStatus::Unknown;
         }
         match job.lent() {
             Some(mark) if mark.token == loan.token && mark.cell == borrower => {
-                let stands = !mark.recalled && !self.is_job_final(job_id, job);
-                match stands {
-                    true => Standing::Stands,
-                    false => Standing::Over,
+                let is_active = !mark.recalled && !self.is_job_final(job_id, job);
+                match is_active {
+                    true => LoanStatus::Active,
+                    false => LoanStatus::Ended,
                 }
             }
             // The replica does not show the loan yet.
-            _ if job.mod_revision <= loan.token.0 => Standing::Unknown,
-            _ => Standing::Over,
+            _ if job.mod_revision <= loan.token.0 => LoanStatus::Unknown,
+            _ => LoanStatus::Ended,
         }
     }
 }
 
 impl Spillover {
     /// Records when a borrower last reported on a loan.
-    fn note_report(&mut self, report: &LoanReport, now: Timestamp) {
+    fn record_report(&mut self, report: &LoanReport, now: Timestamp) {
         let Some(loan) = self.lent.get_mut(&report.loan.job) else {
             return;
         };
@@ -186,10 +195,10 @@
         // Guards against a cut of one direction: a borrower that is heard but hears nothing can do
         // nothing with the loan.
         if report.confirmed {
-            loan.heard_at = Some(now);
+            loan.last_report_at = Some(now);
         }
         if matches!(report.progress, Progress::Pending { bound, .. } if bound > 0) {
-            loan.busy_at = Some(now);
+            loan.last_bound_at = Some(now);
         }
     }
 }
--- a/src/spillover/status_page.rs
+++ b/src/spillover/status_page.rs
@@ -8,14 +8,14 @@
 impl Controller {
     /// What operators see of transfers; none while there is nothing to see.
     pub(crate) fn spillover_page(&self, now: Timestamp) -> Option<Value> {
-        if !self.uses_spillover() {
+        if !self.handles_transfers() {
             return None;
         }
         let spillover = &self.spillover;
         let (lent, borrowed) = self.transfers_page(now);
         Some(json!({
-            "cell": spillover.settings.cell, "open": self.transfers_open(),
-            "lends": spillover.hysteresis.lends(), "longestWaitS": spillover.longest_wait_s,
+            "cell": spillover.settings.cell, "open": self.transfers_enabled(),
+            "lends": spillover.hysteresis.is_lending(), "longestWaitS": spillover.longest_wait_s,
             "cells": spillover.cells_page(now), "lent": lent, "borrowed": borrowed,
             "counters": spillover.counters,
         }))
@@ -31,8 +31,8 @@
                 let since = |at| now.since(at);
                 let page = json!({
                     "cell": mark.cell, "token": mark.token, "recalled": mark.recalled,
-                    "silentMs": known.and_then(|loan| loan.heard_at).map(since),
-                    "idleMs": known.and_then(|loan| loan.busy_at).map(since),
+                    "silentMs": known.and_then(|loan| loan.last_report_at).map(since),
+                    "idleMs": known.and_then(|loan| loan.last_bound_at).map(since),
                 });
                 lent.insert(name, page);
             } else if let Some(mark) = job.borrowed() {
@@ -58,10 +58,10 @@
 }
 
 fn cell_page(link: &CellLink, now: Timestamp) -> Value {
-    let answered_at = link.origin.last_answered();
+    let last_answered_sent_at = link.lender.last_answered_sent_at();
     let status = link.status.as_ref().map(|(status, _)| status);
     json!({
-        "silentMs": answered_at.map(|at| now.since(Timestamp(at))),
+        "silentMs": last_answered_sent_at.map(|at| now.since(Timestamp(at))),
         "waitS": status.map(|status| status.wait_s),
         "roomCpus": status.map(|status| status.room_cpus),
     })
--- a/tests/spillover.rs
+++ b/tests/spillover.rs
@@ -7,7 +7,8 @@
 use quillbend::records::{JobRecord, SPILLOVER_FORMAT, Transfer};
 use quillbend::replica::job_key;
 use quillbend_spillover::message::{
-    CellAnswer, Decision, LoanId, Offer, Reason, Refusal, RequestBody, VERSION,
+    CellResponse, LoanId, Offer, OfferDecision, RejectionReason, RequestBody, RequestRefusal,
+    VERSION,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -440,11 +441,11 @@
     let decision = |c: &mut Cells| {
         let leader = c.cells[NORTH].leader().expect("leads");
         match c.cells[NORTH].take_cell_request(leader, &request) {
-            CellAnswer::Offers(answers) => answers[0].decision,
+            CellResponse::Offers(answers) => answers[0].decision,
             other => panic!("{other:?}"),
         }
     };
-    assert_eq!(decision(&mut c), Decision::Accepted);
+    assert_eq!(decision(&mut c), OfferDecision::Accepted);
     c.cells[EAST].cancel(&job);
     c.until(10_000, "given up", |c| {
         c.cells[NORTH]
@@ -452,10 +453,16 @@
             .is_some_and(|j| j.status == JobStatus::Cancelled)
     });
     assert!(runs(&c, &job));
-    assert_eq!(decision(&mut c), Decision::Later(Reason::Over));
+    assert_eq!(
+        decision(&mut c),
+        OfferDecision::Deferred(RejectionReason::TransferEnded)
+    );
     c.run(10_000);
     assert!(!runs(&c, &job));
-    assert_eq!(decision(&mut c), Decision::Refused(Reason::Over));
+    assert_eq!(
+        decision(&mut c),
+        OfferDecision::Refused(RejectionReason::TransferEnded)
+    );
 }
 
 #[test]
@@ -467,15 +474,24 @@
         from: from.into(),
         body: RequestBody::Status,
     };
-    let refused = |why| Some(CellAnswer::Refused(why));
+    let refused = |why| Some(CellResponse::Refused(why));
     let mut refuse = |version, from: &str| {
         node.controller
             .refuse_cell_request(&request(version, from), None)
     };
-    assert_eq!(refuse(VERSION, "south"), refused(Refusal::UnknownCell));
-    assert_eq!(refuse(VERSION, ""), refused(Refusal::UnknownCell));
-    assert_eq!(refuse(VERSION, "north"), refused(Refusal::UnknownCell));
-    assert_eq!(refuse(VERSION + 1, "east"), refused(Refusal::Version));
+    assert_eq!(
+        refuse(VERSION, "south"),
+        refused(RequestRefusal::UnknownCell)
+    );
+    assert_eq!(refuse(VERSION, ""), refused(RequestRefusal::UnknownCell));
+    assert_eq!(
+        refuse(VERSION, "north"),
+        refused(RequestRefusal::UnknownCell)
+    );
+    assert_eq!(
+        refuse(VERSION + 1, "east"),
+        refused(RequestRefusal::Version)
+    );
     assert_eq!(refuse(VERSION, "east"), None);
     let page = node.controller.status_page(quillbend::clock::Timestamp(0));
     assert_eq!(page["spillover"]["counters"]["rejected"], 4);
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -4,8 +4,10 @@
     BTreeSet, CommitOutcome, Controller, JobRecord, JobSpec, Mutation, Rng, State, StoreFault,
     Timestamp, Transaction, Transfer, World, digest, occupancy, past_key,
 };
-use quillbend::spillover::{Archived, CellCall, CellRequest, OfferPlan};
-use quillbend_spillover::message::{CellAnswer, Decision, OfferAnswer, Reason, RequestBody};
+use quillbend::spillover::{ArchivedJob, CellCall, CellRequest, OfferPlan};
+use quillbend_spillover::message::{
+    CellResponse, OfferDecision, OfferResponse, RejectionReason, RequestBody,
+};
 use quillbend_spillover::settings::SpilloverSettings;
 
 /// Names of the cells.
@@ -295,7 +297,7 @@
         }
     }
 
-    fn answer(&mut self, request: &Request, answer: Option<CellAnswer>) {
+    fn answer(&mut self, request: &Request, answer: Option<CellResponse>) {
         let world = &mut self.cells[request.from];
         let now = world.clock(request.node);
         let back = match request.from == request.to.0 {
@@ -304,7 +306,7 @@
         };
         if let Some(node) = &mut world.controllers[request.node] {
             let controller = &mut node.controller;
-            controller.on_cell_answer(&request.call, answer.filter(|_| back), request.sent, now);
+            controller.on_cell_response(&request.call, answer.filter(|_| back), request.sent, now);
         }
     }
 
@@ -352,18 +354,18 @@
     }
 
     /// A controller takes a request of another cell, as its door does.
-    pub fn take_cell_request(&mut self, node: usize, request: &CellRequest) -> CellAnswer {
+    pub fn take_cell_request(&mut self, node: usize, request: &CellRequest) -> CellResponse {
         let now = self.clock(node);
         let mut taken = self.controllers[node].take().expect("alive");
         let controller = &mut taken.controller;
         let answer = match (controller.refuse_cell_request(request, None), &request.body) {
             (Some(refusal), _) => refusal,
             (None, RequestBody::Offer(offers)) if controller.leads().is_some() => {
-                let answers = offers.iter().map(|offer| OfferAnswer {
+                let answers = offers.iter().map(|offer| OfferResponse {
                     loan: offer.loan.clone(),
                     decision: self.decide(node, controller, &request.from, offer),
                 });
-                CellAnswer::Offers(answers.collect())
+                CellResponse::Offers(answers.collect())
             }
             (None, body) => {
                 if let RequestBody::Confirm { loans, .. } = body {
@@ -373,7 +375,7 @@
                         }
                     }
                 }
-                controller.answer_cell(request, now)
+                controller.respond_to_cell(request, now)
             }
         };
         self.controllers[node] = Some(taken);
@@ -387,13 +389,13 @@
         controller: &mut Controller,
         from: &str,
         offer: &quillbend_spillover::message::Offer<JobSpec>,
-    ) -> Decision {
+    ) -> OfferDecision {
         let now = self.clock(node);
         let mut archived = None;
         for _ in 0..2 {
             let plan = controller.plan_offer(from, offer, archived.as_ref(), now);
             let (transaction, decision) = match plan {
-                OfferPlan::Answer(decision) => return decision,
+                OfferPlan::Respond(decision) => return decision,
                 OfferPlan::Write {
                     transaction,
                     decision,
@@ -407,7 +409,7 @@
                 CommitOutcome::Conflict(_) => {
                     let key = past_key(&offer.loan.job);
                     let value = self.state.value(&key);
-                    archived = value.map(|v| Archived {
+                    archived = value.map(|v| ArchivedJob {
                         record: serde_json::from_value(v).expect("a job's value"),
                         mod_revision: self.state.mod_revision(&key),
                     });
@@ -415,7 +417,7 @@
                 _ => break,
             }
         }
-        Decision::Later(Reason::State)
+        OfferDecision::Deferred(RejectionReason::StoreUnavailable)
     }
 
     /// Sends a transaction of a controller's door.
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -9,7 +9,7 @@
     BTreeSet, Controller, Effect, HeartbeatResponse, MachineNames, PeerMessage, Transaction, World,
     jobs,
 };
-use quillbend_spillover::message::CellAnswer;
+use quillbend_spillover::message::CellResponse;
 use serde::Serialize;
 use sha2::{Digest, Sha256};
 use std::cell::RefCell;
@@ -193,7 +193,7 @@
 }
 
 /// A controller answers another cell.
-pub(super) fn cell_answer(origin: Origin, answer: &CellAnswer) {
+pub(super) fn cell_answer(origin: Origin, answer: &CellResponse) {
     if is_recording() {
         feed(origin, Kind::CellAnswer, &addressed("", answer));
     }
