--- a/crates/spillover/src/confirmation.rs
+++ b/crates/spillover/src/confirmation.rs
@@ -1,59 +1,57 @@
 //! What a controller of a borrowing cell may do with loans, and until when.
 //!
-//! Owns what the lender last confirmed. Must never allow more than a lease from a confirmed moment.
-//!
-//! A confirmation counts from when the question was *sent*, less the age of the knowledge that the
-//! answer rests on: it never reaches further than a lease from a moment at which the lender's state
-//! service showed that the loan stands. Without one, nothing of the loan is started, and what runs is
-//! stopped.
+//! Owns the lender's latest confirmations. Invariant: tasks of a loan may run for at most one lease after a time at
+//! which the lender's state service showed the loan as active. A confirmation is therefore dated back to when
+//! the request was *sent*, minus the age of the information in the response. Without a valid confirmation no task
+//! of the loan is started, and running tasks are stopped.
 
 use crate::message::{LoanId, LoanStatus, LoanStatusResponse, TransferToken};
 use std::collections::BTreeMap;
 
-/// How long a controller that has just begun, or just learned of a loan, waits for its first
-/// confirmation before it stops what runs, ms. Meanwhile it does not answer the machines concerned,
-/// so the leases of their workers are not renewed.
+/// Time for which a controller that has just started, or just learned of a loan, waits for its first
+/// confirmation before it stops running tasks, ms. Until then it does not acknowledge heartbeats of the machines
+/// concerned, so the leases of their workers are not renewed.
 const FIRST_CONFIRMATION_TIMEOUT_MS: u64 = 3000;
 
-/// What may be done with the tasks of a loan.
+/// What a controller may do with the tasks of a loan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Permission {
-    /// They may be started, and those that run may go on.
+    /// Tasks may be started, and running tasks may continue.
     Run,
-    /// Nothing was confirmed yet: nothing is started, and machines that run some are not answered.
+    /// No confirmation yet: no task is started, and heartbeats of machines that run some are not acknowledged.
     Wait,
-    /// Nothing is started, and what runs is stopped.
+    /// No task is started, and running tasks are stopped.
     Stop,
 }
 
-/// What is known of one loan.
+/// State of one loan.
 #[derive(Debug, Clone)]
 struct KnownLoan {
     token: TransferToken,
     lease_ms: u64,
-    /// When this controller learned of it.
+    /// When this controller first saw the loan.
     known_since: u64,
-    /// The latest moment, on this controller's clock, at which the loan surely stood.
+    /// Latest time on this controller's clock at which the loan is confirmed to have been active.
     confirmed_at: Option<u64>,
     ended: bool,
-    /// The lender has recorded its end.
+    /// Whether the lender has recorded the end of the loan.
     end_acknowledged: bool,
 }
 
-/// The loans that a controller knows of, by the names of their jobs.
+/// The borrowed loans that a controller knows, by job name.
 #[derive(Debug, Clone, Default)]
 pub struct Confirmations {
     loans: BTreeMap<String, KnownLoan>,
 }
 
 impl Confirmations {
-    /// Records a loan that the replica shows. A later transfer of the same job replaces an earlier one.
+    /// Records a loan from the replica. A later transfer of the same job replaces an earlier one.
     pub fn record_loan(&mut self, loan: &LoanId, lease_ms: u64, now: u64) {
         let known = self.loans.get(&loan.job);
         if known.is_some_and(|known| known.token >= loan.token) {
             return;
         }
-        let recent = KnownLoan {
+        let new_loan = KnownLoan {
             token: loan.token,
             lease_ms,
             known_since: now,
@@ -61,16 +59,16 @@
             ended: false,
             end_acknowledged: false,
         };
-        self.loans.insert(loan.job.clone(), recent);
+        self.loans.insert(loan.job.clone(), new_loan);
     }
 
-    /// Forgets loans that the replica no longer shows: `shown` says which jobs it shows as borrowed.
-    pub fn retain(&mut self, shown: impl Fn(&str) -> bool) {
-        self.loans.retain(|job, _| shown(job));
+    /// Keeps only the loans whose jobs the replica shows as borrowed, as determined by `is_borrowed`.
+    pub fn retain(&mut self, is_borrowed: impl Fn(&str) -> bool) {
+        self.loans.retain(|job, _| is_borrowed(job));
     }
 
-    /// Takes the lender's answer to a question that was sent at `sent`. `reported_end`: whether the question
-    /// reported the loan's end, so that the lender knows of it.
+    /// Records the response of the lender or a relay to a request that was sent at `sent_at`. `reported_end` is
+    /// whether the request reported the end of the loan to the lender.
     pub fn on_response(&mut self, response: &LoanStatusResponse, sent_at: u64, reported_end: bool) {
         let Some(known) = self.loans.get_mut(&response.loan.job) else {
             return;
@@ -91,7 +89,7 @@
         }
     }
 
-    /// What may be done with the tasks of a loan now.
+    /// What may be done with the tasks of a loan at a time.
     pub fn permission(&self, job: &str, token: TransferToken, now: u64) -> Permission {
         let Some(known) = self.find(job, token) else {
             return Permission::Wait;
@@ -108,7 +106,7 @@
         }
     }
 
-    /// What this controller can tell another one of its cell about a loan.
+    /// The status of a loan for another controller of this cell, with the age of the confirmation.
     pub fn relayed_status(&self, loan: &LoanId, now: u64) -> LoanStatusResponse {
         let known = self.find(&loan.job, loan.token);
         let (status, age_ms) = match known {
@@ -126,12 +124,12 @@
         }
     }
 
-    /// Whether the lender said that a loan no longer stands.
+    /// Whether the lender reported a loan as ended.
     pub fn has_ended(&self, job: &str, token: TransferToken) -> bool {
         self.find(job, token).is_some_and(|known| known.ended)
     }
 
-    /// Whether the lender has recorded a loan's end: nobody asks about it any more.
+    /// Whether the lender has recorded the end of a loan, after which no further requests about it are needed.
     pub fn is_end_acknowledged(&self, job: &str, token: TransferToken) -> bool {
         self.find(job, token)
             .is_some_and(|known| known.end_acknowledged)
--- a/crates/spillover/src/endpoint_selector.rs
+++ b/crates/spillover/src/endpoint_selector.rs
@@ -1,24 +1,25 @@
-//! Which controller of another cell is asked next.
+//! Selects which controller of a cell receives the next request.
 //!
-//! Must never have two questions to a cell in flight. All times are milliseconds of the caller's steady clock.
+//! Invariant: at most one request per selector is in flight. All times are milliseconds of the caller's monotonic
+//! clock.
 
-/// The controllers of a cell, asked in turn: one that answers is asked again, one that does not
-/// makes way for the next.
+/// The controllers of a cell. A controller that answers also receives the next request; after a failure
+/// the next controller in the list does.
 #[derive(Debug, Clone)]
 pub struct EndpointSelector {
     addresses: Vec<String>,
-    /// Position of the address that is asked next.
+    /// Index of the address that receives the next request.
     current: usize,
     in_flight: bool,
-    /// When the last question was sent, unless it failed.
+    /// When the last request was sent; None if there was none or it failed.
     last_sent_at: Option<u64>,
     paused_until: u64,
-    /// When the latest question that was answered had been sent.
+    /// When the latest answered request was sent.
     last_answered_sent_at: Option<u64>,
 }
 
 impl EndpointSelector {
-    /// A contact that was never asked; `addresses` must not be empty.
+    /// A selector that has sent no request; `addresses` must not be empty.
     pub fn new(addresses: Vec<String>) -> Self {
         Self {
             addresses,
@@ -30,8 +31,8 @@
         }
     }
 
-    /// The address to ask now, if no question is in flight and the last one is a period ago. The
-    /// caller asks it.
+    /// Starts a request and returns the address to which the caller must send it. None while a request is in
+    /// flight, within `period_ms` of the last request, or during the pause after a failure.
     pub fn start_request(&mut self, now: u64, period_ms: u64) -> Option<String> {
         let due = self
             .last_sent_at
@@ -44,14 +45,14 @@
         self.addresses.get(self.current).cloned()
     }
 
-    /// A question sent at `sent` was answered.
+    /// Completes the request that was sent at `sent_at` and answered.
     pub fn on_response(&mut self, sent_at: u64) {
         self.in_flight = false;
         self.last_answered_sent_at = self.last_answered_sent_at.max(Some(sent_at));
     }
 
-    /// A question had no answer, or one of a controller that cannot help: the next one is asked after
-    /// a pause.
+    /// Completes a request without an answer, or with one from a controller that cannot serve it. The next
+    /// request goes to the next controller, after a pause.
     pub fn on_failure(&mut self, now: u64, pause_ms: u64) {
         self.in_flight = false;
         self.current = (self.current + 1) % self.addresses.len().max(1);
@@ -59,13 +60,13 @@
         self.paused_until = now.saturating_add(pause_ms);
     }
 
-    /// Whether a question that was sent within the last so many ms was answered.
+    /// Whether a request sent within the last `ms` milliseconds was answered.
     pub fn answered_within(&self, ms: u64, now: u64) -> bool {
         self.last_answered_sent_at
             .is_some_and(|last_answered_sent_at| now.saturating_sub(last_answered_sent_at) <= ms)
     }
 
-    /// When the latest question that was answered had been sent; none if none ever was.
+    /// When the latest answered request was sent; None if no request was answered.
     pub fn last_answered_sent_at(&self) -> Option<u64> {
         self.last_answered_sent_at
     }
--- a/crates/spillover/src/lib.rs
+++ b/crates/spillover/src/lib.rs
@@ -1,10 +1,10 @@
-//! Spillover between cells: decisions about lending waiting jobs to another cell.
+//! Spillover between cells: pure decisions about lending waiting jobs to another cell.
 //!
-//! A *cell* is one service with controllers, a state service, a cloud and workers of its own. The cell
-//! that accepted a job is its *origin* and owns it for ever; another cell may run it as a *loan*. This
-//! package holds what can be decided without knowing how a controller works: the settings, the
-//! messages, the lender's policy, and the time for which a borrower may act on a confirmation. It does
-//! no input or output and reads no clock. See `docs/spillover.md` for the safety argument.
+//! A *cell* is one deployment with its own controllers, state service, cloud and workers. The cell that
+//! accepted a job is its *origin* and always owns it; another cell may run it as a *loan*. This crate
+//! contains everything that is independent of how a controller works: the settings, the messages, the
+//! lender's policy, and the time for which a borrower may act on a confirmation. It performs no I/O and
+//! reads no clock. See `docs/spillover.md` for the safety argument.
 
 pub mod confirmation;
 pub mod endpoint_selector;
--- a/crates/spillover/src/message.rs
+++ b/crates/spillover/src/message.rs
@@ -1,52 +1,52 @@
 //! Messages between controllers of different cells.
 //!
-//! They go to the same address as messages between controllers of one cell, in the same encoding, and
-//! carry a version. `Spec` is the specification of a job, which this package does not look into.
+//! They are sent to the same address and in the same encoding as messages between controllers of one cell, and
+//! carry a version. `Spec` is the job specification, which is opaque to this crate.
 
 use crate::terms::LoanTerms;
 use serde::{Deserialize, Serialize};
 
-/// Version of these messages. A receiver refuses others.
+/// Version of these messages. Receivers refuse all other versions.
 pub const VERSION: u32 = 1;
 
-/// Fencing token of one transfer: a revision of the origin's store, higher with every
-/// transfer of the same job.
+/// Fencing token of one transfer: a revision of the origin's store, which increases with every transfer of
+/// the same job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TransferToken(pub u64);
 
-/// One transfer of one job.
+/// Identifies one transfer of one job.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LoanId {
-    /// Name of the job, the same in both cells.
+    /// Name of the job, which is the same in both cells.
     pub job: String,
     /// Fencing token of the transfer.
     pub token: TransferToken,
 }
 
-/// A request to a controller of another cell, or, for a relayed question, of the same cell.
+/// A request to a controller of another cell or, if it is relayed, of the same cell.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CellRequest<Spec> {
     /// Version of the sender's messages.
     pub version: u32,
-    /// The sender's cell.
+    /// Name of the sender's cell.
     pub from: String,
-    /// What is asked.
+    /// The request itself.
     pub body: RequestBody<Spec>,
 }
 
-/// What a controller asks of another cell.
+/// The kinds of request to another cell.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RequestBody<Spec> {
-    /// A lender asks how a possible borrower is doing.
+    /// A lender requests the status of a possible borrower.
     Status,
-    /// A lender offers loans that it has recorded as lent. Repeats are harmless.
+    /// A lender offers loans that it has recorded as lent. Idempotent.
     Offer(Vec<Offer<Spec>>),
-    /// A borrower reports the status of its loans and asks whether they stand.
+    /// A borrower reports on its loans and asks whether they are active.
     Confirm {
-        /// The lender. A controller of the borrower's own cell answers what it knows itself.
+        /// The lender. A controller of the borrower's own cell responds with its own confirmations.
         origin: String,
-        /// All loans of this lender.
+        /// Reports on all loans from this lender.
         loans: Vec<LoanReport>,
     },
 }
@@ -56,94 +56,94 @@
 pub struct Offer<Spec> {
     /// The transfer.
     pub loan: LoanId,
-    /// What to run.
+    /// Specification of the job.
     pub spec: Spec,
-    /// Milliseconds since the job was submitted: times of day are not compared.
+    /// Milliseconds since the job was submitted. Wall clocks of different cells are never compared.
     pub age_ms: u64,
-    /// Milliseconds since the last job that it needed was done, if it waited for any.
+    /// Milliseconds since the job's last predecessor was done; None if it had none.
     pub ready_age_ms: Option<u64>,
-    /// The times of the loan.
+    /// Time limits of the loan.
     pub terms: LoanTerms,
 }
 
-/// The status of a loan in the borrowing cell.
+/// A borrower's report on a loan.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanReport {
     /// The transfer.
     pub loan: LoanId,
-    /// Whether the borrower has a confirmation that counts: only then do answers reach it.
+    /// Whether the borrower has a valid confirmation, which shows that the lender's responses reach it.
     pub confirmed: bool,
-    /// How far it is.
+    /// Progress of the loan.
     pub progress: Progress,
 }
 
-/// How far a loan is, as the borrower's store has it.
+/// Progress of a loan according to the borrower's store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Progress {
-    /// Not over.
+    /// The loan has not ended.
     Pending {
-        /// Tasks done.
+        /// Number of tasks that are done.
         done: u32,
-        /// Tasks bound to machines.
+        /// Number of tasks that are bound to machines.
         bound: u32,
     },
-    /// Every task is done, finally.
+    /// All tasks are done. This is final.
     Done,
-    /// Given up, and no task is on any machine or will be.
+    /// The borrower gave up the loan; none of its tasks is on any machine or ever will be.
     Returned {
         /// Tasks that were done, as ranges with both ends included.
         done: Vec<(u32, u32)>,
     },
 }
 
-/// The answer to a [`CellRequest`].
+/// The response to a [`CellRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CellResponse {
-    /// Answer to [`RequestBody::Status`].
+    /// Response to [`RequestBody::Status`].
     Status(CellStatus),
-    /// Answer to [`RequestBody::Offer`], one for each loan offered.
+    /// Response to [`RequestBody::Offer`], one element for each offered loan.
     Offers(Vec<OfferResponse>),
-    /// Answer to [`RequestBody::Confirm`], one for each loan asked about.
+    /// Response to [`RequestBody::Confirm`], one element for each reported loan.
     #[serde(rename = "Standings")]
     LoanStatuses(Vec<LoanStatusResponse>),
-    /// Only the cell's leader can answer that.
+    /// The receiver is not the cell's leader, which alone serves this request.
     NotLeader,
-    /// The request is refused as a whole.
+    /// The whole request is refused.
     Refused(RequestRefusal),
 }
 
-/// Why a request is refused as a whole.
+/// Why a whole request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum RequestRefusal {
-    /// The sender's messages have another version.
+    /// The sender's message version differs from [`VERSION`].
     #[error("messages of another version")]
     Version,
-    /// The sender's cell is not in the settings.
+    /// The sender's cell is not in the settings, or the source address is not allowed for it.
     #[error("a cell that is not in the settings")]
     UnknownCell,
-    /// The receiver has not read its store yet, or runs beside a version without loans.
+    /// The receiver has not read its store yet, or its cell still runs a version without loans.
     #[error("not ready")]
     NotReady,
 }
 
-/// The answer to one offer.
+/// The response to one offer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OfferResponse {
     /// The transfer.
     pub loan: LoanId,
-    /// What became of it.
+    /// The borrower's decision.
     pub decision: OfferDecision,
 }
 
-/// What became of an offer.
+/// The borrower's decision about an offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OfferDecision {
-    /// It is recorded as a loan.
+    /// The loan is recorded.
     Accepted,
-    /// It is recorded as refused: this transfer can never run here, whatever copies of the offer
-    /// still arrive.
+    /// The refusal is recorded: this transfer can never run in the borrower's cell, even if delayed copies of
+    /// the offer arrive.
     Refused(RejectionReason),
-    /// Nothing is recorded; the offer may be repeated.
+    /// No decision is recorded; the offer may be repeated.
     #[serde(rename = "Later")]
     Deferred(RejectionReason),
 }
@@ -151,100 +151,100 @@
 /// Why an offer is not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum RejectionReason {
-    /// The cell borrows nothing.
+    /// Borrowing is disabled in the cell's settings.
     #[error("this cell borrows nothing")]
     BorrowsNothing,
-    /// The job can never run here.
+    /// The job can never run in this cell.
     #[error("the job can never run here")]
     NeverRuns,
-    /// The cell has no room, or lends work of the same class itself.
+    /// The cell has no capacity, or lends jobs of the same class itself.
     #[error("no room")]
     NoRoom,
-    /// A job of this name was accepted here from a user.
+    /// This cell already has a job of this name from a user or another cell.
     #[error("a job of this name is known here")]
     NameTaken,
-    /// Workers here have a longer lease than the lender counts on.
+    /// Workers of this cell have a longer lease than the loan allows for.
     #[error("workers have a longer lease than the lender counts on")]
     WorkerLease,
-    /// The lender's controllers do not answer.
+    /// The lender has not answered recent requests.
     #[error("the lender does not answer")]
     Unreachable,
-    /// The store did not answer, or the job's key changed meanwhile.
+    /// The store did not answer, the job's key changed meanwhile, or its stored state allows no decision yet.
     #[error("the state service did not answer")]
     #[serde(rename = "State")]
     StoreUnavailable,
-    /// The transfer is over here.
+    /// The transfer has ended in this cell.
     #[error("the transfer is over")]
     #[serde(rename = "Over")]
     TransferEnded,
 }
 
-/// What a lender says of a loan.
+/// The status of one loan, from its lender or from a relay.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanStatusResponse {
     /// The transfer.
     pub loan: LoanId,
-    /// Whether it stands.
+    /// Status of the loan.
     #[serde(rename = "standing")]
     pub status: LoanStatus,
-    /// Age of the knowledge that this rests on, ms.
+    /// Age of the information behind the status, ms.
     pub age_ms: u64,
 }
 
-/// Whether a loan stands.
+/// Whether a loan is active.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoanStatus {
     /// The job belongs to the borrower under this token.
     #[serde(rename = "Stands")]
     Active,
-    /// It does not, and never will again under this token.
+    /// The loan has ended, and never becomes active again under this token.
     #[serde(rename = "Over")]
     Ended,
-    /// The controller that was asked does not know.
+    /// The responding controller cannot tell.
     Unknown,
 }
 
-/// How a cell is doing, for lenders.
+/// Load and capacity of a cell, for lenders.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct CellStatus {
-    /// Seconds until a task that comes now would probably begin.
+    /// Estimated seconds until a task submitted now would start.
     pub wait_s: f64,
-    /// CPUs of further loans that it would take.
+    /// CPUs for which the cell would accept further loans.
     pub room_cpus: f64,
-    /// Its teams.
+    /// Limits of its teams.
     pub teams: Vec<TeamLimit>,
-    /// Its machine types.
+    /// Its machine types, sorted by name.
     pub machine_types: Vec<MachineType>,
-    /// Classes of jobs that it lends itself: it borrows none of these.
+    /// Classes of jobs that the cell lends itself; it does not borrow jobs of these classes.
     pub lent_classes: Vec<String>,
 }
 
-/// What a team may use in a cell.
+/// Resource limits of a team in a cell.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TeamLimit {
-    /// Name.
+    /// Name of the team.
     pub name: String,
-    /// Most CPUs; none if there is no limit.
+    /// Maximum CPUs; None if there is no limit.
     pub cpus: Option<f64>,
-    /// Most GPUs; none if there is no limit.
+    /// Maximum GPUs; None if there is no limit.
     pub gpus: Option<f64>,
-    /// CPUs below the limit that nothing is bound to or waits for; none if there is no limit.
+    /// CPUs below the limit that are neither bound nor requested by waiting jobs; None if there is no limit.
     pub free_cpus: Option<f64>,
 }
 
 /// A machine type of a cell.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Name.
+    /// Name of the machine type.
     pub name: String,
-    /// CPUs.
+    /// CPUs of one machine.
     pub cpus: f64,
-    /// GPUs.
+    /// GPUs of one machine.
     pub gpus: f64,
-    /// Memory, GB.
+    /// Memory of one machine, GB.
     pub memory_gb: f64,
-    /// Rate at which images are fetched, GB a second.
+    /// Rate at which a machine fetches images, GB per second.
     pub fetch_gb_per_s: f64,
-    /// Zones that have it.
+    /// Zones that offer this type.
     pub zones: Vec<String>,
 }
--- a/crates/spillover/src/policy.rs
+++ b/crates/spillover/src/policy.rs
@@ -1,59 +1,59 @@
-//! When a lender lends, what, and to whom; and when a loan is recalled.
+//! The lender's policy: when to lend, which jobs, to which cell, and when to recall a loan.
 //!
-//! Pure decisions: the caller gathers what they rest on and carries them out.
+//! All functions are pure: the caller gathers their inputs and carries out the decisions.
 
 use crate::message::{CellStatus, MachineType};
 use crate::settings::PolicySettings;
 use std::collections::BTreeMap;
 
-/// CPUs that a task counts for at least.
+/// Minimum CPUs that a task counts for.
 const MIN_TASK_CPUS: f64 = 0.01;
-/// Sums of sizes may exceed a limit by this, for they are rounded.
+/// Amount by which sums of sizes may exceed a limit, because they are rounded.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// A job of which nothing has begun, in the order in which the lender would serve it.
+/// A job with waiting tasks. Lists of these are in the order in which the lender serves them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WaitingJob {
-    /// Name.
+    /// Name of the job.
     pub name: String,
-    /// Class.
+    /// Job class. A cell does not borrow jobs of a class that it lends itself.
     pub class: String,
-    /// Team.
+    /// Name of the team that it belongs to.
     pub team: String,
-    /// Number of tasks.
+    /// Number of waiting tasks.
     pub tasks: u32,
-    /// What one task takes.
+    /// Resources that one task requires.
     pub task: TaskNeeds,
-    /// Expected seconds of a task.
+    /// Expected run time of a task, seconds.
     pub run_s: f64,
-    /// Size of its image.
+    /// Size of its image, GB.
     pub image_gb: f64,
-    /// Allowed machine types; none for any.
+    /// Names of the allowed machine types; None allows any.
     pub machine_types: Option<Vec<String>>,
-    /// The only zone.
+    /// The required zone; None allows any.
     pub zone: Option<String>,
-    /// Whether it may be lent at all.
+    /// Whether the job may be lent.
     pub lendable: bool,
 }
 
-/// What one task takes of its machine.
+/// Resources that one task requires of its machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TaskNeeds {
-    /// CPUs.
+    /// CPUs of one task.
     pub cpus: f64,
-    /// GPUs.
+    /// GPUs of one task.
     pub gpus: f64,
-    /// Memory.
+    /// Memory of one task, GB.
     pub memory_gb: f64,
 }
 
 impl WaitingJob {
-    /// Seconds of CPU time that it takes.
+    /// Expected CPU time of all waiting tasks, seconds.
     fn work_s(&self) -> f64 {
         self.cpus() * self.run_s
     }
 
-    /// CPUs of all its tasks together.
+    /// CPUs of all waiting tasks together.
     pub fn cpus(&self) -> f64 {
         f64::from(self.tasks) * self.task.cpus.max(MIN_TASK_CPUS)
     }
@@ -71,34 +71,35 @@
     }
 }
 
-/// What the lender itself has to offer.
+/// Capacity and load of the lending cell.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LocalLoad {
     /// CPUs of all machines in service.
     pub fleet_cpus: f64,
-    /// Those of them that nothing is bound to.
+    /// CPUs that no task is bound to.
     pub free_cpus: f64,
-    /// Seconds of CPU time that is bound and not done.
+    /// CPU time of bound, unfinished tasks, seconds.
     pub bound_s: f64,
-    /// For each team with a limit: the limit, and what of it is free.
+    /// Load of each team with a limit, by team name.
     pub teams: BTreeMap<String, TeamLoad>,
 }
 
-/// How much of its limit a team uses.
+/// Limit and load of a team.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TeamLoad {
-    /// Most CPUs.
+    /// Maximum CPUs.
     pub limit_cpus: f64,
-    /// CPUs below the limit.
+    /// Unused CPUs below the limit.
     pub free_cpus: f64,
-    /// Seconds of CPU time that it has bound and not done.
+    /// CPU time of the team's bound, unfinished tasks, seconds.
     pub bound_s: f64,
 }
 
-/// Predicts for each job how long it waits at home, seconds: for the fleet, and for its team's limit.
+/// Predicts how long each job waits in the lending cell, seconds: the longer of the waits for the fleet and for
+/// its team's limit.
 ///
-/// What is free is handed out in the order of the jobs. A job beyond it waits until the work that is
-/// bound or ahead of it is done, at the rate of the whole fleet or of its team's whole limit.
+/// Free CPUs are assigned in the order of the jobs. A job that gets none waits until all work that is bound or
+/// ahead of it is done, at the rate of the whole fleet or of its team's whole limit.
 pub fn predict_waits(local: &LocalLoad, jobs: &[WaitingJob]) -> Vec<f64> {
     let mut fleet = Queue::new(local.fleet_cpus, local.free_cpus, local.bound_s);
     let mut teams: BTreeMap<&str, Queue> = local
@@ -120,11 +121,11 @@
     waits
 }
 
-/// A queue in front of so many CPUs.
+/// A queue of jobs in front of a number of CPUs.
 struct Queue {
     cpus: f64,
     free_cpus: f64,
-    /// Seconds of CPU time that is bound or waits ahead.
+    /// CPU time of the tasks that are bound or already in the queue, seconds.
     ahead_s: f64,
 }
 
@@ -137,10 +138,10 @@
         }
     }
 
-    /// Puts a job at the end; the seconds until its first task begins.
+    /// Appends a job and returns the seconds until its first task starts.
     fn enqueue(&mut self, job: &WaitingJob) -> f64 {
-        let begins_at_once = self.free_cpus + ROUNDING_TOLERANCE >= job.task.cpus;
-        let wait_s = match begins_at_once {
+        let starts_at_once = self.free_cpus + ROUNDING_TOLERANCE >= job.task.cpus;
+        let wait_s = match starts_at_once {
             true => 0.0,
             false => self.ahead_s / self.cpus.max(job.task.cpus).max(MIN_TASK_CPUS),
         };
@@ -150,8 +151,8 @@
     }
 }
 
-/// Whether a cell lends now. It begins only when the longest predicted wait has been long for a while,
-/// and ends when it is short.
+/// Whether a cell lends now. Lending starts once the longest predicted wait has stayed at or above a threshold
+/// for some time, and stops when the wait is at or below a lower threshold.
 #[derive(Debug, Clone, Default)]
 pub struct Hysteresis {
     is_lending: bool,
@@ -159,7 +160,7 @@
 }
 
 impl Hysteresis {
-    /// Takes the longest predicted wait, seconds, at a moment, ms; whether to lend now.
+    /// Updates the state with the longest predicted wait at time `now`, ms. Returns whether to lend now.
     pub fn update(&mut self, longest_wait_s: f64, policy: &PolicySettings, now: u64) -> bool {
         if longest_wait_s >= policy.start_above_s {
             let since = *self.above_start_since.get_or_insert(now);
@@ -172,35 +173,36 @@
         self.is_lending
     }
 
-    /// Whether the cell lends.
+    /// Whether the cell lends, as of the latest update.
     pub fn is_lending(&self) -> bool {
         self.is_lending
     }
 }
 
-/// A cell that might borrow.
+/// A cell that may borrow jobs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Borrower {
-    /// Its name.
+    /// Name of the cell.
     pub cell: String,
-    /// What it said of itself.
+    /// Its latest status.
     pub status: CellStatus,
-    /// CPUs of loans that it was given since.
+    /// CPUs of the jobs lent to it since that status arrived.
     pub promised_cpus: f64,
 }
 
-/// A job to be lent.
+/// A job to lend and its borrower.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LoanChoice {
-    /// The job's borrower_index in the list of waiting jobs.
+    /// Index in the list of waiting jobs.
     pub job_index: usize,
-    /// The borrower's borrower_index in the list of borrowers.
+    /// Index in the list of borrowers.
     pub borrower_index: usize,
 }
 
-/// Chooses the jobs that gain most from being lent, and for each the cell where it begins first.
+/// Chooses the jobs to lend, those with the longest predicted wait first, and for each the cell where it starts
+/// earliest.
 ///
-/// `is_excluded` says which job may not go to which cell, for it was returned from there a moment ago.
+/// `is_excluded` returns whether a job must not be lent to a cell because that cell returned it recently.
 pub fn choose_loans(
     jobs: &[WaitingJob],
     waits: &[f64],
@@ -248,8 +250,8 @@
     chosen
 }
 
-/// By how many seconds a job would begin earlier in a cell than at home; none if that cell cannot or
-/// will not take it.
+/// Seconds by which a job would start earlier in a cell than in the lending cell. None if that cell cannot run
+/// it or would not accept it.
 fn gain_s(
     job: &WaitingJob,
     local_wait_s: f64,
@@ -262,7 +264,7 @@
         most.is_none_or(|most| needed <= most + ROUNDING_TOLERANCE)
     };
     let allowed = within(team.cpus, job.task.cpus) && within(team.gpus, job.task.gpus);
-    // It begins where one task has room, and goes on as more comes free.
+    // Capacity for one task is enough: the other tasks start as more capacity becomes free.
     let room_cpus = status
         .room_cpus
         .min(team.free_cpus.unwrap_or(f64::INFINITY));
@@ -284,27 +286,27 @@
     Some(local_wait_s - status.wait_s - fetch_s)
 }
 
-/// A loan that stands, as its lender knows it.
+/// The lender's information about an active loan.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoanActivity {
-    /// Milliseconds since a controller of the borrower last asked about it, or since it was lent.
+    /// Milliseconds since the borrower's last report on it, or since it was lent if there was none.
     pub since_last_report_ms: u64,
-    /// Whether one ever asked: the borrower has it.
+    /// Whether the borrower ever reported on it, which shows that the loan arrived.
     pub was_reported: bool,
-    /// Milliseconds since any task of it was bound there, or since it was lent.
+    /// Milliseconds since the borrower last reported any bound task of it, or since it was lent if it never did.
     pub idle_ms: u64,
 }
 
 /// Why a loan is recalled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecallReason {
-    /// Nothing was heard of it for too long.
+    /// The borrower has not reported on the loan for too long.
     Silent,
-    /// Nothing of it is bound there, and there is room at home.
+    /// The borrower has no task of it bound, and the lending cell has capacity for the job.
     RoomAtHome,
 }
 
-/// Whether a loan is to be recalled, and why. `silent_ms`: silence after which it is.
+/// The reason to recall a loan, or None to keep it. A loan without a report for `max_silence_ms` is recalled.
 pub fn recall_reason(
     loan: &LoanActivity,
     has_local_capacity: bool,
--- a/crates/spillover/src/settings.rs
+++ b/crates/spillover/src/settings.rs
@@ -1,7 +1,7 @@
-//! The operators' file that turns spillover on: an XML file with the other cells, the times of loans and the
-//! lender's policy.
+//! The operators' XML file that enables spillover, with the other cells, the time limits of loans and the lender's
+//! policy.
 //!
-//! A file that is taken has passed every check here; nothing later checks its values again.
+//! Every accepted file has passed all checks in this module; its values are not checked again later.
 
 use crate::terms::LoanTerms;
 use ipnet::IpNet;
@@ -9,77 +9,77 @@
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 
-/// Why the file cannot be used; one line that names the field.
+/// Why the file is rejected, as one line that names the field.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SpilloverError {
-    /// Not XML, an unknown element, or a value of another type.
+    /// The file is not XML, or has an unknown element or a value of the wrong type.
     #[error("spillover file: {0}")]
     Xml(String),
-    /// A name is missing.
+    /// A name is empty.
     #[error("spillover file: {field} is empty")]
     Empty {
-        /// The field.
+        /// Path of the field.
         field: &'static str,
     },
-    /// A cell is named twice.
+    /// Two cells have the same name.
     #[error("spillover file: cell {0:?} is named twice")]
     DuplicateCell(String),
-    /// The file names its own cell among the others.
+    /// The list of other cells contains this cell.
     #[error("spillover file: cell {0:?} is this cell itself")]
     OwnCell(String),
-    /// A cell has no controllers.
+    /// No controller is given for a cell.
     #[error("spillover file: cell {0:?} has no controller")]
     NoController(String),
-    /// A controller's address is none.
+    /// A controller's address is not an IP address with a port.
     #[error("spillover file: cell {cell:?}: controller {address:?} is not an address with a port")]
     Address {
-        /// The cell.
+        /// Name of the cell.
         cell: String,
-        /// What stands there.
+        /// The invalid address.
         address: String,
     },
     /// A number is out of its range.
     #[error("spillover file: {field} must be between {least} and {most}")]
     OutOfRange {
-        /// The field.
+        /// Path of the field.
         field: String,
-        /// Smallest value.
+        /// Minimum value, inclusive.
         least: f64,
-        /// Largest value.
+        /// Maximum value, inclusive.
         most: f64,
     },
-    /// A cancelled job could run longer than it may.
+    /// A cancelled job could keep running for longer than the time limit of a cancellation.
     #[error(
         "spillover file: loan/lease-s and worker-lease-s of cell {cell:?} add up to {sum_s} s, \
          more than workers.cancel_s ({cancel_s} s)"
     )]
     CancelTime {
-        /// The cell.
+        /// Name of the cell.
         cell: String,
-        /// What they add up to, with what clocks and messages take.
+        /// Sum of both leases with the allowances for clock drift and delivery, seconds.
         sum_s: f64,
-        /// What a cancellation has.
+        /// Time limit of a cancellation, seconds.
         cancel_s: f64,
     },
 }
 
-/// What the file says.
+/// Contents of the file.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(rename = "spillover", deny_unknown_fields)]
 pub struct SpilloverSettings {
     /// Name of this cell.
     #[serde(rename = "@cell")]
     pub cell: String,
-    /// Whether it lends.
+    /// Whether this cell lends jobs.
     #[serde(rename = "@lend", default = "yes")]
     pub lend: bool,
-    /// Whether it borrows.
+    /// Whether this cell borrows jobs.
     #[serde(rename = "@borrow", default = "yes")]
     pub borrow: bool,
-    /// Times of loans.
+    /// Time limits of loans.
     #[serde(default)]
     pub loan: LoanSettings,
-    /// When and what is lent and borrowed.
+    /// Lending and borrowing policy.
     #[serde(default)]
     pub policy: PolicySettings,
     /// The other cells.
@@ -91,17 +91,17 @@
     true
 }
 
-/// Times of loans.
+/// Time limits of loans.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LoanSettings {
-    /// How long a borrower may act on a confirmation, seconds.
+    /// Time for which a borrower may act on a confirmation, seconds.
     #[serde(rename = "@lease-s")]
     pub lease_s: f64,
-    /// Interval of a borrower's questions, seconds.
+    /// Interval between a borrower's requests for confirmation, seconds.
     #[serde(rename = "@ask-s")]
     pub ask_s: f64,
-    /// Silence after which a lender calls a loan back, seconds.
+    /// Time without a report after which the lender recalls a loan, seconds.
     #[serde(rename = "@silent-s")]
     pub silent_s: f64,
 }
@@ -126,32 +126,32 @@
     }
 }
 
-/// When and what is lent and borrowed.
+/// Lending and borrowing policy.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PolicySettings {
-    /// Predicted wait above which a cell begins to lend, seconds.
+    /// Predicted wait at or above which a cell starts to lend, seconds.
     #[serde(rename = "@start-above-s")]
     pub start_above_s: f64,
-    /// Predicted wait below which it ends, seconds.
+    /// Predicted wait at or below which a cell stops lending, seconds.
     #[serde(rename = "@stop-below-s")]
     pub stop_below_s: f64,
-    /// How long the wait must have been long before it begins, seconds.
+    /// Time for which the wait must stay at or above `start_above_s` before lending starts, seconds.
     #[serde(rename = "@sustain-s")]
     pub sustain_s: f64,
-    /// Seconds by which a job must begin earlier elsewhere.
+    /// A job is lent only if it starts earlier elsewhere by more than this, seconds.
     #[serde(rename = "@margin-s")]
     pub margin_s: f64,
-    /// Interval of looking for jobs to lend, seconds.
+    /// Interval between runs of the lending policy, seconds.
     #[serde(rename = "@period-s")]
     pub period_s: f64,
-    /// Most jobs lent in an interval.
+    /// Maximum number of jobs lent per interval.
     #[serde(rename = "@jobs-per-period")]
     pub jobs_per_period: usize,
-    /// Seconds after which a loan of which nothing is bound may be recalled.
+    /// Time without a bound task after which a loan may be recalled, seconds.
     #[serde(rename = "@idle-s")]
     pub idle_s: f64,
-    /// Most CPUs of unfinished loans that a cell holds.
+    /// Maximum CPUs of the unfinished loans that a cell borrows.
     #[serde(rename = "@borrow-cpus")]
     pub borrow_cpus: f64,
 }
@@ -192,21 +192,21 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CellSettings {
-    /// Its name.
+    /// Name of the cell.
     #[serde(rename = "@name")]
     pub name: String,
-    /// The lease of its workers, seconds.
+    /// Lease of its workers, seconds.
     #[serde(rename = "@worker-lease-s")]
     pub worker_lease_s: f64,
-    /// Addresses of its controllers for other controllers.
+    /// Addresses at which its controllers accept messages of other controllers.
     #[serde(rename = "controller", default)]
     pub controllers: Vec<String>,
-    /// Networks that its messages may come from; none named: any.
+    /// Networks from which its messages are accepted; if empty, any.
     #[serde(rename = "network", default)]
     pub networks: Vec<IpNet>,
 }
 
-/// A number of the file with its limits, both included.
+/// A number from the file with its inclusive limits.
 struct Range {
     field: String,
     value: f64,
@@ -224,7 +224,7 @@
         }
     }
 
-    /// An error unless the number is within its limits; one that is no number is not.
+    /// Returns an error unless the value is within its limits; NaN never is.
     fn check(self) -> Result<(), SpilloverError> {
         if self.value >= self.least && self.value <= self.most {
             return Ok(());
@@ -238,7 +238,7 @@
 }
 
 impl SpilloverSettings {
-    /// Spillover turned off: the cell has no name, knows no other, lends and borrows nothing.
+    /// Settings with spillover disabled: an empty cell name, no other cells, no lending and no borrowing.
     pub fn disabled() -> Self {
         Self {
             cell: String::new(),
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Reads the file; `cancel_s` is what a cancellation has in this cell.
+    /// Parses and checks the file. `cancel_s` is the time limit of a cancellation in this cell, seconds.
     pub fn parse(text: &str, cancel_s: f64) -> Result<Self, SpilloverError> {
         let settings: Self = quick_xml::de::from_str(text)
             .map_err(|error| SpilloverError::Xml(error.to_string().replace('\n', " ")))?;
@@ -301,7 +301,7 @@
         Ok(())
     }
 
-    /// What is cancelled must be gone in time even if the borrower hears nothing of it.
+    /// Checks that a cancelled job stops within the time limit even if the borrower is unreachable.
     fn check_times(&self, cancel_s: f64) -> Result<(), SpilloverError> {
         for cell in &self.cells {
             let sum_s = self.loan_terms(cell).tasks_stopped_after_ms() as f64 / 1000.0;
@@ -316,7 +316,7 @@
         Ok(())
     }
 
-    /// The times of a loan to another cell.
+    /// Time limits of a loan to another cell.
     pub fn loan_terms(&self, cell: &CellSettings) -> LoanTerms {
         let ms = |seconds: f64| (seconds * 1000.0) as u64;
         LoanTerms {
@@ -325,14 +325,14 @@
         }
     }
 
-    /// Another cell by its name.
+    /// The settings of another cell; None if the file does not list it.
     pub fn cell_by_name(&self, name: &str) -> Option<&CellSettings> {
         self.cells.iter().find(|cell| cell.name == name)
     }
 }
 
 impl CellSettings {
-    /// Whether a message of this cell may come from an address.
+    /// Whether messages of this cell are accepted from an address.
     pub fn allows_source(&self, address: IpAddr) -> bool {
         let mut networks = self.networks.iter();
         self.networks.is_empty() || networks.any(|network| network.contains(&address))
--- a/crates/spillover/src/terms.rs
+++ b/crates/spillover/src/terms.rs
@@ -1,28 +1,28 @@
-//! The times on which the safety of a loan rests.
+//! The time limits that make a loan safe.
 
 use serde::{Deserialize, Serialize};
 
-/// Part by which two steady clocks may diverge: twice the bound of the protocol, for two ends.
+/// Maximum relative drift between two monotonic clocks: twice the protocol's bound, which is for one clock.
 const MAX_RELATIVE_CLOCK_DRIFT: f64 = 0.001;
-/// Time that the last answer to a worker may take on its way, and timers that fire late, ms.
+/// Allowance for the delivery of the last ack to a worker and for timers that fire late, ms.
 const DELIVERY_MARGIN_MS: u64 = 2000;
 
-/// The times of one loan, as its lender set them.
+/// The time limits of one loan, set by its lender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoanTerms {
-    /// How long the borrower may act on a confirmation, ms.
+    /// Time for which the borrower may act on a confirmation, ms.
     pub lease_ms: u64,
-    /// Longest lease of a worker in the borrowing cell, ms.
+    /// Maximum lease of a worker in the borrowing cell, ms.
     pub worker_lease_ms: u64,
 }
 
 impl LoanTerms {
-    /// Time after which nothing of a loan is on any machine of the borrower, counted from when the
-    /// lender recorded that the loan no longer stands.
+    /// Time after which no task of a loan is on any machine of the borrower, in ms since the lender recorded
+    /// the end of the loan.
     ///
-    /// Whatever was confirmed was confirmed from a replica older than that record. The borrower's
-    /// holders act on it for the lease at most; the workers that they answered until then drop their
-    /// tasks when their own lease ends.
+    /// Every confirmation was made from a replica older than that record. Grant holders in the borrowing
+    /// cell act on it for at most the lease; the workers that they acknowledge until then stop their tasks
+    /// when their own leases expire.
     pub fn tasks_stopped_after_ms(&self) -> u64 {
         let sum = (self.lease_ms + self.worker_lease_ms) as f64;
         (sum * (1.0 + MAX_RELATIVE_CLOCK_DRIFT)).ceil() as u64 + DELIVERY_MARGIN_MS
--- a/crates/spillover/tests/decisions.rs
+++ b/crates/spillover/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The lender's decisions, the borrower's permissions, and the settings.
+//! Tests of the lender's decisions, the borrower's permissions and the settings.
 
 use quillbend_spillover::confirmation::{Confirmations, Permission};
 use quillbend_spillover::endpoint_selector::EndpointSelector;
@@ -34,21 +34,21 @@
 }
 
 #[test]
-fn a_confirmation_counts_from_the_request_less_the_age_of_the_answer() {
+fn a_confirmation_is_valid_from_the_request_minus_the_age_of_the_response() {
     let mut confirmations = Confirmations::default();
     confirmations.record_loan(&loan(7), LEASE_MS, 1000);
     assert_eq!(permission(&confirmations, 7, 1500), Permission::Wait);
     confirmations.on_response(&active(7, 400), 2000, false);
     assert_eq!(permission(&confirmations, 7, 11_599), Permission::Run);
     assert_eq!(permission(&confirmations, 7, 11_600), Permission::Stop);
-    // An older answer that arrives later takes nothing back and adds nothing.
+    // An older response that arrives later neither shortens nor extends the permission.
     confirmations.on_response(&active(7, 0), 1000, false);
     assert_eq!(permission(&confirmations, 7, 11_599), Permission::Run);
     assert_eq!(permission(&confirmations, 7, 11_600), Permission::Stop);
 }
 
 #[test]
-fn without_a_first_answer_a_controller_waits_for_a_moment_and_then_stops() {
+fn without_a_first_confirmation_tasks_are_stopped_after_a_timeout() {
     let mut confirmations = Confirmations::default();
     confirmations.record_loan(&loan(7), LEASE_MS, 1000);
     assert_eq!(permission(&confirmations, 7, 3999), Permission::Wait);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_end_is_final_for_its_transfer_and_says_nothing_of_the_next() {
+fn an_end_is_final_for_its_transfer_and_does_not_affect_the_next() {
     let mut confirmations = Confirmations::default();
     confirmations.record_loan(&loan(7), LEASE_MS, 0);
     confirmations.on_response(&active(7, 0), 0, false);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_relayed_confirmation_reaches_no_further_than_the_first() {
+fn a_relayed_confirmation_expires_with_the_original() {
     let (mut one, mut other) = (Confirmations::default(), Confirmations::default());
     one.record_loan(&loan(7), LEASE_MS, 0);
     other.record_loan(&loan(7), LEASE_MS, 0);
@@ -96,13 +96,13 @@
 }
 
 #[test]
-fn a_controller_that_does_not_answer_makes_way_for_the_next() {
+fn after_a_failure_the_next_controller_is_asked() {
     let mut selector = EndpointSelector::new(vec!["a".into(), "b".into()]);
     assert_eq!(selector.start_request(0, 1000).as_deref(), Some("a"));
     assert_eq!(
         selector.start_request(2000, 1000),
         None,
-        "one question at a time"
+        "only one request may be in flight"
     );
     selector.on_response(0);
     assert!(selector.answered_within(5000, 4000));
@@ -147,11 +147,11 @@
 }
 
 #[test]
-fn waits_grow_with_what_is_bound_and_ahead() {
+fn waits_grow_with_bound_work_and_jobs_ahead() {
     let jobs = [job("a", 8), job("b", 8), job("c", 8)];
     assert_eq!(predict_waits(&local_load(8.0), &jobs), [0.0, 15.0, 25.0]);
     assert_eq!(predict_waits(&local_load(0.0), &jobs), [5.0, 15.0, 25.0]);
-    // The limit of a team holds its jobs up while the fleet has room.
+    // A team's limit delays its jobs even though the fleet has free CPUs.
     let mut large_fleet = local_load(100.0);
     large_fleet.fleet_cpus = 100.0;
     assert_eq!(predict_waits(&large_fleet, &jobs), [0.0, 15.0, 25.0]);
@@ -200,22 +200,22 @@
 }
 
 #[test]
-fn the_longest_wait_goes_first_and_where_it_begins_first() {
+fn jobs_with_the_longest_wait_are_lent_first_to_the_cell_that_starts_them_earliest() {
     let jobs = [job("a", 4), job("b", 4), job("c", 4)];
     let mut busy = borrower("east", 100.0);
     busy.status.wait_s = 9.0;
-    let quiet = borrower("west", 8.0);
-    // Two fit into the quiet cell, the third goes to the other one.
+    let idle = borrower("west", 8.0);
+    // Two jobs fit into the idle cell, the third is lent to the busy one.
     let waits = [30.0, 50.0, 40.0];
     let expected = vec![(1, 1), (2, 1), (0, 0)];
-    assert_eq!(chosen(&jobs, &waits, &[busy.clone(), quiet]), expected);
-    // The image takes 2 s, and 5 s must be gained.
+    assert_eq!(chosen(&jobs, &waits, &[busy.clone(), idle]), expected);
+    // Fetching the image takes 2 s, and the job must start more than 5 s earlier.
     assert_eq!(chosen(&jobs[..1], &[16.0], &[busy.clone()]), vec![]);
     assert_eq!(chosen(&jobs[..1], &[16.1], &[busy]), vec![(0, 0)]);
 }
 
 #[test]
-fn what_cannot_run_there_stays_at_home() {
+fn jobs_that_the_borrower_cannot_run_are_not_lent() {
     let borrower = borrower("east", 100.0);
     let one = |change: fn(&mut WaitingJob)| {
         let mut job = job("a", 4);
@@ -250,26 +250,26 @@
 }
 
 #[test]
-fn lending_begins_after_a_while_and_ends_well_below() {
+fn lending_starts_after_a_sustained_wait_and_stops_at_a_lower_threshold() {
     let policy = PolicySettings::default();
     let mut hysteresis = Hysteresis::default();
     assert!(!hysteresis.update(25.0, &policy, 0));
     assert!(
         !hysteresis.update(19.0, &policy, 3000),
-        "the wait was short again"
+        "the wait fell below the start threshold"
     );
     assert!(!hysteresis.update(25.0, &policy, 3500));
     assert!(hysteresis.update(25.0, &policy, 7500));
     assert!(
         hysteresis.update(6.0, &policy, 8000),
-        "between the two bounds it goes on"
+        "lending continues between the two thresholds"
     );
     assert!(!hysteresis.update(5.0, &policy, 9000));
     assert!(!hysteresis.update(19.0, &policy, 20_000));
 }
 
 #[test]
-fn a_loan_is_recalled_when_nothing_is_heard_or_it_waits_in_vain() {
+fn a_loan_is_recalled_without_reports_or_when_idle_and_local_capacity_is_free() {
     let policy = PolicySettings::default();
     let idle = LoanActivity {
         since_last_report_ms: 1000,
@@ -286,7 +286,7 @@
     assert_eq!(
         recall(never_reported, true),
         None,
-        "it may not have arrived yet"
+        "the loan may not have arrived yet"
     );
     let busy = LoanActivity {
         idle_ms: 9000,
@@ -312,24 +312,28 @@
 </spillover>"#;
 
 #[test]
-fn the_file_is_read_and_what_it_leaves_out_has_its_default() {
-    let settings = SpilloverSettings::parse(VALID_SETTINGS, 37.0).expect("good");
+fn omitted_settings_have_their_defaults() {
+    let settings = SpilloverSettings::parse(VALID_SETTINGS, 37.0).expect("valid settings");
     assert!(settings.lend && settings.borrow);
     assert_eq!(settings.policy.start_above_s, 30.0);
     assert_eq!(settings.policy.stop_below_s, 5.0);
-    let rennes = settings.cell_by_name("rennes").expect("named");
+    let rennes = settings
+        .cell_by_name("rennes")
+        .expect("cell in the settings");
     assert_eq!(rennes.controllers.len(), 2);
-    assert!(rennes.allows_source("10.0.1.7".parse().expect("an address")));
-    assert!(!rennes.allows_source("10.0.2.7".parse().expect("an address")));
-    let brest = settings.cell_by_name("brest").expect("named");
-    assert!(brest.allows_source("10.0.2.7".parse().expect("an address")));
-    // 10 s and 12 s, with drift and margin.
+    assert!(rennes.allows_source("10.0.1.7".parse().expect("valid IP address")));
+    assert!(!rennes.allows_source("10.0.2.7".parse().expect("valid IP address")));
+    let brest = settings
+        .cell_by_name("brest")
+        .expect("cell in the settings");
+    assert!(brest.allows_source("10.0.2.7".parse().expect("valid IP address")));
+    // 10 s and 12 s, plus clock drift and delivery margin.
     assert_eq!(settings.loan_terms(rennes).tasks_stopped_after_ms(), 24_022);
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "a table of bad files")]
-fn a_bad_file_is_refused_with_one_line_that_names_the_field() {
+#[expect(clippy::too_many_lines, reason = "table of invalid files")]
+fn an_invalid_file_is_rejected_with_one_line_that_names_the_field() {
     for (from, to, named) in [
         (
             "<spillover cell=\"lannion\">",
--- a/src/spillover/batch.rs
+++ b/src/spillover/batch.rs
@@ -1,12 +1,12 @@
-//! A transaction of several jobs' keys that the store takes.
+//! Collects mutations of several jobs' keys into one transaction within the limits of the store.
 
 use crate::controller::completions::MAX_TRANSACTION_BYTES;
 use crate::protocol::{Mutation, Precondition, Transaction};
 
-/// Bytes that a mutation and its precondition take besides the value.
+/// Bytes counted for a mutation and its precondition in addition to the value.
 const OVERHEAD_BYTES: usize = 400;
 
-/// A transaction of several jobs' keys, within what the store takes.
+/// A transaction under construction that stays within the store's limits on mutations and bytes.
 pub(super) struct Batch {
     transaction: Transaction,
     bytes: usize,
@@ -14,7 +14,7 @@
 }
 
 impl Batch {
-    /// An empty batch of at most so many mutations.
+    /// An empty batch of at most `max_mutations` mutations.
     pub(super) fn new(max_mutations: usize) -> Self {
         Self {
             transaction: Transaction::default(),
@@ -23,9 +23,10 @@
         }
     }
 
-    /// Adds a mutation with its precondition; false if there is no room for it.
+    /// Adds a mutation with its precondition. Returns false if that would exceed a limit; the first mutation
+    /// may exceed the limit on bytes.
     ///
-    /// Guards against a transaction that is called malformed and planned again for ever.
+    /// The store rejects a transaction that is too large as malformed, and it would be planned again forever.
     pub(super) fn add(&mut self, precondition: Precondition, mutation: Mutation) -> bool {
         let bytes = self.bytes + mutation.value_bytes() + OVERHEAD_BYTES;
         let fits = self.transaction.mutations.is_empty() || bytes <= MAX_TRANSACTION_BYTES;
@@ -38,7 +39,7 @@
         true
     }
 
-    /// The transaction, unless it is empty.
+    /// The transaction, or None if it is empty.
     pub(super) fn finish(self) -> Option<Transaction> {
         (!self.transaction.mutations.is_empty()).then_some(self.transaction)
     }
--- a/src/spillover/borrowers.rs
+++ b/src/spillover/borrowers.rs
@@ -1,4 +1,4 @@
-//! The lender's questions to other cells: how they are doing, and whether they take the loans offered.
+//! The lender's requests to other cells: status requests and offers of loans, and their responses.
 
 use super::{CellCall, Controller, Spillover};
 use crate::clock::Timestamp;
@@ -10,18 +10,18 @@
 use quillbend_spillover::policy::Borrower;
 use tracing::{debug, info};
 
-/// Interval of offers, ms.
+/// Interval between requests with offers to one cell, ms.
 const OFFER_PERIOD_MS: u64 = 500;
-/// Most jobs in one request with offers.
+/// Maximum number of jobs offered in one request.
 const MAX_OFFERS_PER_REQUEST: usize = 16;
-/// Pause before another controller of a cell is asked, ms.
+/// Delay before a failed request is sent to the cell's next controller, ms.
 const NEXT_CONTROLLER_DELAY_MS: u64 = 200;
-/// A status that is older is not relied on, ms.
+/// Maximum age of a status that the lending policy uses, ms.
 const STATUS_MAX_AGE_MS: u64 = 10_000;
 
 impl Controller {
-    /// Offers the loans that no borrower has confirmed, and asks the others how they are doing while
-    /// the waits are long.
+    /// Sends each cell its offers that are not yet answered. Requests the status of cells without offers
+    /// while the forecast wait is long.
     pub(super) fn query_borrowers(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         let policy = &self.spillover.settings.policy;
         let status_ms = (policy.period_s * 1000.0) as u64;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The loans to a cell that are not known to have arrived.
+    /// Offers for the loans to a cell on which it has not decided yet.
     fn unconfirmed_offers(&self, cell_index: usize) -> Vec<Offer<JobSpec>> {
         let cell_name = &self.spillover.settings.cells[cell_index].name;
         let age_ms = |since_ms: u64| self.day_ms.saturating_sub(since_ms);
@@ -72,7 +72,7 @@
 }
 
 impl Spillover {
-    /// The cells that sent their status lately, with their places in the settings.
+    /// The cells with a recent status, with their indices in the settings.
     pub(super) fn borrowers_with_recent_status(&self, now: Timestamp) -> Vec<(usize, Borrower)> {
         let cells = self.cells.iter().enumerate();
         let known = cells.filter_map(|(cell_index, link)| {
@@ -88,7 +88,7 @@
         known.collect()
     }
 
-    /// A cell answered how it is doing, or did not.
+    /// Handles the response to a status request; None means that the request failed.
     pub(super) fn on_status_response(
         &mut self,
         cell_index: usize,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A cell answered offers, or did not.
+    /// Handles the response to a request with offers; None means that the request failed.
     pub(super) fn on_offer_responses(
         &mut self,
         cell_index: usize,
@@ -140,7 +140,7 @@
                 }
                 OfferDecision::Deferred(reason) => {
                     debug!(job = id.job, %reason, "loan deferred by borrower");
-                    // Asked again, these would say the same.
+                    // Repeating the offer would give the same response.
                     loan.declined |= matches!(
                         reason,
                         RejectionReason::NameTaken | RejectionReason::TransferEnded
--- a/src/spillover/borrowing.rs
+++ b/src/spillover/borrowing.rs
@@ -1,6 +1,7 @@
-//! The borrower's side: questions whether loans stand, and the end of those that do not.
+//! The borrower's side: requests confirmation of loans and cancels loans that have ended.
 //!
-//! Must never start a task of a loan, or answer a machine that runs one, without the lender's confirmation.
+//! Invariant: without the lender's confirmation, no task of a loan is started and no heartbeat of a machine that
+//! runs one is acknowledged.
 
 use super::{CellCall, Controller, Spillover};
 use crate::clock::Timestamp;
@@ -11,15 +12,15 @@
 use quillbend_spillover::confirmation::Permission;
 use quillbend_spillover::message::{CellResponse, LoanId, LoanReport, Progress, RequestBody};
 
-/// Interval of questions while nothing is borrowed: they show that the lender can be reached, ms.
+/// Interval between requests while nothing is borrowed, ms. They show that the lender is reachable.
 const IDLE_REQUEST_PERIOD_MS: u64 = 5000;
-/// Pause after a question without an answer, ms.
+/// Delay after a failed request, ms.
 const RETRY_DELAY_MS: u64 = 400;
-/// The same while nothing is borrowed, ms.
+/// Delay after a failed request while nothing is borrowed, ms.
 const IDLE_RETRY_DELAY_MS: u64 = 2500;
 
 impl Controller {
-    /// Records the loans that the replica shows as borrowed, and forgets the others.
+    /// Records the loans that the replica shows as borrowed and removes all others.
     pub(super) fn record_borrowed_loans(&mut self, now: Timestamp) {
         for (job_id, job) in self.replica.transferred() {
             let Some(mark) = job.borrowed() else { continue };
@@ -39,8 +40,8 @@
         self.spillover.confirmations.retain(is_borrowed);
     }
 
-    /// Asks each lender, and where that does not answer the other controllers of this cell, whether
-    /// the loans stand.
+    /// Asks each lender whether its loans are active. If the lender does not respond, also asks the other
+    /// controllers of this cell for their confirmations.
     pub(super) fn request_confirmations(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         let request_period_ms = (self.spillover.settings.loan.ask_s * 1000.0) as u64;
         for cell_index in 0..self.spillover.cells.len() {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The status of all loans of a lender.
+    /// Reports on all loans from a lender.
     fn loan_reports(&self, lender: &str, now: Timestamp) -> Vec<LoanReport> {
         let loans = self.replica.transferred().filter_map(|(job_id, job)| {
             let mark = job.borrowed().filter(|mark| mark.cell == lender)?;
@@ -95,9 +96,9 @@
         loans.collect()
     }
 
-    /// How far a loan is. That it was cancelled and that no queue lists any of its tasks is proof: each
-    /// task left its queue on proof that it is on no machine, and none that is bound to a job which is
-    /// over is ever started.
+    /// Progress of a loan. A cancelled loan with no task in any queue proves that none of its tasks runs: a
+    /// task leaves its queue only with proof that it is on no machine, and tasks of a job in a final state
+    /// are never started.
     fn loan_progress(&self, job_id: JobId, job: &Job) -> Progress {
         let bound = self.replica.bound_len(job_id);
         match job.status {
@@ -114,8 +115,8 @@
         }
     }
 
-    /// Plans the write that cancels loans of which the lender says that they no longer stand. Their tasks are
-    /// then stopped as those of any job that is over.
+    /// Plans the write that cancels the loans that the lender reported as ended. Their tasks are then stopped
+    /// like those of any job in a final state.
     pub(crate) fn plan_ended_loans(&self) -> Option<Transaction> {
         let mut batch = self.transfer_batch();
         for (job_id, job) in self.replica.transferred() {
@@ -138,8 +139,8 @@
         batch.finish()
     }
 
-    /// Whether a job may leave the watched keys, as far as transfers go: its lender must have recorded its
-    /// end.
+    /// Whether transfers allow a job to be archived, which removes it from the watched keys. The lender of a
+    /// borrowed job must have recorded its end first.
     pub(crate) fn may_archive(&self, job_id: JobId, job: &Job) -> bool {
         let name = self.replica.names.jobs.name(job_id);
         job.borrowed().is_none_or(|mark| {
@@ -148,10 +149,11 @@
         })
     }
 
-    /// Whether a machine runs tasks of a loan of which this controller has no confirmation yet.
+    /// Whether a machine reports tasks of a loan for which this controller still waits for its first
+    /// confirmation.
     ///
-    /// Guards against a controller that has just started: its answer would renew the worker's lease for
-    /// tasks that may not go on, and a command to stop would end work that may.
+    /// A controller that has just started must neither acknowledge such a heartbeat, which would renew the
+    /// worker's lease for tasks that may have to stop, nor stop tasks that may be allowed to continue.
     pub(crate) fn must_wait_for_confirmation(&self, heartbeat: &Heartbeat, now: Timestamp) -> bool {
         if !self.replica.has_transfers() {
             return false;
@@ -170,7 +172,8 @@
 }
 
 impl Spillover {
-    /// A lender, or a relay, answered whether loans stand. `reported` is what the question said of them.
+    /// Handles loan statuses from a lender or a relay; None means that the request failed. `reported` holds
+    /// the reports that the request carried.
     pub(super) fn on_loan_statuses(
         &mut self,
         call: &CellCall,
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -1,6 +1,6 @@
 //! The lender's side: the leader lends jobs, recalls them and takes them back.
 //!
-//! Must never take a job back while a task of it may be on a machine of the borrower.
+//! Invariant: a job is not taken back while any of its tasks may be on a machine of the borrower.
 
 use super::load::WaitForecast;
 use super::{Batch, Controller, LentLoan};
@@ -18,23 +18,23 @@
 use std::collections::BTreeSet;
 use tracing::info;
 
-/// How long a job that was returned is not lent to the same cell, ms.
+/// Time for which a returned job is not lent to the same cell again, ms.
 const RELEND_DELAY_MS: u64 = 20_000;
-/// Bytes that a lent job's value grows by when it is marked as recalled.
+/// Bytes by which the value of a lent job grows when it is marked as recalled.
 const RECALL_MARK_BYTES: usize = 16;
 
-/// A lent job that is to be taken back.
+/// A lent job that can be taken back now.
 struct DueReturn {
     job_id: JobId,
     cell: String,
-    /// Taken back because every lease is over, not on the borrower's refusal.
+    /// True if it is taken back because all leases have expired, false if because the borrower refused it.
     expired: bool,
 }
 
 impl Controller {
-    /// Records the loans that the replica shows as lent, and forgets the others.
+    /// Records the loans that the replica shows as lent and removes all others.
     pub(super) fn record_lent_loans(&mut self, now: Timestamp) {
-        let mut shown = BTreeSet::new();
+        let mut lent_jobs = BTreeSet::new();
         for (job_id, job) in self.replica.transferred() {
             let Some(mark) = job.lent() else { continue };
             if job.status != JobStatus::Pending {
@@ -44,27 +44,27 @@
                 job: self.replica.names.jobs.name(job_id).to_owned(),
                 token: mark.token,
             };
-            shown.insert(id.job.clone());
-            let recent = LentLoan::new(id.clone(), now);
+            lent_jobs.insert(id.job.clone());
+            let new_loan = LentLoan::new(id.clone(), now);
             let loan = self
                 .spillover
                 .lent
                 .entry(id.job.clone())
-                .or_insert_with(|| recent.clone());
+                .or_insert_with(|| new_loan.clone());
             if loan.id.token != id.token {
-                *loan = recent;
+                *loan = new_loan;
             }
             if mark.recalled {
                 loan.recalled_at.get_or_insert(now);
             }
         }
-        self.spillover.lent.retain(|job, _| shown.contains(job));
+        self.spillover.lent.retain(|job, _| lent_jobs.contains(job));
         self.spillover
             .relend_not_before
             .retain(|_, until| now < *until);
     }
 
-    /// The next write about transfers, of the leader.
+    /// Plans the leader's next write about transfers: returns first, then ended loans, recalls and new loans.
     pub(crate) fn plan_transfers(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
         if !self.handles_transfers() {
             return None;
@@ -76,8 +76,8 @@
             .or_else(|| self.plan_loans(now))
     }
 
-    /// Takes back loans that the borrower has refused on record, and those that were recalled so long ago
-    /// that nothing of them can be on any machine.
+    /// Takes back loans for which the borrower has recorded a refusal, and loans recalled so long ago that
+    /// none of their tasks can be on any machine.
     fn plan_returns(&mut self, now: Timestamp) -> Option<Transaction> {
         let jobs = self.replica.transferred();
         let due = jobs.filter_map(|(job_id, job)| self.due_return(job_id, job, now));
@@ -105,7 +105,7 @@
         batch.finish()
     }
 
-    /// Whether a lent job is to be taken back now.
+    /// The return of a lent job, or None if it must not be taken back yet.
     fn due_return(&self, job_id: JobId, job: &Job, now: Timestamp) -> Option<DueReturn> {
         let mark = job.lent()?;
         let name = self.replica.names.jobs.name(job_id);
@@ -121,13 +121,13 @@
         })
     }
 
-    /// An empty transaction for writes of several jobs' keys.
+    /// An empty batch with the limit on mutations from the settings.
     pub(super) fn transfer_batch(&self) -> Batch {
         Batch::new(self.settings.platform.settings.state.txn_ops)
     }
 
-    /// The write that makes a lent job an ordinary one again; these tasks were done elsewhere. None if the
-    /// value would be too large.
+    /// The mutation that ends a loan and makes the job an ordinary one again. `done_elsewhere` are the tasks
+    /// that the borrower has done. None if the job is unknown or its value would be too large.
     pub(super) fn return_mutation(
         &self,
         job_id: JobId,
@@ -143,8 +143,8 @@
         (mutation.value_bytes() <= self.settings.value_bytes()).then_some(mutation)
     }
 
-    /// Recalls loans of which nothing is heard, that were declined, or that wait in vain while there is
-    /// room at home.
+    /// Recalls loans that the borrower declined or no longer reports on, and loans without bound tasks whose
+    /// jobs now fit into this cell.
     fn plan_recalls(&mut self, now: Timestamp) -> Option<Transaction> {
         let settings = &self.spillover.settings;
         let max_silence_ms = (settings.loan.silent_s * 1000.0) as u64;
@@ -195,8 +195,8 @@
         transaction
     }
 
-    /// Whether a job may be lent: it is ordinary, nothing of it has begun or is about to, and no other
-    /// job waits for it.
+    /// Whether a job may be lent: it is pending and not transferred, none of its tasks is done or in a block, no
+    /// newer write to it is known, and no other job depends on it. Bindings in flight are the caller's check.
     pub(super) fn is_lendable(&self, job_id: JobId, job: &Job) -> bool {
         job.status == JobStatus::Pending
             && job.transfer.is_none()
@@ -209,10 +209,10 @@
                 .is_unreadable(self.replica.names.jobs.name(job_id))
     }
 
-    /// Lends jobs, if the cell is saturated and another one would begin them clearly earlier.
+    /// Lends jobs if this cell is saturated and another cell would start them clearly earlier.
     ///
-    /// Only the leader binds, so nothing of such a job can be bound but by its own writes, and those
-    /// that are in flight or in doubt are counted.
+    /// Only the leader binds tasks, so a lendable job can only become bound by the leader's own writes, and
+    /// those in flight or in doubt are taken into account.
     fn plan_loans(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
         let policy = self.spillover.settings.policy.clone();
         if !self.transfers_enabled()
@@ -234,7 +234,7 @@
         self.lend_chosen_jobs(&forecast, &policy, now)
     }
 
-    /// Plans the write that lends the jobs which gain most from it.
+    /// Plans the write that lends the jobs that gain most from it.
     fn lend_chosen_jobs(
         &mut self,
         forecast: &WaitForecast,
@@ -277,8 +277,8 @@
         batch.finish().map(|transaction| (transaction, intent))
     }
 
-    /// The write that lends a job to the cell at a place in the settings. None if the value would be too
-    /// large.
+    /// The mutation that lends a job to the cell at an index in the settings. None if the job is unknown or
+    /// its value would be too large.
     fn lend_mutation(
         &self,
         name: &str,
@@ -291,7 +291,7 @@
         let mut record = job.record(Default::default(), JobStatus::Pending);
         record.lend(&cell.name, token, settings.loan_terms(cell));
         let mutation = put(&job_key(name), &record, None);
-        // It must still fit when it is marked as recalled.
+        // The value must still fit after it is marked as recalled.
         let fits = mutation.value_bytes() + RECALL_MARK_BYTES <= self.settings.value_bytes();
         fits.then_some((job_id, mutation))
     }
--- a/src/spillover/load.rs
+++ b/src/spillover/load.rs
@@ -1,6 +1,6 @@
-//! What a cell knows of its own load: how long jobs wait here, and what it would take of others.
+//! Estimates of this cell's load: how long its jobs wait, and how many CPUs it could borrow jobs for.
 //!
-//! Pure estimates: nothing here changes any state.
+//! Nothing here changes any state.
 
 use super::Controller;
 use crate::clock::Timestamp;
@@ -13,40 +13,40 @@
 use quillbend_spillover::policy::{LocalLoad, TaskNeeds, TeamLoad, WaitingJob, predict_waits};
 use std::collections::BTreeMap;
 
-/// What a cell could do for a newcomer.
+/// Capacity of this cell for additional tasks.
 struct SpareCapacity {
-    /// Seconds until a task that comes now would probably begin: at once where a machine has room, a
-    /// start of a machine later where more can be rented, and else after all that waits.
+    /// Estimated seconds until a task submitted now would start: 0 if a CPU is idle, otherwise the time until
+    /// all bound and waiting work is done, or the start time of a machine if one can be rented sooner.
     wait_s: f64,
-    /// CPUs that nothing is bound to or waits for, or that can be rented.
+    /// CPUs that are neither bound nor requested by waiting jobs; infinite if more machines can be rented.
     cpus: f64,
-    /// CPUs below the limit of each team that has one.
+    /// Free CPUs of each team that has a limit, by team name.
     team_cpus: BTreeMap<String, f64>,
 }
 
-/// What waits in this cell, and for how long.
+/// The waiting jobs of this cell with their predicted waits.
 pub(super) struct WaitForecast {
-    /// The jobs of which something waits, in the order in which they are served.
+    /// Jobs with waiting tasks, in the order in which they are served.
     pub(super) jobs: Vec<WaitingJob>,
-    /// For how long each probably waits, seconds.
+    /// Predicted wait of each job, seconds.
     pub(super) waits_s: Vec<f64>,
     local: LocalLoad,
 }
 
 impl WaitForecast {
-    /// The longest of the waits, seconds.
+    /// Longest predicted wait, seconds; 0 if no job waits.
     pub(super) fn longest_wait_s(&self) -> f64 {
         self.waits_s.iter().copied().fold(0.0, f64::max)
     }
 
-    /// CPUs of this cell that nothing is bound to or waits for.
+    /// CPUs of this cell that are neither bound nor requested by waiting jobs.
     pub(super) fn idle_cpus(&self) -> f64 {
         let requested_cpus: f64 = self.jobs.iter().map(WaitingJob::cpus).sum();
         (self.local.free_cpus - requested_cpus).max(0.0)
     }
 }
 
-/// A waiting job with what it is ordered by.
+/// A waiting job with its sort key.
 struct RankedJob {
     rank: Rank,
     job_id: JobId,
@@ -54,7 +54,7 @@
 }
 
 impl Controller {
-    /// For how long each job of which something waits will probably wait here.
+    /// Predicts how long each job with waiting tasks waits in this cell.
     pub(super) fn wait_forecast(&self, now: Timestamp) -> WaitForecast {
         let jobs = self.waiting_jobs_in_order(now);
         let local = self.local_load(now);
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The jobs of which something waits, in the order in which they are served.
+    /// Jobs with waiting tasks, in the order in which they are served.
     fn waiting_jobs_in_order(&self, now: Timestamp) -> Vec<WaitingJob> {
         let being_bound: HashSet<JobId> = self
             .writes
@@ -121,7 +121,7 @@
         }
     }
 
-    /// What the machines and the teams' limits have to offer.
+    /// CPUs and bound work of this cell's machines and of the teams with a limit.
     fn local_load(&self, now: Timestamp) -> LocalLoad {
         let mut load = LocalLoad::default();
         for rented in self.fleet(now) {
@@ -153,7 +153,7 @@
         load
     }
 
-    /// What this cell could do for a newcomer.
+    /// Estimates the capacity of this cell for additional tasks.
     fn spare_capacity(&self, now: Timestamp) -> SpareCapacity {
         let load = self.local_load(now);
         let waiting = self.waiting_jobs_in_order(now);
@@ -174,7 +174,7 @@
                 false => start_s.map_or(queue_s, |start_s| start_s.min(queue_s)),
             },
             cpus: match start_s {
-                // What is missing can be rented.
+                // Missing CPUs can be rented.
                 Some(_) => f64::INFINITY,
                 None => idle_cpus,
             },
@@ -182,7 +182,7 @@
         }
     }
 
-    /// CPUs of further loans that this cell would take.
+    /// CPUs for which this cell would accept further loans.
     fn loan_capacity_cpus(&self, spare: &SpareCapacity) -> f64 {
         let settings = &self.spillover.settings;
         if !settings.borrow
@@ -192,19 +192,19 @@
             return 0.0;
         }
         let borrowed = self.replica.transferred().filter(|(_, job)| {
-            let open = job.status == JobStatus::Pending;
-            open && job.borrowed().is_some()
+            let is_pending = job.status == JobStatus::Pending;
+            is_pending && job.borrowed().is_some()
         });
-        let held: f64 = borrowed
+        let borrowed_cpus: f64 = borrowed
             .map(|(_, job)| {
-                let left = job.spec.task_count.saturating_sub(job.done.len());
-                f64::from(left) * job.spec.cpus
+                let unfinished = job.spec.task_count.saturating_sub(job.done.len());
+                f64::from(unfinished) * job.spec.cpus
             })
             .sum();
-        (settings.policy.borrow_cpus - held).clamp(0.0, spare.cpus)
+        (settings.policy.borrow_cpus - borrowed_cpus).clamp(0.0, spare.cpus)
     }
 
-    /// How this cell is doing, for lenders.
+    /// Status of this cell that is sent to lenders.
     pub(super) fn cell_status(&self, now: Timestamp) -> CellStatus {
         let spare = self.spare_capacity(now);
         let finite = |limit: f64| limit.is_finite().then_some(limit);
@@ -238,11 +238,11 @@
         }
     }
 
-    /// Classes of the jobs that this cell lends, sorted.
+    /// Classes of the jobs that this cell currently lends, sorted and without duplicates.
     fn lent_classes(&self) -> Vec<String> {
         let lent = self.replica.transferred().filter(|(_, job)| {
-            let open = job.status == JobStatus::Pending;
-            open && job.lent().is_some()
+            let is_pending = job.status == JobStatus::Pending;
+            is_pending && job.lent().is_some()
         });
         let mut classes: Vec<String> = lent.map(|(_, job)| job.spec.class.clone()).collect();
         classes.sort_unstable();
--- a/src/spillover/mod.rs
+++ b/src/spillover/mod.rs
@@ -1,18 +1,17 @@
-//! Spillover between cells: how a controller lends waiting jobs to other cells and runs theirs.
+//! Spillover between cells: a controller lends waiting jobs to other cells and runs jobs of theirs.
 //!
-//! The decisions stand in the package `quillbend-spillover`; this module joins them to the replica, the
-//! transactions and the machines. `docs/spillover.md` argues why no task ever runs in two cells.
+//! The pure decisions are in the crate `quillbend-spillover`; this module connects them to the replica, the
+//! transactions and the machines, and owns the in-memory state about loans and other cells. Invariant: a task
+//! never runs in two cells. Every step is based on the replica and on the lender's confirmations; the full
+//! argument is in `docs/spillover.md`.
 //!
-//! Owns what is known of loans and of other cells besides the shared keys. Must never let a task of a job run in
-//! two cells: each step rests on what the replica shows and on the lender's confirmations.
-//!
-//! * [`lending`]: the leader of the origin lends jobs, recalls them and takes them back.
-//! * [`borrowers`]: the leader of the origin asks other cells how they are doing and offers loans.
-//! * [`borrowing`]: controllers of the borrower ask whether loans stand, and end what is over.
+//! * [`lending`]: the leader of the lending cell lends jobs, recalls them and takes them back.
+//! * [`borrowers`]: the leader of the lending cell requests the status of other cells and offers loans.
+//! * [`borrowing`]: controllers of the borrowing cell request confirmations and cancel loans that have ended.
 //! * [`offers`]: the borrower's decisions about offers of loans.
-//! * [`serving`]: answers to the other requests of other cells.
-//! * [`load`]: what both sides know of their own load.
-//! * [`status_page`]: what operators see of it.
+//! * [`serving`]: responses to the other requests of other cells.
+//! * [`load`]: load and spare capacity of this cell.
+//! * [`status_page`]: the section about spillover on the status page.
 
 mod batch;
 mod borrowers;
@@ -40,81 +39,81 @@
 use quillbend_spillover::settings::SpilloverSettings;
 use std::collections::BTreeMap;
 
-/// A request to another cell, with our specifications of jobs.
+/// A request to another cell, with this crate's job specification.
 pub type CellRequest = quillbend_spillover::message::CellRequest<JobSpec>;
 
-/// A request that the service is to send to a controller of another cell.
+/// A request that the service sends to a controller of another cell, or of this cell if it is relayed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CellCall {
     /// Address of the controller.
     pub address: String,
-    /// The request.
+    /// Body to send.
     pub request: CellRequest,
-    /// Place of the cell in the settings.
+    /// Index of the other cell in the settings.
     pub cell_index: usize,
-    /// Whether another controller of our own cell is asked for what it knows of that cell's loans.
+    /// Whether the request goes to another controller of this cell, for its confirmations from that cell.
     pub relayed: bool,
 }
 
-/// What a controller keeps for spillover; all of it can be found out again after a restart.
+/// In-memory spillover state of a controller. All of it can be rebuilt after a restart.
 #[derive(Debug)]
 pub(crate) struct Spillover {
     settings: SpilloverSettings,
-    /// The other cells, by their place in the settings.
+    /// The other cells, in the order of the settings.
     cells: Vec<CellLink>,
-    /// What may be done with the loans that this cell has borrowed.
+    /// Confirmations of the loans that this cell has borrowed.
     confirmations: Confirmations,
-    /// The loans that this cell has lent, by the names of their jobs.
+    /// The loans that this cell has made, by job name.
     lent: BTreeMap<String, LentLoan>,
     hysteresis: Hysteresis,
-    /// The longest wait that was last predicted, seconds.
+    /// Longest wait in the latest forecast, seconds.
     longest_wait_s: f64,
-    /// CPUs of this cell that nothing was bound to or waited for at that time.
+    /// CPUs of this cell that were neither bound nor requested in the latest forecast.
     idle_cpus: f64,
-    /// When the lender's policy is applied next.
+    /// Earliest time at which the lending policy runs again.
     next_policy_at: Timestamp,
-    /// Until when a job is not lent again to the cell that returned it, by the names of both.
+    /// Earliest time at which a job may be lent again to the cell that returned it, by job and cell name.
     relend_not_before: HashMap<(String, String), Timestamp>,
     counters: SpilloverCounters,
 }
 
-/// Another cell, as this controller knows it.
+/// State of the connection to another cell.
 #[derive(Debug)]
 struct CellLink {
-    /// Its controllers, asked for confirmations.
+    /// Its controllers, for requests for confirmation.
     lender: EndpointSelector,
-    /// The controllers of our own cell, asked for what they know of its loans.
+    /// The controllers of this cell, which relay their confirmations of its loans.
     relay: EndpointSelector,
-    /// Its leader, asked for its status and offered loans.
+    /// Its controllers, for status requests and offers, which only its leader answers.
     borrower: EndpointSelector,
-    /// Its latest status, and when it arrived.
+    /// Its latest status, with the time of arrival.
     status: Option<(CellStatus, Timestamp)>,
-    /// CPUs of loans that it was given since it sent its status.
+    /// CPUs of the jobs lent to it since that status arrived.
     promised_cpus: f64,
 }
 
-/// What a controller of the lender knows of a loan.
+/// What a controller of the lending cell knows about a loan.
 #[derive(Debug, Clone)]
 struct LentLoan {
     id: LoanId,
-    /// When this controller learned of it.
+    /// When this controller first saw the loan.
     known_since: Timestamp,
-    /// When the borrower last reported on it.
+    /// When the borrower, holding a valid confirmation, last reported on the loan.
     last_report_at: Option<Timestamp>,
-    /// When something of it was last bound there, as far as was reported.
+    /// Time of the last report in which the borrower had any task of the loan bound to a machine.
     last_bound_at: Option<Timestamp>,
-    /// The borrower has recorded it.
+    /// The borrower has recorded the loan.
     accepted: bool,
-    /// The borrower has recorded that this transfer can never run there.
+    /// The borrower has recorded that this transfer can never run in its cell.
     refused: bool,
-    /// Refused without a record: it has to be recalled.
+    /// The borrower will not accept the loan but has not recorded a refusal, so the loan must be recalled.
     declined: bool,
-    /// When this controller's replica first showed that it was recalled.
+    /// When this controller's replica first showed the loan as recalled.
     recalled_at: Option<Timestamp>,
 }
 
 impl LentLoan {
-    /// A loan of which nothing was heard yet.
+    /// A loan that the borrower has not reported on yet.
     fn new(id: LoanId, now: Timestamp) -> Self {
         Self {
             id,
@@ -129,29 +128,29 @@
     }
 }
 
-/// Counters of spillover for operators.
+/// Spillover counters on the status page, since this controller started.
 #[derive(Debug, Clone, Default, serde::Serialize)]
 pub(crate) struct SpilloverCounters {
     /// Jobs lent.
     pub(crate) lent: u64,
     /// Loans recalled.
     pub(crate) recalled: u64,
-    /// Loans returned with the borrower's proof.
+    /// Loans returned because the borrower proved that none of their tasks runs.
     pub(crate) returned: u64,
-    /// Loans taken back after every lease was over.
+    /// Loans taken back because all leases had expired.
     pub(crate) expired: u64,
-    /// Loans recorded as done on the borrower's word.
+    /// Loans recorded as done because the borrower reported it.
     pub(crate) finished: u64,
     /// Loans borrowed.
     pub(crate) borrowed: u64,
-    /// Offers refused or put off.
+    /// Offers refused or deferred.
     pub(crate) refused: u64,
-    /// Requests of unknown cells, of other versions, or from other networks.
+    /// Requests refused for an unknown cell, another message version or a source network that is not allowed.
     pub(crate) rejected: u64,
 }
 
 impl Spillover {
-    /// With the operators' file, or turned off.
+    /// Creates the state from the operators' file. Without the file, spillover is disabled.
     pub(crate) fn new(settings: Option<&SpilloverSettings>, peers: &[String]) -> Self {
         let settings = settings
             .cloned()
@@ -178,12 +177,12 @@
         }
     }
 
-    /// Whether the operators have turned it on.
+    /// Whether the operators have configured spillover.
     pub(crate) fn is_enabled(&self) -> bool {
         !self.settings.cell.is_empty()
     }
 
-    /// What this controller has heard of the loans of its cell, for its peers.
+    /// The borrowers' latest reports on loans of this cell, for the peer messages of this controller.
     pub(crate) fn reported_loans(&self, now: Timestamp) -> Vec<HeardLoan> {
         let loans = self.lent.values();
         let reported = loans.filter_map(|loan| {
@@ -197,7 +196,7 @@
         reported.collect()
     }
 
-    /// A peer has heard of loans of this cell.
+    /// Merges a peer's reports on loans of this cell.
     pub(crate) fn on_reported_loans(&mut self, reports: Vec<HeardLoan>, now: Timestamp) {
         for report in reports {
             let Some(loan) = self.lent.get_mut(&report.job) else {
@@ -214,7 +213,7 @@
         }
     }
 
-    /// A request of this cell.
+    /// Wraps a request body with the version and the name of this cell.
     fn cell_request(&self, body: RequestBody<JobSpec>) -> CellRequest {
         CellRequest {
             version: VERSION,
@@ -223,7 +222,7 @@
         }
     }
 
-    /// What may be done with the tasks of a job now, as far as transfers go.
+    /// What transfers currently allow for the tasks of a job. Jobs without a transfer may run.
     pub(crate) fn permission(&self, job: &Job, name: &str, now: Timestamp) -> Permission {
         if job.transfer.is_none() {
             return Permission::Run;
@@ -234,26 +233,27 @@
         }
     }
 
-    /// Whether tasks of a job may be bound to machines, as far as transfers go.
+    /// Whether transfers currently allow tasks of a job to be bound to machines.
     pub(crate) fn may_bind(&self, job: &Job, name: &str, now: Timestamp) -> bool {
         self.permission(job, name, now) == Permission::Run
     }
 }
 
 impl Controller {
-    /// Whether loans may be made: every controller reads them.
+    /// Whether loans may be made: spillover is configured, the replica has been read, and every controller
+    /// can read the format of loans.
     pub(crate) fn transfers_enabled(&self) -> bool {
         self.spillover.is_enabled()
             && self.replica.synced
             && self.replica.format >= SPILLOVER_FORMAT
     }
 
-    /// Whether spillover is turned on, or loans are left of a time when it was.
+    /// Whether spillover is configured, or the replica still holds loans from when it was.
     fn handles_transfers(&self) -> bool {
         self.spillover.is_enabled() || self.replica.has_transfers()
     }
 
-    /// Records the loans that the replica shows, and asks other cells what is due.
+    /// Updates the known loans from the replica and sends the requests to other cells that are due.
     pub(crate) fn tick_spillover(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if !self.handles_transfers() {
             return;
@@ -268,13 +268,13 @@
         }
     }
 
-    /// Whether a job was borrowed from another cell.
+    /// Whether a job is borrowed from another cell.
     pub(crate) fn is_borrowed(&self, job_id: JobId) -> bool {
         let job = self.replica.jobs.get(&job_id);
         job.is_some_and(|job| job.borrowed().is_some())
     }
 
-    /// A call to another cell was answered, or was not; it was sent at `sent`.
+    /// Handles the response to a call that was sent at `sent_at`. None means that the call failed.
     pub fn on_cell_response(
         &mut self,
         call: &CellCall,
--- a/src/spillover/offers.rs
+++ b/src/spillover/offers.rs
@@ -1,6 +1,7 @@
-//! The borrower's decisions about offers of loans, and what they write.
+//! The borrower's decisions about offers of loans, and the transactions that record them.
 //!
-//! Must never accept a loan without recording it, nor call one refused of which any task may run here.
+//! Invariants: a loan is accepted only once it is recorded, and is reported as refused only if none of its tasks
+//! can run in this cell.
 
 use super::Controller;
 use crate::clock::Timestamp;
@@ -11,38 +12,38 @@
 use quillbend_spillover::message::{Offer, OfferDecision, RejectionReason};
 use tracing::info;
 
-/// A borrower accepts only while the lender answered a question sent within this time, ms.
+/// An offer is accepted only if the lender has answered a request sent within this time, ms.
 const LENDER_RESPONSE_MAX_AGE_MS: u64 = 15_000;
-/// CPUs may exceed the room by this, for sums are rounded.
+/// CPUs by which a request may exceed the capacity, because sums are rounded.
 const CPU_ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// A job in the archive, with the revision of its key.
+/// A job read from the archive.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ArchivedJob {
-    /// Its value.
+    /// Stored value of the job.
     pub record: JobRecord,
-    /// Revision of its key.
+    /// Modification revision of its key.
     pub mod_revision: u64,
 }
 
-/// What is to be done about an offer.
+/// How to handle an offer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum OfferPlan {
-    /// Write this; once that is carried out, the decision holds. If its conditions fail, plan again
-    /// with what the archive shows.
+    /// Commit the transaction; the decision takes effect once it is committed. If a precondition fails, plan
+    /// again with the job as the archive shows it.
     Write {
-        /// The transaction.
+        /// The transaction to commit.
         transaction: Transaction,
         /// The decision that it records.
         decision: OfferDecision,
     },
-    /// Nothing is to be written.
+    /// Respond with this decision; nothing has to be written.
     Respond(OfferDecision),
 }
 
 impl Controller {
-    /// Plans the answer to an offer, with what the archive shows of a job of that name, if that was
-    /// read already.
+    /// Plans the response to an offer. `archived` is the archived job of the same name, if it was read
+    /// already.
     pub fn plan_offer(
         &self,
         from: &str,
@@ -71,8 +72,8 @@
         }
     }
 
-    /// The write that records a decision about an offer of a job. `archived_revision` is the revision of the
-    /// job's key in the archive, 0 if there is none.
+    /// The transaction that records a decision about an offer of a job. `archived_revision` is the revision
+    /// of the job's key in the archive, 0 if there is none.
     fn decision_transaction(
         &self,
         job: &str,
@@ -81,7 +82,7 @@
         archived_revision: u64,
     ) -> Transaction {
         let precondition = |key, mod_revision| Precondition { key, mod_revision };
-        // An earlier transfer that is over gives way to this one.
+        // This transfer replaces an earlier one that has ended.
         let earlier = self.ended_loan_revision(job);
         let preconditions = vec![
             precondition(job_key(job), earlier.unwrap_or(0)),
@@ -96,7 +97,7 @@
                 }
                 mutations
             }
-            // Whatever copies of the offer still arrive, they find this.
+            // Delayed copies of the offer find this record of the refusal.
             _ if earlier.is_some() => vec![put(&job_key(job), record, None)],
             _ => vec![put(&past_key(job), record, None)],
         };
@@ -106,9 +107,9 @@
         }
     }
 
-    /// The decision about an offer of a loan that is known under the same token. A refusal is the
-    /// lender's proof that nothing of it runs here: one that was cancelled is not called refused as long
-    /// as a queue lists any of its tasks.
+    /// The decision about a repeated offer, whose loan is recorded under the same token. To the lender a
+    /// refusal proves that no task of the loan runs in this cell, so a cancelled loan is not reported as
+    /// refused while a queue lists any of its tasks.
     fn decision_on_repeated_offer(&self, name: &str, job: &Job) -> OfferDecision {
         match job.status {
             JobStatus::Cancelled if self.ended_loan_revision(name).is_some() => {
@@ -119,17 +120,18 @@
         }
     }
 
-    /// The revision of a loan under a job's name that is over and of which no queue lists anything.
+    /// The revision of a borrowed job by this name that is in a final state and has no task in any queue.
     fn ended_loan_revision(&self, name: &str) -> Option<u64> {
         let (job_id, job) = self.replica.job_named(name)?;
-        let over = job.borrowed().is_some()
+        let has_ended = job.borrowed().is_some()
             && job.status != JobStatus::Pending
             && self.replica.bound_len(job_id) == 0
             && job.mod_revision <= self.replica.revision;
-        over.then_some(job.mod_revision)
+        has_ended.then_some(job.mod_revision)
     }
 
-    /// The decision about an offer of which something is known here already.
+    /// The decision about an offer if a job of that name is already known in this cell, else None. Also
+    /// None if the new offer may replace an earlier transfer that has ended.
     fn decision_for_known_job(
         &self,
         from: &str,
@@ -151,7 +153,7 @@
                     OfferDecision::Deferred(RejectionReason::TransferEnded)
                 }
                 Some(_) if self.ended_loan_revision(name).is_some() => return None,
-                // The transfer before is not over here yet.
+                // The earlier transfer has not ended in this cell yet.
                 Some(_) => OfferDecision::Deferred(RejectionReason::StoreUnavailable),
                 None => OfferDecision::Deferred(RejectionReason::NameTaken),
             });
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Why an offer is refused for good, if so.
+    /// Why an offer of an unknown job is refused permanently; None if it is accepted.
     fn refusal_reason(
         &self,
         from: &str,
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Whether no task of a job would find room here, or this cell lends work of its class itself.
+    /// Whether this cell has no capacity for even one task of a job, or lends jobs of the same class itself.
     fn lacks_capacity_for(&self, spec: &JobSpec, now: Timestamp) -> bool {
         let status = self.cell_status(now);
         let team = status.teams.iter().find(|team| team.name == spec.team);
@@ -214,7 +216,7 @@
         room_cpus + CPU_ROUNDING_TOLERANCE < spec.cpus || status.lent_classes.contains(&spec.class)
     }
 
-    /// The value of a loan here: pending, or over where it is refused.
+    /// The job record of a loan in this cell: pending if it is accepted, cancelled if it is refused.
     fn borrowed_record(
         &self,
         from: &str,
@@ -240,7 +242,7 @@
         }
     }
 
-    /// A decision about an offer was recorded, or nothing had to be.
+    /// Counts a decision about an offer, after it was recorded if that was necessary.
     pub fn on_offer_decided(&mut self, offer: &Offer<JobSpec>, decision: OfferDecision) {
         let job = &offer.loan.job;
         match decision {
--- a/src/spillover/serving.rs
+++ b/src/spillover/serving.rs
@@ -1,7 +1,8 @@
-//! Answers to the requests of other cells. What has to be written first is planned here as well; the
-//! HTTP handler commits it and then asks for the answer.
+//! Responses to the requests of other cells, and the transactions that must be committed before a response. The
+//! HTTP handler commits those and then requests the response.
 //!
-//! Must never say that a loan stands unless the replica shows it, nor how old that is too low.
+//! Invariants: a loan is reported as active only if the replica shows it, and the age of that information is never
+//! understated.
 
 use super::{CellRequest, Controller, Spillover};
 use crate::clock::Timestamp;
@@ -19,14 +20,15 @@
 use tracing::{info, warn};
 
 impl Controller {
-    /// Why a request is refused as a whole, if so. `source` is where it came from, if that is known.
+    /// The refusal of a whole request, or None if it is accepted. `source` is the sender's IP address, if it
+    /// is known.
     pub fn refuse_cell_request(
         &mut self,
         request: &CellRequest,
         source: Option<IpAddr>,
     ) -> Option<CellResponse> {
         let settings = &self.spillover.settings;
-        // Controllers of this cell ask each other only for what they know of loans.
+        // Controllers of this cell send each other only requests for confirmations.
         let relayed = matches!(request.body, RequestBody::Confirm { .. });
         let own_cell = relayed && self.spillover.is_enabled() && request.from == settings.cell;
         let cell = settings.cell_by_name(&request.from);
@@ -46,8 +48,8 @@
         Some(CellResponse::Refused(refusal))
     }
 
-    /// What the status of loans makes this cell write: the ends of loans. Each has the condition that the
-    /// job's key is as the replica shows it, so the first end to be written counts for everybody.
+    /// Records a borrower's reports and plans one transaction for each loan that they end. Its precondition
+    /// is the revision of the job's key in the replica, so only the first recorded end takes effect.
     pub fn plan_loan_ends(
         &mut self,
         from: &str,
@@ -79,7 +81,7 @@
         transactions
     }
 
-    /// A write of [`Controller::plan_loan_ends`] was carried out at a revision.
+    /// Applies a transaction of [`Controller::plan_loan_ends`] that was committed at a revision.
     pub fn on_loan_end(&mut self, transaction: &Transaction, revision: u64) {
         self.replica.apply_own(transaction, revision);
         for mutation in &transaction.mutations {
@@ -94,7 +96,7 @@
         }
     }
 
-    /// The write that records that a lent job is done.
+    /// The mutation that records a lent job as done. None if the job is unknown.
     fn finish_mutation(&self, job_id: JobId) -> Option<Mutation> {
         let job = self.replica.jobs.get(&job_id)?;
         let mut record = job.record(Default::default(), JobStatus::Done);
@@ -104,7 +106,7 @@
         Some(put(&key, &record, None))
     }
 
-    /// The job of a loan that this cell has made and not ended, recalled or not.
+    /// The job of a loan from this cell that has not ended, whether or not it was recalled.
     fn lent_job(&self, borrower: &str, loan: &LoanId) -> Option<JobId> {
         let (job_id, job) = self.replica.job_named(&loan.job)?;
         let mark = job.lent()?;
@@ -112,8 +114,8 @@
         (same && job.status == JobStatus::Pending).then_some(job_id)
     }
 
-    /// The answer to a request, after what it made this cell write. Offers are answered by the HTTP handler,
-    /// one decision after the other.
+    /// The response to a request, after the writes that it requires. The leader's HTTP handler answers offers
+    /// itself, one decision after the other, so here an offer only gets [`CellResponse::NotLeader`].
     pub fn respond_to_cell(&mut self, request: &CellRequest, now: Timestamp) -> CellResponse {
         match &request.body {
             RequestBody::Status if self.leads().is_none() => CellResponse::NotLeader,
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Whether a loan stands, as far as this controller's replica shows, and how old that is.
+    /// The status of a loan in this controller's replica, with the age of that information.
     fn loan_status(&self, borrower: &str, loan: &LoanId, now: Timestamp) -> LoanStatusResponse {
         let response = |status, age_ms| LoanStatusResponse {
             loan: loan.clone(),
@@ -145,7 +147,7 @@
         };
         let status = match self.replica.job_named(&loan.job) {
             Some((job_id, job)) => self.status_of_known_job(job_id, job, borrower, loan),
-            // What is no longer under a watched key is over; but it may not be there yet.
+            // A job without a watched key has ended, unless the replica is older than the transfer.
             None if self.replica.revision > loan.token.0
                 && !self.replica.is_unreadable(&loan.job) =>
             {
@@ -156,7 +158,7 @@
         response(status, age_ms)
     }
 
-    /// Whether a loan of a job that the replica shows stands.
+    /// The status of a loan whose job is in the replica.
     fn status_of_known_job(
         &self,
         job_id: JobId,
@@ -175,7 +177,7 @@
                     false => LoanStatus::Ended,
                 }
             }
-            // The replica does not show the loan yet.
+            // The replica still shows the job as it was before the loan.
             _ if job.mod_revision <= loan.token.0 => LoanStatus::Unknown,
             _ => LoanStatus::Ended,
         }
@@ -183,7 +185,7 @@
 }
 
 impl Spillover {
-    /// Records when a borrower last reported on a loan.
+    /// Records the time of a borrower's report on a loan.
     fn record_report(&mut self, report: &LoanReport, now: Timestamp) {
         let Some(loan) = self.lent.get_mut(&report.loan.job) else {
             return;
@@ -192,8 +194,8 @@
             return;
         }
         loan.accepted = true;
-        // Guards against a cut of one direction: a borrower that is heard but hears nothing can do
-        // nothing with the loan.
+        // In a one-way network partition, the borrower's reports arrive but it receives no confirmations and
+        // cannot run the loan. Such reports must not prevent a recall.
         if report.confirmed {
             loan.last_report_at = Some(now);
         }
--- a/src/spillover/status_page.rs
+++ b/src/spillover/status_page.rs
@@ -1,4 +1,4 @@
-//! What operators see of transfers on the status page.
+//! The section about transfers on the status page for operators.
 
 use super::{CellLink, Controller, Spillover};
 use crate::clock::Timestamp;
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 impl Controller {
-    /// What operators see of transfers; none while there is nothing to see.
+    /// The section about spillover; None if spillover is disabled and no loans are left.
     pub(crate) fn spillover_page(&self, now: Timestamp) -> Option<Value> {
         if !self.handles_transfers() {
             return None;
@@ -21,7 +21,7 @@
         }))
     }
 
-    /// The jobs that are lent, and those that are borrowed, by their names.
+    /// The lent jobs and the borrowed jobs, each by job name.
     fn transfers_page(&self, now: Timestamp) -> (BTreeMap<&str, Value>, BTreeMap<&str, Value>) {
         let (mut lent, mut borrowed) = (BTreeMap::new(), BTreeMap::new());
         for (job_id, job) in self.replica.transferred() {
@@ -48,7 +48,7 @@
 }
 
 impl Spillover {
-    /// The other cells, by their names.
+    /// The other cells, by cell name.
     fn cells_page(&self, now: Timestamp) -> BTreeMap<&str, Value> {
         let cells = self.settings.cells.iter().zip(&self.cells);
         cells
--- a/src/spillover/tests.rs
+++ b/src/spillover/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what transfers write together.
+//! Tests of batched transactions.
 
 use super::Batch;
 use crate::controller::put;
@@ -12,16 +12,16 @@
 }
 
 #[test]
-fn a_batch_holds_no_more_than_the_state_service_takes() {
+fn a_batch_stays_within_the_limits_of_the_store() {
     let large = put("qb/job/wk-000001", &"x".repeat(20_000), None);
     let mut batch = Batch::new(24);
     assert!(batch.add(precondition("a"), large.clone()));
     assert!(batch.add(precondition("b"), large.clone()));
     assert!(
         !batch.add(precondition("c"), large.clone()),
-        "64 KiB altogether"
+        "the values would exceed 64 KiB"
     );
-    let transaction = batch.finish().expect("two changes");
+    let transaction = batch.finish().expect("a batch of two mutations");
     assert_eq!(
         (transaction.preconditions.len(), transaction.mutations.len()),
         (2, 2)
@@ -30,6 +30,9 @@
     let mut batch = Batch::new(2);
     assert!(batch.add(precondition("a"), small.clone()));
     assert!(batch.add(precondition("b"), small.clone()));
-    assert!(!batch.add(precondition("c"), small), "two changes");
+    assert!(
+        !batch.add(precondition("c"), small),
+        "at most two mutations"
+    );
     assert_eq!(Batch::new(2).finish(), None);
 }
