--- a/crates/spillover/src/policy.rs
+++ b/crates/spillover/src/policy.rs
@@ -1,59 +1,59 @@
-//! When a lender lends, what, and to whom; and when a loan is recalled.
+//! The lender's policy: when to lend, which jobs, to which cell, and when to recall a loan.
 //!
-//! Pure decisions: the caller gathers what they rest on and carries them out.
+//! All functions are pure: the caller gathers their inputs and carries out the decisions.
 
 use crate::message::{CellStatus, MachineType};
 use crate::settings::PolicySettings;
 use std::collections::BTreeMap;
 
-/// CPUs that a task counts for at least.
+/// Minimum CPUs that a task counts for.
 const MIN_TASK_CPUS: f64 = 0.01;
-/// Sums of sizes may exceed a limit by this, for they are rounded.
-const ROUNDING: f64 = 1e-6;
+/// Amount by which sums of sizes may exceed a limit, because they are rounded.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// A job of which nothing has begun, in the order in which the lender would serve it.
+/// A job with waiting tasks. Lists of these are in the order in which the lender serves them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WaitingJob {
-    /// Name.
+    /// Name of the job.
     pub name: String,
-    /// Class.
+    /// Job class. A cell does not borrow jobs of a class that it lends itself.
     pub class: String,
-    /// Team.
+    /// Name of the team that it belongs to.
     pub team: String,
-    /// Number of tasks.
+    /// Number of waiting tasks.
     pub tasks: u32,
-    /// What one task takes.
+    /// Resources that one task requires.
     pub task: TaskNeeds,
-    /// Expected seconds of a task.
+    /// Expected run time of a task, seconds.
     pub run_s: f64,
-    /// Size of its image.
+    /// Size of its image, GB.
     pub image_gb: f64,
-    /// Allowed machine types; none for any.
+    /// Names of the allowed machine types; None allows any.
     pub machine_types: Option<Vec<String>>,
-    /// The only zone.
+    /// The required zone; None allows any.
     pub zone: Option<String>,
-    /// Whether it may be lent at all.
+    /// Whether the job may be lent.
     pub lendable: bool,
 }
 
-/// What one task takes of its machine.
+/// Resources that one task requires of its machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TaskNeeds {
-    /// CPUs.
+    /// CPUs of one task.
     pub cpus: f64,
-    /// GPUs.
+    /// GPUs of one task.
     pub gpus: f64,
-    /// Memory.
+    /// Memory of one task, GB.
     pub memory_gb: f64,
 }
 
 impl WaitingJob {
-    /// Seconds of CPU time that it takes.
+    /// Expected CPU time of all waiting tasks, seconds.
     fn work_s(&self) -> f64 {
         self.cpus() * self.run_s
     }
 
-    /// CPUs of all its tasks together.
+    /// CPUs of all waiting tasks together.
     pub fn cpus(&self) -> f64 {
         f64::from(self.tasks) * self.task.cpus.max(MIN_TASK_CPUS)
     }
@@ -65,43 +65,44 @@
                 .zone
                 .as_ref()
                 .is_none_or(|zone| machine_type.zones.contains(zone))
-            && self.task.cpus <= machine_type.cpus + ROUNDING
-            && self.task.gpus <= machine_type.gpus + ROUNDING
-            && self.task.memory_gb <= machine_type.memory_gb + ROUNDING
+            && self.task.cpus <= machine_type.cpus + ROUNDING_TOLERANCE
+            && self.task.gpus <= machine_type.gpus + ROUNDING_TOLERANCE
+            && self.task.memory_gb <= machine_type.memory_gb + ROUNDING_TOLERANCE
     }
 }
 
-/// What the lender itself has to offer.
+/// Capacity and load of the lending cell.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct HomeLoad {
+pub struct LocalLoad {
     /// CPUs of all machines in service.
     pub fleet_cpus: f64,
-    /// Those of them that nothing is bound to.
+    /// CPUs that no task is bound to.
     pub free_cpus: f64,
-    /// Seconds of CPU time that is bound and not done.
+    /// CPU time of bound, unfinished tasks, seconds.
     pub bound_s: f64,
-    /// For each team with a limit: the limit, and what of it is free.
+    /// Load of each team with a limit, by team name.
     pub teams: BTreeMap<String, TeamLoad>,
 }
 
-/// How much of its limit a team uses.
+/// Limit and load of a team.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TeamLoad {
-    /// Most CPUs.
+    /// Maximum CPUs.
     pub limit_cpus: f64,
-    /// CPUs below the limit.
+    /// Unused CPUs below the limit.
     pub free_cpus: f64,
-    /// Seconds of CPU time that it has bound and not done.
+    /// CPU time of the team's bound, unfinished tasks, seconds.
     pub bound_s: f64,
 }
 
-/// Predicts for each job how long it waits at home, seconds: for the fleet, and for its team's limit.
+/// Predicts how long each job waits in the lending cell, seconds: the longer of the waits for the fleet and for
+/// its team's limit.
 ///
-/// What is free is handed out in the order of the jobs. A job beyond it waits until the work that is
-/// bound or ahead of it is done, at the rate of the whole fleet or of its team's whole limit.
-pub fn predict_waits(home: &HomeLoad, jobs: &[WaitingJob]) -> Vec<f64> {
-    let mut fleet = Queue::new(home.fleet_cpus, home.free_cpus, home.bound_s);
-    let mut teams: BTreeMap<&str, Queue> = home
+/// Free CPUs are assigned in the order of the jobs. A job that gets none waits until all work that is bound or
+/// ahead of it is done, at the rate of the whole fleet or of its team's whole limit.
+pub fn predict_waits(local: &LocalLoad, jobs: &[WaitingJob]) -> Vec<f64> {
+    let mut fleet = Queue::new(local.fleet_cpus, local.free_cpus, local.bound_s);
+    let mut teams: BTreeMap<&str, Queue> = local
         .teams
         .iter()
         .map(|(name, team)| {
@@ -111,18 +112,20 @@
         .collect();
     let mut waits = Vec::with_capacity(jobs.len());
     for job in jobs {
-        let for_fleet = fleet.join(job);
-        let for_team = teams.get_mut(job.team.as_str()).map(|team| team.join(job));
-        waits.push(for_fleet.max(for_team.unwrap_or(0.0)));
+        let fleet_wait_s = fleet.enqueue(job);
+        let team_wait_s = teams
+            .get_mut(job.team.as_str())
+            .map(|team| team.enqueue(job));
+        waits.push(fleet_wait_s.max(team_wait_s.unwrap_or(0.0)));
     }
     waits
 }
 
-/// A queue in front of so many CPUs.
+/// A queue of jobs in front of a number of CPUs.
 struct Queue {
     cpus: f64,
     free_cpus: f64,
-    /// Seconds of CPU time that is bound or waits ahead.
+    /// CPU time of the tasks that are bound or already in the queue, seconds.
     ahead_s: f64,
 }
 
@@ -135,10 +138,10 @@
         }
     }
 
-    /// Puts a job at the end; the seconds until its first task begins.
-    fn join(&mut self, job: &WaitingJob) -> f64 {
-        let begins_at_once = self.free_cpus + ROUNDING >= job.task.cpus;
-        let wait_s = match begins_at_once {
+    /// Appends a job and returns the seconds until its first task starts.
+    fn enqueue(&mut self, job: &WaitingJob) -> f64 {
+        let starts_at_once = self.free_cpus + ROUNDING_TOLERANCE >= job.task.cpus;
+        let wait_s = match starts_at_once {
             true => 0.0,
             false => self.ahead_s / self.cpus.max(job.task.cpus).max(MIN_TASK_CPUS),
         };
@@ -148,110 +151,126 @@
     }
 }
 
-/// Whether a cell lends now. It begins only when the longest predicted wait has been long for a while,
-/// and ends when it is short.
+/// Whether a cell lends now. Lending starts once the longest predicted wait has stayed at or above a threshold
+/// for some time, and stops when the wait is at or below a lower threshold.
 #[derive(Debug, Clone, Default)]
 pub struct Hysteresis {
-    lends: bool,
-    long_since: Option<u64>,
+    is_lending: bool,
+    above_start_since: Option<u64>,
 }
 
 impl Hysteresis {
-    /// Takes the longest predicted wait, seconds, at a moment, ms; whether to lend now.
+    /// Updates the state with the longest predicted wait at time `now`, ms. Returns whether to lend now.
     pub fn update(&mut self, longest_wait_s: f64, policy: &PolicySettings, now: u64) -> bool {
         if longest_wait_s >= policy.start_above_s {
-            let since = *self.long_since.get_or_insert(now);
+            let since = *self.above_start_since.get_or_insert(now);
             let sustained_ms = (policy.sustain_s * 1000.0) as u64;
-            self.lends |= now.saturating_sub(since) >= sustained_ms;
+            self.is_lending |= now.saturating_sub(since) >= sustained_ms;
         } else {
-            self.long_since = None;
-            self.lends &= longest_wait_s > policy.stop_below_s;
+            self.above_start_since = None;
+            self.is_lending &= longest_wait_s > policy.stop_below_s;
         }
-        self.lends
+        self.is_lending
     }
 
-    /// Whether the cell lends.
-    pub fn lends(&self) -> bool {
-        self.lends
+    /// Whether the cell lends, as of the latest update.
+    pub fn is_lending(&self) -> bool {
+        self.is_lending
     }
 }
 
-/// A cell that might borrow.
+/// A cell that may borrow jobs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Borrower {
-    /// Its name.
+    /// Name of the cell.
     pub cell: String,
-    /// What it said of itself.
+    /// Its latest status.
     pub status: CellStatus,
-    /// CPUs of loans that it was given since.
+    /// CPUs of the jobs lent to it since that status arrived.
     pub promised_cpus: f64,
 }
 
-/// A job to be lent.
+/// A job to lend and its borrower.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Choice {
-    /// The job's place in the list of waiting jobs.
-    pub position: usize,
-    /// The borrower's place in the list of borrowers.
-    pub borrower: usize,
+pub struct LoanChoice {
+    /// Index in the list of waiting jobs.
+    pub job_index: usize,
+    /// Index in the list of borrowers.
+    pub borrower_index: usize,
 }
 
-/// Chooses the jobs that gain most from being lent, and for each the cell where it begins first.
+/// Chooses the jobs to lend, those with the longest predicted wait first, and for each the cell where it starts
+/// earliest.
 ///
-/// `barred` says which job may not go to which cell, for it was returned from there a moment ago.
-pub fn choose(
+/// `is_excluded` returns whether a job must not be lent to a cell because that cell returned it recently.
+pub fn choose_loans(
     jobs: &[WaitingJob],
     waits: &[f64],
     borrowers: &[Borrower],
     policy: &PolicySettings,
-    barred: impl Fn(&str, &str) -> bool,
-) -> Vec<Choice> {
-    let mut promised: Vec<f64> = borrowers
+    is_excluded: impl Fn(&str, &str) -> bool,
+) -> Vec<LoanChoice> {
+    let mut promised_cpus: Vec<f64> = borrowers
         .iter()
         .map(|borrower| borrower.promised_cpus)
         .collect();
     let mut order: Vec<usize> = (0..jobs.len())
-        .filter(|&position| jobs[position].lendable)
+        .filter(|&job_index| jobs[job_index].lendable)
         .collect();
     order.sort_by(|&a, &b| waits[b].total_cmp(&waits[a]).then(a.cmp(&b)));
     let mut chosen = Vec::new();
-    for position in order {
+    for job_index in order {
         if chosen.len() >= policy.jobs_per_period {
             break;
         }
-        let job = &jobs[position];
-        let gain_in = |place: usize| {
-            let borrower = &borrowers[place];
-            if barred(&job.name, &borrower.cell) {
+        let job = &jobs[job_index];
+        let gain_in = |borrower_index: usize| {
+            let borrower = &borrowers[borrower_index];
+            if is_excluded(&job.name, &borrower.cell) {
                 return None;
             }
-            let gain_s = gain_s(job, waits[position], borrower, promised[place])?;
-            (gain_s > policy.margin_s).then_some((gain_s, place))
+            let gain_s = gain_s(
+                job,
+                waits[job_index],
+                borrower,
+                promised_cpus[borrower_index],
+            )?;
+            (gain_s > policy.margin_s).then_some((gain_s, borrower_index))
         };
         let best = (0..borrowers.len()).filter_map(gain_in);
         let best = best.max_by(|a, b| a.0.total_cmp(&b.0).then(b.1.cmp(&a.1)));
-        if let Some((_, borrower)) = best {
-            promised[borrower] += job.cpus();
-            chosen.push(Choice { position, borrower });
+        if let Some((_, borrower_index)) = best {
+            promised_cpus[borrower_index] += job.cpus();
+            chosen.push(LoanChoice {
+                job_index,
+                borrower_index,
+            });
         }
     }
     chosen
 }
 
-/// By how many seconds a job would begin earlier in a cell than at home; none if that cell cannot or
-/// will not take it.
-fn gain_s(job: &WaitingJob, home_wait_s: f64, borrower: &Borrower, promised: f64) -> Option<f64> {
+/// Seconds by which a job would start earlier in a cell than in the lending cell. None if that cell cannot run
+/// it or would not accept it.
+fn gain_s(
+    job: &WaitingJob,
+    local_wait_s: f64,
+    borrower: &Borrower,
+    promised_cpus: f64,
+) -> Option<f64> {
     let status = &borrower.status;
     let team = status.teams.iter().find(|team| team.name == job.team)?;
-    let within = |most: Option<f64>, needed: f64| most.is_none_or(|most| needed <= most + ROUNDING);
+    let within = |most: Option<f64>, needed: f64| {
+        most.is_none_or(|most| needed <= most + ROUNDING_TOLERANCE)
+    };
     let allowed = within(team.cpus, job.task.cpus) && within(team.gpus, job.task.gpus);
-    // It begins where one task has room, and goes on as more comes free.
+    // Capacity for one task is enough: the other tasks start as more capacity becomes free.
     let room_cpus = status
         .room_cpus
         .min(team.free_cpus.unwrap_or(f64::INFINITY));
-    let has_room = promised + job.task.cpus <= room_cpus + ROUNDING;
-    let lends_itself = status.lent_classes.contains(&job.class);
-    if !allowed || !has_room || lends_itself {
+    let has_room = promised_cpus + job.task.cpus <= room_cpus + ROUNDING_TOLERANCE;
+    let lends_class = status.lent_classes.contains(&job.class);
+    if !allowed || !has_room || lends_class {
         return None;
     }
     let fitting = status
@@ -264,40 +283,40 @@
             false => 0.0,
         })
         .min_by(f64::total_cmp)?;
-    Some(home_wait_s - status.wait_s - fetch_s)
+    Some(local_wait_s - status.wait_s - fetch_s)
 }
 
-/// A loan that stands, as its lender knows it.
+/// The lender's information about an active loan.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LoanState {
-    /// Milliseconds since a controller of the borrower last asked about it, or since it was lent.
-    pub silent_ms: u64,
-    /// Whether one ever asked: the borrower has it.
-    pub heard: bool,
-    /// Milliseconds since any task of it was bound there, or since it was lent.
+pub struct LoanActivity {
+    /// Milliseconds since the borrower's last report on it, or since it was lent if there was none.
+    pub since_last_report_ms: u64,
+    /// Whether the borrower ever reported on it, which shows that the loan arrived.
+    pub was_reported: bool,
+    /// Milliseconds since the borrower last reported any bound task of it, or since it was lent if it never did.
     pub idle_ms: u64,
 }
 
 /// Why a loan is recalled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecallReason {
-    /// Nothing was heard of it for too long.
+    /// The borrower has not reported on the loan for too long.
     Silent,
-    /// Nothing of it is bound there, and there is room at home.
+    /// The borrower has no task of it bound, and the lending cell has capacity for the job.
     RoomAtHome,
 }
 
-/// Whether a loan is to be recalled, and why. `silent_ms`: silence after which it is.
-pub fn recall(
-    loan: &LoanState,
-    home_has_room: bool,
-    silent_ms: u64,
+/// The reason to recall a loan, or None to keep it. A loan without a report for `max_silence_ms` is recalled.
+pub fn recall_reason(
+    loan: &LoanActivity,
+    has_local_capacity: bool,
+    max_silence_ms: u64,
     policy: &PolicySettings,
 ) -> Option<RecallReason> {
-    if loan.silent_ms >= silent_ms {
+    if loan.since_last_report_ms >= max_silence_ms {
         return Some(RecallReason::Silent);
     }
-    let patience_ms = (policy.idle_s * 1000.0) as u64;
-    let idle = loan.heard && loan.idle_ms >= patience_ms;
-    (home_has_room && idle).then_some(RecallReason::RoomAtHome)
+    let idle_limit_ms = (policy.idle_s * 1000.0) as u64;
+    let idle = loan.was_reported && loan.idle_ms >= idle_limit_ms;
+    (has_local_capacity && idle).then_some(RecallReason::RoomAtHome)
 }
--- a/src/controller/peers/messages.rs
+++ b/src/controller/peers/messages.rs
@@ -131,7 +131,7 @@
             cancelled: Vec::new(),
             grants: Vec::new(),
             format: self.formats.own_format(),
-            loans: self.spillover.heard_loans(now),
+            loans: self.spillover.reported_loans(now),
         }
     }
 
@@ -209,7 +209,7 @@
         self.record_reported_cancellations(&message.cancelled);
         self.record_reported_grants(message.grants);
         self.adopt_run_time_ratios(message.run_time_ratios);
-        self.spillover.on_heard_loans(message.loans, now);
+        self.spillover.on_reported_loans(message.loans, now);
         for steal_message in message.steal_messages {
             self.on_steal_message(steal_message, now);
         }
@@ -224,7 +224,7 @@
             };
             let job = self.replica.jobs.get(&job_id);
             let pending = job.is_some_and(|job| job.status == JobStatus::Pending);
-            if pending && !self.is_loan(job_id) {
+            if pending && !self.is_borrowed(job_id) {
                 self.peers.reported_cancellations.insert(job_id);
             }
         }
@@ -262,7 +262,7 @@
             self.peers.forget_reported_cancellation(job);
             // A returned loan may be lent again under another fencing token; only its lender can
             // report whether it still exists.
-            if self.is_loan(job) {
+            if self.is_borrowed(job) {
                 continue;
             }
             let name = self.replica.names.jobs.name(job).to_owned();
--- a/src/spillover/borrowing.rs
+++ b/src/spillover/borrowing.rs
@@ -1,6 +1,7 @@
-//! The borrower's side: questions whether loans stand, and the end of those that do not.
+//! The borrower's side: requests confirmation of loans and cancels loans that have ended.
 //!
-//! Must never start a task of a loan, or answer a machine that runs one, without the lender's confirmation.
+//! Invariant: without the lender's confirmation, no task of a loan is started and no heartbeat of a machine that
+//! runs one is acknowledged.
 
 use super::{CellCall, Controller, Spillover};
 use crate::clock::Timestamp;
@@ -9,18 +10,18 @@
 use crate::protocol::{Heartbeat, JobStatus, TaskPhase, Transaction};
 use crate::replica::{Job, job_key};
 use quillbend_spillover::confirmation::Permission;
-use quillbend_spillover::message::{CellAnswer, LoanId, LoanReport, Progress, RequestBody};
+use quillbend_spillover::message::{CellResponse, LoanId, LoanReport, Progress, RequestBody};
 
-/// Interval of questions while nothing is borrowed: they show that the lender can be reached, ms.
-const IDLE_ASK_MS: u64 = 5000;
-/// Pause after a question without an answer, ms.
-const RETRY_MS: u64 = 400;
-/// The same while nothing is borrowed, ms.
-const IDLE_RETRY_MS: u64 = 2500;
+/// Interval between requests while nothing is borrowed, ms. They show that the lender is reachable.
+const IDLE_REQUEST_PERIOD_MS: u64 = 5000;
+/// Delay after a failed request, ms.
+const RETRY_DELAY_MS: u64 = 400;
+/// Delay after a failed request while nothing is borrowed, ms.
+const IDLE_RETRY_DELAY_MS: u64 = 2500;
 
 impl Controller {
-    /// Records the loans that the replica shows as borrowed, and forgets the others.
-    pub(super) fn note_borrowed(&mut self, now: Timestamp) {
+    /// Records the loans that the replica shows as borrowed and removes all others.
+    pub(super) fn record_borrowed_loans(&mut self, now: Timestamp) {
         for (job_id, job) in self.replica.transferred_jobs() {
             let Some(mark) = job.borrowed_from() else {
                 continue;
@@ -31,7 +32,7 @@
             };
             self.spillover
                 .confirmations
-                .note(&loan, mark.lease_ms, now.0);
+                .record_loan(&loan, mark.lease_ms, now.0);
         }
         let replica = &self.replica;
         let is_borrowed = |name: &str| {
@@ -41,31 +42,31 @@
         self.spillover.confirmations.retain(is_borrowed);
     }
 
-    /// Asks each lender, and where that does not answer the other controllers of this cell, whether
-    /// the loans stand.
-    pub(super) fn ask_confirmations(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
-        let ask_ms = (self.spillover.settings.loan.ask_s * 1000.0) as u64;
-        for cell in 0..self.spillover.cells.len() {
-            let name = self.spillover.settings.cells[cell].name.clone();
+    /// Asks each lender whether its loans are active. If the lender does not respond, also asks the other
+    /// controllers of this cell for their confirmations.
+    pub(super) fn request_confirmations(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
+        let request_period_ms = (self.spillover.settings.loan.ask_s * 1000.0) as u64;
+        for cell_index in 0..self.spillover.cells.len() {
+            let name = self.spillover.settings.cells[cell_index].name.clone();
             let loans = self.loan_reports(&name, now);
             let period_ms = if loans.is_empty() {
-                IDLE_ASK_MS
+                IDLE_REQUEST_PERIOD_MS
             } else {
-                ask_ms
+                request_period_ms
             };
-            let link = &mut self.spillover.cells[cell];
-            let unanswered = !link.origin.answered_within(2 * ask_ms, now.0);
-            let mut asked = Vec::new();
-            if let Some(address) = link.origin.ask(now.0, period_ms) {
-                asked.push((address, false));
+            let link = &mut self.spillover.cells[cell_index];
+            let lender_unresponsive = !link.lender.answered_within(2 * request_period_ms, now.0);
+            let mut targets = Vec::new();
+            if let Some(address) = link.lender.start_request(now.0, period_ms) {
+                targets.push((address, false));
             }
             if !loans.is_empty()
-                && unanswered
-                && let Some(address) = link.relay.ask(now.0, ask_ms)
+                && lender_unresponsive
+                && let Some(address) = link.relay.start_request(now.0, request_period_ms)
             {
-                asked.push((address, true));
+                targets.push((address, true));
             }
-            for (address, relayed) in asked {
+            for (address, relayed) in targets {
                 let request = self.spillover.cell_request(RequestBody::Confirm {
                     origin: name.clone(),
                     loans: loans.clone(),
@@ -73,14 +74,14 @@
                 out.push(Effect::CallCell(Box::new(CellCall {
                     address,
                     request,
-                    cell,
+                    cell_index,
                     relayed,
                 })));
             }
         }
     }
 
-    /// The status of all loans of a lender.
+    /// Reports on all loans from a lender.
     fn loan_reports(&self, lender: &str, now: Timestamp) -> Vec<LoanReport> {
         let loans = self.replica.transferred_jobs().filter_map(|(job_id, job)| {
             let mark = job.borrowed_from().filter(|mark| mark.cell == lender)?;
@@ -91,16 +92,16 @@
                     token: mark.token,
                 },
                 confirmed: self.spillover.permission(job, name, now) == Permission::Run,
-                progress: self.progress(job_id, job),
+                progress: self.loan_progress(job_id, job),
             })
         });
         loans.collect()
     }
 
-    /// How far a loan is. That it was cancelled and that no queue lists any of its tasks is proof: each
-    /// task left its queue on proof that it is on no machine, and none that is bound to a job which is
-    /// over is ever started.
-    fn progress(&self, job_id: JobId, job: &Job) -> Progress {
+    /// Progress of a loan. A cancelled loan with no task in any queue proves that none of its tasks runs: a
+    /// task leaves its queue only with proof that it is on no machine, and tasks of a job in a final state
+    /// are never started.
+    fn loan_progress(&self, job_id: JobId, job: &Job) -> Progress {
         let bound = self.replica.bound_task_count(job_id);
         match job.status {
             JobStatus::Done => Progress::Done,
@@ -116,17 +117,17 @@
         }
     }
 
-    /// Plans the write that cancels loans of which the lender says that they no longer stand. Their tasks are
-    /// then stopped as those of any job that is over.
+    /// Plans the write that cancels the loans that the lender reported as ended. Their tasks are then stopped
+    /// like those of any job in a final state.
     pub(crate) fn plan_ended_loans(&self) -> Option<Transaction> {
         let mut batch = self.transfer_batch();
         for (job_id, job) in self.replica.transferred_jobs() {
             let name = self.replica.names.jobs.name(job_id);
-            let over = job.borrowed_from().is_some_and(|mark| {
+            let ended = job.borrowed_from().is_some_and(|mark| {
                 let confirmations = &self.spillover.confirmations;
-                confirmations.is_over(name, mark.token)
+                confirmations.has_ended(name, mark.token)
             });
-            if !over || job.status != JobStatus::Pending {
+            if !ended || job.status != JobStatus::Pending {
                 continue;
             }
             let done = self.replica.done_tasks(job.done.clone());
@@ -140,20 +141,21 @@
         batch.finish()
     }
 
-    /// Whether a job may leave the watched keys, as far as transfers go: its lender must have recorded its
-    /// end.
+    /// Whether transfers allow a job to be archived, which removes it from the watched keys. The lender of a
+    /// borrowed job must have recorded its end first.
     pub(crate) fn may_archive(&self, job_id: JobId, job: &Job) -> bool {
         let name = self.replica.names.jobs.name(job_id);
         job.borrowed_from().is_none_or(|mark| {
             let confirmations = &self.spillover.confirmations;
-            confirmations.is_acknowledged(name, mark.token)
+            confirmations.is_end_acknowledged(name, mark.token)
         })
     }
 
-    /// Whether a machine runs tasks of a loan of which this controller has no confirmation yet.
+    /// Whether a machine reports tasks of a loan for which this controller still waits for its first
+    /// confirmation.
     ///
-    /// Guards against a controller that has just started: its answer would renew the worker's lease for
-    /// tasks that may not go on, and a command to stop would end work that may.
+    /// A controller that has just started must neither acknowledge such a heartbeat, which would renew the
+    /// worker's lease for tasks that may have to stop, nor stop tasks that may be allowed to continue.
     pub(crate) fn must_wait_for_confirmation(&self, heartbeat: &Heartbeat, now: Timestamp) -> bool {
         if !self.replica.has_transfers() {
             return false;
@@ -172,38 +174,39 @@
 }
 
 impl Spillover {
-    /// A lender, or a relay, answered whether loans stand. `reported` is what the question said of them.
-    pub(super) fn on_standings(
+    /// Handles loan statuses from a lender or a relay; None means that the request failed. `reported` holds
+    /// the reports that the request carried.
+    pub(super) fn on_loan_statuses(
         &mut self,
         call: &CellCall,
         reported: &[LoanReport],
-        answer: Option<CellAnswer>,
-        sent: Timestamp,
+        response: Option<CellResponse>,
+        sent_at: Timestamp,
         now: Timestamp,
     ) {
-        let link = &mut self.cells[call.cell];
-        let contact = match call.relayed {
+        let link = &mut self.cells[call.cell_index];
+        let selector = match call.relayed {
             true => &mut link.relay,
-            false => &mut link.origin,
+            false => &mut link.lender,
         };
-        let Some(CellAnswer::Standings(standings)) = answer else {
+        let Some(CellResponse::LoanStatuses(statuses)) = response else {
             let pause_ms = if reported.is_empty() {
-                IDLE_RETRY_MS
+                IDLE_RETRY_DELAY_MS
             } else {
-                RETRY_MS
+                RETRY_DELAY_MS
             };
-            contact.on_failure(now.0, pause_ms);
+            selector.on_failure(now.0, pause_ms);
             return;
         };
-        contact.on_answer(sent.0);
-        for standing in standings {
+        selector.on_response(sent_at.0);
+        for response in statuses {
             let reported_end = !call.relayed
                 && reported.iter().any(|report| {
-                    let over = !matches!(report.progress, Progress::Pending { .. });
-                    report.loan == standing.loan && over
+                    let ended = !matches!(report.progress, Progress::Pending { .. });
+                    report.loan == response.loan && ended
                 });
             let confirmations = &mut self.confirmations;
-            confirmations.on_answer(&standing, sent.0, reported_end);
+            confirmations.on_response(&response, sent_at.0, reported_end);
         }
     }
 }
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -1,6 +1,6 @@
 //! The lender's side: the leader lends jobs, recalls them and takes them back.
 //!
-//! Must never take a job back while a task of it may be on a machine of the borrower.
+//! Invariant: a job is not taken back while any of its tasks may be on a machine of the borrower.
 
 use super::load::WaitForecast;
 use super::{Batch, Controller, LentLoan};
@@ -13,28 +13,28 @@
 use crate::records::Transfer;
 use crate::replica::{Job, job_key};
 use quillbend_spillover::message::{LoanId, TransferToken};
-use quillbend_spillover::policy::{self, Borrower, LoanState};
+use quillbend_spillover::policy::{self, Borrower, LoanActivity};
 use quillbend_spillover::settings::PolicySettings;
 use std::collections::BTreeSet;
 use tracing::info;
 
-/// How long a job that was returned is not lent to the same cell, ms.
-const BARRED_MS: u64 = 20_000;
-/// Bytes that a lent job's value grows by when it is marked as recalled.
+/// Time for which a returned job is not lent to the same cell again, ms.
+const RELEND_DELAY_MS: u64 = 20_000;
+/// Bytes by which the value of a lent job grows when it is marked as recalled.
 const RECALL_MARK_BYTES: usize = 16;
 
-/// A lent job that is to be taken back.
+/// A lent job that can be taken back now.
 struct DueReturn {
     job_id: JobId,
     cell: String,
-    /// Taken back because every lease is over, not on the borrower's refusal.
+    /// True if it is taken back because all leases have expired, false if because the borrower refused it.
     expired: bool,
 }
 
 impl Controller {
-    /// Records the loans that the replica shows as lent, and forgets the others.
-    pub(super) fn note_lent(&mut self, now: Timestamp) {
-        let mut shown = BTreeSet::new();
+    /// Records the loans that the replica shows as lent and removes all others.
+    pub(super) fn record_lent_loans(&mut self, now: Timestamp) {
+        let mut lent_jobs = BTreeSet::new();
         for (job_id, job) in self.replica.transferred_jobs() {
             let Some(mark) = job.lent_to() else { continue };
             if job.status != JobStatus::Pending {
@@ -44,27 +44,29 @@
                 job: self.replica.names.jobs.name(job_id).to_owned(),
                 token: mark.token,
             };
-            shown.insert(id.job.clone());
-            let recent = LentLoan::new(id.clone(), now);
+            lent_jobs.insert(id.job.clone());
+            let new_loan = LentLoan::new(id.clone(), now);
             let loan = self
                 .spillover
                 .lent
                 .entry(id.job.clone())
-                .or_insert_with(|| recent.clone());
+                .or_insert_with(|| new_loan.clone());
             if loan.id.token != id.token {
-                *loan = recent;
+                *loan = new_loan;
             }
             if mark.recalled {
                 loan.recalled_at.get_or_insert(now);
             }
         }
-        self.spillover.lent.retain(|job, _| shown.contains(job));
-        self.spillover.barred.retain(|_, until| now < *until);
+        self.spillover.lent.retain(|job, _| lent_jobs.contains(job));
+        self.spillover
+            .relend_not_before
+            .retain(|_, until| now < *until);
     }
 
-    /// The next write about transfers, of the leader.
+    /// Plans the leader's next write about transfers: returns first, then ended loans, recalls and new loans.
     pub(crate) fn plan_transfers(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
-        if !self.uses_spillover() {
+        if !self.handles_transfers() {
             return None;
         }
         self.plan_returns(now)
@@ -74,8 +76,8 @@
             .or_else(|| self.plan_loans(now))
     }
 
-    /// Takes back loans that the borrower has refused on record, and those that were recalled so long ago
-    /// that nothing of them can be on any machine.
+    /// Takes back loans for which the borrower has recorded a refusal, and loans recalled so long ago that
+    /// none of their tasks can be on any machine.
     fn plan_returns(&mut self, now: Timestamp) -> Option<Transaction> {
         let jobs = self.replica.transferred_jobs();
         let due = jobs.filter_map(|(job_id, job)| self.due_return(job_id, job, now));
@@ -88,7 +90,7 @@
                 expired,
             } = due_return;
             let name = self.replica.names.jobs.name(job_id).to_owned();
-            let Some(mutation) = self.returned_loan(job_id, &RangeSet::new()) else {
+            let Some(mutation) = self.return_mutation(job_id, &RangeSet::new()) else {
                 continue;
             };
             if !batch.add(self.precondition(&job_key(&name)), mutation) {
@@ -97,20 +99,20 @@
             info!(job = name, cell, expired, "loan returned");
             self.spillover.counters.expired += u64::from(expired);
             self.spillover.counters.returned += u64::from(!expired);
-            let until = now.plus(BARRED_MS);
-            self.spillover.barred.insert((name, cell), until);
+            let until = now.plus(RELEND_DELAY_MS);
+            self.spillover.relend_not_before.insert((name, cell), until);
         }
         batch.finish()
     }
 
-    /// Whether a lent job is to be taken back now.
+    /// The return of a lent job, or None if it must not be taken back yet.
     fn due_return(&self, job_id: JobId, job: &Job, now: Timestamp) -> Option<DueReturn> {
         let mark = job.lent_to()?;
         let name = self.replica.names.jobs.name(job_id);
         let loan = self.spillover.lent.get(name)?;
         let expired = loan
             .recalled_at
-            .is_some_and(|at| now.since(at) > mark.terms.gone_after_ms());
+            .is_some_and(|at| now.since(at) > mark.terms.tasks_stopped_after_ms());
         let due = job.status == JobStatus::Pending && (loan.refused || expired);
         due.then(|| DueReturn {
             job_id,
@@ -119,17 +121,21 @@
         })
     }
 
-    /// An empty transaction for writes of several jobs' keys.
+    /// An empty batch with the limit on mutations from the settings.
     pub(super) fn transfer_batch(&self) -> Batch {
         Batch::new(self.settings.platform.settings.state.txn_ops)
     }
 
-    /// The write that makes a lent job an ordinary one again; these tasks were done elsewhere. None if the
-    /// value would be too large.
-    pub(super) fn returned_loan(&self, job_id: JobId, done_there: &RangeSet) -> Option<Mutation> {
+    /// The mutation that ends a loan and makes the job an ordinary one again. `done_elsewhere` are the tasks
+    /// that the borrower has done. None if the job is unknown or its value would be too large.
+    pub(super) fn return_mutation(
+        &self,
+        job_id: JobId,
+        done_elsewhere: &RangeSet,
+    ) -> Option<Mutation> {
         let job = self.replica.jobs.get(&job_id)?;
         let mut done = job.done.clone();
-        done.union(done_there);
+        done.union(done_elsewhere);
         let mut record = job.to_record(Default::default(), JobStatus::Pending);
         record.return_loan(self.replica.done_tasks(done));
         let key = job_key(self.replica.names.jobs.name(job_id));
@@ -137,12 +143,12 @@
         (mutation.value_bytes() <= self.settings.max_value_bytes()).then_some(mutation)
     }
 
-    /// Recalls loans of which nothing is heard, that were declined, or that wait in vain while there is
-    /// room at home.
+    /// Recalls loans that the borrower declined or no longer reports on, and loans without bound tasks whose
+    /// jobs now fit into this cell.
     fn plan_recalls(&mut self, now: Timestamp) -> Option<Transaction> {
         let settings = &self.spillover.settings;
-        let silent_ms = (settings.loan.silent_s * 1000.0) as u64;
-        let mut room_cpus = match self.spillover.hysteresis.lends() {
+        let max_silence_ms = (settings.loan.silent_s * 1000.0) as u64;
+        let mut free_cpus = match self.spillover.hysteresis.is_lending() {
             true => 0.0,
             false => self.spillover.idle_cpus,
         };
@@ -158,14 +164,14 @@
             if job.status != JobStatus::Pending {
                 continue;
             }
-            let state = LoanState {
-                silent_ms: now.since(loan.heard_at.unwrap_or(loan.known_since)),
-                heard: loan.heard_at.is_some(),
-                idle_ms: now.since(loan.busy_at.unwrap_or(loan.known_since)),
+            let activity = LoanActivity {
+                since_last_report_ms: now.since(loan.last_report_at.unwrap_or(loan.known_since)),
+                was_reported: loan.last_report_at.is_some(),
+                idle_ms: now.since(loan.last_bound_at.unwrap_or(loan.known_since)),
             };
             let cpus = f64::from(job.spec.task_count) * job.spec.cpus;
-            let has_room = cpus <= room_cpus;
-            let reason = policy::recall(&state, has_room, silent_ms, &settings.policy);
+            let fits = cpus <= free_cpus;
+            let reason = policy::recall_reason(&activity, fits, max_silence_ms, &settings.policy);
             if reason.is_none() && !loan.declined {
                 continue;
             }
@@ -179,7 +185,7 @@
                 break;
             }
             info!(job = name, cell = mark.cell, ?reason, "recalling loan");
-            room_cpus -= cpus;
+            free_cpus -= cpus;
         }
         let transaction = batch.finish();
         let recalled = transaction
@@ -189,8 +195,8 @@
         transaction
     }
 
-    /// Whether a job may be lent: it is ordinary, nothing of it has begun or is about to, and no other
-    /// job waits for it.
+    /// Whether a job may be lent: it is pending and not transferred, none of its tasks is done or in a block, no
+    /// newer write to it is known, and no other job depends on it. Bindings in flight are the caller's check.
     pub(super) fn is_lendable(&self, job_id: JobId, job: &Job) -> bool {
         job.status == JobStatus::Pending
             && job.transfer.is_none()
@@ -203,19 +209,19 @@
                 .is_unreadable(self.replica.names.jobs.name(job_id))
     }
 
-    /// Lends jobs, if the cell is saturated and another one would begin them clearly earlier.
+    /// Lends jobs if this cell is saturated and another cell would start them clearly earlier.
     ///
-    /// Only the leader binds, so nothing of such a job can be bound but by its own writes, and those
-    /// that are in flight or in doubt are counted.
+    /// Only the leader binds tasks, so a lendable job can only become bound by the leader's own writes, and
+    /// those in flight or in doubt are taken into account.
     fn plan_loans(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
         let policy = self.spillover.settings.policy.clone();
-        if !self.transfers_open()
+        if !self.transfers_enabled()
             || !self.grace_period_over(now)
-            || now < self.spillover.next_policy
+            || now < self.spillover.next_policy_at
         {
             return None;
         }
-        self.spillover.next_policy = now.plus((policy.period_s * 1000.0) as u64);
+        self.spillover.next_policy_at = now.plus((policy.period_s * 1000.0) as u64);
         let forecast = self.wait_forecast(now);
         self.spillover.longest_wait_s = forecast.longest_wait_s();
         self.spillover.idle_cpus = forecast.idle_cpus();
@@ -228,7 +234,7 @@
         self.lend_chosen_jobs(&forecast, &policy, now)
     }
 
-    /// Plans the write that lends the jobs which gain most from it.
+    /// Plans the write that lends the jobs that gain most from it.
     fn lend_chosen_jobs(
         &mut self,
         forecast: &WaitForecast,
@@ -236,19 +242,22 @@
         now: Timestamp,
     ) -> Option<(Transaction, WriteIntent)> {
         let WaitForecast { jobs, waits_s, .. } = forecast;
-        let (places, borrowers): (Vec<usize>, Vec<Borrower>) =
-            self.spillover.known_borrowers(now).into_iter().unzip();
-        let barred = |job: &str, cell: &str| {
+        let (cell_indices, borrowers): (Vec<usize>, Vec<Borrower>) = self
+            .spillover
+            .borrowers_with_recent_status(now)
+            .into_iter()
+            .unzip();
+        let is_excluded = |job: &str, cell: &str| {
             let key = (job.to_owned(), cell.to_owned());
-            self.spillover.barred.contains_key(&key)
+            self.spillover.relend_not_before.contains_key(&key)
         };
-        let choices = policy::choose(jobs, waits_s, &borrowers, policy, barred);
+        let choices = policy::choose_loans(jobs, waits_s, &borrowers, policy, is_excluded);
         let token = TransferToken(self.replica.latest_revision());
         let (mut batch, mut intent) = (self.transfer_batch(), WriteIntent::default());
         for choice in choices {
-            let (job, borrower) = (&jobs[choice.position], &borrowers[choice.borrower]);
-            let place = places[choice.borrower];
-            let Some((job_id, mutation)) = self.loan_of(&job.name, place, token) else {
+            let (job, borrower) = (&jobs[choice.job_index], &borrowers[choice.borrower_index]);
+            let cell_index = cell_indices[choice.borrower_index];
+            let Some((job_id, mutation)) = self.lend_mutation(&job.name, cell_index, token) else {
                 continue;
             };
             if !batch.add(self.precondition(&job_key(&job.name)), mutation) {
@@ -257,27 +266,32 @@
             info!(
                 job = job.name,
                 cell = borrower.cell,
-                wait_s = waits_s[choice.position],
+                wait_s = waits_s[choice.job_index],
                 wait_there_s = borrower.status.wait_s,
                 "lending job"
             );
-            self.spillover.cells[place].promised_cpus += job.cpus();
+            self.spillover.cells[cell_index].promised_cpus += job.cpus();
             intent.lent.push(job_id);
         }
         self.spillover.counters.lent += intent.lent.len() as u64;
         batch.finish().map(|transaction| (transaction, intent))
     }
 
-    /// The write that lends a job to the cell at a place in the settings. None if the value would be too
-    /// large.
-    fn loan_of(&self, name: &str, place: usize, token: TransferToken) -> Option<(JobId, Mutation)> {
+    /// The mutation that lends a job to the cell at an index in the settings. None if the job is unknown or
+    /// its value would be too large.
+    fn lend_mutation(
+        &self,
+        name: &str,
+        cell_index: usize,
+        token: TransferToken,
+    ) -> Option<(JobId, Mutation)> {
         let (job_id, job) = self.replica.job_by_name(name)?;
         let settings = &self.spillover.settings;
-        let cell = &settings.cells[place];
+        let cell = &settings.cells[cell_index];
         let mut record = job.to_record(Default::default(), JobStatus::Pending);
-        record.mark_lent(&cell.name, token, settings.terms_for(cell));
+        record.mark_lent(&cell.name, token, settings.loan_terms(cell));
         let mutation = put(&job_key(name), &record, None);
-        // It must still fit when it is marked as recalled.
+        // The value must still fit after it is marked as recalled.
         let fits = mutation.value_bytes() + RECALL_MARK_BYTES <= self.settings.max_value_bytes();
         fits.then_some((job_id, mutation))
     }
--- a/src/spillover/load.rs
+++ b/src/spillover/load.rs
@@ -1,6 +1,6 @@
-//! What a cell knows of its own load: how long jobs wait here, and what it would take of others.
+//! Estimates of this cell's load: how long its jobs wait, and how many CPUs it could borrow jobs for.
 //!
-//! Pure estimates: nothing here changes any state.
+//! Nothing here changes any state.
 
 use super::Controller;
 use crate::clock::Timestamp;
@@ -10,43 +10,43 @@
 use crate::protocol::JobStatus;
 use crate::replica::Job;
 use quillbend_spillover::message::{CellStatus, MachineType, TeamLimit};
-use quillbend_spillover::policy::{HomeLoad, TaskNeeds, TeamLoad, WaitingJob, predict_waits};
+use quillbend_spillover::policy::{LocalLoad, TaskNeeds, TeamLoad, WaitingJob, predict_waits};
 use std::collections::BTreeMap;
 
-/// What a cell could do for a newcomer.
-struct Spare {
-    /// Seconds until a task that comes now would probably begin: at once where a machine has room, a
-    /// start of a machine later where more can be rented, and else after all that waits.
+/// Capacity of this cell for additional tasks.
+struct SpareCapacity {
+    /// Estimated seconds until a task submitted now would start: 0 if a CPU is idle, otherwise the time until
+    /// all bound and waiting work is done, or the start time of a machine if one can be rented sooner.
     wait_s: f64,
-    /// CPUs that nothing is bound to or waits for, or that can be rented.
+    /// CPUs that are neither bound nor requested by waiting jobs; infinite if more machines can be rented.
     cpus: f64,
-    /// CPUs below the limit of each team that has one.
+    /// Free CPUs of each team that has a limit, by team name.
     team_cpus: BTreeMap<String, f64>,
 }
 
-/// What waits in this cell, and for how long.
+/// The waiting jobs of this cell with their predicted waits.
 pub(super) struct WaitForecast {
-    /// The jobs of which something waits, in the order in which they are served.
+    /// Jobs with waiting tasks, in the order in which they are served.
     pub(super) jobs: Vec<WaitingJob>,
-    /// For how long each probably waits, seconds.
+    /// Predicted wait of each job, seconds.
     pub(super) waits_s: Vec<f64>,
-    home: HomeLoad,
+    local: LocalLoad,
 }
 
 impl WaitForecast {
-    /// The longest of the waits, seconds.
+    /// Longest predicted wait, seconds; 0 if no job waits.
     pub(super) fn longest_wait_s(&self) -> f64 {
         self.waits_s.iter().copied().fold(0.0, f64::max)
     }
 
-    /// CPUs of this cell that nothing is bound to or waits for.
+    /// CPUs of this cell that are neither bound nor requested by waiting jobs.
     pub(super) fn idle_cpus(&self) -> f64 {
-        let asked: f64 = self.jobs.iter().map(WaitingJob::cpus).sum();
-        (self.home.free_cpus - asked).max(0.0)
+        let requested_cpus: f64 = self.jobs.iter().map(WaitingJob::cpus).sum();
+        (self.local.free_cpus - requested_cpus).max(0.0)
     }
 }
 
-/// A waiting job with what it is ordered by.
+/// A waiting job with its sort key.
 struct RankedJob {
     rank: Rank,
     job_id: JobId,
@@ -54,20 +54,20 @@
 }
 
 impl Controller {
-    /// For how long each job of which something waits will probably wait here.
+    /// Predicts how long each job with waiting tasks waits in this cell.
     pub(super) fn wait_forecast(&self, now: Timestamp) -> WaitForecast {
-        let jobs = self.waiting_in_order(now);
-        let home = self.home_load(now);
-        let waits_s = predict_waits(&home, &jobs);
+        let jobs = self.waiting_jobs_in_order(now);
+        let local = self.local_load(now);
+        let waits_s = predict_waits(&local, &jobs);
         WaitForecast {
             jobs,
             waits_s,
-            home,
+            local,
         }
     }
 
-    /// The jobs of which something waits, in the order in which they are served.
-    fn waiting_in_order(&self, now: Timestamp) -> Vec<WaitingJob> {
+    /// Jobs with waiting tasks, in the order in which they are served.
+    fn waiting_jobs_in_order(&self, now: Timestamp) -> Vec<WaitingJob> {
         let being_bound: HashSet<JobId> = self
             .writes
             .pending_bindings()
@@ -121,9 +121,9 @@
         }
     }
 
-    /// What the machines and the teams' limits have to offer.
-    fn home_load(&self, now: Timestamp) -> HomeLoad {
-        let mut load = HomeLoad::default();
+    /// CPUs and bound work of this cell's machines and of the teams with a limit.
+    fn local_load(&self, now: Timestamp) -> LocalLoad {
+        let mut load = LocalLoad::default();
         for rented in self.fleet(now) {
             let used = self.used_on(rented.machine).cpus;
             load.fleet_cpus += rented.size.cpus;
@@ -143,38 +143,38 @@
             let Some(team_id) = self.replica.names.teams.get(&team.name) else {
                 continue;
             };
-            let of_team = TeamLoad {
+            let team_load = TeamLoad {
                 limit_cpus: team.cpus_max,
                 free_cpus: room.get(&team_id).map_or(0.0, |room| room.cpus),
                 bound_s: bound_s.get(&team_id).copied().unwrap_or(0.0),
             };
-            load.teams.insert(team.name.clone(), of_team);
+            load.teams.insert(team.name.clone(), team_load);
         }
         load
     }
 
-    /// What this cell could do for a newcomer.
-    fn spare(&self, now: Timestamp) -> Spare {
-        let load = self.home_load(now);
-        let waiting = self.waiting_in_order(now);
-        let asked: f64 = waiting.iter().map(WaitingJob::cpus).sum();
+    /// Estimates the capacity of this cell for additional tasks.
+    fn spare_capacity(&self, now: Timestamp) -> SpareCapacity {
+        let load = self.local_load(now);
+        let waiting = self.waiting_jobs_in_order(now);
+        let requested_cpus: f64 = waiting.iter().map(WaitingJob::cpus).sum();
         let work: f64 = waiting.iter().map(|job| job.cpus() * job.run_s).sum();
         let queue_s = (work + load.bound_s) / load.fleet_cpus.max(1.0);
         let start_s = self.rentable_start_s(now);
-        let idle_cpus = (load.free_cpus - asked).max(0.0);
+        let idle_cpus = (load.free_cpus - requested_cpus).max(0.0);
         let mut team_cpus = BTreeMap::new();
-        for (team, of_team) in load.teams {
+        for (team, team_load) in load.teams {
             let of_jobs = waiting.iter().filter(|job| job.team == team);
-            let asked: f64 = of_jobs.map(WaitingJob::cpus).sum();
-            team_cpus.insert(team, (of_team.free_cpus - asked).max(0.0));
+            let requested_cpus: f64 = of_jobs.map(WaitingJob::cpus).sum();
+            team_cpus.insert(team, (team_load.free_cpus - requested_cpus).max(0.0));
         }
-        Spare {
+        SpareCapacity {
             wait_s: match idle_cpus >= 1.0 {
                 true => 0.0,
                 false => start_s.map_or(queue_s, |start_s| start_s.min(queue_s)),
             },
             cpus: match start_s {
-                // What is missing can be rented.
+                // Missing CPUs can be rented.
                 Some(_) => f64::INFINITY,
                 None => idle_cpus,
             },
@@ -182,31 +182,31 @@
         }
     }
 
-    /// CPUs of further loans that this cell would take.
-    fn room_for_loans(&self, spare: &Spare) -> f64 {
+    /// CPUs for which this cell would accept further loans.
+    fn loan_capacity_cpus(&self, spare: &SpareCapacity) -> f64 {
         let settings = &self.spillover.settings;
         if !settings.borrow
-            || self.spillover.hysteresis.lends()
+            || self.spillover.hysteresis.is_lending()
             || spare.wait_s > settings.policy.start_above_s
         {
             return 0.0;
         }
         let borrowed = self.replica.transferred_jobs().filter(|(_, job)| {
-            let open = job.status == JobStatus::Pending;
-            open && job.borrowed_from().is_some()
+            let is_pending = job.status == JobStatus::Pending;
+            is_pending && job.borrowed_from().is_some()
         });
-        let held: f64 = borrowed
+        let borrowed_cpus: f64 = borrowed
             .map(|(_, job)| {
-                let left = job.spec.task_count.saturating_sub(job.done.len());
-                f64::from(left) * job.spec.cpus
+                let unfinished = job.spec.task_count.saturating_sub(job.done.len());
+                f64::from(unfinished) * job.spec.cpus
             })
             .sum();
-        (settings.policy.borrow_cpus - held).clamp(0.0, spare.cpus)
+        (settings.policy.borrow_cpus - borrowed_cpus).clamp(0.0, spare.cpus)
     }
 
-    /// How this cell is doing, for lenders.
+    /// Status of this cell that is sent to lenders.
     pub(super) fn cell_status(&self, now: Timestamp) -> CellStatus {
-        let spare = self.spare(now);
+        let spare = self.spare_capacity(now);
         let finite = |limit: f64| limit.is_finite().then_some(limit);
         let teams = self.settings.platform.settings.teams.iter();
         let mut machine_types: Vec<MachineType> = self
@@ -224,7 +224,7 @@
         machine_types.sort_by(|one, other| one.name.cmp(&other.name));
         CellStatus {
             wait_s: spare.wait_s,
-            room_cpus: self.room_for_loans(&spare),
+            room_cpus: self.loan_capacity_cpus(&spare),
             teams: teams
                 .map(|team| TeamLimit {
                     name: team.name.clone(),
@@ -238,11 +238,11 @@
         }
     }
 
-    /// Classes of the jobs that this cell lends, sorted.
+    /// Classes of the jobs that this cell currently lends, sorted and without duplicates.
     fn lent_classes(&self) -> Vec<String> {
         let lent = self.replica.transferred_jobs().filter(|(_, job)| {
-            let open = job.status == JobStatus::Pending;
-            open && job.lent_to().is_some()
+            let is_pending = job.status == JobStatus::Pending;
+            is_pending && job.lent_to().is_some()
         });
         let mut classes: Vec<String> = lent.map(|(_, job)| job.spec.class.clone()).collect();
         classes.sort_unstable();
--- a/src/spillover/serving.rs
+++ b/src/spillover/serving.rs
@@ -1,7 +1,8 @@
-//! Answers to the requests of other cells. What has to be written first is planned here as well; the
-//! HTTP handler commits it and then asks for the answer.
+//! Responses to the requests of other cells, and the transactions that must be committed before a response. The
+//! HTTP handler commits those and then requests the response.
 //!
-//! Must never say that a loan stands unless the replica shows it, nor how old that is too low.
+//! Invariants: a loan is reported as active only if the replica shows it, and the age of that information is never
+//! understated.
 
 use super::{CellRequest, Controller, Spillover};
 use crate::clock::Timestamp;
@@ -12,42 +13,43 @@
 use crate::records::JobRecord;
 use crate::replica::{Job, job_key};
 use quillbend_spillover::message::{
-    CellAnswer, LoanId, LoanReport, Progress, Refusal, RequestBody, Standing, StandingAnswer,
-    VERSION,
+    CellResponse, LoanId, LoanReport, LoanStatus, LoanStatusResponse, Progress, RequestBody,
+    RequestRefusal, VERSION,
 };
 use std::net::IpAddr;
 use tracing::{info, warn};
 
 impl Controller {
-    /// Why a request is refused as a whole, if so. `source` is where it came from, if that is known.
+    /// The refusal of a whole request, or None if it is accepted. `source` is the sender's IP address, if it
+    /// is known.
     pub fn refuse_cell_request(
         &mut self,
         request: &CellRequest,
         source: Option<IpAddr>,
-    ) -> Option<CellAnswer> {
+    ) -> Option<CellResponse> {
         let settings = &self.spillover.settings;
-        // Controllers of this cell ask each other only for what they know of loans.
+        // Controllers of this cell send each other only requests for confirmations.
         let relayed = matches!(request.body, RequestBody::Confirm { .. });
-        let own = relayed && self.spillover.is_on() && request.from == settings.cell;
-        let cell = settings.cell_named(&request.from);
-        let allowed = |ip: IpAddr| cell.is_some_and(|cell| cell.may_send_from(ip));
-        let known = own || (cell.is_some() && source.is_none_or(allowed));
+        let own_cell = relayed && self.spillover.is_enabled() && request.from == settings.cell;
+        let cell = settings.cell_by_name(&request.from);
+        let allowed = |ip: IpAddr| cell.is_some_and(|cell| cell.allows_source(ip));
+        let is_known = own_cell || (cell.is_some() && source.is_none_or(allowed));
         let refusal = if request.version != VERSION {
-            Refusal::Version
-        } else if !known {
-            Refusal::UnknownCell
-        } else if !self.transfers_open() || self.is_outdated() {
-            return Some(CellAnswer::Refused(Refusal::NotReady));
+            RequestRefusal::Version
+        } else if !is_known {
+            RequestRefusal::UnknownCell
+        } else if !self.transfers_enabled() || self.is_outdated() {
+            return Some(CellResponse::Refused(RequestRefusal::NotReady));
         } else {
             return None;
         };
         warn!(cell = request.from, reason = %refusal, "cell request refused");
         self.spillover.counters.rejected += 1;
-        Some(CellAnswer::Refused(refusal))
+        Some(CellResponse::Refused(refusal))
     }
 
-    /// What the status of loans makes this cell write: the ends of loans. Each has the condition that the
-    /// job's key is as the replica shows it, so the first end to be written counts for everybody.
+    /// Records a borrower's reports and plans one transaction for each loan that they end. Its precondition
+    /// is the revision of the job's key in the replica, so only the first recorded end takes effect.
     pub fn plan_loan_ends(
         &mut self,
         from: &str,
@@ -56,18 +58,18 @@
     ) -> Vec<Transaction> {
         let mut transactions = Vec::new();
         for report in reports {
-            let Some(job_id) = self.job_lent_as(from, &report.loan) else {
+            let Some(job_id) = self.lent_job(from, &report.loan) else {
                 continue;
             };
-            self.spillover.note_report(report, now);
+            self.spillover.record_report(report, now);
             let mutation = match &report.progress {
                 Progress::Pending { .. } => continue,
-                Progress::Done => self.finished_loan(job_id),
+                Progress::Done => self.finish_mutation(job_id),
                 Progress::Returned { done } => {
                     let mut tasks = RangeSet::new();
                     done.iter()
                         .for_each(|&(first, last)| tasks.insert_range(first, last + 1));
-                    self.returned_loan(job_id, &tasks)
+                    self.return_mutation(job_id, &tasks)
                 }
             };
             let key = job_key(&report.loan.job);
@@ -79,7 +81,7 @@
         transactions
     }
 
-    /// A write of [`Controller::plan_loan_ends`] was carried out at a revision.
+    /// Applies a transaction of [`Controller::plan_loan_ends`] that was committed at a revision.
     pub fn on_loan_end(&mut self, transaction: &Transaction, revision: u64) {
         self.replica.apply_own_commit(transaction, revision);
         for mutation in &transaction.mutations {
@@ -94,8 +96,8 @@
         }
     }
 
-    /// The write that records that a lent job is done.
-    fn finished_loan(&self, job_id: JobId) -> Option<Mutation> {
+    /// The mutation that records a lent job as done. None if the job is unknown.
+    fn finish_mutation(&self, job_id: JobId) -> Option<Mutation> {
         let job = self.replica.jobs.get(&job_id)?;
         let mut record = job.to_record(Default::default(), JobStatus::Done);
         record.return_loan(
@@ -107,78 +109,87 @@
         Some(put(&key, &record, None))
     }
 
-    /// The job of a loan that this cell has made and not ended, recalled or not.
-    fn job_lent_as(&self, borrower: &str, loan: &LoanId) -> Option<JobId> {
+    /// The job of a loan from this cell that has not ended, whether or not it was recalled.
+    fn lent_job(&self, borrower: &str, loan: &LoanId) -> Option<JobId> {
         let (job_id, job) = self.replica.job_by_name(&loan.job)?;
         let mark = job.lent_to()?;
         let same = mark.cell == borrower && mark.token == loan.token;
         (same && job.status == JobStatus::Pending).then_some(job_id)
     }
 
-    /// The answer to a request, after what it made this cell write. Offers are answered by the HTTP handler,
-    /// one decision after the other.
-    pub fn answer_cell(&mut self, request: &CellRequest, now: Timestamp) -> CellAnswer {
+    /// The response to a request, after the writes that it requires. The leader's HTTP handler answers offers
+    /// itself, one decision after the other, so here an offer only gets [`CellResponse::NotLeader`].
+    pub fn respond_to_cell(&mut self, request: &CellRequest, now: Timestamp) -> CellResponse {
         match &request.body {
-            RequestBody::Status if self.leads().is_none() => CellAnswer::NotLeader,
-            RequestBody::Status => CellAnswer::Status(self.cell_status(now)),
-            RequestBody::Offer(_) => CellAnswer::NotLeader,
+            RequestBody::Status if self.leads().is_none() => CellResponse::NotLeader,
+            RequestBody::Status => CellResponse::Status(self.cell_status(now)),
+            RequestBody::Offer(_) => CellResponse::NotLeader,
             RequestBody::Confirm { loans, .. } => {
                 let relayed = request.from == self.spillover.settings.cell;
-                let answers = loans.iter().map(|report| match relayed {
-                    true => self.spillover.confirmations.relay(&report.loan, now.0),
-                    false => self.standing(&request.from, &report.loan, now),
+                let responses = loans.iter().map(|report| match relayed {
+                    true => self
+                        .spillover
+                        .confirmations
+                        .relayed_status(&report.loan, now.0),
+                    false => self.loan_status(&request.from, &report.loan, now),
                 });
-                CellAnswer::Standings(answers.collect())
+                CellResponse::LoanStatuses(responses.collect())
             }
         }
     }
 
-    /// Whether a loan stands, as far as this controller's replica shows, and how old that is.
-    fn standing(&self, borrower: &str, loan: &LoanId, now: Timestamp) -> StandingAnswer {
-        let answer = |standing, age_ms| StandingAnswer {
+    /// The status of a loan in this controller's replica, with the age of that information.
+    fn loan_status(&self, borrower: &str, loan: &LoanId, now: Timestamp) -> LoanStatusResponse {
+        let response = |status, age_ms| LoanStatusResponse {
             loan: loan.clone(),
-            standing,
+            status,
             age_ms,
         };
         let Some(age_ms) = self.replica_age_ms(now) else {
-            return answer(Standing::Unknown, 0);
+            return response(LoanStatus::Unknown, 0);
         };
-        let standing = match self.replica.job_by_name(&loan.job) {
-            Some((job_id, job)) => self.standing_of(job_id, job, borrower, loan),
-            // What is no longer under a watched key is over; but it may not be there yet.
+        let status = match self.replica.job_by_name(&loan.job) {
+            Some((job_id, job)) => self.status_of_known_job(job_id, job, borrower, loan),
+            // A job without a watched key has ended, unless the replica is older than the transfer.
             None if self.replica.revision > loan.token.0
                 && !self.replica.is_unreadable(&loan.job) =>
             {
-                Standing::Over
+                LoanStatus::Ended
             }
-            None => Standing::Unknown,
+            None => LoanStatus::Unknown,
         };
-        answer(standing, age_ms)
+        response(status, age_ms)
     }
 
-    /// Whether a loan of a job that the replica shows stands.
-    fn standing_of(&self, job_id: JobId, job: &Job, borrower: &str, loan: &LoanId) -> Standing {
+    /// The status of a loan whose job is in the replica.
+    fn status_of_known_job(
+        &self,
+        job_id: JobId,
+        job: &Job,
+        borrower: &str,
+        loan: &LoanId,
+    ) -> LoanStatus {
         if self.replica.is_unreadable(&loan.job) {
-            return Standing::Unknown;
+            return LoanStatus::Unknown;
         }
         match job.lent_to() {
             Some(mark) if mark.token == loan.token && mark.cell == borrower => {
-                let stands = !mark.recalled && !self.is_job_final(job_id, job);
-                match stands {
-                    true => Standing::Stands,
-                    false => Standing::Over,
+                let is_active = !mark.recalled && !self.is_job_final(job_id, job);
+                match is_active {
+                    true => LoanStatus::Active,
+                    false => LoanStatus::Ended,
                 }
             }
-            // The replica does not show the loan yet.
-            _ if job.mod_revision <= loan.token.0 => Standing::Unknown,
-            _ => Standing::Over,
+            // The replica still shows the job as it was before the loan.
+            _ if job.mod_revision <= loan.token.0 => LoanStatus::Unknown,
+            _ => LoanStatus::Ended,
         }
     }
 }
 
 impl Spillover {
-    /// Records when a borrower last reported on a loan.
-    fn note_report(&mut self, report: &LoanReport, now: Timestamp) {
+    /// Records the time of a borrower's report on a loan.
+    fn record_report(&mut self, report: &LoanReport, now: Timestamp) {
         let Some(loan) = self.lent.get_mut(&report.loan.job) else {
             return;
         };
@@ -186,13 +197,13 @@
             return;
         }
         loan.accepted = true;
-        // Guards against a cut of one direction: a borrower that is heard but hears nothing can do
-        // nothing with the loan.
+        // In a one-way network partition, the borrower's reports arrive but it receives no confirmations and
+        // cannot run the loan. Such reports must not prevent a recall.
         if report.confirmed {
-            loan.heard_at = Some(now);
+            loan.last_report_at = Some(now);
         }
         if matches!(report.progress, Progress::Pending { bound, .. } if bound > 0) {
-            loan.busy_at = Some(now);
+            loan.last_bound_at = Some(now);
         }
     }
 }
--- a/src/spillover/status_page.rs
+++ b/src/spillover/status_page.rs
@@ -1,4 +1,4 @@
-//! What operators see of transfers on the status page.
+//! The section about transfers on the status page for operators.
 
 use super::{CellLink, Controller, Spillover};
 use crate::clock::Timestamp;
@@ -6,22 +6,22 @@
 use std::collections::BTreeMap;
 
 impl Controller {
-    /// What operators see of transfers; none while there is nothing to see.
+    /// The section about spillover; None if spillover is disabled and no loans are left.
     pub(crate) fn spillover_page(&self, now: Timestamp) -> Option<Value> {
-        if !self.uses_spillover() {
+        if !self.handles_transfers() {
             return None;
         }
         let spillover = &self.spillover;
         let (lent, borrowed) = self.transfers_page(now);
         Some(json!({
-            "cell": spillover.settings.cell, "open": self.transfers_open(),
-            "lends": spillover.hysteresis.lends(), "longestWaitS": spillover.longest_wait_s,
+            "cell": spillover.settings.cell, "open": self.transfers_enabled(),
+            "lends": spillover.hysteresis.is_lending(), "longestWaitS": spillover.longest_wait_s,
             "cells": spillover.cells_page(now), "lent": lent, "borrowed": borrowed,
             "counters": spillover.counters,
         }))
     }
 
-    /// The jobs that are lent, and those that are borrowed, by their names.
+    /// The lent jobs and the borrowed jobs, each by job name.
     fn transfers_page(&self, now: Timestamp) -> (BTreeMap<&str, Value>, BTreeMap<&str, Value>) {
         let (mut lent, mut borrowed) = (BTreeMap::new(), BTreeMap::new());
         for (job_id, job) in self.replica.transferred_jobs() {
@@ -31,8 +31,8 @@
                 let since = |at| now.since(at);
                 let page = json!({
                     "cell": mark.cell, "token": mark.token, "recalled": mark.recalled,
-                    "silentMs": known.and_then(|loan| loan.heard_at).map(since),
-                    "idleMs": known.and_then(|loan| loan.busy_at).map(since),
+                    "silentMs": known.and_then(|loan| loan.last_report_at).map(since),
+                    "idleMs": known.and_then(|loan| loan.last_bound_at).map(since),
                 });
                 lent.insert(name, page);
             } else if let Some(mark) = job.borrowed_from() {
@@ -48,7 +48,7 @@
 }
 
 impl Spillover {
-    /// The other cells, by their names.
+    /// The other cells, by cell name.
     fn cells_page(&self, now: Timestamp) -> BTreeMap<&str, Value> {
         let cells = self.settings.cells.iter().zip(&self.cells);
         cells
@@ -58,10 +58,10 @@
 }
 
 fn cell_page(link: &CellLink, now: Timestamp) -> Value {
-    let answered_at = link.origin.last_answered();
+    let last_answered_sent_at = link.lender.last_answered_sent_at();
     let status = link.status.as_ref().map(|(status, _)| status);
     json!({
-        "silentMs": answered_at.map(|at| now.since(Timestamp(at))),
+        "silentMs": last_answered_sent_at.map(|at| now.since(Timestamp(at))),
         "waitS": status.map(|status| status.wait_s),
         "roomCpus": status.map(|status| status.room_cpus),
     })
