--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -1,10 +1,10 @@
-//! What earlier versions store and send is read, and what this version stores and sends is read by
-//! them for as long as they may be alive.
+//! Tests that this version reads values and messages of earlier versions, and that earlier versions which may
+//! still run read those of this version.
 //!
-//! The fixtures were written by the versions themselves: every kind of key at the richest value of a
-//! short day, and one message between controllers. Those of format 0 are from the version before
-//! chained jobs (b96ac05), those of format 2 from the one that `production` names (11d1251). The shapes
-//! below are a copy of what the version before chained jobs reads.
+//! The fixtures were written by the earlier versions: for every kind of key the value with the most content
+//! of a short run, and one message between controllers. The fixtures of format 0 come from the version before
+//! dependent jobs (b96ac05), those of format 2 from the version that `production` names (11d1251). The types
+//! below are copies of those with which the version before dependent jobs reads.
 
 mod support;
 
@@ -18,13 +18,14 @@
 use std::collections::BTreeMap;
 use support::World;
 
-/// Values and messages as the version before chained jobs reads them.
+/// Types of values and messages in the version before dependent jobs.
 mod format_0 {
     use serde::Deserialize;
     use std::collections::BTreeMap;
 
-    /// Prefixes of the keys that it reads; it passes over all others.
-    pub const READ: [&str; 5] = ["qb/node/", "qb/grant/", "qb/block/", "qb/job/", "qb/load/"];
+    /// Prefixes of the keys that it reads; it ignores all others.
+    pub const KEY_PREFIXES: [&str; 5] =
+        ["qb/node/", "qb/grant/", "qb/block/", "qb/job/", "qb/load/"];
 
     #[derive(Deserialize)]
     #[serde(rename_all = "snake_case")]
@@ -160,19 +161,19 @@
     }
 }
 
-fn stored(json: &str) -> BTreeMap<String, Value> {
+fn parse_stored(json: &str) -> BTreeMap<String, Value> {
     serde_json::from_str(json).expect("json")
 }
 
-fn peer_message(hex: &str) -> PeerMessage {
+fn decode_peer_message(hex: &str) -> PeerMessage {
     let hex = hex.trim();
-    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex");
+    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal digits");
     let bytes: Vec<u8> = (0..hex.len()).step_by(2).map(byte).collect();
-    rmp_serde::from_slice(&bytes).expect("a message")
+    rmp_serde::from_slice(&bytes).expect("a valid peer message")
 }
 
-/// A replica that has read these values.
-fn view_of(stored: &BTreeMap<String, Value>) -> Replica {
+/// A replica that has loaded these values.
+fn load_replica(stored: &BTreeMap<String, Value>) -> Replica {
     let items = stored.iter().enumerate().map(|(n, (k, v))| KeyValue {
         key: k.clone(),
         value: Json::of(v),
@@ -183,14 +184,14 @@
     replica
 }
 
-/// What is read and written again says the same.
-fn assert_written_again(stored: &BTreeMap<String, Value>) {
+/// Asserts that each value is unchanged after it was deserialized and serialized again.
+fn assert_round_trip(stored: &BTreeMap<String, Value>) {
     for (key, value) in stored {
         let again = match key.as_str() {
-            _ if key.starts_with("qb/block/") => read_again::<BlockRecord>(value),
-            _ if key.starts_with("qb/wait/") => read_again::<WaitingRecord>(value),
+            _ if key.starts_with("qb/block/") => round_trip::<BlockRecord>(value),
+            _ if key.starts_with("qb/wait/") => round_trip::<WaitingRecord>(value),
             _ if key.starts_with("qb/job/") || key.starts_with("past/") => {
-                read_again::<JobRecord>(value)
+                round_trip::<JobRecord>(value)
             }
             _ => continue,
         };
@@ -198,25 +199,24 @@
     }
 }
 
-/// Whether a value reads as one of an earlier version's.
-fn reads<T: for<'de> Deserialize<'de>>(key: &str, value: &Value) {
+/// Asserts that a value can be deserialized as a type of an earlier version.
+fn assert_readable_as<T: for<'de> Deserialize<'de>>(key: &str, value: &Value) {
     if let Err(e) = serde_json::from_value::<T>(value.clone()) {
         panic!("{key}: {e}: {value}");
     }
 }
 
-/// Reads a stored value as the version before chained jobs does; it passes over keys that it does not
-/// know.
-fn read_as_format_0(key: &str, value: &Value) {
+/// Asserts that the version before dependent jobs can read a stored value. It ignores unknown keys.
+fn assert_readable_as_format_0(key: &str, value: &Value) {
     match key {
-        "qb/lead" => reads::<format_0::Holder>(key, value),
-        "qb/catalog" => reads::<Vec<MachineType>>(key, value),
-        _ if key.starts_with("qb/node/") => reads::<format_0::Node>(key, value),
-        _ if key.starts_with("qb/grant/") => reads::<format_0::Holder>(key, value),
-        _ if key.starts_with("qb/block/") => reads::<format_0::Block>(key, value),
-        _ if key.starts_with("qb/load/") => reads::<format_0::Load>(key, value),
+        "qb/lead" => assert_readable_as::<format_0::Holder>(key, value),
+        "qb/catalog" => assert_readable_as::<Vec<MachineType>>(key, value),
+        _ if key.starts_with("qb/node/") => assert_readable_as::<format_0::Node>(key, value),
+        _ if key.starts_with("qb/grant/") => assert_readable_as::<format_0::Holder>(key, value),
+        _ if key.starts_with("qb/block/") => assert_readable_as::<format_0::Block>(key, value),
+        _ if key.starts_with("qb/load/") => assert_readable_as::<format_0::Load>(key, value),
         _ if key.starts_with("qb/job/") || key.starts_with("past/") => {
-            reads::<format_0::Job>(key, value);
+            assert_readable_as::<format_0::Job>(key, value);
         }
         _ => {}
     }
@@ -224,8 +224,8 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "literal values of every kind")]
-fn every_value_of_format_0_is_read_whole() {
-    let stored = stored(include_str!("fixtures/format_0_stored.json"));
+fn every_value_of_format_0_is_read_completely() {
+    let stored = parse_stored(include_str!("fixtures/format_0_stored.json"));
     let mut kinds: Vec<&str> = stored
         .keys()
         .filter_map(|k| k.rsplit_once('/'))
@@ -236,7 +236,7 @@
         "past", "qb/block", "qb", "qb/grant", "qb/job", "qb", "qb/load", "qb/node",
     ];
     assert_eq!(kinds, expected, "a kind of key is missing");
-    let replica = view_of(&stored);
+    let replica = load_replica(&stored);
     assert!(replica.leader.is_some());
     assert_eq!(replica.catalog.as_ref().map(Vec::len), Some(2));
     assert_eq!(
@@ -249,7 +249,7 @@
     );
     assert!(
         replica.live_controllers.values().all(|n| n.format == 0),
-        "it does not say its format"
+        "a controller of format 0 does not store its format"
     );
     assert_eq!(
         (
@@ -278,18 +278,18 @@
     );
     let bound = replica.bound_len(replica.names.jobs.get("wk-000398").expect("known"));
     assert_eq!(bound, 5);
-    assert_written_again(&stored);
+    assert_round_trip(&stored);
 }
 
 #[test]
-fn every_value_of_format_2_is_read_whole() {
-    let stored = stored(include_str!("fixtures/format_2_stored.json"));
-    let replica = view_of(&stored);
+fn every_value_of_format_2_is_read_completely() {
+    let stored = parse_stored(include_str!("fixtures/format_2_stored.json"));
+    let replica = load_replica(&stored);
     assert_eq!(replica.format, 2);
     assert_eq!(replica.encoding(), Encoding::Compatible);
     assert!(replica.live_controllers.values().all(|n| n.format == 2));
     let job = |name| replica.names.jobs.get(name).expect("known");
-    // The fixture has each key at its richest value, so jobs that waited stand there twice.
+    // The fixture has each key with its longest value of the run, so jobs that waited appear twice.
     let waiting = &replica.waiting.jobs[&job("wk-000414")].record;
     let needed = ["wk-000412", "wk-000413"];
     assert_eq!(waiting.predecessors.names(), needed);
@@ -299,27 +299,30 @@
     );
     assert_eq!(replica.jobs[&job("wk-000413")].ready_ms, Some(10_008_100));
     assert!(replica.bound_len(job("wk-000398")) > 20);
-    assert_written_again(&stored);
+    assert_round_trip(&stored);
 }
 
-fn read_again<T: for<'de> Deserialize<'de> + serde::Serialize>(value: &Value) -> Value {
-    let record: T = serde_json::from_value(value.clone()).expect("read");
-    serde_json::to_value(record).expect("written")
+fn round_trip<T: for<'de> Deserialize<'de> + serde::Serialize>(value: &Value) -> Value {
+    let record: T = serde_json::from_value(value.clone()).expect("deserializable");
+    serde_json::to_value(record).expect("serializable")
 }
 
 #[test]
 fn every_field_of_a_message_of_format_2_is_read() {
-    let message = peer_message(include_str!("fixtures/format_2_peer_news.hex"));
+    let message = decode_peer_message(include_str!("fixtures/format_2_peer_news.hex"));
     assert_eq!(message.format, 2);
     let fleet = message.fleet.expect("machines");
     assert_eq!(fleet.machines.len(), 2);
     assert!(!fleet.running.is_empty());
-    assert!(!fleet.done.is_empty(), "endings that are not recorded yet");
+    assert!(
+        !fleet.done.is_empty(),
+        "completions that are not recorded yet"
+    );
 }
 
 #[test]
 fn every_field_of_a_message_of_format_0_is_read() {
-    let message = peer_message(include_str!("fixtures/format_0_peer_news.hex"));
+    let message = decode_peer_message(include_str!("fixtures/format_0_peer_news.hex"));
     assert_eq!(
         (message.host.as_str(), message.incarnation, message.format),
         ("n1", 77, 0)
@@ -345,7 +348,7 @@
 }
 
 #[test]
-fn what_this_version_stores_and_sends_is_read_by_the_version_before_dependent_jobs() {
+fn the_version_before_dependent_jobs_reads_values_and_messages_of_this_version() {
     let mut w = World::settled(1, 3, 6);
     w.run_ms = 3000;
     let first = w.submit(1, w.spec(9));
@@ -363,12 +366,16 @@
         for prefix in ["qb/", "past/"] {
             for item in w.state.list(prefix).0 {
                 let value: Value = item.value.read().expect("json");
-                read_as_format_0(&item.key, &value);
-                // A job that waits is nowhere where that version would bind it.
+                assert_readable_as_format_0(&item.key, &value);
+                // A waiting job is never under a key from which that version would bind it.
                 waited |= item.key.starts_with("qb/wait/");
-                let passed_over = ["qb/wait/", "qb/format"];
-                if passed_over.iter().any(|p| item.key.starts_with(p)) {
-                    assert!(!format_0::READ.iter().any(|p| item.key.starts_with(p)));
+                let ignored_prefixes = ["qb/wait/", "qb/format"];
+                if ignored_prefixes.iter().any(|p| item.key.starts_with(p)) {
+                    assert!(
+                        !format_0::KEY_PREFIXES
+                            .iter()
+                            .any(|p| item.key.starts_with(p))
+                    );
                 }
             }
         }
@@ -376,22 +383,26 @@
             let clock: Timestamp = w.clock(i);
             let node = w.controllers[i].as_mut().expect("alive");
             let message = node.controller.peer_message(MessageLength::Long, clock);
-            let body = rmp_serde::to_vec_named(&message).expect("written");
-            rmp_serde::from_slice::<format_0::PeerMessage>(&body).expect("read by that version");
+            let body = rmp_serde::to_vec_named(&message).expect("serializable");
+            rmp_serde::from_slice::<format_0::PeerMessage>(&body)
+                .expect("readable by the earlier version");
         }
     }
-    assert!(waited && w.is_done(&third), "all kinds of keys were there");
+    assert!(
+        waited && w.is_done(&third),
+        "a job did not wait or did not finish"
+    );
     w.assert_no_violations();
 }
 
 #[test]
-fn a_job_that_was_ready_is_an_ordinary_one_without_what_an_earlier_version_drops() {
-    // It writes a job's value again without fields that it does not know.
+fn a_job_rewritten_by_an_earlier_version_is_read_without_its_ready_time() {
+    // The earlier version writes a job's value again without the fields that it does not know.
     let mut record = quillbend::jobs::new_record(World::settled(2, 3, 1).spec(2), 5000);
     record.ready_ms = Some(9000);
     let mut value = serde_json::to_value(&record).expect("json");
-    reads::<format_0::Job>("qb/job/wk-000001", &value);
+    assert_readable_as::<format_0::Job>("qb/job/wk-000001", &value);
     value.as_object_mut().expect("an object").remove("r");
-    let read: JobRecord = serde_json::from_value(value).expect("read");
+    let read: JobRecord = serde_json::from_value(value).expect("deserializable");
     assert_eq!((read.ready_ms, read.submitted_ms), (None, 5000));
 }
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -1,5 +1,5 @@
-//! Tests of jobs that wait for others: they start once all that they need is finally done, and are
-//! cancelled with it, whatever fails.
+//! Tests of jobs with predecessors: under all faults, a job starts only after all its predecessors are done,
+//! and it is cancelled if one of them is cancelled.
 
 mod support;
 
@@ -13,29 +13,30 @@
 use rand::{Rng, SeedableRng};
 use support::{PLATFORM, StoreFault, World};
 
-/// A chain of so many jobs of two tasks each, numbered from `n`; the first waits for nothing.
-fn chain_of(w: &mut World, n: u32, jobs: u32) -> Vec<String> {
-    let mut submit_dependent = vec![w.submit(n, w.spec(2))];
+/// Submits a chain of `jobs` jobs with two tasks each, numbered from `n`. Each job has the one before it as
+/// its predecessor.
+fn submit_chain(w: &mut World, n: u32, jobs: u32) -> Vec<String> {
+    let mut chain = vec![w.submit(n, w.spec(2))];
     for k in 1..jobs {
-        let last = submit_dependent[submit_dependent.len() - 1].clone();
-        submit_dependent.push(w.submit_dependent(n + k, w.spec(2), &[&last]));
+        let last = chain[chain.len() - 1].clone();
+        chain.push(w.submit_dependent(n + k, w.spec(2), &[&last]));
     }
-    submit_dependent
+    chain
 }
 
-/// What every controller that is up to date answers.
-fn all_answer(w: &mut World, job: &str) -> Vec<JobStatus> {
+/// The job's status according to each controller that answers.
+fn polled_statuses(w: &mut World, job: &str) -> Vec<JobStatus> {
     (0..w.controllers.len())
         .filter_map(|i| w.poll_status(i, job))
         .collect()
 }
 
-/// Plays on until each of these jobs is shown as cancelled by every controller, within the time that
-/// a cancellation has, and archived as such in the end.
-fn all_cancelled(w: &mut World, jobs: &[String]) {
+/// Asserts that every controller reports these jobs as cancelled within the time limit of a cancellation,
+/// that none of their tasks runs then, and that they are archived as cancelled later.
+fn assert_all_cancelled(w: &mut World, jobs: &[String]) {
     w.run(w.cancel_ms());
     for job in jobs {
-        let answers = all_answer(w, job);
+        let answers = polled_statuses(w, job);
         assert!(
             !answers.is_empty() && answers.iter().all(|a| *a == JobStatus::Cancelled),
             "{job}: {answers:?}"
@@ -43,40 +44,44 @@
         assert_eq!(w.running_of(job), 0, "{job}");
     }
     let archived = |w: &World, j: &String| w.state.value(&past_key(j)).is_some();
-    w.until(120_000, "archived", |w| jobs.iter().all(|j| archived(w, j)));
+    w.until(120_000, "all cancelled jobs are archived", |w| {
+        jobs.iter().all(|j| archived(w, j))
+    });
     for job in jobs {
         assert_eq!(w.job(job).map(|j| j.status), Some(JobStatus::Cancelled));
     }
 }
 
 #[test]
-fn dependent_jobs_run_in_order_and_each_begins_once_its_predecessor_is_done() {
+fn dependent_jobs_run_in_order_and_each_starts_soon_after_its_predecessor_is_done() {
     let mut w = World::settled(1, 3, 6);
     w.run_ms = 4000;
-    let submit_dependent = chain_of(&mut w, 1, 4);
+    let chain = submit_chain(&mut w, 1, 4);
     w.run(2000);
-    for job in &submit_dependent[1..] {
+    for job in &chain[1..] {
         assert!(
-            all_answer(&mut w, job)
+            polled_statuses(&mut w, job)
                 .iter()
                 .all(|a| *a == JobStatus::Pending)
         );
         assert_eq!(w.starts_of(job), 0);
     }
-    for pair in submit_dependent.windows(2) {
-        w.until(30_000, "the one before is done", |w| w.is_done(&pair[0]));
-        w.until(3500, "the next one begins", |w| w.running_of(&pair[1]) > 0);
+    for pair in chain.windows(2) {
+        w.until(30_000, "the predecessor is done", |w| w.is_done(&pair[0]));
+        w.until(3500, "the dependent job starts", |w| {
+            w.running_of(&pair[1]) > 0
+        });
     }
-    w.assert_all_jobs_finish(&submit_dependent);
+    w.assert_all_jobs_finish(&chain);
 }
 
 #[test]
-fn a_job_waits_for_all_that_it_names_of_any_team_and_in_any_state() {
+fn a_job_waits_for_predecessors_of_any_team_and_in_any_state() {
     let mut w = World::settled(2, 3, 6);
     w.run_ms = 3000;
     let done = w.submit(1, w.spec(1));
-    w.until(20_000, "done", |w| w.is_done(&done));
-    w.until(60_000, "archived", |w| {
+    w.until(20_000, "the job is done", |w| w.is_done(&done));
+    w.until(60_000, "the job is archived", |w| {
         w.state.value(&job_key(&done)).is_none()
     });
     let mut red = w.spec(2);
@@ -85,23 +90,32 @@
     let slow = w.submit(3, w.spec(2));
     w.failing_jobs.insert(slow.clone());
     let last = w.submit_dependent(4, w.spec(2), &[&done, &other, &slow, &done]);
-    w.until(30_000, "the other is done", |w| w.is_done(&other));
+    w.until(30_000, "the predecessor of the other team is done", |w| {
+        w.is_done(&other)
+    });
     w.run(20_000);
-    assert_eq!(w.starts_of(&last), 0, "one that it names is not done");
+    assert_eq!(
+        w.starts_of(&last),
+        0,
+        "the job started although a predecessor is not done"
+    );
     assert_eq!(
         w.waiting(&last).map(|r| r.predecessors.names().len()),
         Some(2)
     );
     w.failing_jobs.clear();
-    w.until(120_000, "done", |w| w.is_done(&last));
+    w.until(120_000, "the job is done", |w| w.is_done(&last));
     let after = w.submit_dependent(5, w.spec(1), &[&done, &last]);
-    assert!(w.waiting(&after).is_none(), "all is done: it need not wait");
-    w.until(30_000, "done", |w| w.is_done(&after));
+    assert!(
+        w.waiting(&after).is_none(),
+        "a job whose predecessors are done was stored as waiting"
+    );
+    w.until(30_000, "the job is done", |w| w.is_done(&after));
     w.assert_no_violations();
 }
 
 #[test]
-fn a_job_that_was_never_accepted_cannot_be_named_nor_can_a_job_name_itself() {
+fn a_job_cannot_name_an_unknown_job_or_itself_as_predecessor() {
     let mut w = World::settled(3, 3, 4);
     let known = w.submit(1, w.spec(1));
     w.run(300);
@@ -116,7 +130,7 @@
 }
 
 #[test]
-fn waiting_jobs_take_no_room_no_limit_no_turn_and_rent_nothing() {
+fn waiting_jobs_use_no_capacity_and_no_quota_and_cause_no_rental() {
     let mut w = World::settled(4, 3, 4);
     w.run_ms = 100_000;
     let first = w.submit(1, w.spec(2));
@@ -129,17 +143,19 @@
     assert_eq!(
         w.workers.len(),
         4,
-        "machines were rented for what cannot run yet"
+        "machines were rented for jobs that cannot run yet"
     );
     w.run_ms = 3000;
     let other = w.submit(30, w.spec(12));
-    w.until(15_000, "others have the room", |w| w.is_done(&other));
+    w.until(15_000, "another job runs and is done", |w| {
+        w.is_done(&other)
+    });
     w.assert_no_violations();
 }
 
-/// Whether the first job of a chain whose last one has this priority and deadline is done before one
-/// like it that nobody needs, on a fleet that is full of ordinary work.
-fn first_is_served_early(priority: Priority, due_s: Option<f64>) -> bool {
+/// Whether the first job of a chain is done before an equal job without dependents on a busy fleet. The last
+/// job of the chain has this priority and deadline.
+fn chain_runs_before_independent_job(priority: Priority, due_s: Option<f64>) -> bool {
     let mut w = World::settled(5, 3, 3);
     w.cloud_up = false;
     w.run_ms = 6000;
@@ -158,7 +174,7 @@
     let mut last = spec(&w, priority);
     last.due_s = due_s;
     w.submit_dependent(43, last, &[&second]);
-    w.until(120_000, "one is done", |w| {
+    w.until(120_000, "one of the two jobs is done", |w| {
         w.is_done(&first) || w.is_done(&alone)
     });
     w.assert_no_violations();
@@ -166,22 +182,25 @@
 }
 
 #[test]
-fn the_priority_of_the_last_job_counts_for_those_before_it() {
-    assert!(first_is_served_early(Priority::Urgent, None));
+fn predecessors_inherit_the_priority_of_the_last_job() {
+    assert!(chain_runs_before_independent_job(Priority::Urgent, None));
     assert!(
-        !first_is_served_early(Priority::BestEffort, None),
-        "nothing presses"
+        !chain_runs_before_independent_job(Priority::BestEffort, None),
+        "the chain went first although its last job has the same priority"
     );
 }
 
 #[test]
-fn the_deadline_of_the_last_job_counts_for_those_before_it() {
-    assert!(first_is_served_early(Priority::BestEffort, Some(90.0)));
+fn predecessors_inherit_the_deadline_of_the_last_job() {
+    assert!(chain_runs_before_independent_job(
+        Priority::BestEffort,
+        Some(90.0)
+    ));
 }
 
 #[test]
-fn a_cancellation_cancels_all_dependent_jobs_and_nothing_else() {
-    // A diamond with a tail, a wide fan, and neighbours that go on.
+fn a_cancellation_cancels_all_dependent_jobs_and_no_others() {
+    // The jobs form a diamond with a tail, a wide fan-out, and jobs that do not depend on the cancelled one.
     for (seed, cancelled_at) in [(6, 0), (7, 1)] {
         let mut w = World::settled(seed, 3, 6);
         w.run_ms = 60_000;
@@ -195,26 +214,26 @@
             .collect();
         let aside = w.submit_dependent(30, w.spec(1), &[&right]);
         w.run(1500);
-        let victim = [&top, &left][cancelled_at].clone();
+        let cancelled_job = [&top, &left][cancelled_at].clone();
         assert!(matches!(
-            w.cancel_through(0, &victim),
+            w.cancel_through(0, &cancelled_job),
             CommitOutcome::Done(_)
         ));
-        let mut over = vec![victim.clone(), bottom, tail];
-        over.extend(fan);
+        let mut cancelled_jobs = vec![cancelled_job.clone(), bottom, tail];
+        cancelled_jobs.extend(fan);
         if cancelled_at == 0 {
-            over.extend([left, right.clone(), aside.clone()]);
+            cancelled_jobs.extend([left, right.clone(), aside.clone()]);
         }
-        // Whoever knows of the cancellation answers alike, at once.
+        // The controller that received the cancellation reports all of them as cancelled at once.
         w.run(100);
-        for job in &over {
+        for job in &cancelled_jobs {
             assert_eq!(w.poll_status(0, job), Some(JobStatus::Cancelled), "{job}");
         }
         w.run_ms = 3000;
-        all_cancelled(&mut w, &over);
+        assert_all_cancelled(&mut w, &cancelled_jobs);
         if cancelled_at == 1 {
             let named = [right, aside];
-            w.until(200_000, "the others go on", |w| {
+            w.until(200_000, "the jobs that do not depend on it are done", |w| {
                 named.iter().all(|j| w.is_done(j))
             });
         }
@@ -230,25 +249,27 @@
     w.run(500);
     w.cancel(&first);
     w.run(500);
-    // Its predecessor was cancelled with the first; later both are archived.
+    // Its predecessor was cancelled together with the first job. Later both are archived.
     let third = w.submit_dependent(3, w.spec(2), &[&second]);
-    all_cancelled(&mut w, &[first.clone(), second.clone(), third]);
+    assert_all_cancelled(&mut w, &[first.clone(), second.clone(), third]);
     let fourth = w.submit_dependent(4, w.spec(2), &[&second]);
-    all_cancelled(&mut w, &[fourth]);
+    assert_all_cancelled(&mut w, &[fourth]);
     w.assert_no_violations();
 }
 
 #[test]
-fn a_cancellation_and_the_last_ending_race_and_the_chain_follows_whoever_was_first() {
+fn a_dependent_job_follows_the_outcome_when_a_cancellation_races_with_the_last_completion() {
     for order in [true, false] {
         for seed in 9..13 {
             let mut w = World::settled(seed, 3, 4);
             w.run_ms = 4000;
             let first = w.submit(1, w.spec(2));
             let next = w.submit_dependent(2, w.spec(2), &[&first]);
-            w.until(15_000, "it runs", |w| w.running_of(&first) == 2);
+            w.until(15_000, "both tasks run", |w| w.running_of(&first) == 2);
             if order {
-                w.until(15_000, "all tasks are done", |w| w.done(&first) == 2);
+                w.until(15_000, "both tasks are recorded as done", |w| {
+                    w.done(&first) == 2
+                });
             } else {
                 w.run(3900);
             }
@@ -258,10 +279,10 @@
                     if w.job(&first)
                         .is_some_and(|j| j.status == JobStatus::Cancelled) =>
                 {
-                    all_cancelled(&mut w, &[first, next.clone()]);
+                    assert_all_cancelled(&mut w, &[first, next.clone()]);
                     assert_eq!(w.starts_of(&next), 0);
                 }
-                _ => w.until(60_000, "the chain goes on", |w| w.is_done(&next)),
+                _ => w.until(60_000, "the dependent job is done", |w| w.is_done(&next)),
             }
             w.assert_no_violations();
         }
@@ -269,16 +290,16 @@
 }
 
 #[test]
-fn a_cancellation_of_the_waiting_job_and_its_becoming_ready_race_in_one_key() {
+fn a_cancellation_of_a_waiting_job_wins_the_race_with_its_start() {
     for seed in 13..19 {
         let mut w = World::settled(seed, 3, 4);
         w.run_ms = 3000;
         let first = w.submit(1, w.spec(1));
         let next = w.submit_dependent(2, w.spec(2), &[&first]);
         let last = w.submit_dependent(3, w.spec(2), &[&next]);
-        w.until(30_000, "it is ready", |w| w.is_done(&first));
-        // An answer that is lost, a copy that is carried out later, a controller that refuses.
-        let leader = w.leader().expect("leads");
+        w.until(30_000, "the predecessor is done", |w| w.is_done(&first));
+        // By seed: the response is lost, the commit is delayed, or there is no fault.
+        let leader = w.leader().expect("a leader");
         w.links[leader].state = [
             StoreFault::LosesAnswers,
             StoreFault::Late(2500),
@@ -289,19 +310,20 @@
         assert!(matches!(outcome, CommitOutcome::Done(_)));
         w.run(4000);
         w.heal();
-        all_cancelled(&mut w, &[next, last]);
+        assert_all_cancelled(&mut w, &[next, last]);
         w.assert_no_violations();
     }
 }
 
 #[test]
-fn a_submission_races_with_the_end_and_the_cancellation_of_what_it_names() {
+fn a_submission_races_with_the_end_or_cancellation_of_its_predecessor() {
     for cancelled in [true, false] {
         let mut w = World::settled(20, 3, 4);
         w.run_ms = 3000;
         let first = w.submit(1, w.spec(1));
         w.run(1000);
-        // Decided on what controller 0 shows; carried out after the other has changed the key.
+        // The transaction is planned from the replica of controller 0 and committed after the predecessor's
+        // key has changed.
         let controller = w.controller(0);
         let named = vec![(first.clone(), controller.replica.predecessor(&first))];
         let record = quillbend::jobs::new_record(w.spec(1), w.now);
@@ -310,14 +332,17 @@
         if cancelled {
             w.cancel(&first);
         } else {
-            w.until(30_000, "done", |w| w.is_done(&first));
+            w.until(30_000, "the job is done", |w| w.is_done(&first));
         }
-        let transaction = planned.expect("planned").transaction().clone();
+        let transaction = planned
+            .expect("the acceptance is planned")
+            .transaction()
+            .clone();
         assert!(matches!(
             w.state.commit(&transaction),
             CommitOutcome::Conflict(_)
         ));
-        w.until(90_000, "archived", |w| {
+        w.until(90_000, "the first job is archived", |w| {
             w.state.value(&past_key(&first)).is_some()
         });
         assert!(matches!(
@@ -326,8 +351,8 @@
         ));
         let second = w.submit_dependent(2, w.spec(1), &[&first]);
         match cancelled {
-            true => all_cancelled(&mut w, &[second]),
-            false => w.until(30_000, "done", |w| w.is_done(&second)),
+            true => assert_all_cancelled(&mut w, &[second]),
+            false => w.until(30_000, "the job is done", |w| w.is_done(&second)),
         }
         w.assert_no_violations();
     }
@@ -340,7 +365,7 @@
     let first = w.submit(1, w.spec(1));
     let second = w.submit_dependent(2, w.spec(1), &[&first]);
     w.run(300);
-    // With other names, with none, and as an ordinary job.
+    // The repeats name the same predecessor, or are those of a job without predecessors.
     assert_eq!(
         w.submit_after(1, 2, w.spec(1), std::slice::from_ref(&first)),
         None
@@ -351,7 +376,7 @@
         w.state.commit(&ordinary),
         CommitOutcome::Conflict(_)
     ));
-    w.until(60_000, "done", |w| w.is_done(&second));
+    w.until(60_000, "the job is done", |w| w.is_done(&second));
     assert!(matches!(
         w.state.commit(&ordinary),
         CommitOutcome::Conflict(_)
@@ -361,9 +386,9 @@
 }
 
 #[test]
-fn what_is_needed_is_not_archived_and_a_new_leader_or_a_full_read_loses_nothing() {
+fn a_needed_predecessor_is_not_archived_and_survives_a_restart_of_all_controllers() {
     let mut w = World::settled(22, 3, 6);
-    // What is over is archived at once, also while others wait to run.
+    // Finished jobs are archived at once, also while other jobs wait to run.
     w.settings.options.jobs_kept = 0.0;
     (0..3).for_each(|i| w.start(i));
     w.run(8000);
@@ -373,12 +398,18 @@
     let slow = w.submit(2, w.spec(1));
     w.failing_jobs.insert(slow.clone());
     let last = w.submit_dependent(3, w.spec(2), &[&first, &slow]);
-    w.until(20_000, "done", |w| w.is_done(&first));
+    w.until(20_000, "the job is done", |w| w.is_done(&first));
     w.run(90_000);
     let archived = |w: &World, job: &str| w.state.value(&past_key(job)).is_some();
-    assert!(archived(&w, &aside), "nothing is archived at all");
-    assert!(!archived(&w, &first), "it is still needed");
-    // Everybody reads everything again.
+    assert!(
+        archived(&w, &aside),
+        "a finished job without dependents is not archived"
+    );
+    assert!(
+        !archived(&w, &first),
+        "a predecessor of a waiting job is archived"
+    );
+    // All controllers restart and read the whole store again.
     for i in 0..3 {
         w.crash(i);
     }
@@ -387,8 +418,8 @@
     w.run(20_000);
     assert_eq!(w.starts_of(&last), 0);
     w.failing_jobs.clear();
-    w.until(120_000, "done", |w| w.is_done(&last));
-    w.until(120_000, "archived", |w| {
+    w.until(120_000, "the job is done", |w| w.is_done(&last));
+    w.until(120_000, "the first job is archived", |w| {
         w.state.value(&past_key(&first)).is_some()
     });
     w.assert_no_violations();
@@ -403,27 +434,27 @@
         w.failing_jobs.insert(first.clone());
         let next = w.submit_dependent(2, w.spec(1), &[&first]);
         w.run(3000);
-        let mut record = w.job(&first).expect("known");
+        let mut record = w.job(&first).expect("the job is stored");
         record.status = status;
-        let value = serde_json::to_value(&record).expect("json");
+        let value = serde_json::to_value(&record).expect("serializable");
         w.state.overwrite(&past_key(&first), &value);
         w.state.forget(&job_key(&first));
         match status {
-            JobStatus::Done => w.until(30_000, "done", |w| w.is_done(&next)),
-            _ => all_cancelled(&mut w, &[next]),
+            JobStatus::Done => w.until(30_000, "the job is done", |w| w.is_done(&next)),
+            _ => assert_all_cancelled(&mut w, &[next]),
         }
     }
 }
 
 #[test]
-fn dependent_jobs_survive_crashes_outages_and_failovers() {
+fn dependent_jobs_finish_despite_crashes_outages_and_failovers() {
     for seed in 24..28 {
         let mut w = World::settled(seed, [3, 5][seed as usize % 2], 8);
         w.run_ms = 4000;
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut all = Vec::new();
         for n in 0..4 {
-            all.extend(chain_of(&mut w, 100 * (n + 1), 4));
+            all.extend(submit_chain(&mut w, 100 * (n + 1), 4));
         }
         for _ in 0..6 {
             let leader = w.leader();
@@ -435,47 +466,47 @@
             w.heal();
             w.run(rng.random_range(2000..8000));
         }
-        let called_off = all[5].clone();
+        let cancelled_job = all[5].clone();
         let cancelled =
-            w.is_open(&called_off) && matches!(w.cancel(&called_off), CommitOutcome::Done(_));
-        let (over, rest): (Vec<String>, Vec<String>) = all.into_iter().partition(|j| {
+            w.is_open(&cancelled_job) && matches!(w.cancel(&cancelled_job), CommitOutcome::Done(_));
+        let (cancelled_jobs, rest): (Vec<String>, Vec<String>) = all.into_iter().partition(|j| {
             cancelled && ["wk-000201", "wk-000202", "wk-000203"].contains(&j.as_str())
         });
-        w.run_asking(20_000, &over);
+        w.run_asking(20_000, &cancelled_jobs);
         w.assert_all_jobs_finish(&rest);
         if cancelled {
-            all_cancelled(&mut w, &over);
+            assert_all_cancelled(&mut w, &cancelled_jobs);
         }
         w.assert_no_violations();
     }
 }
 
 #[test]
-fn every_answer_after_a_cancellation_is_as_new_also_while_the_state_service_is_out() {
+fn answers_after_a_cancellation_are_current_also_during_an_outage_of_the_store() {
     for seed in 28..32 {
         let mut w = World::settled(seed, 3, 6);
         w.run_ms = 20_000;
-        let submit_dependent = chain_of(&mut w, 1, 5);
+        let chain = submit_chain(&mut w, 1, 5);
         w.run(4000);
         let at = seed as usize % 2;
-        let leader = w.leader().expect("leads");
+        let leader = w.leader().expect("a leader");
         assert!(matches!(
-            w.cancel_through(at, &submit_dependent[0]),
+            w.cancel_through(at, &chain[0]),
             CommitOutcome::Done(_)
         ));
         w.outage(true);
-        w.run_asking(3000, &submit_dependent);
+        w.run_asking(3000, &chain);
         w.crash(leader);
         w.run(3000);
         w.heal();
-        w.run_asking(15_000, &submit_dependent);
-        all_cancelled(&mut w, &submit_dependent);
+        w.run_asking(15_000, &chain);
+        assert_all_cancelled(&mut w, &chain);
         w.assert_no_violations();
     }
 }
 
-/// The next write by which controller 0 accepts a job that names these; what was written before is
-/// known to it.
+/// The next write by which controller 0 accepts a job with these predecessors. The replica of controller 0
+/// shows the writes made so far.
 fn next_step(w: &World, name: &str, spec: &JobSpec, awaits: &[String]) -> Step {
     let replica = &w.controller(0).replica;
     let archived = |name: &str| match w.job(name).map(|j| j.status) {
@@ -493,11 +524,11 @@
         mod_revision: waiting.mod_revision,
     });
     let record = new_record(spec.clone(), w.now);
-    plan_step(name, &record, &named, stored, &w.settings).expect("planned")
+    plan_step(name, &record, &named, stored, &w.settings).expect("the acceptance is planned")
 }
 
-/// Twenty jobs that run, and the first write of a job that names them all, carried out.
-fn begun_gradually(seed: u64) -> (World, Vec<String>, Step) {
+/// Starts twenty jobs and commits the first write that accepts a job with all of them as predecessors.
+fn start_incremental_acceptance(seed: u64) -> (World, Vec<String>, Step) {
     let few = PLATFORM.replace("txn_ops = 12", "txn_ops = 4");
     let mut w = World::with_platform(seed, 3, 6, &few);
     w.run(8000);
@@ -518,30 +549,31 @@
 }
 
 #[test]
-fn a_job_that_names_more_than_a_transaction_can_hold_is_accepted_in_several_writes() {
-    let (mut w, awaits, first) = begun_gradually(32);
+fn a_job_with_more_predecessors_than_fit_into_a_transaction_is_accepted_in_several_writes() {
+    let (mut w, awaits, first) = start_incremental_acceptance(32);
     let job = "wk-000099".to_owned();
     for i in 0..3 {
         assert_eq!(
             w.poll_status(i, &job),
             None,
-            "nobody was told that it is accepted"
+            "an incomplete job is visible to users"
         );
     }
-    // A predecessor that is held is done, and one that is not; a controller ends.
-    w.until(40_000, "some are done", |w| {
+    // A predecessor that the job names already and one that it does not name yet are done, and a controller
+    // restarts.
+    w.until(40_000, "the first and the last predecessor are done", |w| {
         w.is_done(&awaits[0]) && w.is_done(&awaits[19])
     });
     w.crash(1);
     w.run(500);
     w.start(1);
     w.run(8000);
-    assert_eq!(w.starts_of(&job), 0, "it is incomplete");
+    assert_eq!(w.starts_of(&job), 0, "an incomplete job was started");
     let last = next_step(&w, &job, &w.spec(1), &awaits);
     let Step::Complete(transaction) = last else {
         panic!("{last:?}")
     };
-    // The first write arrives late once more.
+    // A delayed copy of the first write arrives.
     let Step::Incomplete(first) = first else {
         panic!("{first:?}")
     };
@@ -552,24 +584,28 @@
     ));
     w.run(500);
     assert_eq!(w.poll_status(0, &job), Some(JobStatus::Pending));
-    w.until(120_000, "all that it names is done", |w| {
+    w.until(120_000, "all predecessors are done", |w| {
         awaits.iter().all(|a| w.is_done(a))
     });
-    w.until(60_000, "it is done", |w| w.done(&job) == 1);
+    w.until(60_000, "its task is recorded as done", |w| {
+        w.done(&job) == 1
+    });
     w.assert_no_violations();
 }
 
 #[test]
-fn an_incomplete_job_that_its_user_gave_up_is_dropped_and_holds_nothing_up() {
-    let (mut w, awaits, first) = begun_gradually(33);
-    w.until(200_000, "all are done", |w| {
+fn an_abandoned_incomplete_job_is_dropped_and_its_predecessors_are_archived() {
+    let (mut w, awaits, first) = start_incremental_acceptance(33);
+    w.until(200_000, "all predecessors are done", |w| {
         awaits.iter().all(|a| w.is_done(a))
     });
     let key = waiting_key("wk-000099");
     assert!(w.state.value(&key).is_some());
-    w.until(200_000, "it is dropped", |w| w.state.value(&key).is_none());
+    w.until(200_000, "the incomplete job is dropped", |w| {
+        w.state.value(&key).is_none()
+    });
     let archived = |w: &World, j: &String| w.state.value(&past_key(j)).is_some();
-    w.until(200_000, "what it named is archived", |w| {
+    w.until(200_000, "its predecessors are archived", |w| {
         awaits.iter().all(|j| archived(w, j))
     });
     let Step::Incomplete(first) = first else {
@@ -581,8 +617,8 @@
 }
 
 #[test]
-fn a_cancellation_between_two_writes_of_an_acceptance_cancels_the_job() {
-    let (mut w, awaits, _) = begun_gradually(34);
+fn a_predecessor_cancelled_between_two_writes_of_an_acceptance_cancels_the_job() {
+    let (mut w, awaits, _) = start_incremental_acceptance(34);
     let job = "wk-000099".to_owned();
     assert!(matches!(w.cancel(&awaits[3]), CommitOutcome::Done(_)));
     w.run(500);
--- a/tests/missed_messages.rs
+++ b/tests/network_faults_and_restarts.rs
@@ -1,6 +1,7 @@
-//! Tests of machines and controllers that miss messages: nobody is starved, machines that do not hear, late
-//! copies of heartbeats, controllers that are partitioned with their workers, and incarnations that follow
-//! one another within a fraction of a second; with three controllers and with five.
+//! Tests of network faults and quick restarts: acknowledgements that do not reach a machine, delayed copies
+//! of heartbeats, controllers that are partitioned with or without their workers, and controllers and workers
+//! that restart within a fraction of a second. Several tests run with three and with five controllers.
+//! A few tests check starvation, quotas, write sizes and settings without a fault.
 
 mod support;
 
@@ -9,38 +10,38 @@
 use quillbend::protocol::{JobStatus, Priority};
 use support::{StoreFault, World};
 
-/// A world that has settled: somebody leads and every machine is held and obeys.
-fn settled(seed: u64, controllers: usize, machines: usize) -> World {
+/// A world with a leader in which every machine has a holder and accepts its commands.
+fn controllable_world(seed: u64, controllers: usize, machines: usize) -> World {
     let mut w = World::settled(seed, controllers, machines);
     w.run(3000);
     w
 }
 
-/// A settled world in which all tasks of one job run, each for `run_ms`.
-fn busy(seed: u64, controllers: usize, run_ms: u64) -> (World, String) {
-    let mut w = settled(seed, controllers, 6);
+/// The same with a job of 16 tasks, all of which run, each for `run_ms`.
+fn world_with_job(seed: u64, controllers: usize, run_ms: u64) -> (World, String) {
+    let mut w = controllable_world(seed, controllers, 6);
     let job = w.fill(run_ms, 16);
     (w, job)
 }
 
-/// The job of a [`busy`] world is done in the end, and each of its tasks was started once.
-fn nothing_lost(w: &mut World, job: &str) {
-    w.until(60_000, "done", |w| w.is_done(job));
+/// Asserts that the job of [`world_with_job`] finishes with each task started once.
+fn assert_done_with_each_task_started_once(w: &mut World, job: &str) {
+    w.until(60_000, "the job is done", |w| w.is_done(job));
     w.assert_no_violations();
-    assert_eq!(w.starts.len(), 16, "running work was lost");
+    assert_eq!(w.starts.len(), 16, "a running task was lost");
 }
 
-/// Positions of the machines that run something.
-fn with_tasks(w: &World) -> Vec<usize> {
+/// Indices of the machines that have tasks.
+fn machines_with_tasks(w: &World) -> Vec<usize> {
     let busy = |&i: &usize| !w.workers[i].tasks.is_empty();
     (0..w.workers.len()).filter(busy).collect()
 }
 
 #[test]
-fn a_large_job_behind_a_stream_of_urgent_work_begins_within_four_minutes() {
-    let mut w = settled(1, 3, 4);
+fn a_best_effort_job_behind_a_stream_of_urgent_jobs_starts_within_four_minutes() {
+    let mut w = controllable_world(1, 3, 4);
     w.run_ms = 6000;
-    // Three CPUs' worth of urgent work for each CPU that the team may use, before and after.
+    // Before and after the submission, urgent jobs ask for three times the CPUs that the team may use.
     w.submit_burst(15);
     let mut large = w.spec(200);
     large.priority = Priority::BestEffort;
@@ -48,15 +49,17 @@
     let large = w.submit(1, large);
     let submitted = w.now;
     w.submit_burst(240);
-    let begun = w.starts.iter().find(|s| s.1.starts_with(&large));
-    let begun = begun.map(|s| s.0 - submitted).expect("it begins");
-    assert!(begun < 240_000, "after {begun} ms");
+    let waited_ms = w.starts.iter().find(|s| s.1.starts_with(&large));
+    let waited_ms = waited_ms
+        .map(|s| s.0 - submitted)
+        .expect("a task of the job started");
+    assert!(waited_ms < 240_000, "the job started after {waited_ms} ms");
     w.assert_no_violations();
 }
 
 #[test]
-fn a_burst_of_one_team_leaves_the_others_quota_intact() {
-    let mut w = settled(2, 3, 6);
+fn a_burst_of_one_team_leaves_the_quota_of_another_team_intact() {
+    let mut w = controllable_world(2, 3, 6);
     w.cloud_up = false;
     for n in 1..=20 {
         let mut burst_jobs = w.spec(40);
@@ -64,75 +67,80 @@
         w.submit(n, burst_jobs);
     }
     w.run(10_000);
-    let mut theirs = w.spec(8);
-    theirs.team = "red".into();
-    let theirs = w.submit(30, theirs);
-    w.until(60_000, "the other team's job is done", |w| {
-        w.is_done(&theirs)
+    let mut red_job = w.spec(8);
+    red_job.team = "red".into();
+    let red_job = w.submit(30, red_job);
+    w.until(60_000, "the job of the other team is done", |w| {
+        w.is_done(&red_job)
     });
     w.assert_no_violations();
 }
 
 #[test]
-fn a_new_machine_that_receives_no_acknowledgements_is_given_no_task_and_returned() {
-    let mut w = settled(3, 3, 2);
+fn a_new_machine_that_receives_no_acknowledgements_is_returned_without_a_task() {
+    let mut w = controllable_world(3, 3, 2);
     w.run_ms = 20_000;
     let mut long = w.spec(60);
     long.estimate_s = 20.0;
     w.submit(1, long);
-    w.until(30_000, "machines come", |w| w.workers.len() > 2);
+    w.until(30_000, "machines are rented", |w| w.workers.len() > 2);
     let unreachable = w.workers.len() - 1;
     w.workers[unreachable].unreachable = true;
     let machine = w.workers[unreachable].machine.name.clone();
     let grants = w.state.writes_to("qb/grant/");
-    w.until(150_000, "it is returned", |w| w.returned.contains(&machine));
+    w.until(150_000, "the machine is returned", |w| {
+        w.returned.contains(&machine)
+    });
     assert!(w.starts.iter().all(|s| s.2 != machine));
     let moved = w.state.writes_to("qb/grant/") - grants;
-    assert!(moved <= 3, "its wandering moved {moved} grants");
+    assert!(
+        moved <= 3,
+        "its heartbeats to other controllers caused {moved} grants"
+    );
     w.assert_no_violations();
 }
 
 #[test]
 fn tasks_of_an_unreachable_machine_run_again_once_after_its_lease() {
     for controllers in [3, 5] {
-        let (mut w, job) = busy(4, controllers, 30_000);
-        let at = with_tasks(&w)[0];
+        let (mut w, job) = world_with_job(4, controllers, 30_000);
+        let at = machines_with_tasks(&w)[0];
         w.workers[at].unreachable = true;
         let since = w.now;
         let machine = w.workers[at].machine.name.clone();
-        w.until(150_000, "done", |w| w.is_done(&job));
+        w.until(150_000, "the job is done", |w| w.is_done(&job));
         w.assert_no_violations();
         let again: Vec<_> = w.starts.iter().filter(|s| s.0 > since).collect();
         assert!(again.iter().all(|s| s.0 > since + 9000), "{again:?}");
         assert!(
             again.iter().all(|s| s.2 != machine),
-            "bound where nothing arrives"
+            "a task was bound to the unreachable machine"
         );
     }
 }
 
 #[test]
 fn a_machine_that_is_reachable_again_is_used_again() {
-    let mut w = settled(5, 3, 1);
+    let mut w = controllable_world(5, 3, 1);
     w.cloud_up = false;
     w.workers[0].unreachable = true;
     let job = w.submit(1, w.spec(8));
     w.run(40_000);
     assert_eq!(w.starts.len(), 0);
     w.workers[0].unreachable = false;
-    w.until(90_000, "done", |w| w.is_done(&job));
+    w.until(90_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
 }
 
 #[test]
-fn late_copies_of_heartbeats_change_nothing() {
+fn delayed_copies_of_heartbeats_change_nothing() {
     for (seed, ages) in [
         (6, vec![700, 2500]),
         (7, vec![5000, 11_000]),
         (8, vec![13_000, 25_000]),
         (9, vec![40_000, 60_000, 300]),
     ] {
-        let mut w = settled(seed, 3, 6);
+        let mut w = controllable_world(seed, 3, 6);
         w.heartbeat_copies = ages.clone();
         w.run_ms = 12_000;
         let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(16))).collect();
@@ -142,35 +150,41 @@
         assert_eq!(
             w.state.writes_to("qb/grant/"),
             grants,
-            "a copy began a takeover"
+            "a copied heartbeat caused a new grant"
         );
-        // A takeover, and a restart of all, with copies from before among the reports after.
-        let dead = (w.leader().expect("leads") + 1) % 3;
+        // A failover and then a restart of all controllers, with older copies among the new heartbeats.
+        let dead = (w.leader().expect("a leader") + 1) % 3;
         w.crash(dead);
         w.run(9000);
         w.start(dead);
         (0..3).for_each(|i| w.crash(i));
         w.run(300);
         (0..3).for_each(|i| w.start(i));
-        w.until(150_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+        w.until(150_000, "all jobs are done", |w| {
+            jobs.iter().all(|j| w.is_done(j))
+        });
         w.assert_no_violations();
-        assert_eq!(w.starts.len(), 48, "copies {ages:?} lost running work");
+        assert_eq!(
+            w.starts.len(),
+            48,
+            "copies delayed by {ages:?} ms lost running tasks"
+        );
     }
 }
 
 #[test]
-fn a_late_heartbeat_copy_revives_no_machine_that_is_gone() {
-    let (mut w, job) = busy(10, 3, 20_000);
+fn a_delayed_heartbeat_copy_does_not_readmit_a_machine_that_is_gone() {
+    let (mut w, job) = world_with_job(10, 3, 20_000);
     w.heartbeat_copies = vec![3000, 9000, 16_000, 30_000];
     w.run(4000);
-    let at = with_tasks(&w)[0];
+    let at = machines_with_tasks(&w)[0];
     let gone = w.workers.remove(at).machine.name;
-    // It goes with nothing said, while the leader and a memory of it change.
-    let leader = w.leader().expect("leads");
+    // The machine disappears without notice, and the leader that knew it restarts.
+    let leader = w.leader().expect("a leader");
     w.crash(leader);
     w.run(2000);
     w.start(leader);
-    w.until(120_000, "done", |w| w.is_done(&job));
+    w.until(120_000, "the job is done", |w| w.is_done(&job));
     w.run(45_000);
     w.assert_no_violations();
     for i in 0..3 {
@@ -181,21 +195,24 @@
 }
 
 #[test]
-fn copies_of_heartbeats_from_a_machine_that_is_gone_do_not_keep_its_tasks_for_ever() {
-    // A new holder that has never seen its token answers such reports for a while, for they may be
-    // life; then it stops, so that whatever ran there is surely over.
-    let (mut w, job) = busy(31, 3, 20_000);
+fn repeated_heartbeat_copies_of_a_machine_that_is_gone_do_not_keep_its_tasks_bound() {
+    // A new holder whose token the machine has not confirmed first answers such heartbeats, because they
+    // may come from a live machine. Later it stops answering, so that any task there ends with the lease.
+    let (mut w, job) = world_with_job(31, 3, 20_000);
     w.cloud_up = false;
-    let at = with_tasks(&w)[0];
+    let at = machines_with_tasks(&w)[0];
     let gone = w.workers.remove(at);
     let copy = gone.heartbeat();
-    let holder = w.holder(&gone.machine.name).expect("held");
+    let holder = w.holder(&gone.machine.name).expect("a holder");
     w.crash(holder);
     w.run(500);
     w.start(holder);
     let end = w.now + 120_000;
     while !w.is_done(&job) {
-        assert!(w.now < end, "its tasks still wait for it");
+        assert!(
+            w.now < end,
+            "its tasks are still bound to the machine that is gone"
+        );
         w.run(2000);
         for i in 0..3 {
             let clock = w.clock(i);
@@ -207,10 +224,10 @@
 }
 
 #[test]
-fn a_partitioned_controller_stops_in_time_and_hands_over_running_tasks() {
+fn a_partitioned_controller_loses_its_authority_in_time_and_its_tasks_run_on() {
     for (controllers, leads) in [(3, false), (3, true), (5, false), (5, true)] {
-        let (mut w, job) = busy(11, controllers, 60_000);
-        let leader = w.leader().expect("leads");
+        let (mut w, job) = world_with_job(11, controllers, 60_000);
+        let leader = w.leader().expect("a leader");
         let i = if leads {
             leader
         } else {
@@ -221,26 +238,29 @@
         w.run(4000);
         assert!(
             !w.controller(i).ready(Timestamp(w.now)),
-            "users are sent to it"
+            "the partitioned controller is still ready for users"
         );
         let cancel_ms = w.settings.platform.settings.workers.cancel_s * 1000.0;
         while w.controller(i).has_authority(Timestamp(w.now)) {
             w.step();
-            assert!((w.now - cut) as f64 <= cancel_ms, "it acts for too long");
+            assert!(
+                (w.now - cut) as f64 <= cancel_ms,
+                "it keeps its authority longer than cancel_s"
+            );
         }
-        w.until(40_000, "others hold its machines", |w| {
+        w.until(40_000, "every machine has a holder", |w| {
             w.workers
                 .iter()
                 .all(|m| w.holder(&m.machine.name).is_some())
         });
-        nothing_lost(&mut w, &job);
+        assert_done_with_each_task_started_once(&mut w, &job);
     }
 }
 
 #[test]
-fn work_cancelled_while_its_controller_is_partitioned_stops_in_time() {
-    let (mut w, job) = busy(12, 3, 120_000);
-    let i = (w.leader().expect("leads") + 1) % 3;
+fn a_job_cancelled_while_a_controller_is_partitioned_stops_in_time() {
+    let (mut w, job) = world_with_job(12, 3, 120_000);
+    let i = (w.leader().expect("a leader") + 1) % 3;
     w.isolate(i);
     w.run(1000);
     w.cancel(&job);
@@ -252,16 +272,16 @@
 }
 
 #[test]
-fn controllers_back_within_a_moment_amid_an_election_lose_nothing() {
+fn controllers_that_restart_quickly_during_an_election_lose_no_task() {
     for (seed, controllers) in [(13, 3), (14, 5), (15, 5)] {
-        let (mut w, job) = busy(seed, controllers, 40_000);
-        // Writes of the earlier lives arrive when the later ones have begun.
+        let (mut w, job) = world_with_job(seed, controllers, 40_000);
+        // Writes of the earlier incarnations are committed after the restarts.
         (0..controllers).for_each(|i| w.links[i].state = StoreFault::Late(900));
         w.run(500);
-        let leader = w.leader().expect("leads");
+        let leader = w.leader().expect("a leader");
         w.crash(leader);
         w.run(2700);
-        // The others are about to elect; now everybody is replaced within 300 ms.
+        // The others are about to elect a leader; now each controller is restarted within 300 ms.
         w.start(leader);
         for i in 0..controllers {
             w.crash(i);
@@ -270,40 +290,40 @@
             w.links[i].state = StoreFault::Good;
             w.run(200);
         }
-        nothing_lost(&mut w, &job);
+        assert_done_with_each_task_started_once(&mut w, &job);
     }
 }
 
 #[test]
-fn a_machine_back_within_a_moment_runs_its_tasks_again_and_is_used() {
-    let (mut w, job) = busy(16, 3, 15_000);
-    let at = with_tasks(&w)[0];
+fn a_machine_that_restarts_quickly_runs_its_tasks_again_and_receives_new_ones() {
+    let (mut w, job) = world_with_job(16, 3, 15_000);
+    let at = machines_with_tasks(&w)[0];
     let machine = w.workers[at].machine.name.clone();
     let presumed_dead = w.workers[at].tasks.len();
     w.restart_machine(at);
-    w.until(90_000, "done", |w| w.is_done(&job));
+    w.until(90_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_eq!(w.starts.len(), 16 + presumed_dead);
     let again = w.submit(2, w.spec(40));
     w.cloud_up = false;
     let before = w.now;
-    w.until(120_000, "done", |w| w.is_done(&again));
+    w.until(120_000, "the job is done", |w| w.is_done(&again));
     w.assert_no_violations();
     let used = w.starts.iter().any(|s| s.0 > before && s.2 == machine);
     assert!(
         used || w.returned.contains(&machine),
-        "its new life is ignored"
+        "the restarted machine was neither used nor returned"
     );
 }
 
 #[test]
-fn a_restarted_worker_has_its_block_granted_once() {
-    // The leader granted it again and again until it next looked when each grant had been made.
+fn the_block_of_a_restarted_worker_is_granted_again_only_once() {
+    // The leader once granted the block repeatedly until it next checked when each grant had been made.
     for seed in 0..4 {
-        let (mut w, _) = busy(40 + seed, 3, 30_000);
+        let (mut w, _) = world_with_job(40 + seed, 3, 30_000);
         w.run(5000);
         let before = w.state.writes_to("qb/grant/");
-        w.restart_machine(with_tasks(&w)[0]);
+        w.restart_machine(machines_with_tasks(&w)[0]);
         w.run(4000);
         let grants = w.state.writes_to("qb/grant/") - before;
         assert_eq!(grants, 1, "seed {seed}");
@@ -312,26 +332,26 @@
 }
 
 #[test]
-fn refused_connections_between_controllers_change_no_leader_and_no_holder() {
+fn refused_connections_between_controllers_change_neither_leader_nor_holders() {
     for controllers in [3, 5] {
-        let (mut w, job) = busy(17, controllers, 30_000);
+        let (mut w, job) = world_with_job(17, controllers, 30_000);
         let (leader, grants) = (w.leader(), w.state.writes_to("qb/grant/"));
         (0..controllers).for_each(|i| w.links[i].peers = false);
         w.run(20_000);
         assert_eq!(w.leader(), leader);
         assert_eq!(w.state.writes_to("qb/grant/"), grants);
         w.heal();
-        w.until(60_000, "done", |w| w.is_done(&job));
+        w.until(60_000, "the job is done", |w| w.is_done(&job));
         w.assert_no_violations();
         assert_eq!(w.starts.len(), 16);
     }
 }
 
 #[test]
-fn the_smaller_side_of_a_cut_between_five_does_not_take_the_lead() {
-    let mut w = settled(18, 5, 6);
-    let leader = w.leader().expect("leads");
-    // Two of five hear each other and nobody else; all reach the state service.
+fn the_minority_side_of_a_partition_of_five_does_not_take_the_lead() {
+    let mut w = controllable_world(18, 5, 6);
+    let leader = w.leader().expect("a leader");
+    // Two of five controllers reach only each other; all five reach the state store.
     let two = [(leader + 1) % 5, (leader + 2) % 5];
     w.partition_side = (0..5).map(|i| u8::from(two.contains(&i))).collect();
     let before = w.state.writes_to("qb/lead");
@@ -339,22 +359,22 @@
     assert_eq!(
         w.state.writes_to("qb/lead"),
         before,
-        "somebody took the lead"
+        "another controller took the lead"
     );
     assert_eq!(w.leader(), Some(leader));
 }
 
 #[test]
-fn random_faults_keep_the_rules_with_five_controllers() {
+fn random_faults_violate_no_invariant_with_five_controllers() {
     use rand::{Rng, SeedableRng};
     for seed in 0..8 {
         let mut rng = rand::rngs::SmallRng::seed_from_u64(500 + seed);
-        let mut w = settled(500 + seed, 5, 8);
+        let mut w = controllable_world(500 + seed, 5, 8);
         if seed % 2 == 0 {
             w.heartbeat_copies = vec![1500, 14_000];
         }
         if seed % 3 == 0 {
-            // Also from lives of controllers that are over.
+            // Some copies come from earlier incarnations of controllers.
             w.peer_message_copies = vec![900, 8000, 30_000];
         }
         let jobs: Vec<String> = (1..=4).map(|n| w.submit(n, w.spec(20))).collect();
@@ -385,9 +405,9 @@
 }
 
 #[test]
-fn steals_in_a_large_busy_fleet_end_after_a_few_hops() {
-    // On a grown deployment, thieves that found nothing sent their steals round all machines:
-    // 357000 hops for 25 packs, and no time was left for reports.
+fn steal_requests_in_a_large_busy_fleet_end_after_a_few_hops() {
+    // In a large deployment, steal requests that found nothing were forwarded to all machines:
+    // 357000 hops for 25 packs, which left no time for heartbeats.
     let mut w = World::sized(19, 3, 120);
     w.settings.platform.settings.teams[0].cpus_max = 500.0;
     (0..3).for_each(|i| w.crash(i));
@@ -405,20 +425,23 @@
         (0..3).map(|i| f(&w.controller(i).counters)).sum()
     };
     let (steals, hops) = (count(|c| c.steals), count(|c| c.hops));
-    assert!(steals > 20, "only {steals} steals");
-    assert!(hops <= steals * 7, "{hops} hops of {steals} steals");
-    assert!(steals < 12 * 120 * 4, "{steals} steals in 12 rounds");
+    assert!(steals > 20, "only {steals} steal requests");
+    assert!(hops <= steals * 7, "{hops} hops of {steals} steal requests");
+    assert!(
+        steals < 12 * 120 * 4,
+        "{steals} steal requests in 12 rounds"
+    );
     w.assert_no_violations();
 }
 
 #[test]
-fn machines_of_a_zone_that_is_cut_off_are_kept_for_a_while() {
-    // They came back with warm caches after 70 s, but had been returned after 38 s, and what
-    // was rented in their place could not be reached either.
-    let mut w = settled(20, 3, 10);
+fn machines_of_a_disconnected_zone_are_not_returned_at_once() {
+    // The machines were reachable again after 70 s, with warm caches, but had been returned after 38 s,
+    // and the machines rented in their place were not reachable either.
+    let mut w = controllable_world(20, 3, 10);
     w.run_ms = 30_000;
     let job = w.submit(1, w.spec(16));
-    w.until(20_000, "all run", |w| w.running() == 16);
+    w.until(20_000, "all tasks run", |w| w.running() == 16);
     let south = |w: &World| -> Vec<usize> {
         let of = |&i: &usize| w.workers[i].machine.zone == "south";
         (0..w.workers.len()).filter(of).collect()
@@ -435,16 +458,16 @@
         .filter(|machine| !w.returned.contains(*machine));
     assert_eq!(kept.count(), there.len(), "{:?}", w.returned);
     w.heal();
-    w.until(150_000, "done", |w| w.is_done(&job));
+    w.until(150_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
 }
 
 #[test]
-fn a_controller_that_lags_marks_no_machine_unreachable() {
-    // While its answers were slow, a controller had 165 machines returned that missed them.
+fn a_slow_controller_marks_no_machine_unreachable() {
+    // A controller with slow responses once had 165 machines returned because they missed its responses.
     let unreachable = |misses: &dyn Fn(usize) -> bool| {
-        let mut w = settled(21, 3, 15);
-        let i = (w.leader().expect("leads") + 1) % 3;
+        let mut w = controllable_world(21, 3, 15);
+        let i = (w.leader().expect("a leader") + 1) % 3;
         let held = |w: &World, at: &usize| w.holder(&w.workers[*at].machine.name) == Some(i);
         let mine: Vec<usize> = (0..15).filter(|at| held(&w, at)).collect();
         assert!(mine.len() > 3, "{mine:?}");
@@ -453,7 +476,7 @@
             now += 4200;
             for (n, &at) in mine.iter().enumerate() {
                 let mut heartbeat = w.workers[at].heartbeat();
-                // Who had no answer has asked another controller in between.
+                // A worker without a response has sent a heartbeat to another controller in between.
                 let step = if misses(n) { 2 } else { 1 };
                 heartbeat.sequence += round * step;
                 let at = if misses(n) { now } else { w.now + round * 1000 };
@@ -471,19 +494,19 @@
     assert_eq!(
         unreachable(&|n| n == 0),
         1,
-        "one that misses its answers is found out"
+        "a single machine that misses responses is marked"
     );
     assert_eq!(
         unreachable(&|_| true),
         0,
-        "all that miss them are not to blame"
+        "if all machines miss responses, the controller is at fault"
     );
 }
 
 #[test]
-fn writes_whose_answers_are_lost_bind_nothing_twice_while_the_watch_is_late() {
-    // A binding whose answer was lost had been carried out; its repeat failed its conditions, and
-    // before the watch showed why, the same tasks were bound in other blocks as well.
+fn writes_with_lost_responses_bind_no_task_twice_while_the_watch_lags() {
+    // A write of bindings was committed but its response was lost. Its retry failed its preconditions, and
+    // before the watch showed the reason, the same tasks were also bound in other blocks.
     for seed in 30..33 {
         let mut w = World::sized(seed, 3, 40);
         w.settings.platform.settings.teams[0].cpus_max = 500.0;
@@ -500,19 +523,21 @@
             .collect();
         w.run(10_000);
         w.heal();
-        w.until(120_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+        w.until(120_000, "all jobs are done", |w| {
+            jobs.iter().all(|j| w.is_done(j))
+        });
         w.assert_no_violations();
-        assert_eq!(w.starts.len(), 720, "some task was started again");
+        assert_eq!(w.starts.len(), 720, "a task was started twice");
     }
 }
 
 #[test]
-fn a_task_bound_just_after_a_heartbeat_starts_in_the_delayed_acknowledgement() {
-    // Machines that came up by the hundred stood idle for half an interval of heartbeats.
-    let mut w = settled(23, 3, 1);
+fn a_task_bound_just_after_a_heartbeat_is_launched_by_the_delayed_acknowledgement() {
+    // Without it, hundreds of newly booted machines stayed idle for half a heartbeat interval.
+    let mut w = controllable_world(23, 3, 1);
     w.cloud_up = false;
     let machine = w.workers[0].machine.name.clone();
-    let i = w.holder(&machine).expect("held");
+    let i = w.holder(&machine).expect("a holder");
     w.run(6000);
     let clock = w.clock(i);
     w.workers[0].sequence += 1;
@@ -523,7 +548,7 @@
     assert!(controller.delay_ack(&machine, number, clock).is_some());
     let job = w.submit(1, w.spec(2));
     w.workers[0].cut = true;
-    w.until(3000, "it is bound", |w| {
+    w.until(3000, "both tasks are bound", |w| {
         w.controller(i)
             .replica
             .machines
@@ -533,36 +558,37 @@
     let clock = w.clock(i);
     let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
     assert_eq!(controller.woken_machines(), std::slice::from_ref(&machine));
-    let orders = |reply| match reply {
+    let commands = |reply| match reply {
         quillbend::controller::HeartbeatResponse::HeartbeatAck(o) => o.commands.len(),
         _ => 0,
     };
     assert_eq!(
-        orders(controller.release_ack(&machine, number, clock)),
+        commands(controller.release_ack(&machine, number, clock)),
         2,
         "{job}"
     );
-    // What was launched this way counts as begun until a newer report shows it.
-    assert_eq!(orders(controller.release_ack(&machine, number, clock)), 0);
+    // A task launched this way counts as started until a newer heartbeat reports it.
+    assert_eq!(commands(controller.release_ack(&machine, number, clock)), 0);
     assert_eq!(controller.delay_ack(&machine, number, clock), None);
-    // An answer to a heartbeat that was overtaken, or under a grant that is gone, starts nothing.
+    // An acknowledgement of a heartbeat that is not the newest, or under a grant that was lost, launches
+    // nothing.
     let mut newer = heartbeat;
     newer.sequence += 1;
     controller.on_heartbeat(newer, clock);
-    assert_eq!(orders(controller.release_ack(&machine, number, clock)), 0);
+    assert_eq!(commands(controller.release_ack(&machine, number, clock)), 0);
     w.isolate(i);
     w.run(40_000);
     let clock = w.clock(i);
     let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
     assert_eq!(
-        orders(controller.release_ack(&machine, (number.0, number.1 + 1), clock)),
+        commands(controller.release_ack(&machine, (number.0, number.1 + 1), clock)),
         0
     );
 }
 
 #[test]
-fn no_write_is_larger_than_the_service_takes_however_full_the_blocks_are() {
-    // Few blocks of many machines, small values, and jobs whose tasks end in no order.
+fn no_write_exceeds_the_value_limit_when_blocks_are_full() {
+    // Few blocks with many machines each, a low limit of the value size, and jobs whose tasks end out of order.
     let mut w = World::sized(24, 3, 90);
     w.settings.platform.settings.teams[0].cpus_max = 5000.0;
     w.settings.platform.settings.state.write_rps = 6.0;
@@ -590,21 +616,23 @@
         w.run(1000);
         full = full.max(largest(&w));
     }
-    assert!(full > 1000, "the blocks never filled up: {full}");
-    w.until(400_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+    assert!(full > 1000, "the largest block had only {full} bytes");
+    w.until(400_000, "all jobs are done", |w| {
+        jobs.iter().all(|j| w.is_done(j))
+    });
     w.assert_no_violations();
 }
 
 #[test]
 fn an_idle_machine_with_heartbeats_every_five_seconds_is_not_marked_unreachable() {
-    // Heartbeats that come later than an answer's time runs out do not mark a machine unreachable where the
-    // interval of heartbeats is longer than that: idle machines were drained and returned for it.
-    let mut w = settled(22, 3, 6);
+    // A heartbeat that arrives after the response timeout must not mark a machine unreachable if the
+    // heartbeat interval is longer than that timeout: idle machines were drained and returned.
+    let mut w = controllable_world(22, 3, 6);
     w.settings.platform.settings.workers.heartbeat_s = 5.0;
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
     w.run(10_000);
-    let holder = w.holder(&w.workers[0].machine.name).expect("held");
+    let holder = w.holder(&w.workers[0].machine.name).expect("a holder");
     let mut at = w.now;
     for _ in 0..8 {
         at += 6200;
@@ -628,7 +656,7 @@
 }
 
 #[test]
-fn settings_of_five_controllers_load_and_faulty_ones_name_the_field() {
+fn settings_of_five_controllers_load_and_an_error_names_the_invalid_field() {
     use quillbend::settings::Platform;
     let known = |n: u32| {
         format!("[[known]]\nhost_name = \"n{n}\"\nnew = 1\nendpoint = \"127.0.0.1:1808{n}\"\n")
@@ -636,9 +664,11 @@
     let text = support::PLATFORM
         .replace("count = 3", "count = 5\nnew_field = [1, 2]")
         .replace("[external]", &format!("{}{}[external]", known(3), known(4)));
-    let platform = Platform::parse(&text).expect("good");
+    let platform = Platform::parse(&text).expect("valid settings");
     assert_eq!((platform.settings.count, platform.peers.len()), (5, 4));
-    let faulty = text.replace("txn_ops = 12", "txn_ops = 2");
-    let says = Platform::parse(&faulty).expect_err("too few").to_string();
-    assert!(says.contains("state.txn_ops"), "{says}");
+    let invalid = text.replace("txn_ops = 12", "txn_ops = 2");
+    let error = Platform::parse(&invalid)
+        .expect_err("txn_ops is too small")
+        .to_string();
+    assert!(error.contains("state.txn_ops"), "{error}");
 }
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -1,5 +1,5 @@
-//! Tests of faults that meet, one or more for each meeting that the users list; the table in
-//! `docs/design.md` names the guard behind each.
+//! Tests of faults that overlap, at least one for each combination that the users list. The table in
+//! `docs/design.md` names the mechanism that protects against each combination.
 
 mod support;
 
@@ -10,29 +10,30 @@
 use rand::{Rng, SeedableRng};
 use support::{StoreFault, World};
 
-/// The state service refuses one controller alone; its watch hangs.
-fn refuse(w: &mut World, i: usize) {
+/// The store rejects the requests of one controller only, and that controller's watch hangs.
+fn reject_store_requests(w: &mut World, i: usize) {
     w.links[i].state = StoreFault::Refuses;
     w.links[i].watch_hangs = true;
 }
 
-/// Positions of the machines that run something.
-fn with_tasks(w: &World) -> Vec<usize> {
+/// Indices of the machines that run a task.
+fn machines_with_running_tasks(w: &World) -> Vec<usize> {
     let busy = |&i: &usize| w.workers[i].tasks.iter().any(|t| t.ended.is_none());
     (0..w.workers.len()).filter(busy).collect()
 }
 
-/// All jobs are done in the end, with the rules kept and no task started twice.
-fn all_once(w: &mut World, jobs: &[String], starts: usize) {
+/// Ends all faults and asserts that the jobs finish without a violated invariant and after exactly this
+/// many task starts.
+fn assert_jobs_finish_with_starts(w: &mut World, jobs: &[String], starts: usize) {
     w.assert_all_jobs_finish(jobs);
-    assert_eq!(w.starts.len(), starts, "running work was lost");
+    assert_eq!(w.starts.len(), starts, "a running task was lost");
 }
 
-// The gap.
+// Cancellations that a controller misses.
 
 #[test]
-fn what_is_cancelled_just_before_an_outage_is_gone_in_time_at_the_controller_that_missed_it() {
-    for (seed, controllers, leads, deaf_to_peers) in [
+fn a_job_cancelled_just_before_an_outage_stops_in_time_at_a_controller_that_missed_it() {
+    for (seed, controllers, leads, without_peers) in [
         (1, 3, true, false),
         (2, 3, true, true),
         (3, 5, true, true),
@@ -43,14 +44,14 @@
             let (mut w, job) = World::busy(seed, controllers, 300_000);
             w.drift[0] = -0.0005;
             w.drift[1] = 0.0005;
-            let leader = w.leader().expect("leads");
+            let leader = w.leader().expect("a leader");
             let old = if leads {
                 leader
             } else {
                 (leader + 1) % controllers
             };
-            refuse(&mut w, old);
-            w.links[old].peers = !deaf_to_peers;
+            reject_store_requests(&mut w, old);
+            w.links[old].peers = !without_peers;
             w.run(pause);
             let other = (old + 1) % controllers;
             assert!(matches!(
@@ -63,51 +64,64 @@
             assert_eq!(w.running_of(&job), 0);
             w.heal();
             w.run(20_000);
-            assert_eq!(w.running_of(&job), 0, "it runs again");
+            assert_eq!(w.running_of(&job), 0, "the cancelled job runs again");
             w.assert_no_violations();
         }
     }
 }
 
 #[test]
-fn a_refused_controller_hears_of_cancellations_from_its_peers_and_stops_those_tasks_alone() {
+fn a_controller_without_the_store_learns_of_cancellations_from_peers_and_stops_only_those_tasks() {
     let mut w = World::settled(6, 3, 8);
     w.run(3000);
     let kept = w.fill(300_000, 6);
     let mut spec = w.spec(6);
     spec.team = "red".into();
-    let called_off = w.submit(2, spec);
-    w.until(15_000, "all run", |w| w.running() == 12);
-    let there = |w: &World, i: usize| {
+    let cancelled_job = w.submit(2, spec);
+    w.until(15_000, "all tasks run", |w| w.running() == 12);
+    let running_there = |w: &World, i: usize| {
         let held = w
             .workers
             .iter()
             .filter(|m| w.holder(&m.machine.name) == Some(i));
         let tasks = held.flat_map(|m| m.tasks.iter().map(|t| t.task.clone()));
-        tasks.filter(|l| l.starts_with(&called_off)).count()
+        tasks.filter(|l| l.starts_with(&cancelled_job)).count()
     };
-    let old = (0..3).max_by_key(|&i| there(&w, i)).expect("some");
-    assert!(there(&w, old) > 0);
-    refuse(&mut w, old);
+    let old = (0..3)
+        .max_by_key(|&i| running_there(&w, i))
+        .expect("there is a controller");
+    assert!(running_there(&w, old) > 0);
+    reject_store_requests(&mut w, old);
     w.run(2000);
     let other = (old + 1) % 3;
-    w.cancel_through(other, &called_off);
+    w.cancel_through(other, &cancelled_job);
     w.run(200);
     w.outage(true);
     w.run(9000);
-    assert_eq!(w.running_of(&called_off), 0, "they wait for their lease");
-    assert_eq!(w.running_of(&kept), 6, "others were stopped with them");
+    assert_eq!(
+        w.running_of(&cancelled_job),
+        0,
+        "the cancelled tasks run until their lease ends"
+    );
+    assert_eq!(
+        w.running_of(&kept),
+        6,
+        "tasks of another job were stopped as well"
+    );
     w.assert_no_violations();
 }
 
 #[test]
-fn authority_counts_from_when_a_request_was_sent_not_from_its_answer() {
-    // A watch that was open before an outage is answered after it, as is a renewal.
+fn authority_counts_from_when_a_request_was_sent_not_from_its_response() {
+    // A watch or lease renewal that was sent before an outage can receive its response after it.
     let (mut w, _) = World::busy(7, 3, 300_000);
-    let i = (w.leader().expect("leads") + 1) % 3;
+    let i = (w.leader().expect("a leader") + 1) % 3;
     w.outage(true);
     let sent = w.clock(i);
-    let until = w.controller(i).authority_until().expect("it has some");
+    let until = w
+        .controller(i)
+        .authority_until()
+        .expect("the controller has authority");
     assert!(until <= Timestamp(sent.0 + w.settings.block_lease_ms()));
     w.run(20_000);
     let (now, revision) = (w.clock(i), w.state.revision());
@@ -117,18 +131,23 @@
         events: Vec::new(),
     };
     controller.on_watch_response(empty, sent, now);
-    assert!(controller.authority_until().expect("some") <= Timestamp(sent.0 + 24_000));
+    assert!(
+        controller
+            .authority_until()
+            .expect("the controller has authority")
+            <= Timestamp(sent.0 + 24_000)
+    );
     w.run(5000);
     let now = w.clock(i);
     assert!(
         !w.controller(i).has_authority(now),
-        "an old answer prolongs it"
+        "a late response extended the authority"
     );
 }
 
 #[test]
-fn a_cancellation_has_time_for_every_term_at_the_settings_of_every_deployment() {
-    // lease_s and cancel_s of the deployments that are known, and the least that is allowed.
+fn authority_and_worker_lease_fit_into_the_cancellation_limit_of_every_deployment() {
+    // lease_s and cancel_s of the known deployments, and the smallest values that are allowed.
     for (lease_s, cancel_s) in [
         (12.0, 37.0),
         (19.0, 49.0),
@@ -140,20 +159,20 @@
         let workers = &mut w.settings.platform.settings.workers;
         (workers.lease_s, workers.cancel_s) = (lease_s, cancel_s);
         let s = &w.settings;
-        // The slowest clock that is allowed measures the authority, and the worker's its lease.
+        // Both the authority and the worker's lease are measured by the slowest clocks that are allowed.
         let authority = s.authority_ms() as f64 * 1.0005;
         let total = authority + lease_s * 1000.0 * 1.0005;
         assert!(
             total + 1000.0 <= cancel_s * 1000.0,
-            "{lease_s} and {cancel_s}: {total} ms"
+            "lease_s {lease_s}, cancel_s {cancel_s}: a task can run for {total} ms"
         );
     }
 }
 
-// Controllers that come and go.
+// Controllers that stop and restart.
 
 #[test]
-fn controllers_hand_over_and_back_all_end_and_one_returns_within_a_second() {
+fn a_rolling_restart_followed_by_a_crash_of_all_controllers_loses_no_task() {
     for (seed, controllers) in [(10, 3), (11, 5)] {
         let (mut w, job) = World::busy(seed, controllers, 40_000);
         for i in 0..controllers {
@@ -166,24 +185,27 @@
         w.run(600);
         w.start(1);
         w.run(4000);
-        all_once(&mut w, &[job], 12);
+        assert_jobs_finish_with_starts(&mut w, &[job], 12);
     }
 }
 
 #[test]
-fn a_leader_ends_while_machines_with_long_tasks_do_not_hear_its_successor() {
+fn a_leader_crashes_while_machines_with_long_tasks_cannot_reach_its_successor() {
     for (seed, unreachable) in [(12, true), (13, false)] {
         let (mut w, job) = World::busy(seed, 3, 60_000);
-        let hit: Vec<usize> = with_tasks(&w).into_iter().take(2).collect();
-        for &at in &hit {
+        let affected: Vec<usize> = machines_with_running_tasks(&w)
+            .into_iter()
+            .take(2)
+            .collect();
+        for &at in &affected {
             (w.workers[at].unreachable, w.workers[at].cut) = (unreachable, !unreachable);
         }
-        let leader = w.leader().expect("leads");
+        let leader = w.leader().expect("a leader");
         w.crash(leader);
         w.run(9000);
         w.start(leader);
-        // Within their lease they go on, beside whatever was decided meanwhile.
-        hit.iter().for_each(|&at| {
+        // Within their lease the machines run on, whatever was decided in the meantime.
+        affected.iter().for_each(|&at| {
             w.workers[at].unreachable = false;
             w.workers[at].cut = false;
         });
@@ -193,7 +215,7 @@
 }
 
 #[test]
-fn ten_leaders_in_two_minutes_also_inside_an_outage_lose_nothing_and_rent_under_new_names() {
+fn ten_failovers_in_two_minutes_some_during_an_outage_lose_no_job_and_reuse_no_request_id() {
     for (seed, out) in [(14, false), (15, true)] {
         let mut w = World::settled(seed, 3, 4);
         w.run_ms = 15_000;
@@ -216,30 +238,30 @@
 }
 
 #[test]
-fn all_controllers_are_away_for_longer_than_a_workers_lease() {
+fn all_controllers_are_down_for_longer_than_a_worker_lease() {
     let (mut w, job) = World::busy(16, 3, 60_000);
     let also = w.submit(2, w.spec(8));
     (0..3).for_each(|i| w.crash(i));
     w.run(14_000);
-    assert_eq!(w.running(), 0, "their lease is over");
+    assert_eq!(w.running(), 0, "the leases of the workers have expired");
     w.assert_all_jobs_finish(&[job, also]);
     assert_eq!(w.starts.len(), 12 + 12 + 8);
 }
 
 #[test]
-fn jobs_of_two_or_three_tasks_end_far_apart_across_changes_of_the_leader() {
+fn jobs_whose_tasks_end_far_apart_finish_across_failovers() {
     let mut w = World::settled(17, 3, 6);
     let mut jobs = Vec::new();
     for n in 1..=5 {
-        // One task ends soon, the others late.
+        // The first task ends soon, the others late.
         w.run_ms = 3000;
         let job = w.submit(n, w.spec(2 + n % 2));
-        w.until(15_000, "one runs", |w| w.running_of(&job) > 0);
+        w.until(15_000, "a task runs", |w| w.running_of(&job) > 0);
         w.run_ms = 45_000;
         jobs.push(job);
     }
     for _ in 0..4 {
-        let leader = w.leader().expect("leads");
+        let leader = w.leader().expect("a leader");
         w.crash(leader);
         w.run_asking(6000, &jobs);
         w.start(leader);
@@ -247,9 +269,9 @@
     }
     let all: u32 = jobs
         .iter()
-        .map(|j| w.job(j).expect("known").spec.task_count)
+        .map(|j| w.job(j).expect("the job is stored").spec.task_count)
         .sum();
-    all_once(&mut w, &jobs, all as usize);
+    assert_jobs_finish_with_starts(&mut w, &jobs, all as usize);
     w.run_asking(15_000, &jobs);
     w.assert_no_violations();
 }
@@ -257,8 +279,8 @@
 // Zones.
 
 #[test]
-fn jobs_of_one_zone_stay_in_it_while_writes_are_unanswered_and_machines_go() {
-    // Tasks whose binding was under way did not count: the rest went to another zone.
+fn zone_constraints_hold_while_responses_are_lost_and_machines_disappear() {
+    // Tasks whose binding was still being written did not count, so the others were bound in another zone.
     for seed in 20..26 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut w = World::settled(seed, 3, 24);
@@ -288,17 +310,17 @@
 }
 
 #[test]
-fn a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease() {
+fn a_zone_with_workers_and_a_controller_is_partitioned_for_longer_than_a_lease() {
     for cancelled in [false, true] {
         let (mut w, job) = World::busy(27, 3, 50_000);
-        let inside = (w.leader().expect("leads") + 1) % 3;
+        let inside = (w.leader().expect("a leader") + 1) % 3;
         w.partition_side[inside] = 1;
         w.isolate(inside);
         let presumed_dead: Vec<usize> = (0..w.workers.len())
             .filter(|&i| w.workers[i].machine.zone == "south")
             .collect();
         for &at in &presumed_dead {
-            // They reach the controller inside and nobody else.
+            // These workers reach only the controller in their zone.
             w.workers[at].only = Some(inside);
         }
         w.run(4000);
@@ -319,19 +341,19 @@
     }
 }
 
-// The state service.
+// The state store.
 
 #[test]
-fn a_slow_service_that_refuses_the_leader_and_then_all_while_users_cancel_and_ask() {
+fn a_slow_store_rejects_the_leader_and_then_all_while_users_cancel_and_poll() {
     for seed in 30..33 {
         let mut w = World::settled(seed, 3, 6);
         w.run_ms = 20_000;
         let jobs: Vec<String> = (1..=4).map(|n| w.submit(n, w.spec(6))).collect();
-        w.until(20_000, "some run", |w| w.running() >= 12);
+        w.until(20_000, "12 tasks run", |w| w.running() >= 12);
         (0..3).for_each(|i| w.links[i].state = StoreFault::Slow(1200));
         w.run_asking(4000, &jobs);
-        let leader = w.leader().expect("leads");
-        refuse(&mut w, leader);
+        let leader = w.leader().expect("a leader");
+        reject_store_requests(&mut w, leader);
         w.run_asking(1500, &jobs);
         w.cancel(&jobs[0]);
         w.run_asking(600, &jobs);
@@ -347,8 +369,8 @@
 }
 
 #[test]
-fn a_transaction_without_an_answer_is_carried_out_late_after_newer_ones() {
-    // In between the leader ends, so that the next one knows nothing of what is on its way.
+fn a_transaction_without_a_response_is_committed_after_newer_ones() {
+    // Controllers crash in between, so that the next leader does not know of the delayed transactions.
     for seed in 33..39 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut w = World::settled(seed, 3, 8);
@@ -378,13 +400,15 @@
 }
 
 #[test]
-fn jobs_are_cancelled_through_the_new_leader_while_the_old_one_is_partitioned_with_its_workers() {
+fn a_job_cancelled_through_a_new_leader_stops_while_the_old_leader_is_partitioned() {
     for (seed, controllers) in [(40, 3), (41, 5)] {
         let (mut w, job) = World::busy(seed, controllers, 200_000);
-        let old = w.leader().expect("leads");
+        let old = w.leader().expect("a leader");
         w.isolate(old);
-        w.until(20_000, "another leads", |w| w.leader_but(old).is_some());
-        let new = w.leader_but(old).expect("leads");
+        w.until(20_000, "another controller leads", |w| {
+            w.leader_but(old).is_some()
+        });
+        let new = w.leader_but(old).expect("a leader");
         w.cancel_through(new, &job);
         w.run(w.cancel_ms());
         assert_eq!(w.running_of(&job), 0);
@@ -395,46 +419,49 @@
 }
 
 #[test]
-fn a_controller_that_alone_is_refused_is_replaced_within_seconds_and_nobody_notices() {
-    // Nothing was bound, and what was bound to its machines not started, before its lease ran out.
+fn a_controller_that_alone_is_rejected_by_the_store_is_replaced_within_seconds() {
+    // Until that controller's lease expired, no task was bound, and tasks bound to its machines were not
+    // started.
     for (seed, controllers, leads) in [(42, 3, true), (43, 3, false), (44, 5, true), (45, 5, false)]
     {
         let (mut w, job) = World::busy(seed, controllers, 60_000);
-        let leader = w.leader().expect("leads");
+        let leader = w.leader().expect("a leader");
         let old = if leads {
             leader
         } else {
             (leader + 1) % controllers
         };
-        refuse(&mut w, old);
-        w.until(7000, "others hold every machine and lead", |w| {
+        reject_store_requests(&mut w, old);
+        w.until(7000, "other controllers lead and hold every machine", |w| {
             let held = |m: &support::Worker| w.holder_of_all_but(old, &m.machine.name);
             w.leader_but(old).is_some() && w.workers.iter().all(held)
         });
         let mut urgent = w.spec(4);
         (urgent.priority, urgent.team) = (Priority::Urgent, "red".into());
         let urgent = w.submit(2, urgent);
-        w.until(10_000, "urgent work starts", |w| w.running_of(&urgent) == 4);
+        w.until(10_000, "the urgent job runs", |w| {
+            w.running_of(&urgent) == 4
+        });
         assert!(w.returned.is_empty(), "{:?}", w.returned);
         w.run(25_000);
-        all_once(&mut w, &[job, urgent], 16);
+        assert_jobs_finish_with_starts(&mut w, &[job, urgent], 16);
     }
 }
 
 #[test]
-fn a_leader_that_was_paused_returns_no_machine_because_its_timers_went_on() {
-    // All seemed silent to it for as long as it had been paused itself.
+fn a_leader_that_was_paused_returns_no_machine() {
+    // After the pause, no heartbeat seemed to have arrived from any machine for as long as the pause lasted.
     for ms in [14_000, 21_000, 22_500] {
         let mut w = World::settled(46, 3, 8);
         w.run(3000);
         let job = w.fill(150_000, 16);
-        let mut theirs = w.spec(16);
-        theirs.team = "red".into();
-        w.submit(2, theirs);
+        let mut red_job = w.spec(16);
+        red_job.team = "red".into();
+        w.submit(2, red_job);
         w.until(15_000, "every machine is full", |w| w.running() == 32);
         w.run(45_000);
-        let leader = w.leader().expect("leads");
-        // Nobody can take over meanwhile.
+        let leader = w.leader().expect("a leader");
+        // No other controller can take over during the pause.
         (0..3)
             .filter(|&i| i != leader)
             .for_each(|i| w.links[i].state = StoreFault::Refuses);
@@ -445,29 +472,37 @@
             .iter()
             .for_each(|&i| w.links[i].state = StoreFault::Good);
         w.run(30_000);
-        assert!(w.returned.is_empty(), "after {ms} ms: {:?}", w.returned);
-        assert_eq!(w.running(), 32, "{job} and the other go on or run again");
+        assert!(
+            w.returned.is_empty(),
+            "returned after a pause of {ms} ms: {:?}",
+            w.returned
+        );
+        assert_eq!(
+            w.running(),
+            32,
+            "tasks of {job} or of the other job do not run"
+        );
         w.assert_no_violations();
     }
 }
 
-// Reports and machines.
+// Heartbeats and machines.
 
 #[test]
-fn heartbeats_arrive_again_from_earlier_epochs_and_attempts_and_at_a_new_leader() {
+fn copies_of_heartbeats_from_earlier_epochs_and_attempts_reach_a_new_leader() {
     for seed in 50..54 {
         let (mut w, job) = World::busy(seed, 3, 25_000);
         w.heartbeat_copies = vec![2500, 13_000, 29_000];
-        let at = with_tasks(&w)[0];
-        // Its epoch ends; the next attempts run here or elsewhere.
+        let at = machines_with_running_tasks(&w)[0];
+        // The worker's epoch ends; the next attempts run on this or another machine.
         w.workers[at].cut = true;
         w.run(14_000);
         w.workers[at].cut = false;
         let held: Vec<_> = w.workers.iter().map(|m| m.heartbeat()).collect();
-        let leader = w.leader().expect("leads");
+        let leader = w.leader().expect("a leader");
         w.crash(leader);
         w.run(5000);
-        // Held back until somebody else has acted.
+        // The heartbeats arrive only after another controller has taken over.
         for heartbeat in held {
             for i in 0..3 {
                 let now = w.clock(i);
@@ -482,7 +517,7 @@
 }
 
 #[test]
-fn a_team_at_its_limit_stays_within_it_when_the_leader_changes_and_machines_are_out_of_reach() {
+fn a_team_at_its_limit_stays_within_it_during_a_failover_with_unreachable_machines() {
     for seed in 55..59 {
         let mut w = World::settled(seed, 3, 8);
         w.run(2000);
@@ -490,10 +525,13 @@
         let first = w.submit(1, w.spec(16));
         w.until(15_000, "the team is at its limit", |w| w.running() == 16);
         let waiting = w.submit(2, w.spec(16));
-        let out: Vec<usize> = with_tasks(&w).into_iter().take(3).collect();
+        let out: Vec<usize> = machines_with_running_tasks(&w)
+            .into_iter()
+            .take(3)
+            .collect();
         out.iter().for_each(|&at| w.workers[at].hung = true);
         w.run(1500);
-        let leader = w.leader().expect("leads");
+        let leader = w.leader().expect("a leader");
         w.crash(leader);
         w.cancel(&first);
         w.run(8000);
@@ -505,43 +543,43 @@
 }
 
 #[test]
-fn workers_that_reach_no_controller_lose_their_tasks_once_and_are_used_again() {
+fn workers_that_reach_no_controller_restart_their_tasks_once_and_are_used_again() {
     let (mut w, job) = World::busy(60, 3, 20_000);
-    let hit = with_tasks(&w);
-    hit.iter().for_each(|&at| w.workers[at].cut = true);
+    let affected = machines_with_running_tasks(&w);
+    affected.iter().for_each(|&at| w.workers[at].cut = true);
     w.run(15_000);
-    hit.iter().for_each(|&at| w.workers[at].cut = false);
+    affected.iter().for_each(|&at| w.workers[at].cut = false);
     w.assert_all_jobs_finish(&[job]);
     assert_eq!(w.starts.len(), 24);
 }
 
 #[test]
-fn what_is_cancelled_while_its_machine_hangs_does_not_go_on_for_long() {
+fn a_job_cancelled_while_its_machines_hang_stops_soon_after_they_resume() {
     for hang_ms in [5000, 11_000, 20_000, 50_000] {
         let (mut w, job) = World::busy(61, 3, 200_000);
         w.cancel(&job);
-        for at in with_tasks(&w) {
+        for at in machines_with_running_tasks(&w) {
             w.workers[at].hung = true;
         }
         w.run(hang_ms);
         w.workers.iter_mut().for_each(|m| m.hung = false);
-        w.until(6000, "all are gone", |w| w.running_of(&job) == 0);
+        w.until(6000, "no task of the job runs", |w| w.running_of(&job) == 0);
         w.run(30_000);
         w.assert_no_violations();
     }
 }
 
 #[test]
-fn an_answer_that_is_held_up_starts_nothing_after_its_controller_lost_the_machine() {
-    // The worker drops answers after 4 s; what the controller takes as launched until then must
-    // neither move nor count as free.
+fn a_delayed_acknowledgement_starts_no_task_after_its_controller_lost_the_machine() {
+    // The worker ignores responses after 4 s. Until then, tasks that the controller regards as launched must
+    // neither move nor count as unstarted.
     for seed in 62..66 {
         let mut w = World::settled(seed, 3, 6);
         w.run_ms = 10_000;
         let jobs: Vec<String> = (1..=2).map(|n| w.submit(n, w.spec(20))).collect();
         for turn in 0..6 {
             let i = (w.leader().unwrap_or(0) + turn) % 3;
-            // Answers are lost for a moment, then the controller is.
+            // First responses are lost, then the workers cannot reach the controller.
             w.workers.iter_mut().for_each(|m| m.unreachable = true);
             w.run(900);
             w.workers.iter_mut().for_each(|m| m.unreachable = false);
@@ -557,15 +595,15 @@
 // Users.
 
 #[test]
-fn a_cancellation_a_question_and_a_repeat_meet_the_end_of_the_last_task() {
+fn a_cancellation_polls_and_a_repeated_submission_race_with_the_end_of_the_last_task() {
     let (mut done, mut cancelled) = (0, 0);
     for seed in 0..24 {
         let mut w = World::settled(70, 3, 3);
         w.run_ms = 3000;
         let job = w.submit(1, w.spec(2));
-        w.until(15_000, "both run", |w| w.running() == 2);
+        w.until(15_000, "both tasks run", |w| w.running() == 2);
         w.run(2000 + seed * 100);
-        let record = w.job(&job).expect("known");
+        let record = w.job(&job).expect("the job is stored");
         for i in 0..3 {
             w.poll_status(i, &job);
         }
@@ -579,11 +617,11 @@
                 w.poll_status(i, &job);
             }
         }
-        // A repeat of the submission is refused by what is there, also once that was moved.
+        // The stored record makes a repeated submission fail, also after the job was archived.
         let again = quillbend::jobs::new_record(w.spec(2), w.now);
         let again = w.state.commit(&quillbend::jobs::accept(&job, &again));
         assert!(matches!(again, CommitOutcome::Conflict(_)));
-        let last = w.poll_status(0, &job).expect("answered");
+        let last = w.poll_status(0, &job).expect("controller 0 answers");
         match outcome {
             CommitOutcome::Done(_) => {
                 cancelled += 1;
@@ -596,11 +634,14 @@
         }
         w.assert_no_violations();
     }
-    assert!(done > 0 && cancelled > 0, "{done} and {cancelled}");
+    assert!(
+        done > 0 && cancelled > 0,
+        "{done} done, {cancelled} cancelled: the race did not end both ways"
+    );
 }
 
 #[test]
-fn more_work_than_room_urgent_and_not_leaves_nobody_waiting_for_good() {
+fn jobs_of_every_priority_finish_when_demand_exceeds_capacity() {
     let mut w = World::settled(71, 3, 4);
     w.cloud_up = false;
     w.run_ms = 5000;
@@ -620,13 +661,13 @@
 }
 
 #[test]
-fn a_job_that_fits_nothing_which_is_there_keeps_no_other_from_its_turn() {
-    // The longest wait alone had the turn ahead of the others, whether it could use it or not.
+fn a_job_that_fits_no_present_machine_does_not_hold_up_other_jobs() {
+    // Only the job that had waited longest was placed ahead of the others, even if no machine fitted it.
     let mut w = World::settled(72, 3, 4);
     w.cloud_up = false;
-    let mut hopeless = w.spec(4);
-    hopeless.machine_types = Some(vec!["large".into()]);
-    w.submit(1, hopeless);
+    let mut unplaceable_job = w.spec(4);
+    unplaceable_job.machine_types = Some(vec!["large".into()]);
+    w.submit(1, unplaceable_job);
     w.run_ms = 6000;
     w.submit_burst(10);
     let mut late = w.spec(20);
@@ -634,15 +675,17 @@
     let late = w.submit(2, late);
     let submitted = w.now;
     w.submit_burst(150);
-    let begun = w.starts.iter().find(|s| s.1.starts_with(&late));
-    let begun = begun.map(|s| s.0 - submitted).expect("it begins");
-    assert!(begun < 120_000, "after {begun} ms");
+    let waited_ms = w.starts.iter().find(|s| s.1.starts_with(&late));
+    let waited_ms = waited_ms
+        .map(|s| s.0 - submitted)
+        .expect("a task of the job started");
+    assert!(waited_ms < 120_000, "the job started after {waited_ms} ms");
     w.assert_no_violations();
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one scenario, told in its order")]
-fn random_overlapping_faults_keep_the_rules() {
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
+fn random_overlapping_faults_violate_no_invariant() {
     for seed in 0..16 {
         let controllers = [3, 5][seed as usize % 2];
         let mut rng = SmallRng::seed_from_u64(900 + seed);
@@ -669,7 +712,7 @@
             match rng.random_range(0..13) {
                 kind @ 0..=4 => w.inject_fault(i, kind, &mut rng),
                 5 => w.isolate(i),
-                6 => refuse(&mut w, i),
+                6 => reject_store_requests(&mut w, i),
                 7 => w.outage(true),
                 8 if rng.random_bool(0.3) => (0..controllers).for_each(|i| w.crash(i)),
                 8 => w.links[i].state = StoreFault::Late(rng.random_range(2000..12_000)),
@@ -700,8 +743,8 @@
 }
 
 #[test]
-fn after_a_restart_of_all_controllers_grants_are_written_before_gathered_writes() {
-    // Many blocks and few changes a second: what ends and waits to be bound would use them up.
+fn after_a_restart_of_all_controllers_grants_are_written_before_batched_updates() {
+    // With many blocks and few writes per second, completions and bindings would use up the write budget.
     let mut w = World::sized(71, 3, 30);
     w.settings.options.block_machines = 1.0;
     let state = &mut w.settings.platform.settings.state;
@@ -709,18 +752,24 @@
     (0..3).for_each(|i| w.start(i));
     w.run(12_000);
     w.cloud_up = false;
-    assert!(w.state.list("qb/block/").0.len() >= 25, "many blocks");
+    assert!(
+        w.state.list("qb/block/").0.len() >= 25,
+        "there are fewer than 25 blocks"
+    );
     w.run_ms = 90_000;
     let mut long = w.spec(16);
     long.team = "red".into();
     let long = w.submit(1, long);
-    w.until(20_000, "all run", |w| w.running_of(&long) == 16);
+    w.until(20_000, "all tasks run", |w| w.running_of(&long) == 16);
     w.run_ms = 1500;
     let mut short = w.spec(4000);
     (short.team, short.cpus, short.memory_gb) = ("guest".into(), 0.25, 0.1);
     let short = w.submit(2, short);
     w.run(10_000);
-    assert!(w.running_of(&short) > 20, "nothing competes for the budget");
+    assert!(
+        w.running_of(&short) > 20,
+        "the short job does not compete for the write budget"
+    );
     w.state.budget = Some((4.0, 4.0));
     (0..3).for_each(|i| w.crash(i));
     w.run(4500);
@@ -731,10 +780,13 @@
     });
     let blocks = w.state.writes_to("qb/block/");
     w.run(3000);
-    let gathered = w.state.writes_to("qb/block/") - blocks;
-    assert_eq!(gathered, 0, "gathered writes took changes from the grants");
+    let batched = w.state.writes_to("qb/block/") - blocks;
+    assert_eq!(
+        batched, 0,
+        "batched updates used the write budget before the grants"
+    );
     w.run(20_000);
     w.state.budget = None;
-    w.until(200_000, "done", |w| w.is_done(&long));
+    w.until(200_000, "the job is done", |w| w.is_done(&long));
     w.assert_no_violations();
 }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -1,5 +1,5 @@
-//! Short tests of several controllers, one for each line of the safety argument where it can
-//! go wrong (`docs/design.md`).
+//! Short tests with several controllers, one for each step of the safety argument in `docs/design.md` that a
+//! fault could break.
 
 mod support;
 
@@ -9,105 +9,111 @@
 use quillbend::records::BlockRecord;
 use support::{StoreFault, World};
 
-/// A settled world of three controllers.
-fn settled(seed: u64, machines: usize) -> World {
+/// A world of three controllers with a leader, in which every machine has a holder.
+fn settled_world(seed: u64, machines: usize) -> World {
     World::settled(seed, 3, machines)
 }
 
-/// A settled world in which all tasks of one job run, each for `run_ms`.
-fn busy(seed: u64, machines: usize, run_ms: u64, tasks: u32) -> (World, String) {
-    let mut w = settled(seed, machines);
+/// The same with a job, all of whose tasks run, each for `run_ms`.
+fn world_with_job(seed: u64, machines: usize, run_ms: u64, tasks: u32) -> (World, String) {
+    let mut w = settled_world(seed, machines);
     let job = w.fill(run_ms, tasks);
     (w, job)
 }
 
 #[test]
-fn a_job_is_bound_started_finished_and_reported_done() {
-    let mut w = settled(1, 3);
+fn a_job_runs_each_task_once_and_is_reported_done() {
+    let mut w = settled_world(1, 3);
     let job = w.submit(1, w.spec(20));
     w.until(60_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
-    assert_eq!(w.starts.len(), 20, "every task started once");
+    assert_eq!(w.starts.len(), 20, "a task did not start exactly once");
     assert_eq!(w.job(&job).map(|j| j.done.tasks.len()), Some(20));
     w.run(10_000);
     assert!(
         w.workers.iter().all(|m| m.tasks.is_empty()),
-        "everything is cleared"
+        "an ended task was not cleared from its worker"
     );
 }
 
 #[test]
-fn bound_tasks_count_against_the_limit_until_they_have_ended() {
-    let mut w = settled(2, 6);
-    // Team blue may use 16 CPUs at a time, and 24 are there.
+fn bound_tasks_count_against_the_team_limit_until_they_end() {
+    let mut w = settled_world(2, 6);
+    // Team blue may use 16 CPUs at a time, and the machines have 24.
     let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(20))).collect();
     let mut most = 0;
-    w.until(90_000, "all done", |w| {
+    w.until(90_000, "all jobs are done", |w| {
         most = most.max(w.running());
         jobs.iter().all(|j| w.is_done(j))
     });
     w.assert_no_violations();
-    assert!((12..=16).contains(&most), "{most} ran at once");
+    assert!(
+        (12..=16).contains(&most),
+        "at most {most} tasks ran at once"
+    );
 }
 
 #[test]
-fn a_crashed_holder_is_replaced_while_its_tasks_run_on() {
-    let (mut w, job) = busy(3, 6, 25_000, 16);
-    let dead = (w.leader().expect("leads") + 1) % 3;
+fn a_crashed_holder_is_replaced_while_tasks_on_its_machines_run_on() {
+    let (mut w, job) = world_with_job(3, 6, 25_000, 16);
+    let dead = (w.leader().expect("a leader") + 1) % 3;
     w.crash(dead);
-    w.until(60_000, "done", |w| w.is_done(&job));
+    w.until(60_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
-    assert_eq!(w.starts.len(), 16, "no running task was lost");
+    assert_eq!(w.starts.len(), 16, "a running task was lost");
 }
 
 #[test]
 fn a_crashed_leader_is_replaced_and_binding_goes_on() {
-    let mut w = settled(4, 6);
-    let leader = w.leader().expect("leads");
+    let mut w = settled_world(4, 6);
+    let leader = w.leader().expect("a leader");
     w.crash(leader);
     let job = w.submit(1, w.spec(10));
-    w.until(40_000, "done", |w| w.is_done(&job));
+    w.until(40_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_ne!(w.leader(), Some(leader));
 }
 
 #[test]
-fn when_all_crash_and_come_back_running_tasks_survive() {
-    let (mut w, job) = busy(5, 6, 30_000, 12);
+fn running_tasks_survive_a_restart_of_all_controllers() {
+    let (mut w, job) = world_with_job(5, 6, 30_000, 12);
     (0..3).for_each(|i| w.crash(i));
     w.run(6000);
     (0..3).for_each(|i| w.start(i));
-    w.until(60_000, "done", |w| w.is_done(&job));
+    w.until(60_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_eq!(
         w.starts.len(),
         12,
-        "a restarted controller takes its blocks back in time"
+        "a running task was lost before its block was granted again"
     );
 }
 
 #[test]
-fn a_holder_without_the_state_service_loses_its_authority_in_time() {
-    let mut w = settled(6, 3);
-    let i = (w.leader().expect("leads") + 1) % 3;
+fn a_holder_without_the_store_loses_its_authority_in_time() {
+    let mut w = settled_world(6, 3);
+    let i = (w.leader().expect("a leader") + 1) % 3;
     w.links[i].state = StoreFault::Refuses;
     let cut = w.now;
     while w.controller(i).has_authority(Timestamp(w.now)) {
         w.step();
-        assert!(w.now < cut + 40_000, "authority never ends");
+        assert!(
+            w.now < cut + 40_000,
+            "the holder still has its authority after 40 s"
+        );
     }
     let lease = w.settings.platform.settings.workers.lease_s * 1000.0;
     let cancel = w.settings.platform.settings.workers.cancel_s * 1000.0;
     assert!(
         (w.now - cut) as f64 + lease < cancel,
-        "a cancellation would come too late"
+        "tasks could outlive the cancellation limit"
     );
 }
 
 #[test]
-fn renewals_do_not_keep_a_holder_going_whose_watch_hangs() {
-    let mut w = settled(7, 3);
-    let i = (w.leader().expect("leads") + 1) % 3;
+fn lease_renewals_do_not_extend_the_authority_of_a_holder_whose_watch_hangs() {
+    let mut w = settled_world(7, 3);
+    let i = (w.leader().expect("a leader") + 1) % 3;
     w.links[i].watch_hangs = true;
     w.run(30_000);
     assert!(!w.controller(i).has_authority(Timestamp(w.now)));
@@ -117,10 +123,10 @@
 }
 
 #[test]
-fn lost_acknowledgements_and_duplicated_writes_do_no_harm() {
+fn lost_responses_and_delayed_commits_start_no_task_twice() {
     for fault in [StoreFault::LosesAnswers, StoreFault::Late(3000)] {
-        let mut w = settled(8, 6);
-        let leader = w.leader().expect("leads");
+        let mut w = settled_world(8, 6);
+        let leader = w.leader().expect("a leader");
         let jobs: Vec<String> = (1..=2).map(|n| w.submit(n, w.spec(20))).collect();
         for _ in 0..6 {
             for i in 0..3 {
@@ -132,36 +138,44 @@
             }
             w.run(2500);
         }
-        w.until(90_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+        w.until(90_000, "all jobs are done", |w| {
+            jobs.iter().all(|j| w.is_done(j))
+        });
         w.assert_no_violations();
-        assert_eq!(w.starts.len(), 40, "led by {leader} first");
+        assert_eq!(
+            w.starts.len(),
+            40,
+            "tasks were started twice; the first leader was {leader}"
+        );
     }
 }
 
 #[test]
-fn a_leader_that_comes_back_without_the_state_service_is_replaced() {
-    // Its peers hear it, and its keys last for a whole lease; but its earlier life is over.
-    let (mut w, job) = busy(24, 9, 40_000, 16);
-    let leader = w.leader().expect("leads");
+fn a_leader_that_restarts_without_the_store_is_replaced() {
+    // Its peers receive its messages, and its keys last for a whole lease, but its earlier incarnation ended.
+    let (mut w, job) = world_with_job(24, 9, 40_000, 16);
+    let leader = w.leader().expect("a leader");
     w.links[leader].state = StoreFault::Refuses;
     (0..3).for_each(|i| w.crash(i));
     w.run(3000);
     (0..3).for_each(|i| w.start(i));
-    w.until(6000, "another leads", |w| w.leader().is_some());
-    w.until(60_000, "done", |w| w.is_done(&job));
+    w.until(6000, "another controller leads", |w| w.leader().is_some());
+    w.until(60_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
-    assert_eq!(w.starts.len(), 16, "no running task was lost");
+    assert_eq!(w.starts.len(), 16, "a running task was lost");
 }
 
 #[test]
-fn an_old_leader_writes_nothing_after_another_took_over() {
-    let mut w = settled(9, 6);
-    let old = w.leader().expect("leads");
-    // Its writes are under way for long; meanwhile it is cut from its peers and replaced.
+fn delayed_writes_of_an_old_leader_have_no_effect_after_a_failover() {
+    let mut w = settled_world(9, 6);
+    let old = w.leader().expect("a leader");
+    // Its writes are committed 20 s late; in the meantime it loses the connection to its peers and is replaced.
     w.links[old].state = StoreFault::Late(20_000);
     w.links[old].peers = false;
     let job = w.submit(1, w.spec(16));
-    w.until(60_000, "another leads and finishes", |w| w.is_done(&job));
+    w.until(60_000, "the job is done under another leader", |w| {
+        w.is_done(&job)
+    });
     w.links[old].state = StoreFault::Good;
     w.run(30_000);
     w.assert_no_violations();
@@ -169,43 +183,43 @@
 }
 
 #[test]
-fn a_controller_that_hears_nobody_does_not_take_over_on_suspicion() {
-    let mut w = settled(10, 3);
-    let leader = w.leader().expect("leads");
-    let lonely = (leader + 1) % 3;
-    w.links[lonely].peers = false;
+fn a_controller_that_receives_no_peer_message_does_not_take_the_lead() {
+    let mut w = settled_world(10, 3);
+    let leader = w.leader().expect("a leader");
+    let without_peers = (leader + 1) % 3;
+    w.links[without_peers].peers = false;
     for _ in 0..200 {
         w.step();
-        assert_ne!(w.leader(), Some(lonely));
+        assert_ne!(w.leader(), Some(without_peers));
     }
 }
 
 #[test]
-fn machines_that_cannot_reach_their_holder_get_another() {
-    let (mut w, job) = busy(11, 6, 30_000, 16);
-    let cut = (w.leader().expect("leads") + 1) % 3;
+fn machines_that_cannot_reach_their_holder_are_granted_to_another() {
+    let (mut w, job) = world_with_job(11, 6, 30_000, 16);
+    let cut = (w.leader().expect("a leader") + 1) % 3;
     w.links[cut].workers = false;
-    w.until(80_000, "done", |w| w.is_done(&job));
+    w.until(80_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_eq!(
         w.starts.len(),
         16,
-        "found out before the workers' lease ran out"
+        "the workers' leases expired before their machines had another holder"
     );
 }
 
 #[test]
-fn tasks_of_a_silent_machine_run_elsewhere_only_after_its_lease() {
-    let (mut w, job) = busy(12, 6, 20_000, 8);
+fn tasks_of_a_disconnected_machine_run_elsewhere_only_after_its_lease() {
+    let (mut w, job) = world_with_job(12, 6, 20_000, 8);
     let at = w
         .workers
         .iter()
         .position(|m| !m.tasks.is_empty())
-        .expect("busy");
+        .expect("a machine has tasks");
     w.workers[at].cut = true;
     let since = w.now;
     let presumed_dead = w.workers[at].tasks.len();
-    w.until(120_000, "done", |w| w.is_done(&job));
+    w.until(120_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     let again: Vec<_> = w.starts.iter().filter(|s| s.0 > since).collect();
     assert!(again.len() >= presumed_dead);
@@ -214,10 +228,10 @@
 
 #[test]
 fn a_cancelled_job_stops_everywhere_and_stays_cancelled() {
-    let mut w = settled(13, 6);
+    let mut w = settled_world(13, 6);
     w.run_ms = 60_000;
     let job = w.submit(1, w.spec(40));
-    w.until(15_000, "some run", |w| w.running() >= 10);
+    w.until(15_000, "10 tasks run", |w| w.running() >= 10);
     assert!(matches!(w.cancel(&job), CommitOutcome::Done(_)));
     let at = w.now;
     w.run(8000);
@@ -225,39 +239,39 @@
     w.run(20_000);
     assert!(
         w.starts.iter().all(|s| s.0 <= at + 300),
-        "nothing starts any more"
+        "a task started after the cancellation"
     );
     assert_eq!(w.job(&job).map(|j| j.status), Some(JobStatus::Cancelled));
     w.assert_no_violations();
 }
 
 #[test]
-fn a_cancellation_and_the_last_ending_race_in_one_key() {
-    let mut w = settled(14, 3);
+fn a_cancellation_based_on_a_stale_record_conflicts_with_the_last_completion() {
+    let mut w = settled_world(14, 3);
     let job = w.submit(1, w.spec(1));
-    w.until(30_000, "done", |w| w.is_done(&job));
-    let record = w.job(&job).expect("known");
+    w.until(30_000, "the job is done", |w| w.is_done(&job));
+    let record = w.job(&job).expect("the job is stored");
     let stale = quillbend::jobs::cancel(&job, &record, 1, w.settings.value_bytes());
     assert!(matches!(w.state.commit(&stale), CommitOutcome::Conflict(_)));
     w.run(10_000);
-    assert!(w.is_done(&job), "also after it left the watched part");
+    assert!(w.is_done(&job), "the archived job is no longer done");
 }
 
 #[test]
-fn a_heartbeat_is_processed_in_full_although_the_machine_type_is_unknown() {
-    // Found by a hunt: a controller restarted while the cloud was away took reports under its
-    // token but left out the tasks in them, and gave running tasks to thieves.
-    let (mut w, job) = busy(15, 6, 40_000, 16);
+fn a_heartbeat_is_processed_completely_when_the_machine_type_is_unknown() {
+    // A controller that restarted while the cloud was unavailable accepted heartbeats under its token but
+    // ignored the tasks in them, and let thieves steal running tasks. A random search found this.
+    let (mut w, job) = world_with_job(15, 6, 40_000, 16);
     w.cloud_up = false;
     (0..3).for_each(|i| w.crash(i));
     w.run(1000);
-    // Nor is it found in the state service.
+    // The store does not have the catalog either.
     w.state.forget("qb/catalog");
     (0..3).for_each(|i| w.start(i));
     w.run(8000);
     assert!((0..3).all(|i| !w.controller(i).catalog_known()));
     w.cloud_up = true;
-    // The machines are silent from here on: only what was taken in before counts.
+    // No machine sends a heartbeat from here on, so that only earlier heartbeats count.
     let held: Vec<u64> = w.workers.iter().map(|m| m.up_at).collect();
     w.workers.iter_mut().for_each(|m| m.up_at = u64::MAX);
     w.run(8000);
@@ -281,15 +295,15 @@
     for (m, at) in w.workers.iter_mut().zip(held) {
         m.up_at = at;
     }
-    w.until(120_000, "done", |w| w.is_done(&job));
+    w.until(120_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
 }
 
 #[test]
-fn late_and_foreign_heartbeats_are_not_answered_with_commands() {
-    let mut w = settled(16, 3);
+fn outdated_heartbeats_and_those_for_other_holders_receive_no_commands() {
+    let mut w = settled_world(16, 3);
     let machine = w.workers[0].machine.name.clone();
-    let holder = w.holder(&machine).expect("held");
+    let holder = w.holder(&machine).expect("a holder");
     w.run(3000);
     let mut late = w.workers[0].heartbeat();
     late.sequence -= 1;
@@ -316,30 +330,30 @@
 }
 
 #[test]
-fn packs_move_from_heavy_to_light_machines_and_run_once() {
-    let mut w = settled(17, 2);
+fn packs_move_from_loaded_to_idle_machines_and_run_once() {
+    let mut w = settled_world(17, 2);
     w.settings.options.queue_ahead_s = 600.0;
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
-    w.until(20_000, "a leader", |w| w.leader().is_some());
+    w.until(20_000, "there is a leader", |w| w.leader().is_some());
     w.cloud_up = false;
     let job = w.submit(1, w.spec(16));
-    w.until(15_000, "queues are full", |w| w.running() == 8);
+    w.until(15_000, "both machines are full", |w| w.running() == 8);
     w.cloud_up = true;
-    w.until(90_000, "done", |w| w.is_done(&job));
+    w.until(90_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     let moved: u64 = (0..3).map(|i| w.controller(i).counters.stolen_tasks).sum();
-    assert!(moved > 0, "machines that came later stole nothing");
+    assert!(moved > 0, "machines that were rented later stole nothing");
     assert_eq!(w.starts.len(), 16);
 }
 
 #[test]
-fn a_pending_conclusion_is_dropped_with_its_fencing_token() {
-    let mut w = settled(21, 1);
+fn an_unwritten_unbinding_is_dropped_when_its_fencing_token_is_lost() {
+    let mut w = settled_world(21, 1);
     w.settings.options.queue_ahead_s = 600.0;
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
-    w.until(20_000, "a leader", |w| w.leader().is_some());
+    w.until(20_000, "there is a leader", |w| w.leader().is_some());
     w.cloud_up = false;
     w.run_ms = 60_000;
     w.submit(1, w.spec(8));
@@ -347,16 +361,19 @@
     let queue = |w: &World| w.block("qb/block/0000").machines[&machine].queue.clone();
     w.until(20_000, "the machine is full", |w| w.running() == 4);
     w.run(3000);
-    let holder = w.holder(&machine).expect("held");
+    let holder = w.holder(&machine).expect("a holder");
     let before = queue(&w);
-    // On notice the holder concludes that the unstarted tasks are free, but cannot write it.
+    // On notice of the reclaim, the holder decides to unbind the unstarted tasks but cannot write that.
     w.links[holder].state = StoreFault::Refuses;
     w.workers[0].reclaim_s = Some(30.0);
     w.run(2500);
     w.workers[0].reclaim_s = None;
     w.workers[0].cut = true;
-    // The block goes to somebody else, who may start them, and comes back.
-    let mine = w.state.value("qb/grant/0000").expect("granted");
+    // The block is granted to another controller, which may start the tasks, and then granted back.
+    let mine = w
+        .state
+        .value("qb/grant/0000")
+        .expect("the block is granted");
     let theirs = serde_json::json!({ "h": "other", "b": 1 });
     w.state.overwrite("qb/grant/0000", &theirs);
     w.state.overwrite("qb/grant/0000", &mine);
@@ -366,14 +383,14 @@
 }
 
 #[test]
-fn conclusions_drawn_under_a_fencing_token_are_dropped_with_it() {
-    // A block goes away and comes back while its holder's writes wait. What it took for
-    // unstarted may have been started by the other in between.
+fn decisions_made_under_a_lost_fencing_token_are_dropped() {
+    // A block is granted to another controller and back while its holder's writes are pending. Tasks that
+    // the holder regards as unstarted may have been started by the other controller in between.
     for seed in 0..6 {
-        let mut w = settled(100 + seed, 6);
+        let mut w = settled_world(100 + seed, 6);
         w.run_ms = 15_000;
         let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(16))).collect();
-        w.until(15_000, "many run", |w| w.running() >= 14);
+        w.until(15_000, "14 tasks run", |w| w.running() >= 14);
         for _ in 0..4 {
             let i = (w.leader().unwrap_or(0) + 1) % 3;
             w.links[i].state = StoreFault::Refuses;
@@ -383,17 +400,19 @@
             w.links[i].peers = true;
             w.run(4000);
         }
-        w.until(150_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+        w.until(150_000, "all jobs are done", |w| {
+            jobs.iter().all(|j| w.is_done(j))
+        });
         w.assert_no_violations();
     }
 }
 
 #[test]
-fn a_machine_that_disappeared_unobserved_is_missing_from_the_cloud_list() {
-    let (mut w, job) = busy(22, 6, 40_000, 16);
+fn a_machine_that_disappeared_while_all_controllers_were_down_is_removed() {
+    let (mut w, job) = world_with_job(22, 6, 40_000, 16);
     (0..3).for_each(|i| w.crash(i));
     let busy = w.workers.iter().position(|m| !m.tasks.is_empty());
-    let gone = w.workers.remove(busy.expect("busy"));
+    let gone = w.workers.remove(busy.expect("a machine has tasks"));
     w.run(3000);
     (0..3).for_each(|i| w.start(i));
     w.run(25_000);
@@ -406,21 +425,21 @@
     };
     for i in 0..3 {
         let listed = known(i).is_some_and(|m| w.controller(i).replica.machines.contains_key(&m));
-        assert!(!listed, "its tasks still wait on it");
+        assert!(!listed, "the machine that is gone is still in a replica");
     }
-    w.until(100_000, "done", |w| w.is_done(&job));
+    w.until(100_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
 }
 
 #[test]
-fn workers_without_a_holder_for_a_while_do_not_discredit_the_next_holder() {
-    // While two controllers were down, their workers came to the third for longer than it takes
-    // to call a holder cut off; the blocks then went to and fro.
-    let mut w = settled(23, 9);
+fn heartbeats_to_another_controller_during_a_restart_do_not_cause_more_grants() {
+    // While two controllers were down, their workers sent heartbeats to the third for longer than it takes to
+    // regard a holder as unreachable; the blocks then moved back and forth.
+    let mut w = settled_world(23, 9);
     let two: Vec<usize> = (0..3).filter(|&i| Some(i) != w.leader()).collect();
     two.iter().for_each(|&i| w.crash(i));
     w.run(6000);
-    // One machine goes silent just as they come back.
+    // One machine loses its connection just as the controllers restart.
     w.workers[0].cut = true;
     two.iter().for_each(|&i| w.start(i));
     w.run(1500);
@@ -431,12 +450,12 @@
 }
 
 #[test]
-fn a_change_of_holders_is_no_reason_to_return_machines() {
-    // Just after a grant the holder has heard none of its machines; the leader took those that
-    // were rented long ago for dead and returned them with all that ran there.
-    let (mut w, _) = busy(25, 9, 200_000, 16);
+fn a_change_of_holders_returns_no_machine() {
+    // Just after a grant, the holder has received no heartbeat from its machines. The leader presumed those
+    // that were rented long ago dead and returned them with all their running tasks.
+    let (mut w, _) = world_with_job(25, 9, 200_000, 16);
     w.run(50_000);
-    let other = (w.leader().expect("leads") + 1) % 3;
+    let other = (w.leader().expect("a leader") + 1) % 3;
     w.crash(other);
     w.run(6000);
     w.start(other);
@@ -449,54 +468,60 @@
 
 #[test]
 fn a_machine_that_fails_every_task_is_quarantined_and_replaced() {
-    let mut w = settled(18, 6);
+    let mut w = settled_world(18, 6);
     let first = w.submit(1, w.spec(16));
-    w.until(60_000, "done", |w| w.is_done(&first));
+    w.until(60_000, "the job is done", |w| w.is_done(&first));
     let fails_tasks = w.workers[0].machine.name.clone();
     w.workers[0].fails_tasks = true;
     let jobs: Vec<String> = (2..=3).map(|n| w.submit(n, w.spec(30))).collect();
-    w.until(150_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+    w.until(150_000, "all jobs are done", |w| {
+        jobs.iter().all(|j| w.is_done(j))
+    });
     w.run(15_000);
     w.assert_no_violations();
     assert!(w.returned.contains(&fails_tasks), "{:?}", w.returned);
 }
 
 #[test]
-fn a_job_that_fails_everywhere_does_not_quarantine_the_fleet() {
-    let mut w = settled(19, 4);
+fn a_job_that_fails_on_every_machine_does_not_quarantine_the_fleet() {
+    let mut w = settled_world(19, 4);
     w.workers.iter_mut().for_each(|m| m.fails_tasks = true);
     w.submit(1, w.spec(2));
     w.run(60_000);
     assert!(w.returned.len() < 4, "{:?}", w.returned);
-    assert!(w.starts.len() < 40, "{} tries in a minute", w.starts.len());
+    assert!(
+        w.starts.len() < 40,
+        "{} attempts in a minute",
+        w.starts.len()
+    );
 }
 
 #[test]
 fn idle_machines_are_returned_and_request_ids_are_never_reused() {
-    let mut w = settled(20, 3);
+    let mut w = settled_world(20, 3);
     let job = w.submit(1, w.spec(60));
-    w.until(150_000, "done", |w| w.is_done(&job));
+    w.until(150_000, "the job is done", |w| w.is_done(&job));
     w.run(120_000);
     assert!(
         w.workers.is_empty(),
-        "{} machines are kept for nothing",
+        "{} idle machines were not returned",
         w.workers.len()
     );
-    let leader = w.leader().expect("leads");
+    let leader = w.leader().expect("a leader");
     w.crash(leader);
     w.run(8000);
     w.start(leader);
     let again = w.submit(2, w.spec(8));
-    w.until(90_000, "done", |w| w.is_done(&again));
+    w.until(90_000, "the job is done", |w| w.is_done(&again));
     w.assert_no_violations();
 }
 
 #[test]
-fn random_faults_keep_the_rules() {
+fn random_faults_violate_no_invariant() {
     use rand::{Rng, SeedableRng};
     for seed in 0..8 {
         let mut rng = rand::rngs::SmallRng::seed_from_u64(seed);
-        let mut w = settled(200 + seed, 6);
+        let mut w = settled_world(200 + seed, 6);
         let jobs: Vec<String> = (1..=4).map(|n| w.submit(n, w.spec(20))).collect();
         for _ in 0..12 {
             let i = rng.random_range(0..3);
@@ -520,9 +545,9 @@
 }
 
 #[test]
-fn a_storm_of_refusals_and_clocks_at_their_bound_keep_the_rules() {
+fn an_intermittent_store_and_clocks_at_their_drift_limit_violate_no_invariant() {
     for seed in 0..4 {
-        let mut w = settled(300 + seed, 6);
+        let mut w = settled_world(300 + seed, 6);
         w.drift = vec![0.0005, 0.0, -0.0005];
         let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(20))).collect();
         for i in 0..3 {
@@ -535,15 +560,17 @@
         }
         w.run(30_000);
         w.heal();
-        w.until(120_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+        w.until(120_000, "all jobs are done", |w| {
+            jobs.iter().all(|j| w.is_done(j))
+        });
         w.assert_no_violations();
     }
 }
 
 #[test]
-fn a_jobs_last_completions_do_not_wait_for_the_write_turns_of_their_blocks() {
+fn the_last_completions_of_a_job_do_not_wait_for_scheduled_block_writes() {
     let mut w = World::settled(61, 3, 9);
-    // So few changes a second make turns of many seconds.
+    // With so few writes per second, many seconds pass between the scheduled writes of a block.
     w.settings.platform.settings.state.write_rps = 1.0;
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
@@ -555,21 +582,21 @@
     w.run(2500);
     let recorded: u32 = {
         let blocks = w.state.list("qb/block/").0.into_iter();
-        let blocks = blocks.map(|b| b.value.read::<BlockRecord>().expect("a block"));
+        let blocks = blocks.map(|b| b.value.read::<BlockRecord>().expect("a block record"));
         let queued = blocks.flat_map(|b| b.machines.into_values().flat_map(|m| m.queue));
         queued.map(|binding| binding.tasks.len()).sum()
     };
-    assert!(recorded > 0, "no block had to wait for its turn");
+    assert!(recorded > 0, "every block was already written");
     for job in &jobs {
         assert!(w.is_done(job), "{job}");
     }
     w.run(30_000);
-    assert_eq!(w.starts.len(), 24, "something was begun again");
+    assert_eq!(w.starts.len(), 24, "a task was started twice");
     w.assert_no_violations();
 }
 
 #[test]
-fn a_job_of_one_zone_has_no_share_and_a_job_without_rivals_uses_the_whole_fleet() {
+fn a_job_without_competitors_is_not_limited_to_its_share_of_the_fleet() {
     for one_zone in [true, false] {
         let mut w = World::settled(41, 3, 70);
         w.cloud_up = false;
@@ -578,7 +605,9 @@
         (spec.team, spec.cpus, spec.memory_gb) = ("guest".into(), 0.25, 0.1);
         spec.one_zone = one_zone;
         w.submit(1, spec);
-        w.until(30_000, "more than a share runs", |w| w.running() > 320);
+        w.until(30_000, "more tasks run than one job's share", |w| {
+            w.running() > 320
+        });
         w.assert_no_violations();
     }
 }
--- a/tests/spillover.rs
+++ b/tests/spillover.rs
@@ -1,5 +1,5 @@
-//! Tests of cells that lend each other jobs: whatever fails between them, no task is in two cells at
-//! once and every job is done.
+//! Tests of cells that lend each other jobs: under all faults within and between the cells, no task runs in
+//! two cells at once and every job finishes.
 
 mod support;
 
@@ -18,51 +18,54 @@
 const NORTH: usize = 1;
 const WEST: usize = 2;
 
-/// The east is saturated and the north idle; returns the jobs of the east.
-fn saturated(seed: u64, machines: &[usize]) -> (Cells, Vec<String>) {
+/// Cells of which the east is saturated and the others idle; returns the jobs of the east as well.
+fn saturated_cells(seed: u64, machines: &[usize]) -> (Cells, Vec<String>) {
     let mut c = Cells::new(seed, machines);
     let jobs = c.submit_many(EAST, 12, 4);
     (c, jobs)
 }
 
-/// The same, played until loans run in the north.
-fn lending(seed: u64) -> (Cells, Vec<String>) {
-    lending_long(seed, 8000)
+/// The same after the first loans have started in the north.
+fn lending_cells(seed: u64) -> (Cells, Vec<String>) {
+    lending_cells_with_run_ms(seed, 8000)
 }
 
-/// The same with loans whose tasks run for so long in the north.
-fn lending_long(seed: u64, run_ms: u64) -> (Cells, Vec<String>) {
-    let (mut c, jobs) = saturated(seed, &[2, 6]);
+/// The same with tasks that run for `run_ms` in the north.
+fn lending_cells_with_run_ms(seed: u64, run_ms: u64) -> (Cells, Vec<String>) {
+    let (mut c, jobs) = saturated_cells(seed, &[2, 6]);
     c.cells[NORTH].run_ms = run_ms;
-    c.until(30_000, "loans run in the north", |c| {
+    c.until(30_000, "4 tasks of loans started in the north", |c| {
         c.starts_in(NORTH, &jobs) >= 4
     });
     (c, jobs)
 }
 
 #[test]
-fn jobs_of_a_saturated_cell_run_in_another_and_end_at_home() {
-    let (mut c, jobs) = saturated(1, &[2, 6]);
-    c.until(60_000, "done", |c| {
+fn jobs_of_a_saturated_cell_run_in_another_and_finish_at_home() {
+    let (mut c, jobs) = saturated_cells(1, &[2, 6]);
+    c.until(60_000, "all jobs are done", |c| {
         jobs.iter().all(|j| c.cells[EAST].is_done(j))
     });
     let (home, away) = (c.starts_in(EAST, &jobs), c.starts_in(NORTH, &jobs));
-    assert!(home >= 8 && away >= 8, "{home} at home, {away} away");
-    assert_eq!(home + away, 48, "each task began once");
-    // The loans leave the borrower's watched keys once their ends are known at home.
-    let theirs = c.submit_many(NORTH, 6, 4);
-    c.until(60_000, "archived", |c| {
+    assert!(
+        home >= 8 && away >= 8,
+        "{home} tasks started at home, {away} in the other cell"
+    );
+    assert_eq!(home + away, 48, "a task did not start exactly once");
+    // The borrower archives the loans once the lender knows that they have ended.
+    let north_jobs = c.submit_many(NORTH, 6, 4);
+    c.until(60_000, "the borrower has archived the loans", |c| {
         let kept = |job: &String| c.cells[NORTH].state.mod_revision(&job_key(job)) > 0;
-        theirs.iter().all(|job| c.cells[NORTH].is_done(job)) && !jobs.iter().any(kept)
+        north_jobs.iter().all(|job| c.cells[NORTH].is_done(job)) && !jobs.iter().any(kept)
     });
-    // The cell has recovered: what comes now stays.
+    // The cell is no longer saturated: later jobs are not lent.
     let later = c.submit_many(EAST, 1, 4);
     c.assert_all_jobs_finish(EAST, &later);
     assert_eq!(c.starts_in(NORTH, &later), 0);
 }
 
 #[test]
-fn without_the_file_nothing_is_lent_written_or_said() {
+fn without_spillover_settings_no_job_is_lent_and_no_request_is_sent() {
     let mut w = World::settled(1, 3, 2);
     (1..13).for_each(|n| {
         w.submit(n, w.spec(4));
@@ -71,40 +74,45 @@
     assert!(w.cell_calls.is_empty());
     for item in w.state.list("qb/job/").0 {
         assert_eq!(
-            item.value.read::<JobRecord>().expect("a job").transfer,
+            item.value
+                .read::<JobRecord>()
+                .expect("a job record")
+                .transfer,
             None
         );
     }
-    let format = w.state.value("qb/format").expect("recorded");
+    let format = w.state.value("qb/format").expect("the format is stored");
     assert_eq!(format["v"], SPILLOVER_FORMAT - 1);
 }
 
 #[test]
-fn answers_that_are_lost_and_offers_that_come_again_make_one_loan() {
-    let (mut c, jobs) = saturated(2, &[2, 6]);
+fn lost_responses_and_repeated_offers_make_only_one_loan() {
+    let (mut c, jobs) = saturated_cells(2, &[2, 6]);
     c.cell_links[EAST][NORTH] = CellLink::LosesAnswers;
     c.request_copies = vec![700, 9000, 40_000];
     c.run(4000);
     c.cell_links[EAST][NORTH] = CellLink::Open;
-    c.until(40_000, "loans run", |c| c.starts_in(NORTH, &jobs) > 0);
+    c.until(40_000, "a loan runs in the north", |c| {
+        c.starts_in(NORTH, &jobs) > 0
+    });
     c.assert_all_jobs_finish(EAST, &jobs);
-    // Copies that come after all is over change nothing.
+    // Copies that arrive after all jobs are done change nothing.
     let starts = c.starts_in(NORTH, &jobs);
     c.run(60_000);
     assert_eq!(c.starts_in(NORTH, &jobs), starts);
     c.assert_no_violations();
 }
 
-/// The write that lends jobs comes late and has no answer, and room comes free at home before the
-/// replica shows it: nothing of these jobs may be bound meanwhile.
+/// The write that marks jobs as lent is committed late and its response is lost. If capacity becomes free at
+/// home before the replica shows that write, no task of these jobs may be bound.
 #[test]
-fn a_job_whose_lending_is_under_way_is_not_bound_at_home() {
-    let (mut c, jobs) = saturated(60, &[2, 6]);
+fn a_job_with_an_uncertain_loan_write_is_not_bound_at_home() {
+    let (mut c, jobs) = saturated_cells(60, &[2, 6]);
     c.cells[EAST].late_lending = Some(7000);
-    c.until(20_000, "a write is under way", |c| {
+    c.until(20_000, "a write that lends jobs is delayed", |c| {
         c.cells[EAST].state.is_lending_late()
     });
-    // What runs ends, until the last jobs would have their turn at home; those run for long.
+    // Running tasks end until the last jobs would be bound at home. Tasks that start now run for 30 s.
     c.cells[EAST].run_ms = 30_000;
     for _ in 0..8 {
         if c.starts_in(EAST, &jobs[8..]) == 0 {
@@ -114,55 +122,61 @@
         c.run(700);
     }
     c.run(12_000);
-    assert!(c.starts_in(NORTH, &jobs) > 0, "some were lent all the same");
+    assert!(c.starts_in(NORTH, &jobs) > 0, "no job was lent");
     c.cells[EAST].late_lending = None;
     c.assert_all_jobs_finish(EAST, &jobs);
 }
 
-/// The borrower falls silent while it runs loans, and goes on for itself; it comes back before or
-/// long after its loans were taken back.
+/// The borrower is disconnected while it runs loans, but continues to work. It is reachable again before or
+/// long after its loans were returned to the lender.
 #[test]
-fn a_borrower_that_falls_silent_loses_its_loans_and_none_runs_twice() {
+fn a_disconnected_borrower_loses_its_loans_and_no_task_runs_twice() {
     for (seed, silent_ms) in [(3, 5000), (4, 20_000), (5, 32_000), (6, 90_000)] {
-        let (mut c, jobs) = lending_long(seed, 60_000);
+        let (mut c, jobs) = lending_cells_with_run_ms(seed, 60_000);
         c.cut_off(NORTH);
         c.run(silent_ms);
         if silent_ms > 60_000 {
-            assert_eq!(c.lent(EAST), Vec::<String>::new(), "all came home");
+            assert_eq!(
+                c.lent(EAST),
+                Vec::<String>::new(),
+                "not all loans were returned"
+            );
             let running: usize = jobs.iter().map(|j| c.cells[NORTH].running_of(j)).sum();
-            assert_eq!(running, 0, "stopped without a confirmation");
+            assert_eq!(running, 0, "loans run on without a confirmation");
         }
         c.assert_all_jobs_finish(EAST, &jobs);
     }
 }
 
 #[test]
-fn a_borrower_that_finishes_unheard_is_believed_until_the_job_was_taken_back() {
-    let (mut c, jobs) = lending(7);
+fn a_loan_that_finished_during_a_disconnection_counts_until_its_job_is_returned() {
+    let (mut c, jobs) = lending_cells(7);
     c.cut_off(NORTH);
-    // Jobs of its own let it archive what is over.
+    // Further jobs of its own make the borrower archive finished ones.
     c.submit_many(NORTH, 4, 2);
     // Tasks of 8 s end within the lease of 10 s.
-    c.until(15_000, "a loan is done there", |c| {
+    c.until(15_000, "a loan is done in the north", |c| {
         jobs.iter()
             .any(|j| c.is_lent(EAST, j) && c.cells[NORTH].is_done(j))
     });
     let done = jobs
         .iter()
         .find(|j| c.is_lent(EAST, j) && c.cells[NORTH].is_done(j));
-    let done = done.expect("one is").clone();
-    // Long enough to archive it, too short to take it back.
+    let done = done.expect("a loan is done").clone();
+    // Long enough to archive the loan, too short to return it to the lender.
     c.run(12_000);
     c.heal();
-    c.until(5000, "recorded", |c| c.cells[EAST].is_done(&done));
+    c.until(5000, "the lender has recorded the loan as done", |c| {
+        c.cells[EAST].is_done(&done)
+    });
     assert_eq!(c.starts_in(EAST, std::slice::from_ref(&done)), 0);
     c.assert_all_jobs_finish(EAST, &jobs);
 }
 
 #[test]
-fn a_lender_that_falls_silent_stops_its_loans_and_finds_them_again() {
+fn loans_of_a_lender_that_does_not_respond_stop_and_finish_later() {
     for (seed, kind) in [(8, 0), (9, 1), (10, 2)] {
-        let (mut c, jobs) = lending(seed);
+        let (mut c, jobs) = lending_cells(seed);
         match kind {
             0 => (0..3).for_each(|i| c.cells[EAST].crash(i)),
             1 => c.cells[EAST].outage(true),
@@ -170,15 +184,15 @@
         }
         c.run(16_000);
         let running: usize = jobs.iter().map(|j| c.cells[NORTH].running_of(j)).sum();
-        assert_eq!(running, 0, "no confirmation, no work");
+        assert_eq!(running, 0, "loans run on without a confirmation");
         c.assert_all_jobs_finish(EAST, &jobs);
     }
 }
 
 #[test]
-fn leaders_state_services_and_all_controllers_fail_on_either_side() {
+fn a_leader_the_store_or_all_controllers_of_either_cell_fail() {
     for seed in 11..23 {
-        let (mut c, jobs) = saturated(seed, &[2, 6]);
+        let (mut c, jobs) = saturated_cells(seed, &[2, 6]);
         let mut rng = SmallRng::seed_from_u64(seed);
         c.run(rng.random_range(2000..12_000));
         let cell = [EAST, NORTH][seed as usize % 2];
@@ -194,9 +208,9 @@
 }
 
 #[test]
-fn a_cancellation_ends_a_loan_wherever_it_is() {
+fn a_cancellation_ends_a_loan_in_the_other_cell_in_time() {
     for (seed, wait_ms, silent) in [(24, 0, false), (25, 3000, false), (26, 3000, true)] {
-        let (mut c, jobs) = lending(seed);
+        let (mut c, jobs) = lending_cells(seed);
         c.cells[NORTH].run_ms = 90_000;
         c.run(wait_ms);
         if silent {
@@ -210,7 +224,7 @@
         c.run(38_000);
         for job in &lent {
             assert_eq!(c.cells[NORTH].running_of(job), 0);
-            let state = c.cells[EAST].job(job).expect("known").status;
+            let state = c.cells[EAST].job(job).expect("the job is stored").status;
             assert_eq!(state, JobStatus::Cancelled);
         }
         let rest: Vec<String> = jobs.into_iter().filter(|j| !lent.contains(j)).collect();
@@ -218,11 +232,11 @@
     }
 }
 
-/// The last ending, the cancellation and the taking back of a loan meet in one key.
+/// The last completion, the cancellation and the return of a loan all write the same key.
 #[test]
 fn a_cancellation_races_with_the_end_of_a_loan() {
     for seed in 30..36 {
-        let (mut c, jobs) = lending(seed);
+        let (mut c, jobs) = lending_cells(seed);
         let lent = c.lent(EAST);
         c.run(5000 + (seed - 30) * 700);
         for job in &lent {
@@ -234,7 +248,7 @@
         let over = |job: &String| !c.cells[EAST].is_open(job);
         assert!(lent.iter().all(over));
         c.heal();
-        c.until(120_000, "the others are done", |c| {
+        c.until(120_000, "all jobs of the east are done or cancelled", |c| {
             jobs.iter().all(|job| !c.cells[EAST].is_open(job))
         });
         c.assert_no_violations();
@@ -242,13 +256,13 @@
 }
 
 #[test]
-fn one_controller_that_reaches_no_other_cell_asks_its_peers() {
-    let (mut c, jobs) = lending_long(40, 30_000);
-    let leader = c.cells[NORTH].leader().expect("leads");
-    let refusing = (0..3).find(|&i| i != leader).expect("another one");
+fn a_controller_that_cannot_reach_the_lender_receives_confirmations_from_its_peers() {
+    let (mut c, jobs) = lending_cells_with_run_ms(40, 30_000);
+    let leader = c.cells[NORTH].leader().expect("a leader");
+    let refusing = (0..3).find(|&i| i != leader).expect("another controller");
     c.refusing.insert((NORTH, refusing));
     c.run(14_000);
-    // Its machines go on, for its peers tell it what was confirmed.
+    // Tasks on its machines run on, because its peers relay the confirmations to it.
     let held = |m: &&support::Worker| c.cells[NORTH].holder(&m.machine.name) == Some(refusing);
     let busy = c.cells[NORTH].workers.iter().filter(held);
     assert!(busy.flat_map(|m| &m.tasks).any(|t| t.ended.is_none()));
@@ -256,14 +270,14 @@
 }
 
 #[test]
-fn a_one_way_cut_lends_nothing_and_keeps_nothing() {
+fn a_one_way_disconnection_ends_all_loans_and_prevents_new_ones() {
     for (seed, (from, to)) in [(41, (EAST, NORTH)), (42, (NORTH, EAST))] {
-        let (mut c, jobs) = lending(seed);
+        let (mut c, jobs) = lending_cells(seed);
         c.cell_links[from][to] = CellLink::Cut;
-        // There is no room at home that would call them back.
+        // Free capacity at home would be another reason to recall the loans; there is none.
         c.cells[EAST].run_ms = 60_000;
         let more = c.submit_many(EAST, 6, 4);
-        // The lease, the silence, and what a called back loan takes.
+        // The lease, the time without a response, and the time that a recall takes.
         c.run(50_000);
         assert_eq!(c.lent(EAST), Vec::<String>::new());
         c.cells[EAST].run_ms = 8000;
@@ -272,9 +286,9 @@
 }
 
 #[test]
-fn a_borrowers_controller_paused_past_the_lease_starts_nothing_after() {
+fn a_borrower_whose_controllers_were_paused_past_the_lease_starts_no_task_of_its_loans() {
     for seed in 43..47 {
-        let (mut c, jobs) = lending_long(seed, 40_000);
+        let (mut c, jobs) = lending_cells_with_run_ms(seed, 40_000);
         c.run(3000);
         (0..3).for_each(|i| c.cells[NORTH].pause(i, 33_000));
         c.run(60_000);
@@ -282,12 +296,12 @@
     }
 }
 
-/// A lender's controller that its state service does not answer goes on answering borrowers: what it
-/// confirms counts from what its replica last showed.
+/// A lender's controller that cannot reach its store still responds to borrowers. The age of its confirmations
+/// counts from the last update of its replica.
 #[test]
-fn a_confirmation_from_a_controller_that_is_behind_does_not_outlive_a_cancellation() {
-    let (mut c, _) = lending_long(48, 90_000);
-    let leader = c.cells[EAST].leader().expect("leads");
+fn confirmations_by_a_controller_with_a_stale_replica_do_not_delay_a_cancellation() {
+    let (mut c, _) = lending_cells_with_run_ms(48, 90_000);
+    let leader = c.cells[EAST].leader().expect("a leader");
     c.refusing.insert((EAST, leader));
     for i in (0..3).filter(|&i| i != leader) {
         c.cells[EAST].isolate(i);
@@ -303,11 +317,11 @@
     c.assert_no_violations();
 }
 
-/// Controllers that restart again and again have no confirmation each time: they must not keep the
-/// workers' leases alive with it.
+/// Controllers that have just restarted have no confirmation. Repeated restarts must not extend the leases of
+/// the workers that run loans.
 #[test]
-fn a_borrower_whose_controllers_restart_again_and_again_keeps_no_loan_alive() {
-    let (mut c, jobs) = lending_long(49, 90_000);
+fn repeated_restarts_of_a_borrowers_controllers_do_not_extend_loans() {
+    let (mut c, jobs) = lending_cells_with_run_ms(49, 90_000);
     c.cut_off(NORTH);
     for _ in 0..25 {
         (0..3).for_each(|i| c.cells[NORTH].crash(i));
@@ -319,32 +333,39 @@
 }
 
 #[test]
-fn two_saturated_cells_lend_each_other_nothing() {
+fn two_saturated_cells_do_not_lend_to_each_other() {
     let mut c = Cells::new(50, &[2, 2]);
     let jobs = c.submit_many(EAST, 10, 4);
-    let theirs = c.submit_many(NORTH, 10, 4);
+    let north_jobs = c.submit_many(NORTH, 10, 4);
     c.run(20_000);
-    assert_eq!(c.starts_in(NORTH, &jobs) + c.starts_in(EAST, &theirs), 0);
+    assert_eq!(
+        c.starts_in(NORTH, &jobs) + c.starts_in(EAST, &north_jobs),
+        0
+    );
     c.assert_all_jobs_finish(EAST, &jobs);
-    c.until(120_000, "done", |c| {
-        theirs.iter().all(|j| c.cells[NORTH].is_done(j))
+    c.until(120_000, "all jobs are done", |c| {
+        north_jobs.iter().all(|j| c.cells[NORTH].is_done(j))
     });
 }
 
-/// A borrower that fills up right after it accepted: what has not begun there comes home.
+/// The borrower becomes busy right after it accepted loans. Loans that have not started there are returned.
 #[test]
-fn loans_that_do_not_begin_come_home() {
-    let (mut c, jobs) = saturated(51, &[3, 3]);
-    c.until(20_000, "lent", |c| c.lent(EAST).len() >= 2);
+fn loans_that_do_not_start_are_returned() {
+    let (mut c, jobs) = saturated_cells(51, &[3, 3]);
+    c.until(20_000, "two jobs are lent", |c| c.lent(EAST).len() >= 2);
     let lent = c.lent(EAST);
     c.cells[NORTH].run_ms = 100_000;
     let mut urgent = c.cells[NORTH].spec(12);
     urgent.priority = quillbend::protocol::Priority::Urgent;
     c.cells[NORTH].submit(900, urgent);
-    c.until(60_000, "home, or begun there", |c| {
-        let begun = |job: &String| c.cells[NORTH].starts_of(job) > 0;
-        c.lent(EAST).iter().all(begun)
-    });
+    c.until(
+        60_000,
+        "every remaining loan has started in the north",
+        |c| {
+            let begun = |job: &String| c.cells[NORTH].starts_of(job) > 0;
+            c.lent(EAST).iter().all(begun)
+        },
+    );
     assert!(
         lent.iter()
             .any(|job| !c.is_lent(EAST, job) && c.cells[NORTH].starts_of(job) == 0)
@@ -353,7 +374,7 @@
 }
 
 #[test]
-fn cells_in_a_ring_pass_no_job_on_to_a_third() {
+fn a_borrowed_job_is_not_lent_to_a_third_cell() {
     let mut c = Cells::new(52, &[2, 2, 6]);
     let east = c.submit_many(EAST, 12, 4);
     let north = c.submit_many(NORTH, 12, 4);
@@ -361,7 +382,7 @@
     assert!(c.starts_in(WEST, &east) + c.starts_in(WEST, &north) > 0);
     let marks = |cell: usize| c.cells[cell].state.list("qb/job/").0;
     for item in marks(NORTH).into_iter().chain(marks(WEST)) {
-        let job: JobRecord = item.value.read().expect("a job");
+        let job: JobRecord = item.value.read().expect("a job record");
         let name = &item.key["qb/job/".len()..];
         if east.iter().any(|j| j == name) {
             assert!(matches!(
@@ -371,13 +392,13 @@
         }
     }
     c.assert_all_jobs_finish(EAST, &east);
-    c.until(120_000, "done", |c| {
+    c.until(120_000, "all jobs are done", |c| {
         north.iter().all(|j| c.cells[NORTH].is_done(j))
     });
 }
 
 #[test]
-fn nothing_is_lent_beside_a_version_that_does_not_know_loans() {
+fn no_job_is_lent_while_a_controller_of_a_version_without_loans_is_alive() {
     let mut c = Cells::new(53, &[2, 6]);
     c.cells[EAST].state.forget("qb/format");
     c.cells[EAST].old[0] = true;
@@ -392,15 +413,16 @@
     c.assert_all_jobs_finish(EAST, &jobs);
 }
 
-/// A copy of an offer that arrives after the refusal, when there is room again, finds the record of it.
+/// A copy of an offer that arrives after its refusal, when there is capacity again, finds the record of the
+/// refusal.
 #[test]
-fn a_refused_offer_stays_refused_whatever_copies_of_it_arrive() {
-    let (mut c, jobs) = saturated(55, &[2, 6]);
+fn a_refused_offer_stays_refused_when_copies_of_it_arrive() {
+    let (mut c, jobs) = saturated_cells(55, &[2, 6]);
     c.request_copies = vec![30_000];
-    c.until(20_000, "lent", |c| !c.lent(EAST).is_empty());
+    c.until(20_000, "a job is lent", |c| !c.lent(EAST).is_empty());
     let offered = c.lent(EAST);
     c.restart_with(NORTH, |settings| settings.borrow = false);
-    c.until(20_000, "home again", |c| {
+    c.until(20_000, "all loans are returned", |c| {
         !offered.iter().any(|job| c.is_lent(EAST, job))
     });
     c.restart_with(EAST, |settings| settings.lend = false);
@@ -410,17 +432,17 @@
     c.assert_all_jobs_finish(EAST, &jobs);
 }
 
-/// A repeat of an offer arrives when the loan was given up and its tasks still run: that is not called
-/// refused, which would be the lender's proof that nothing of it runs.
+/// A repeated offer arrives when the loan has ended but its tasks still run. It must not be refused, because
+/// a refusal confirms to the lender that no task of the loan runs.
 #[test]
-fn a_loan_that_was_given_up_is_not_called_refused_while_its_tasks_run() {
-    let (mut c, _) = lending_long(56, 60_000);
+fn an_offer_of_an_ended_loan_is_not_refused_while_its_tasks_run() {
+    let (mut c, _) = lending_cells_with_run_ms(56, 60_000);
     let runs = |c: &Cells, job: &String| c.cells[NORTH].running_of(job) > 0;
     let lent = c.lent(EAST).into_iter().find(|job| runs(&c, job));
-    let job = lent.expect("one runs");
-    let record = c.cells[EAST].job(&job).expect("known");
+    let job = lent.expect("a task of a loan runs");
+    let record = c.cells[EAST].job(&job).expect("the job is stored");
     let Some(Transfer::Lent(mark)) = record.transfer.as_deref().cloned() else {
-        panic!("lent");
+        panic!("the job is not lent");
     };
     let offer = Offer {
         loan: LoanId {
@@ -438,7 +460,7 @@
         body: RequestBody::Offer(vec![offer]),
     };
     let decision = |c: &mut Cells| {
-        let leader = c.cells[NORTH].leader().expect("leads");
+        let leader = c.cells[NORTH].leader().expect("a leader");
         match c.cells[NORTH].take_cell_request(leader, &request) {
             CellAnswer::Offers(answers) => answers[0].decision,
             other => panic!("{other:?}"),
@@ -446,7 +468,7 @@
     };
     assert_eq!(decision(&mut c), Decision::Accepted);
     c.cells[EAST].cancel(&job);
-    c.until(10_000, "given up", |c| {
+    c.until(10_000, "the loan is cancelled in the north", |c| {
         c.cells[NORTH]
             .job(&job)
             .is_some_and(|j| j.status == JobStatus::Cancelled)
@@ -459,7 +481,7 @@
 }
 
 #[test]
-fn requests_of_unknown_cells_and_versions_are_refused_and_counted() {
+fn requests_from_unknown_cells_or_versions_are_refused_and_counted() {
     let mut c = Cells::new(54, &[2, 2]);
     let node = c.cells[NORTH].controllers[0].as_mut().expect("alive");
     let request = |version: u32, from: &str| quillbend::spillover::CellRequest {
@@ -481,9 +503,9 @@
     assert_eq!(page["spillover"]["counters"]["rejected"], 4);
 }
 
-/// Faults of all kinds at random, on every side.
-#[expect(clippy::too_many_lines, reason = "one scenario, told in its order")]
-fn day_of_chance(seed: u64) -> Result<(), Vec<String>> {
+/// Plays random faults of all kinds in and between three cells.
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
+fn play_random_faults(seed: u64) -> Result<(), Vec<String>> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut c = Cells::new(seed, &[2, 5, 4]);
     if rng.random_bool(0.5) {
@@ -520,7 +542,7 @@
         .iter()
         .flat_map(|w| w.violations.iter())
         .chain(&c.violations);
-    // A start that was on its way when the job's end was recorded breaks no rule.
+    // A launch that was in flight when the job's end was recorded violates no invariant.
     let mut violations: Vec<String> = late
         .filter(|b| !b.ends_with("is launched after its job is done"))
         .cloned()
@@ -530,7 +552,7 @@
         .filter(|(cell, job)| c.cells[*cell].is_open(job));
     violations.extend(open.map(|(cell, job)| {
         let home = &c.cells[*cell];
-        let value = serde_json::to_string(&home.job(job)).expect("plain data");
+        let value = serde_json::to_string(&home.job(job)).expect("the record is serializable");
         let (done, running) = (home.done(job), home.running_of(job));
         let away: Vec<_> = c
             .cells
@@ -538,7 +560,7 @@
             .map(|w| w.job(job).map(|j| j.status))
             .collect();
         format!(
-            "{job} of {cell} is not over: {done} done, {running} run at home, {away:?}, {value}"
+            "{job} of cell {cell} is unfinished: {done} tasks done, {running} run at home, status in each cell {away:?}, {value}"
         )
     }));
     match violations.is_empty() {
@@ -574,13 +596,13 @@
     }
 }
 
-/// On day 2064 a loan was given up and came again under another token, while a peer still told of its
-/// end as of a cancellation: its tasks were bound and freed for ever. On day 4344 a task ran in two
-/// cells, for it was bound at home while the write that lent its job had no answer.
+/// With seed 2064, a loan ended and was made again under another token while a peer still reported its end as
+/// a cancellation, so that its tasks were bound and unbound forever. With seed 4344, a task ran in two cells
+/// because it was bound at home while the response to the write that lent its job was missing.
 #[test]
-fn random_fault_days_between_cells_keep_the_rules() {
+fn random_faults_between_cells_violate_no_invariant() {
     for seed in [0, 1, 2, 3, 2064, 4344] {
-        if let Err(violations) = day_of_chance(seed) {
+        if let Err(violations) = play_random_faults(seed) {
             panic!("seed {seed}:\n{}", violations.join("\n"));
         }
     }
@@ -589,17 +611,17 @@
 #[test]
 #[ignore = "a search that is run by hand"]
 fn search_between_cells() {
-    support::search::search(day_of_chance);
+    support::search::search(play_random_faults);
 }
 
-/// How a stream of jobs was served.
-struct Service {
+/// Waiting times and punctuality of a stream of jobs.
+struct StreamStats {
     waits_s: Vec<f64>,
-    /// Part of the jobs that were done within the deadline.
-    in_time: f64,
+    /// Share of the jobs that were done within the deadline, 0 to 1.
+    share_in_time: f64,
 }
 
-impl Service {
+impl StreamStats {
     fn wait_s(&self, part: f64) -> f64 {
         let mut sorted = self.waits_s.clone();
         sorted.sort_by(f64::total_cmp);
@@ -607,10 +629,10 @@
     }
 }
 
-/// Plays a stream of jobs in the east, and a lighter one in the north; how both were served, changes
-/// of both state services, and requests between the cells.
-#[expect(clippy::too_many_lines, reason = "one scenario, told in its order")]
-fn play_stream(seed: u64, lend: bool) -> (Service, Service, u64, u64) {
+/// Plays a stream of jobs in the east and a lighter one in the north. Returns the statistics of both, the
+/// number of writes to both stores, and the number of requests between the cells.
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
+fn play_stream(seed: u64, lend: bool) -> (StreamStats, StreamStats, u64, u64) {
     const DUE_MS: u64 = 45_000;
     let mut c = Cells::new(seed, &[4, 6]);
     if !lend {
@@ -623,7 +645,7 @@
     let mut done: Vec<Option<u64>> = Vec::new();
     for second in 0..400u64 {
         let now = c.now();
-        // For three minutes the east is asked for 20 CPUs of its 16, at 8 s a task.
+        // For three minutes, the jobs of the east need 20 CPUs while it has 16; a task takes 8 s.
         let (east, north) = (
             second < 180 && second % 2 == 0,
             second < 180 && second % 4 == 0,
@@ -642,20 +664,20 @@
         }
     }
     c.assert_no_violations();
-    let served = |cell: usize| {
-        let mine = || jobs.iter().zip(&done).filter(|(j, _)| j.0 == cell);
+    let stream_stats = |cell: usize| {
+        let jobs_of_cell = || jobs.iter().zip(&done).filter(|(j, _)| j.0 == cell);
         let wait_s = |job: &str, at: u64| {
             let starts = c.cells.iter().flat_map(|w| &w.starts);
             let first = starts
                 .filter(|s| s.1.starts_with(&format!("{job}/")))
                 .map(|s| s.0)
                 .min();
-            (first.expect("it began") - at) as f64 / 1000.0
+            (first.expect("a task of the job started") - at) as f64 / 1000.0
         };
-        let in_time = mine().filter(|(j, done)| done.is_some_and(|d| d - j.2 <= DUE_MS));
-        Service {
-            waits_s: mine().map(|(j, _)| wait_s(&j.1, j.2)).collect(),
-            in_time: in_time.count() as f64 / mine().count() as f64,
+        let in_time = jobs_of_cell().filter(|(j, done)| done.is_some_and(|d| d - j.2 <= DUE_MS));
+        StreamStats {
+            waits_s: jobs_of_cell().map(|(j, _)| wait_s(&j.1, j.2)).collect(),
+            share_in_time: in_time.count() as f64 / jobs_of_cell().count() as f64,
         }
     };
     let east = || jobs.iter().filter(|j| j.0 == EAST);
@@ -663,18 +685,18 @@
         .filter(|j| c.cells[NORTH].starts_of(&j.1) > 0)
         .count();
     println!(
-        "{} jobs of the east, {loans} of them ran in the north",
+        "{} jobs of the east, of which {loans} ran in the north",
         east().count()
     );
     (
-        served(EAST),
-        served(NORTH),
+        stream_stats(EAST),
+        stream_stats(NORTH),
         writes(&c) - writes_before,
         c.requests - requests_before,
     )
 }
 
-/// Prints what `docs/spillover.md` states.
+/// Prints the figures that `docs/spillover.md` states.
 #[test]
 #[ignore = "a measurement that is run by hand"]
 fn measure_spillover() {
@@ -683,26 +705,28 @@
             let (east, north, writes, requests) = play_stream(seed, lend);
             println!(
                 "lend {lend} seed {seed}: east waits p50 {:.1} p90 {:.1} in time {:.2}; north p50 {:.1} \
-                 p90 {:.1} in time {:.2}; {writes} changes, {requests} requests",
+                 p90 {:.1} in time {:.2}; {writes} writes, {requests} requests",
                 east.wait_s(0.5),
                 east.wait_s(0.9),
-                east.in_time,
+                east.share_in_time,
                 north.wait_s(0.5),
                 north.wait_s(0.9),
-                north.in_time
+                north.share_in_time
             );
         }
     }
     for seed in 1..6 {
-        let (mut c, jobs) = lending_long(seed, 60_000);
+        let (mut c, jobs) = lending_cells_with_run_ms(seed, 60_000);
         let away: Vec<String> = c.lent(EAST);
         c.cut_off(NORTH);
         let cut = c.now();
-        c.until(120_000, "home", |c| {
+        c.until(120_000, "a task of a loan starts at home", |c| {
             away.iter().any(|j| c.cells[EAST].starts_of(j) > 0)
         });
         let first = (c.now() - cut) as f64 / 1000.0;
-        c.until(120_000, "all home", |c| c.lent(EAST).is_empty());
+        c.until(120_000, "all loans are returned", |c| {
+            c.lent(EAST).is_empty()
+        });
         println!(
             "seed {seed}: {} loans of a silent cell, the first restarts after {first:.1} s, all home after {:.1} s",
             away.len(),
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,6 +1,6 @@
-//! Tests of a rolling upgrade: both versions serve side by side and on each other's data, and the
-//! state service lowers its limits afterwards. The version in production is played by this code
-//! held to the formats and the behaviour of that one; the bench plays the real one.
+//! Tests of rolling upgrades: two versions run side by side on the same data, and the store lowers its limits
+//! afterwards. The old version is this code, restricted to the stored formats and the behaviour of the old
+//! version; the bench runs the real one.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use support::{StoreFault, World};
 
-/// Ends a controller; it comes back with the new version.
+/// Stops a controller for `away_ms` and restarts it in the new version.
 fn upgrade(w: &mut World, i: usize, away_ms: u64) {
     w.crash(i);
     w.run(away_ms);
@@ -20,16 +20,16 @@
     w.start(i);
 }
 
-/// The state service has the limits that the settings announced.
-fn lower_limits(w: &mut World) {
+/// Makes the store enforce the lower limits that the settings announce.
+fn enforce_announced_limits(w: &mut World) {
     let limits = &w.settings.platform.settings.state;
     w.state.limits = Some(((limits.value_kb * 1024.0) as usize, limits.txn_ops));
 }
 
-/// A world in production that has settled.
-fn in_production(seed: u64, controllers: usize, machines: usize) -> World {
+/// A world of controllers in the old version with a leader, in which every machine has a holder.
+fn settled_before_upgrade(seed: u64, controllers: usize, machines: usize) -> World {
     let mut w = World::in_production(seed, controllers, machines);
-    w.until(5000, "a leader", |w| w.leader().is_some());
+    w.until(5000, "there is a leader", |w| w.leader().is_some());
     w.until(8000, "every machine is held", |w| {
         w.workers
             .iter()
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn dependent_jobs_are_refused_while_an_old_version_is_alive_and_accepted_from_then_on() {
-    let mut w = in_production(1, 3, 6);
+fn dependent_jobs_are_accepted_once_no_controller_of_an_old_version_is_alive() {
+    let mut w = settled_before_upgrade(1, 3, 6);
     w.run_ms = 60_000;
     let first = w.submit(1, w.spec(2));
     w.run(500);
@@ -57,7 +57,7 @@
     });
     w.run(300);
     let second = w.submit_dependent(2, w.spec(1), &[&first]);
-    // One that is back in the old version for a moment does not turn that back.
+    // A controller that runs the old version again for a while does not revert the recorded format.
     w.crash(1);
     w.old[1] = true;
     w.start(1);
@@ -71,15 +71,15 @@
 }
 
 #[test]
-fn a_new_service_accepts_dependent_jobs_at_once_and_an_absent_controller_blocks_nothing() {
+fn a_new_deployment_accepts_dependent_jobs_at_once_and_an_incomplete_upgrade_accepts_them_later() {
     let mut w = World::settled(2, 3, 4);
     w.crash(2);
     let first = w.submit(1, w.spec(1));
     let before = w.now;
     w.submit_dependent(2, w.spec(1), &[&first]);
     assert!(w.now - before < 1000);
-    // Of an upgrade one controller never comes back.
-    let mut w = in_production(3, 3, 4);
+    // In an upgrade, one controller never restarts.
+    let mut w = settled_before_upgrade(3, 3, 4);
     w.crash(2);
     for i in 0..2 {
         upgrade(&mut w, i, 1000);
@@ -90,7 +90,7 @@
     assert_eq!(
         w.submit_after(0, 2, w.spec(1), &[first]),
         None,
-        "it may come back old"
+        "the missing controller may restart in the old version"
     );
     w.until(120_000, "the format is recorded", |w| {
         w.state.value(FORMAT).is_some()
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn an_old_leader_that_is_back_starts_no_waiting_job_and_what_waits_goes_on_after_it() {
+fn waiting_jobs_are_kept_during_a_return_to_the_old_version_and_start_after_it() {
     let mut w = World::in_production(4, 3, 6);
     w.old = vec![false; 3];
     (0..3).for_each(|i| w.start(i));
@@ -107,27 +107,27 @@
     w.run_ms = 3000;
     let first = w.submit(1, w.spec(1));
     let second = w.submit_dependent(2, w.spec(2), &[&first]);
-    // All are back in the old version, which sees nothing of the waiting job.
+    // All controllers run the old version again, which does not read the waiting job.
     for i in 0..3 {
         w.crash(i);
         w.old[i] = true;
         w.start(i);
     }
-    w.until(60_000, "the first is done", |w| w.is_done(&first));
+    w.until(60_000, "the first job is done", |w| w.is_done(&first));
     w.run(20_000);
     assert_eq!(w.starts_of(&second), 0);
     for i in 0..3 {
         upgrade(&mut w, i, 500);
     }
-    w.until(60_000, "the second is done", |w| w.is_done(&second));
+    w.until(60_000, "the second job is done", |w| w.is_done(&second));
     w.assert_no_violations();
 }
 
 #[test]
-fn work_goes_on_through_a_rolling_upgrade_and_what_runs_is_not_lost() {
+fn running_and_new_jobs_finish_during_a_rolling_upgrade() {
     for seed in 5..8 {
         let controllers = [3, 5][seed as usize % 2];
-        let mut w = in_production(seed, controllers, 8);
+        let mut w = settled_before_upgrade(seed, controllers, 8);
         w.run(2000);
         let long = w.fill(60_000, 10);
         w.run_ms = 6000;
@@ -139,21 +139,21 @@
             upgrade(&mut w, i, 2000);
             w.run(3000);
         }
-        lower_limits(&mut w);
+        enforce_announced_limits(&mut w);
         w.assert_all_jobs_finish(&jobs);
         assert_eq!(
             w.starts.len(),
             10 + 5 * controllers,
-            "work was lost or begun twice"
+            "a task was lost or started twice"
         );
         assert_eq!(w.state.too_large, 0);
     }
 }
 
 #[test]
-fn blocks_that_an_old_version_wrote_larger_are_divided_and_their_tasks_run_on() {
-    // Many small tasks of as many jobs make large values.
-    let mut w = in_production(8, 3, 30);
+fn blocks_larger_than_the_new_limit_are_split_and_their_tasks_run_on() {
+    // Many jobs of one small task each make the values of blocks large.
+    let mut w = settled_before_upgrade(8, 3, 30);
     w.cloud_up = false;
     w.run_ms = 120_000;
     let mut jobs = Vec::new();
@@ -163,7 +163,7 @@
             ("guest".into(), 0.25, 0.1, 120.0);
         jobs.push(w.submit(n, spec));
     }
-    w.until(60_000, "all run", |w| w.running() == 460);
+    w.until(60_000, "all 460 tasks run", |w| w.running() == 460);
     let most = w.settings.value_bytes();
     let largest = |w: &World| {
         let blocks = w.state.list("qb/block/").0;
@@ -171,51 +171,51 @@
     };
     assert!(
         largest(&w) > most,
-        "{} bytes: nothing to divide",
+        "the largest block has {} bytes: no block exceeds the limit",
         largest(&w)
     );
     let running = w.running();
-    // Only the holders are new at first: an old leader grants what they divided.
-    let leader = w.leader().expect("leads");
+    // At first only the holders run the new version, and an old leader grants the blocks that they split.
+    let leader = w.leader().expect("a leader");
     for i in (0..3).filter(|i| *i != leader) {
         upgrade(&mut w, i, 800);
     }
     w.run(4000);
     upgrade(&mut w, leader, 800);
-    w.until(15_000, "all fit", |w| largest(w) <= most);
-    lower_limits(&mut w);
+    w.until(15_000, "all blocks fit", |w| largest(w) <= most);
+    enforce_announced_limits(&mut w);
     assert!(
         w.running() + 60 > running,
-        "{} of {running} run on",
+        "only {} of {running} tasks run on",
         w.running()
     );
     let starts = w.starts.len();
-    let called_off = jobs.remove(0);
-    if w.is_open(&called_off) {
-        w.cancel(&called_off);
+    let cancelled_job = jobs.remove(0);
+    if w.is_open(&cancelled_job) {
+        w.cancel(&cancelled_job);
     }
-    w.until(300_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+    w.until(300_000, "all done", |w| jobs.iter().all(|j| w.is_done(j)));
     assert!(
         w.starts.len() <= 60 * 9,
-        "{starts}, {}: begun twice",
+        "{starts} starts before the end, {} after: tasks were started twice",
         w.starts.len()
     );
     assert_eq!(w.state.too_large, 0);
     w.assert_no_violations();
 }
 
-/// Two controllers of this version, one of which leads, and one that reads format 2 as the latest; a
-/// job of 900 small tasks, and machines with room for half of them.
-fn large_job_beside_an_older_version(format_most: f64) -> (World, String) {
+/// A world of two controllers of this version, one of which leads, and one controller that reads no format
+/// after format 2; with a job of 900 small tasks and machines for half of them.
+fn large_job_with_an_older_controller(format_most: f64) -> (World, String) {
     let mut w = World::in_production(9, 3, 30);
     w.settings.options.format_most = format_most;
     w.old_format = CHAINS_FORMAT;
     w.old = vec![false, false, true];
     w.crash(2);
     (0..2).for_each(|i| w.start(i));
-    w.until(20_000, "a leader", |w| w.leader().is_some());
+    w.until(20_000, "there is a leader", |w| w.leader().is_some());
     w.start(2);
-    w.until(20_000, "chained jobs are recorded", |w| {
+    w.until(20_000, "the format with dependent jobs is recorded", |w| {
         w.state.value(FORMAT).is_some()
     });
     w.cloud_up = false;
@@ -227,73 +227,79 @@
     (w, job)
 }
 
-/// Blocks that have machines.
-fn used_blocks(w: &World) -> usize {
+/// The number of blocks that have machines.
+fn used_block_count(w: &World) -> usize {
     let blocks = w.state.list("qb/block/").0;
     let machines = |b: &KeyValue| w.block(&b.key).machines.len();
     blocks.iter().filter(|b| machines(b) > 0).count()
 }
 
 #[test]
-fn small_blocks_are_merged_and_what_runs_on_their_machines_runs_on() {
-    let mut w = in_production(12, 3, 130);
+fn small_blocks_are_merged_and_tasks_on_their_machines_run_on() {
+    let mut w = settled_before_upgrade(12, 3, 130);
     w.cloud_up = false;
-    // The changes a second to come are a burden for as many blocks.
+    // The announced write rate is too low for this many blocks.
     w.settings.platform.settings.state.write_rps = 8.0;
     w.run_ms = 90_000;
     let mut spec = w.spec(200);
     spec.team = "guest".into();
     let job = w.submit(1, spec);
-    w.until(30_000, "all run", |w| w.running() == 200);
-    let before = used_blocks(&w);
-    assert!(before > 9, "{before}");
+    w.until(30_000, "all tasks run", |w| w.running() == 200);
+    let before = used_block_count(&w);
+    assert!(before > 9, "only {before} blocks have machines");
     for i in 0..3 {
         upgrade(&mut w, i, 500);
         w.run(2000);
     }
-    w.until(40_000, "blocks are merged", |w| used_blocks(w) <= 6);
-    assert_eq!(w.running(), 200, "what ran was lost");
-    // The machines obey the tokens of the blocks that they are in now.
+    w.until(40_000, "blocks are merged", |w| used_block_count(w) <= 6);
+    assert_eq!(w.running(), 200, "a running task was lost");
+    // The machines accept the tokens of the blocks that they are now in.
     w.run(5000);
     let late = w.submit(2, w.spec(16));
-    w.until(30_000, "new work begins", |w| w.starts_of(&late) == 16);
+    w.until(30_000, "the tasks of a new job start", |w| {
+        w.starts_of(&late) == 16
+    });
     w.assert_all_jobs_finish(&[job, late]);
-    assert_eq!(w.starts.len(), 216, "begun twice");
+    assert_eq!(w.starts.len(), 216, "a task was started twice");
     assert_eq!(w.state.too_large, 0);
 }
 
 #[test]
-fn machines_of_a_merged_block_go_to_the_higher_fencing_token_and_keep_their_tasks() {
-    let mut w = in_production(15, 3, 130);
+fn machines_keep_their_tasks_when_their_block_is_merged_into_one_with_a_higher_token() {
+    let mut w = settled_before_upgrade(15, 3, 130);
     w.cloud_up = false;
     w.run_ms = 200_000;
     w.settings.platform.settings.state.write_rps = 8.0;
     let mut spec = w.spec(200);
     spec.team = "guest".into();
     let job = w.submit(1, spec);
-    w.until(30_000, "all run", |w| w.running() == 200);
+    w.until(30_000, "all tasks run", |w| w.running() == 200);
     for i in 0..2 {
         upgrade(&mut w, i, 500);
         w.run(2000);
     }
-    // The last one in the old version stays away: its blocks are granted again, under higher tokens
-    // than the others have, before anything may be merged.
+    // The last controller of the old version does not restart. Its blocks are granted again, under higher tokens
+    // than those of the other blocks, before any block may be merged.
     w.crash(2);
-    let before = used_blocks(&w);
+    let before = used_block_count(&w);
     w.run(30_000);
-    assert_eq!(used_blocks(&w), before, "it may come back old");
-    w.until(90_000, "blocks are merged", |w| used_blocks(w) <= 6);
-    // Longer than a worker's lease: answers that it drops would have ended its tasks by now.
+    assert_eq!(
+        used_block_count(&w),
+        before,
+        "blocks were merged although the old version may be back"
+    );
+    w.until(90_000, "blocks are merged", |w| used_block_count(w) <= 6);
+    // This is longer than a worker's lease: if workers ignored acknowledgements, their tasks would have ended.
     w.run(20_000);
-    assert_eq!(w.running(), 200, "what ran was lost");
-    assert_eq!(w.starts.len(), 200, "begun twice");
-    // Endings are believed only under the tokens of the blocks that the machines are in now.
+    assert_eq!(w.running(), 200, "a running task was lost");
+    assert_eq!(w.starts.len(), 200, "a task was started twice");
+    // Completions are accepted only under the tokens of the blocks that the machines are now in.
     w.assert_all_jobs_finish(&[job]);
-    assert_eq!(w.starts.len(), 200, "begun twice");
+    assert_eq!(w.starts.len(), 200, "a task was started twice");
 }
 
-/// Most tasks of a large job that run at once within a while.
-fn most_running(w: &mut World) -> usize {
+/// The most tasks that run at once within the next 20 s.
+fn max_running_tasks(w: &mut World) -> usize {
     let mut most = 0;
     for _ in 0..200 {
         w.run(100);
@@ -310,30 +316,30 @@
 
 #[test]
 fn a_large_job_uses_the_whole_fleet_once_every_controller_reads_bitmaps() {
-    let (mut w, job) = large_job_beside_an_older_version(3.0);
-    // Ranges in the values to come have room for no more.
-    let few = most_running(&mut w);
+    let (mut w, job) = large_job_with_an_older_controller(3.0);
+    // Values within the announced limits have room for only so many ranges of done tasks.
+    let few = max_running_tasks(&mut w);
     assert!((100..160).contains(&few), "{few}");
     assert!(!is_bitmap(&w, &job));
     upgrade(&mut w, 2, 500);
-    lower_limits(&mut w);
-    w.until(20_000, "bitmaps are recorded", |w| {
+    enforce_announced_limits(&mut w);
+    w.until(20_000, "the format with bitmaps is recorded", |w| {
         w.state
             .value(FORMAT)
             .is_some_and(|f| f["v"] == DENSE_FORMAT)
     });
-    let many = most_running(&mut w);
+    let many = max_running_tasks(&mut w);
     assert!(many > 2 * few, "{many}");
-    w.until(200_000, "done", |w| w.is_done(&job));
+    w.until(200_000, "the job is done", |w| w.is_done(&job));
     assert_eq!(w.state.too_large, 0);
     w.assert_no_violations();
 }
 
 #[test]
-fn operators_can_hold_the_format_back_and_go_back_to_the_version_before() {
-    let (mut w, job) = large_job_beside_an_older_version(2.0);
+fn operators_can_hold_the_format_back_and_return_to_the_older_version() {
+    let (mut w, job) = large_job_with_an_older_controller(2.0);
     upgrade(&mut w, 2, 500);
-    let few = most_running(&mut w);
+    let few = max_running_tasks(&mut w);
     assert!((100..160).contains(&few), "{few}");
     assert!(
         w.state
@@ -351,9 +357,9 @@
 }
 
 #[test]
-fn jobs_whose_values_are_larger_than_the_new_limit_end_and_are_cancelled() {
+fn jobs_with_values_above_the_new_limit_finish_or_can_be_cancelled() {
     for cancelled in [false, true] {
-        let mut w = in_production(10, 3, 4);
+        let mut w = settled_before_upgrade(10, 3, 4);
         w.run_ms = 3000;
         let mut spec = w.spec(4);
         let machine_types = (0..120).map(|n| format!("a-type-that-is-no-longer-sold-{n}"));
@@ -362,7 +368,7 @@
         assert!(
             w.state
                 .value(&job_key(&job))
-                .expect("stored")
+                .expect("the job is stored")
                 .to_string()
                 .len()
                 > 3000
@@ -370,33 +376,33 @@
         for i in 0..3 {
             upgrade(&mut w, i, 300);
         }
-        lower_limits(&mut w);
+        enforce_announced_limits(&mut w);
         w.run(1500);
         if cancelled {
             assert!(matches!(w.cancel(&job), CommitOutcome::Done(_)));
         }
-        let over = [JobStatus::Done, JobStatus::Cancelled][usize::from(cancelled)];
-        w.until(60_000, "over", |w| {
-            w.job(&job).is_some_and(|j| j.status == over)
+        let final_status = [JobStatus::Done, JobStatus::Cancelled][usize::from(cancelled)];
+        w.until(60_000, "the job has its final state", |w| {
+            w.job(&job).is_some_and(|j| j.status == final_status)
         });
-        // Blocks list what was done on them until they are written again, at the latest when their
-        // idle machines leave.
+        // Blocks list the tasks done on their machines until they are written again, at the latest when their
+        // idle machines are returned.
         let archived = |w: &World| w.state.value(&past_key(&job)).is_some();
-        w.until(120_000, "archived", archived);
+        w.until(120_000, "the job is archived", archived);
         w.run(100);
-        assert_eq!(w.poll_status(0, &job), Some(over));
+        assert_eq!(w.poll_status(0, &job), Some(final_status));
         w.assert_no_violations();
     }
 }
 
 #[test]
-fn no_transaction_is_larger_than_the_limits_to_come_whatever_happens() {
-    // The limits hold from the start; every fault and every kind of transaction meets them.
+fn no_transaction_exceeds_the_announced_limits_under_random_faults() {
+    // The limits are enforced from the start; random faults cause many kinds of transactions.
     for seed in 11..15 {
         let mut w = World::in_production(seed, 3, 10);
         w.old = vec![false; 3];
         (0..3).for_each(|i| w.start(i));
-        lower_limits(&mut w);
+        enforce_announced_limits(&mut w);
         w.run(5000);
         let mut rng = SmallRng::seed_from_u64(seed);
         w.run_ms = 5000;
@@ -427,19 +433,19 @@
         w.assert_all_jobs_finish(&jobs);
         assert_eq!(
             w.state.too_large, 0,
-            "the service refused what was too large"
+            "the store rejected transactions above its limits"
         );
     }
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one scenario, told in its order")]
-fn random_faults_during_an_upgrade_with_dependent_jobs_keep_the_rules() {
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
+fn random_faults_during_an_upgrade_with_dependent_jobs_violate_no_invariant() {
     for seed in 20..28 {
         let controllers = [3, 5][seed as usize % 2];
-        let mut w = in_production(seed, controllers, 10);
+        let mut w = settled_before_upgrade(seed, controllers, 10);
         if seed % 4 < 2 {
-            // The older version is the one that knows chained jobs already.
+            // The older version is the one that already supports dependent jobs.
             w.old_format = CHAINS_FORMAT;
             (0..controllers).for_each(|i| w.start(i));
             w.run(3000);
@@ -447,7 +453,7 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         w.run_ms = 6000;
         let mut jobs: Vec<String> = Vec::new();
-        let mut over: Vec<String> = Vec::new();
+        let mut cancelled_jobs: Vec<String> = Vec::new();
         let mut to_upgrade: Vec<usize> = (0..controllers).collect();
         for n in 0..40u32 {
             if n % 6 == 5
@@ -456,7 +462,7 @@
                 upgrade(&mut w, i, rng.random_range(200..4000));
             }
             if to_upgrade.is_empty() && n == 36 {
-                lower_limits(&mut w);
+                enforce_announced_limits(&mut w);
             }
             let mut spec = w.spec(rng.random_range(1..12));
             if rng.random_bool(0.3) {
@@ -467,11 +473,11 @@
                 .filter_map(|_| jobs.get(rng.random_range(0..jobs.len().max(1))).cloned())
                 .collect();
             let at = rng.random_range(0..controllers);
-            let taken = match named.is_empty() {
+            let accepted = match named.is_empty() {
                 true => Some(w.submit(n + 1, spec)),
                 false => w.submit_after(at, n + 1, spec, &named),
             };
-            if let Some(job) = taken {
+            if let Some(job) = accepted {
                 jobs.push(job);
             }
             if rng.random_bool(0.15)
@@ -479,11 +485,11 @@
                 && w.is_open(&job)
             {
                 w.cancel(&job);
-                over.push(job);
+                cancelled_jobs.push(job);
             }
             let at = rng.random_range(0..controllers);
             match rng.random_range(0..10) {
-                // One that dies before its turn comes back old.
+                // A controller that crashes before its upgrade restarts in the old version.
                 0 => w.crash(at),
                 1 => w.links[at].state = StoreFault::Intermittent,
                 2 => w.links[at].peers = false,
@@ -491,32 +497,32 @@
                 4 | 5 => w.heal(),
                 _ => {}
             }
-            let asked = jobs.clone();
-            w.run_asking(rng.random_range(500..2500), &asked);
+            let polled_jobs = jobs.clone();
+            w.run_asking(rng.random_range(500..2500), &polled_jobs);
         }
         w.heal();
         for i in to_upgrade {
             upgrade(&mut w, i, 500);
         }
-        lower_limits(&mut w);
+        enforce_announced_limits(&mut w);
         let ended =
             |w: &World, j: &String| w.job(j).is_some_and(|r| r.status != JobStatus::Pending);
-        w.until(300_000, "all are over", |w| {
+        w.until(300_000, "all jobs have their final state", |w| {
             jobs.iter().all(|j| ended(w, j))
         });
-        let asked = jobs.clone();
-        w.run_asking(5000, &asked);
+        let polled_jobs = jobs.clone();
+        w.run_asking(5000, &polled_jobs);
         assert_eq!(w.state.too_large, 0);
         w.assert_no_violations();
     }
 }
 
 #[test]
-fn a_version_that_is_too_old_for_what_is_stored_does_nothing_and_says_so() {
+fn a_version_older_than_the_stored_format_does_nothing_and_reports_it() {
     let mut w = World::settled(13, 3, 4);
     w.run_ms = 3000;
     let before = w.submit(1, w.spec(2));
-    w.until(20_000, "done", |w| w.is_done(&before));
+    w.until(20_000, "the job is done", |w| w.is_done(&before));
     let newer = serde_json::json!({ "v": NEWEST_FORMAT + 1 });
     w.state.overwrite(FORMAT, &newer);
     w.run(500);
@@ -524,7 +530,11 @@
     let job = w.submit(2, w.spec(2));
     w.run(30_000);
     assert_eq!(w.starts_of(&job), 0);
-    assert_eq!(w.state.writes, writes + 1, "it wrote something");
+    assert_eq!(
+        w.state.writes,
+        writes + 1,
+        "an outdated controller wrote to the store"
+    );
     for i in 0..3 {
         let now = w.clock(i);
         assert!(!w.controller(i).ready(now) && !w.controller(i).has_authority(now));
@@ -534,20 +544,26 @@
 }
 
 #[test]
-fn a_value_that_cannot_be_read_is_left_alone_and_shown() {
+fn an_unreadable_value_is_kept_and_shown_on_the_status_page() {
     let mut w = World::settled(14, 3, 4);
     w.run_ms = 3000;
-    let odd = w.submit(1, w.spec(2));
+    let unreadable_job = w.submit(1, w.spec(2));
     let other = w.submit(2, w.spec(2));
     let unknown = serde_json::json!({ "s": "of a later version", "st": "pending" });
-    // Its tasks end all the same: the record of that must not keep others from being recorded.
-    w.until(20_000, "all run", |w| w.running() == 4);
-    w.state.overwrite(&job_key(&odd), &unknown);
-    w.until(20_000, "the others go on", |w| w.is_done(&other));
+    // The tasks of the unreadable job end. Recording that must not keep other completions from being recorded.
+    w.until(20_000, "all tasks run", |w| w.running() == 4);
+    w.state.overwrite(&job_key(&unreadable_job), &unknown);
+    w.until(20_000, "the other job is done", |w| w.is_done(&other));
     w.run(60_000);
-    assert_eq!(w.state.value(&job_key(&odd)), Some(unknown));
+    assert_eq!(w.state.value(&job_key(&unreadable_job)), Some(unknown));
     let controller = w.controller(0);
-    assert!(controller.replica.is_unreadable(&odd) && !controller.replica.is_unreadable(&other));
+    assert!(
+        controller.replica.is_unreadable(&unreadable_job)
+            && !controller.replica.is_unreadable(&other)
+    );
     let page = controller.status_page(w.clock(0));
-    assert_eq!(page["unreadable"], serde_json::json!([job_key(&odd)]));
+    assert_eq!(
+        page["unreadable"],
+        serde_json::json!([job_key(&unreadable_job)])
+    );
 }
