--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn a_submission_races_with_the_end_or_cancellation_of_its_predecessor() {
+fn a_submission_conflicts_when_it_races_with_the_end_or_cancellation_of_its_predecessor() {
     for cancelled in [true, false] {
         let mut w = World::settled(20, 3, 4);
         w.run_ms = 3000;
--- a/tests/network_faults_and_restarts.rs
+++ b/tests/network_faults_and_restarts.rs
@@ -406,7 +406,7 @@
 
 #[test]
 fn steal_requests_in_a_large_busy_fleet_end_after_a_few_hops() {
-    // In a large deployment, steal requests that found nothing were forwarded to all machines:
+    // In a large deployment, steal requests that found nothing were once forwarded to all machines:
     // 357000 hops for 25 packs, which left no time for heartbeats.
     let mut w = World::sized(19, 3, 120);
     w.settings.platform.settings.teams[0].cpus_max = 500.0;
@@ -436,8 +436,8 @@
 
 #[test]
 fn machines_of_a_disconnected_zone_are_not_returned_at_once() {
-    // The machines were reachable again after 70 s, with warm caches, but had been returned after 38 s,
-    // and the machines rented in their place were not reachable either.
+    // Once such machines were reachable again after 70 s, with warm caches, but had been returned after
+    // 38 s, and the machines rented in their place had not been reachable either.
     let mut w = controllable_world(20, 3, 10);
     w.run_ms = 30_000;
     let job = w.submit(1, w.spec(16));
@@ -505,7 +505,7 @@
 
 #[test]
 fn writes_with_lost_responses_bind_no_task_twice_while_the_watch_lags() {
-    // A write of bindings was committed but its response was lost. Its retry failed its preconditions, and
+    // Once a write of bindings was committed but its response was lost. Its retry failed its preconditions, and
     // before the watch showed the reason, the same tasks were also bound in other blocks.
     for seed in 30..33 {
         let mut w = World::sized(seed, 3, 40);
@@ -626,7 +626,7 @@
 #[test]
 fn an_idle_machine_with_heartbeats_every_five_seconds_is_not_marked_unreachable() {
     // A heartbeat that arrives after the response timeout must not mark a machine unreachable if the
-    // heartbeat interval is longer than that timeout: idle machines were drained and returned.
+    // heartbeat interval is longer than that timeout. Idle machines were once drained and returned.
     let mut w = controllable_world(22, 3, 6);
     w.settings.platform.settings.workers.heartbeat_s = 5.0;
     (0..3).for_each(|i| w.crash(i));
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_leader_crashes_while_machines_with_long_tasks_cannot_reach_its_successor() {
+fn jobs_finish_when_a_leader_crashes_while_machines_cannot_reach_its_successor() {
     for (seed, unreachable) in [(12, true), (13, false)] {
         let (mut w, job) = World::busy(seed, 3, 60_000);
         let affected: Vec<usize> = machines_with_running_tasks(&w)
@@ -238,12 +238,16 @@
 }
 
 #[test]
-fn all_controllers_are_down_for_longer_than_a_worker_lease() {
+fn tasks_run_again_once_after_all_controllers_were_down_for_longer_than_a_worker_lease() {
     let (mut w, job) = World::busy(16, 3, 60_000);
     let also = w.submit(2, w.spec(8));
     (0..3).for_each(|i| w.crash(i));
     w.run(14_000);
-    assert_eq!(w.running(), 0, "the leases of the workers have expired");
+    assert_eq!(
+        w.running(),
+        0,
+        "tasks run after the workers' leases expired"
+    );
     w.assert_all_jobs_finish(&[job, also]);
     assert_eq!(w.starts.len(), 12 + 12 + 8);
 }
@@ -280,7 +284,7 @@
 
 #[test]
 fn zone_constraints_hold_while_responses_are_lost_and_machines_disappear() {
-    // Tasks whose binding was still being written did not count, so the others were bound in another zone.
+    // Tasks whose binding was still being written once did not count, so the others were bound in another zone.
     for seed in 20..26 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut w = World::settled(seed, 3, 24);
@@ -310,7 +314,7 @@
 }
 
 #[test]
-fn a_zone_with_workers_and_a_controller_is_partitioned_for_longer_than_a_lease() {
+fn jobs_finish_or_stay_cancelled_after_a_zone_was_partitioned_for_longer_than_a_lease() {
     for cancelled in [false, true] {
         let (mut w, job) = World::busy(27, 3, 50_000);
         let inside = (w.leader().expect("a leader") + 1) % 3;
@@ -344,7 +348,7 @@
 // The state store.
 
 #[test]
-fn a_slow_store_rejects_the_leader_and_then_all_while_users_cancel_and_poll() {
+fn cancellations_and_answers_hold_while_a_slow_store_rejects_the_leader_and_then_all() {
     for seed in 30..33 {
         let mut w = World::settled(seed, 3, 6);
         w.run_ms = 20_000;
@@ -369,7 +373,7 @@
 }
 
 #[test]
-fn a_transaction_without_a_response_is_committed_after_newer_ones() {
+fn jobs_finish_when_transactions_without_a_response_are_committed_after_newer_ones() {
     // Controllers crash in between, so that the next leader does not know of the delayed transactions.
     for seed in 33..39 {
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -420,8 +424,8 @@
 
 #[test]
 fn a_controller_that_alone_is_rejected_by_the_store_is_replaced_within_seconds() {
-    // Until that controller's lease expired, no task was bound, and tasks bound to its machines were not
-    // started.
+    // Once no task was bound until that controller's lease expired, and tasks bound to its machines were not
+    // started before then.
     for (seed, controllers, leads) in [(42, 3, true), (43, 3, false), (44, 5, true), (45, 5, false)]
     {
         let (mut w, job) = World::busy(seed, controllers, 60_000);
@@ -450,7 +454,7 @@
 
 #[test]
 fn a_leader_that_was_paused_returns_no_machine() {
-    // After the pause, no heartbeat seemed to have arrived from any machine for as long as the pause lasted.
+    // After the pause, the leader has received no heartbeat from any machine for as long as the pause lasted.
     for ms in [14_000, 21_000, 22_500] {
         let mut w = World::settled(46, 3, 8);
         w.run(3000);
@@ -489,7 +493,7 @@
 // Heartbeats and machines.
 
 #[test]
-fn copies_of_heartbeats_from_earlier_epochs_and_attempts_reach_a_new_leader() {
+fn copies_of_heartbeats_from_earlier_epochs_and_attempts_do_no_harm_at_a_new_leader() {
     for seed in 50..54 {
         let (mut w, job) = World::busy(seed, 3, 25_000);
         w.heartbeat_copies = vec![2500, 13_000, 29_000];
@@ -571,8 +575,8 @@
 
 #[test]
 fn a_delayed_acknowledgement_starts_no_task_after_its_controller_lost_the_machine() {
-    // The worker ignores responses after 4 s. Until then, tasks that the controller regards as launched must
-    // neither move nor count as unstarted.
+    // The worker ignores a response that takes longer than 4 s. Until then, tasks that the controller regards
+    // as launched must neither move nor count as unstarted.
     for seed in 62..66 {
         let mut w = World::settled(seed, 3, 6);
         w.run_ms = 10_000;
@@ -595,7 +599,7 @@
 // Users.
 
 #[test]
-fn a_cancellation_polls_and_a_repeated_submission_race_with_the_end_of_the_last_task() {
+fn answers_are_consistent_when_a_cancellation_races_with_the_end_of_the_last_task() {
     let (mut done, mut cancelled) = (0, 0);
     for seed in 0..24 {
         let mut w = World::settled(70, 3, 3);
@@ -662,7 +666,7 @@
 
 #[test]
 fn a_job_that_fits_no_present_machine_does_not_hold_up_other_jobs() {
-    // Only the job that had waited longest was placed ahead of the others, even if no machine fitted it.
+    // Once only the job that had waited longest was placed ahead of the others, even if no machine fitted it.
     let mut w = World::settled(72, 3, 4);
     w.cloud_up = false;
     let mut unplaceable_job = w.spec(4);
--- a/tests/overload_and_stalls.rs
+++ b/tests/overload_and_stalls.rs
@@ -113,16 +113,16 @@
     let mut w = World::settled(4, 3, 6);
     w.cloud_up = false;
     w.run_ms = 2000;
-    let failing_jobs = w.submit(1, w.spec(12));
-    w.failing_jobs.insert(failing_jobs.clone());
+    let failing_job = w.submit(1, w.spec(12));
+    w.failing_jobs.insert(failing_job.clone());
     w.run(40_000);
-    let before = w.starts_of(&failing_jobs);
+    let before = w.starts_of(&failing_job);
     let good: Vec<String> = (2..=5).map(|n| w.submit(n, w.spec(10))).collect();
     w.until(40_000, "the other jobs are done", |w| {
         good.iter().all(|j| w.is_done(j))
     });
     w.run(60_000);
-    let attempts = w.starts_of(&failing_jobs) - before;
+    let attempts = w.starts_of(&failing_job) - before;
     assert!((1..=60).contains(&attempts), "{attempts} attempts");
     assert!(
         w.returned.is_empty(),
@@ -130,15 +130,15 @@
         w.returned
     );
     assert_eq!(
-        w.poll_status(0, &failing_jobs),
+        w.poll_status(0, &failing_job),
         Some(JobStatus::Pending),
-        "the job is still pending"
+        "the job is no longer pending"
     );
-    w.cancel(&failing_jobs);
+    w.cancel(&failing_job);
     w.run(3000);
-    let attempts = w.starts_of(&failing_jobs);
+    let attempts = w.starts_of(&failing_job);
     w.run(80_000);
-    assert_eq!(w.starts_of(&failing_jobs), attempts);
+    assert_eq!(w.starts_of(&failing_job), attempts);
     w.assert_no_violations();
 }
 
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -433,8 +433,8 @@
 
 #[test]
 fn heartbeats_to_another_controller_during_a_restart_do_not_cause_more_grants() {
-    // While two controllers were down, their workers sent heartbeats to the third for longer than it takes to
-    // regard a holder as unreachable; the blocks then moved back and forth.
+    // Once, while two controllers were down, their workers sent heartbeats to the third for longer than it
+    // takes to regard a holder as unreachable; the blocks then moved back and forth.
     let mut w = settled_world(23, 9);
     let two: Vec<usize> = (0..3).filter(|&i| Some(i) != w.leader()).collect();
     two.iter().for_each(|&i| w.crash(i));
@@ -451,8 +451,8 @@
 
 #[test]
 fn a_change_of_holders_returns_no_machine() {
-    // Just after a grant, the holder has received no heartbeat from its machines. The leader presumed those
-    // that were rented long ago dead and returned them with all their running tasks.
+    // Just after a grant, the holder has received no heartbeat from its machines. The leader once
+    // presumed those that were rented long ago dead and returned them with all their running tasks.
     let (mut w, _) = world_with_job(25, 9, 200_000, 16);
     w.run(50_000);
     let other = (w.leader().expect("a leader") + 1) % 3;
--- a/tests/spillover.rs
+++ b/tests/spillover.rs
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_leader_the_store_or_all_controllers_of_either_cell_fail() {
+fn jobs_finish_after_a_leader_a_store_or_all_controllers_of_either_cell_failed() {
     for seed in 11..23 {
         let (mut c, jobs) = saturated_cells(seed, &[2, 6]);
         let mut rng = SmallRng::seed_from_u64(seed);
