--- a/tests/spillover.rs
+++ b/tests/spillover.rs
@@ -560,7 +560,8 @@
             .map(|w| w.job(job).map(|j| j.status))
             .collect();
         format!(
-            "{job} of cell {cell} is unfinished: {done} tasks done, {running} run at home, status in each cell {away:?}, {value}"
+            "{job} of cell {cell} is unfinished: {done} tasks done, {running} run at home, \
+             status in each cell {away:?}, {value}"
         )
     }));
     match violations.is_empty() {
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -278,8 +278,8 @@
         upgrade(&mut w, i, 500);
         w.run(2000);
     }
-    // The last controller of the old version does not restart. Its blocks are granted again, under higher tokens
-    // than those of the other blocks, before any block may be merged.
+    // The last controller of the old version does not restart. Its blocks are granted again, under higher
+    // tokens than those of the other blocks, before any block may be merged.
     w.crash(2);
     let before = used_block_count(&w);
     w.run(30_000);
