--- a/benches/costs.rs
+++ b/benches/costs.rs
@@ -51,7 +51,7 @@
 
 /// A cell with three controllers, and a job of 20 tasks for each machine.
 fn loaded_world(machines: usize) -> World {
-    let mut world = World::sized(1, 3, machines);
+    let mut world = World::with_size(1, 3, machines);
     for team in &mut world.settings.platform.settings.teams {
         team.cpus_max = machines as f64 * 4.0;
     }
@@ -60,7 +60,7 @@
     world.settings.platform.settings.state.txn_ops = 24;
     (0..3).for_each(|at| world.crash(at));
     (0..3).for_each(|at| world.start(at));
-    world.until(20_000, "a leader", |world| world.leader().is_some());
+    world.run_until(20_000, "a leader", |world| world.leader().is_some());
     world.cloud_up = false;
     for n in 1..=(machines as u32) {
         let spec = world.spec(20);
@@ -79,7 +79,7 @@
     let mut poll = Cost::new("a poll, once the replica is there");
     let mut message = Cost::new("a tenth of a second of changes");
     for _ in 0..STEPS {
-        let before = world.state.revision();
+        let before = world.store.revision();
         world.step();
         let now = Timestamp(world.now);
         let leader = world.leader().unwrap_or(0);
@@ -93,7 +93,7 @@
                 heartbeat.measure(|| node.controller.on_heartbeat(beat, now));
             }
         }
-        let list = world.state.events("qb/", before);
+        let list = world.store.events("qb/", before);
         let day = world.now;
         let Some(node) = world.controllers[leader].as_mut() else {
             continue;
@@ -108,16 +108,14 @@
             let replica = &node.controller.replica;
             let job_id = replica.names.jobs.get("wk-000007")?;
             let job = replica.jobs.get(&job_id)?;
-            let running = node.controller.running_task_count(job_id);
-            Some(jobs::answer(
-                "wk-000007",
-                job.status,
-                job.done.len(),
-                running,
-            ))
+            let count = node.controller.running_task_count(job_id);
+            Some(jobs::answer("wk-000007", job.status, job.done.len(), count))
         });
     }
-    println!("{machines} machines, {} tasks running", world.running());
+    println!(
+        "{machines} machines, {} tasks running",
+        world.running_task_count()
+    );
     for cost in [&heartbeat, &due, &long, &short, &poll, &message] {
         cost.show();
     }
--- a/tests/behaviour_digest.rs
+++ b/tests/behaviour_digest.rs
@@ -14,8 +14,8 @@
 use rand::{Rng, SeedableRng};
 use std::sync::Mutex;
 use support::cells::{CellLink, Cells};
-use support::days::{self, DayPlan};
 use support::digest::{self, Summary};
+use support::scenarios::{self, ScenarioPlan};
 use support::{StoreFault, World, search};
 
 /// Days that are played at once, if nothing else is said.
@@ -113,18 +113,18 @@
 
 /// Faults of every kind come at random and overlap.
 fn random_faults(seed: u64) -> Vec<String> {
-    let plan = DayPlan {
+    let plan = ScenarioPlan {
         seed,
         machines: 12 + (seed % 4) as usize * 8,
         faults: 25,
         restarts: !seed.is_multiple_of(3),
     };
-    days::play(plan).err().unwrap_or_default()
+    scenarios::play(plan).err().unwrap_or_default()
 }
 
 /// The state service takes small values and small transactions only.
 fn small_values(seed: u64) -> Vec<String> {
-    let mut world = World::in_production(seed, 3, 8);
+    let mut world = World::before_upgrade(seed, 3, 8);
     for controller in 0..world.controllers.len() {
         restart_as_new(&mut world, controller, 0);
     }
@@ -136,8 +136,8 @@
 /// Controllers of an earlier format of stored values are replaced one after another.
 fn mixed_formats(seed: u64) -> Vec<String> {
     let controllers = [3, 5][seed as usize % 2];
-    let mut world = World::in_production(seed, controllers, 10);
-    world.old_format = [0, CHAINS_FORMAT, DENSE_FORMAT][seed as usize % 3];
+    let mut world = World::before_upgrade(seed, controllers, 10);
+    world.previous_format = [0, CHAINS_FORMAT, DENSE_FORMAT][seed as usize % 3];
     for controller in 0..controllers {
         world.crash(controller);
         world.start(controller);
@@ -149,13 +149,13 @@
 /// The state service has the limits that the settings announced.
 fn lower_limits(world: &mut World) {
     let limits = &world.settings.platform.settings.state;
-    world.state.limits = Some(((limits.value_kb * 1024.0) as usize, limits.txn_ops));
+    world.store.size_limits = Some(((limits.value_kb * 1024.0) as usize, limits.txn_ops));
 }
 
 fn restart_as_new(world: &mut World, controller: usize, away_ms: u64) {
     world.crash(controller);
     world.run(away_ms);
-    world.old[controller] = false;
+    world.runs_previous_version[controller] = false;
     world.start(controller);
 }
 
@@ -180,15 +180,15 @@
         let controller = rng.random_range(0..world.controllers.len());
         match rng.random_range(0..10) {
             kind @ 0..=4 => world.inject_fault(controller, kind, &mut rng),
-            5 => world.links[controller].state = StoreFault::Intermittent,
+            5 => world.links[controller].store_fault = StoreFault::Intermittent,
             6 => world.pause(controller, rng.random_range(500..5000)),
             7 | 8 => world.heal(),
             _ => {}
         }
-        world.run_asking(rng.random_range(500..4000), &jobs);
+        world.run_polling(rng.random_range(500..4000), &jobs);
     }
     world.heal();
-    world.run_asking(60_000, &jobs);
+    world.run_polling(60_000, &jobs);
     std::mem::take(&mut world.violations)
 }
 
@@ -206,7 +206,7 @@
     let controller = rng.random_range(0..world.controllers.len());
     let accepted = match named.is_empty() {
         true => Some(world.submit(number, spec)),
-        false => world.submit_after(controller, number, spec, &named),
+        false => world.try_submit_dependent(controller, number, spec, &named),
     };
     jobs.extend(accepted);
 }
@@ -217,7 +217,7 @@
         return;
     }
     let job = &jobs[rng.random_range(0..jobs.len())];
-    if world.is_open(job) {
+    if world.is_unfinished(job) {
         let controller = rng.random_range(0..world.controllers.len());
         world.cancel_through(controller, job);
     }
@@ -228,7 +228,8 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut cells = Cells::new(seed, &[2, 5, 4]);
     if rng.random_bool(0.5) {
-        cells.request_copies = vec![rng.random_range(200..5000), rng.random_range(5000..60_000)];
+        cells.request_copy_delays_ms =
+            vec![rng.random_range(200..5000), rng.random_range(5000..60_000)];
     }
     let mut jobs: Vec<(usize, String)> = Vec::new();
     for _ in 0..12 {
@@ -241,7 +242,7 @@
         jobs.extend(submitted.into_iter().map(|job| (cell, job)));
         let (cell, job) = &jobs[rng.random_range(0..jobs.len())];
         let world = &mut cells.cells[*cell];
-        if rng.random_bool(0.3) && world.is_open(job) && !world.state.out {
+        if rng.random_bool(0.3) && world.is_unfinished(job) && !world.store.unavailable {
             world.cancel(job);
         }
         fault_between_cells(&mut cells, &mut rng);
@@ -265,15 +266,15 @@
     let ms = rng.random_range(500..20_000);
     match rng.random_range(0..10) {
         0 => cells.cells[cell].crash(controller),
-        1 => cells.cells[cell].outage(true),
+        1 => cells.cells[cell].set_store_outage(true),
         2 => cells.cells[cell].pause(controller, ms),
-        3 => cells.cells[cell].links[controller].state = StoreFault::Intermittent,
+        3 => cells.cells[cell].links[controller].store_fault = StoreFault::Intermittent,
         4 => cells.cells[cell].isolate(controller),
-        5 => cells.cut_off(cell),
-        6 => cells.cell_links[cell][other] = CellLink::LosesAnswers,
-        7 => cells.cell_links[cell][other] = CellLink::Late(ms),
+        5 => cells.disconnect(cell),
+        6 => cells.cell_links[cell][other] = CellLink::LosesResponses,
+        7 => cells.cell_links[cell][other] = CellLink::Delayed(ms),
         8 => {
-            cells.refusing.insert((cell, controller));
+            cells.unreachable_controllers.insert((cell, controller));
         }
         _ => {}
     }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -361,7 +361,7 @@
             w.cancel(&fourth);
         }
         for prefix in ["qb/", "past/"] {
-            for item in w.state.list(prefix).0 {
+            for item in w.store.list(prefix).0 {
                 let value: Value = item.value.read().expect("json");
                 read_as_format_0(&item.key, &value);
                 // A job that waits is nowhere where that version would bind it.
--- a/tests/duplicate_execution.rs
+++ b/tests/duplicate_execution.rs
@@ -6,19 +6,22 @@
 use quillbend::protocol::{ExitReason, TaskPhase, TaskStatus};
 use quillbend::ranges::RangeSet;
 use quillbend::records::{BlockRecord, StoredBinding};
-use support::occupancy::{DoubleStart, double_start};
+use support::occupancy::{DuplicateExecution, find_duplicate_execution};
 use support::{StoreFault, World};
 
 #[test]
 fn the_checker_sees_a_task_on_two_machines_and_nothing_else() {
     let kept = [("wk-000001/0", "m-1"), ("wk-000001/1", "m-2")];
-    assert_eq!(double_start(kept.into_iter()), None);
+    assert_eq!(find_duplicate_execution(kept.into_iter()), None);
     let planted = [("wk-000001/0", "m-1"), ("wk-000001/0", "m-2")];
-    let expected = DoubleStart {
+    let expected = DuplicateExecution {
         task: "wk-000001/0".into(),
         machines: ["m-1".into(), "m-2".into()],
     };
-    assert_eq!(double_start(planted.into_iter()), Some(expected));
+    assert_eq!(
+        find_duplicate_execution(planted.into_iter()),
+        Some(expected)
+    );
 }
 
 /// Wherever it is planted, the world's own check finds a task that is on a second machine: while that
@@ -26,11 +29,11 @@
 #[test]
 fn a_planted_double_start_is_found_while_its_machine_is_cut_off_hangs_or_saves() {
     for inject_fault in 0..3 {
-        let (mut w, _) = World::busy(1, 3, 60_000);
+        let (mut w, _) = World::with_running_job(1, 3, 60_000);
         let at = w.workers.iter().position(|m| !m.tasks.is_empty());
         let at = at.expect("something runs");
         match inject_fault {
-            0 => w.workers[at].cut = true,
+            0 => w.workers[at].disconnected = true,
             1 => w.workers[at].hung = true,
             _ => {
                 for task in &mut w.workers[at].tasks {
@@ -42,7 +45,7 @@
         w.assert_no_violations();
         let planted = w.workers[at].tasks[0].task.clone();
         let other = (at + 1) % w.workers.len();
-        w.plant(other, &planted);
+        w.insert_task(other, &planted);
         w.run(100);
         assert!(w.violations.iter().any(|b| b.starts_with("ran_twice")));
     }
@@ -50,8 +53,10 @@
 
 /// The block that lists a machine.
 fn block_of(w: &World, machine: &str) -> (String, BlockRecord) {
-    let (items, _) = w.state.list("qb/block/");
-    let mut blocks = items.into_iter().map(|i| (i.key.clone(), w.block(&i.key)));
+    let (items, _) = w.store.list("qb/block/");
+    let mut blocks = items
+        .into_iter()
+        .map(|i| (i.key.clone(), w.block_record(&i.key)));
     blocks
         .find(|(_, b)| b.machines.contains_key(machine))
         .expect("listed")
@@ -91,7 +96,7 @@
     });
     for (key, record) in [(from_key, from), (to_key, to)] {
         let value = serde_json::to_value(&record).expect("plain data");
-        w.state.overwrite(&key, &value);
+        w.store.overwrite(&key, &value);
     }
     format!("{name}/{task}")
 }
@@ -101,12 +106,12 @@
 /// its word (search, seed 12151).
 #[test]
 fn a_completion_is_not_forgotten_when_the_block_is_granted_again() {
-    let (mut w, job) = World::busy(1, 3, 60_000);
+    let (mut w, job) = World::with_running_job(1, 3, 60_000);
     let at = w.workers.iter().position(|m| !m.tasks.is_empty());
     let at = at.expect("something runs");
     let machine = w.workers[at].machine.name.clone();
     let holder = w.holder(&machine).expect("held");
-    let begun = w.starts_of(&job);
+    let begun = w.start_count_of(&job);
     // The tasks end, and the worker's lease with them: only a copy of its heartbeat arrives.
     let mut copy = w.workers[at].heartbeat();
     for task in &mut copy.tasks {
@@ -121,10 +126,10 @@
     node.controller.on_heartbeat(copy, clock);
     // Before that is recorded, the block is granted to the same holder once more.
     let key = block_of(&w, &machine).0.replace("block", "grant");
-    let grant = w.state.value(&key).expect("granted");
-    w.state.overwrite(&key, &grant);
+    let grant = w.store.value(&key).expect("granted");
+    w.store.overwrite(&key, &grant);
     w.run(10_000);
-    assert_eq!(w.starts_of(&job), begun);
+    assert_eq!(w.start_count_of(&job), begun);
     w.assert_no_violations();
 }
 
@@ -152,18 +157,18 @@
         return (w, false);
     }
     // What is bound to the victim is not started yet.
-    w.workers[victim].cut = true;
+    w.workers[victim].disconnected = true;
     w.run_ms = 60_000;
     let mut spec = w.spec(12);
     spec.cpus = 0.5;
     w.submit(1, spec);
-    w.until(4000, "bound", |w| {
+    w.run_until(4000, "bound", |w| {
         let (_, block) = block_of(w, &victim_machine);
-        w.running() >= 2 && !block.machines[&victim_machine].queue.is_empty()
+        w.running_task_count() >= 2 && !block.machines[&victim_machine].queue.is_empty()
     });
     w.links[leader].watch_hangs = true;
     let task = steal(&mut w, &victim_machine, &thief_machine);
-    w.until(6000, "the thief runs it", |w| {
+    w.run_until(6000, "the thief runs it", |w| {
         w.starts.iter().any(|s| s.1 == task && s.2 == thief_machine)
     });
     w.crash(holder);
@@ -176,8 +181,8 @@
         .get(&victim_machine);
     let held = held.and_then(|m| w.controller(leader).replica.holder(m));
     let held = held.is_some_and(|h| h.1.host == w.controller(leader).me);
-    w.workers[victim].cut = false;
-    w.workers[victim].at = leader;
+    w.workers[victim].disconnected = false;
+    w.workers[victim].current_controller = leader;
     w.run(3000);
     (w, held)
 }
@@ -201,13 +206,13 @@
     // A new holder took in what a late copy said had failed, before the machine had shown its token.
     // The task had been started again in the machine's next epoch.
     for seed in 0..6 {
-        let (mut w, _) = World::busy(seed, 3, 60_000);
+        let (mut w, _) = World::with_running_job(seed, 3, 60_000);
         w.cloud_up = false;
         w.run_ms = 60_000;
         let runs = |m: &support::Worker| !m.tasks.is_empty();
         let at = w.workers.iter().position(runs).expect("something runs");
         // Its task fails; the heartbeat of this is held up on its way.
-        w.workers[at].cut = true;
+        w.workers[at].disconnected = true;
         let mut late = w.workers[at].heartbeat();
         late.sequence += 1;
         late.tasks[0].status = TaskPhase::Ended;
@@ -216,11 +221,11 @@
         // All controllers are away until its epoch is over.
         (0..3).for_each(|i| w.crash(i));
         w.run(13_000);
-        w.workers[at].cut = false;
+        w.workers[at].disconnected = false;
         (0..3).for_each(|i| w.start(i));
         let machine = w.workers[at].machine.name.clone();
         let since = w.now;
-        w.until(30_000, "it runs again", |w| {
+        w.run_until(30_000, "it runs again", |w| {
             let again = |s: &(u64, String, String)| s.0 > since && s.1 == task && s.2 == machine;
             w.starts.iter().any(again)
         });
@@ -250,31 +255,31 @@
         let other = |at: &usize| w.holder(&w.workers[*at].machine.name) != Some(stale);
         let at = (0..3).find(other).expect("one is held by another");
         let machine = w.workers[at].machine.name.clone();
-        w.workers[at].cut = true;
+        w.workers[at].disconnected = true;
         w.run_ms = 6000;
         w.submit(1, w.spec(12));
-        w.until(4000, "bound", |w| {
+        w.run_until(4000, "bound", |w| {
             !block_of(w, &machine).1.machines[&machine].queue.is_empty()
         });
         // A controller is granted the block, and is then cut from all but the workers.
         let stale_grant = grant_of(&w, stale);
         let (key, _) = block_of(&w, &machine);
-        w.state
+        w.store
             .overwrite(&key.replace("block", "grant"), &stale_grant);
         w.run(200);
         w.isolate(stale);
         w.run(5000);
         // The next holder finds that it may not start anything there, and frees what is bound.
-        w.workers[at].cut = false;
+        w.workers[at].disconnected = false;
         w.workers[at].reclaim_s = Some(30.0);
         w.run_ms = 60_000;
-        w.until(9000, "freed", |w| {
+        w.run_until(9000, "freed", |w| {
             block_of(w, &machine).1.machines[&machine].queue.is_empty()
         });
-        w.until(9000, "it runs elsewhere", |w| w.running() >= 4);
+        w.run_until(9000, "it runs elsewhere", |w| w.running_task_count() >= 4);
         w.restart_machine(at);
         w.workers[at].reclaim_s = None;
-        w.workers[at].at = stale;
+        w.workers[at].current_controller = stale;
         assert!(w.controller(stale).has_authority(w.clock(stale)));
         w.run(3000);
         w.assert_no_violations();
@@ -283,10 +288,10 @@
 
 /// The grant of some block that a controller holds.
 fn grant_of(w: &World, i: usize) -> serde_json::Value {
-    let (items, _) = w.state.list("qb/grant/");
+    let (items, _) = w.store.list("qb/grant/");
     let values = items
         .into_iter()
-        .filter_map(|item| w.state.value(&item.key));
+        .filter_map(|item| w.store.value(&item.key));
     let name = format!("n{i}");
     let mut mine = values.filter(|v| v["h"] == name.as_str());
     mine.next().expect("it holds something")
@@ -301,16 +306,16 @@
         w.run(3000);
         let leader = w.leader().expect("leads");
         w.run_ms = 20_000;
-        w.links[leader].state = StoreFault::Slow(2500);
+        w.links[leader].store_fault = StoreFault::Slow(2500);
         for n in 1..=4 {
             w.submit(n, w.spec(4));
             w.run(300);
-            w.state.limits = Some((10, 1));
+            w.store.size_limits = Some((10, 1));
             w.run(500);
-            w.state.limits = None;
+            w.store.size_limits = None;
             w.run(700);
         }
-        w.links[leader].state = StoreFault::Good;
+        w.links[leader].store_fault = StoreFault::None;
         w.run(5000);
         w.assert_no_violations();
     }
@@ -318,7 +323,7 @@
 
 #[test]
 fn a_task_that_is_refused_because_it_is_there_already_is_not_free() {
-    let (mut w, _) = World::busy(3, 3, 60_000);
+    let (mut w, _) = World::with_running_job(3, 3, 60_000);
     let runs = |m: &support::Worker| !m.tasks.is_empty();
     let at = w.workers.iter().position(runs).expect("something runs");
     let machine = w.workers[at].machine.name.clone();
@@ -335,7 +340,7 @@
     let controller = &mut w.controllers[holder].as_mut().expect("alive").controller;
     controller.on_heartbeat(heartbeat, clock);
     // Its worker is out of sight for a moment: nothing else tells of the task.
-    w.workers[at].cut = true;
+    w.workers[at].disconnected = true;
     w.run(4000);
     assert_eq!(block_of(&w, &machine).1.machines[&machine].queue, before);
 }
@@ -345,16 +350,16 @@
     // It reaches no worker and its watch hangs, but its writes arrive: its machines have another holder
     // and run on.
     for seed in 0..4 {
-        let (mut w, job) = World::busy(seed, 3, 40_000);
+        let (mut w, job) = World::with_running_job(seed, 3, 40_000);
         let leader = w.leader().expect("leads");
         let i = (leader + 1) % 3;
         w.links[i].watch_hangs = true;
-        w.links[i].workers = false;
+        w.links[i].workers_reachable = false;
         w.run(18_000);
         w.links[i].watch_hangs = false;
-        w.links[i].workers = true;
-        w.until(60_000, "done", |w| w.is_done(&job));
+        w.links[i].workers_reachable = true;
+        w.run_until(60_000, "done", |w| w.is_done(&job));
         w.assert_no_violations();
-        assert_eq!(w.starts_of(&job), 12, "running work was lost");
+        assert_eq!(w.start_count_of(&job), 12, "running work was lost");
     }
 }
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -33,19 +33,22 @@
 /// Plays on until each of these jobs is shown as cancelled by every controller, within the time that
 /// a cancellation has, and archived as such in the end.
 fn all_cancelled(w: &mut World, jobs: &[String]) {
-    w.run(w.cancel_ms());
+    w.run(w.cancel_limit_ms());
     for job in jobs {
         let answers = all_answer(w, job);
         assert!(
             !answers.is_empty() && answers.iter().all(|a| *a == JobStatus::Cancelled),
             "{job}: {answers:?}"
         );
-        assert_eq!(w.running_of(job), 0, "{job}");
+        assert_eq!(w.running_task_count_of(job), 0, "{job}");
     }
-    let archived = |w: &World, j: &String| w.state.value(&past_key(j)).is_some();
-    w.until(120_000, "archived", |w| jobs.iter().all(|j| archived(w, j)));
+    let archived = |w: &World, j: &String| w.store.value(&past_key(j)).is_some();
+    w.run_until(120_000, "archived", |w| jobs.iter().all(|j| archived(w, j)));
     for job in jobs {
-        assert_eq!(w.job(job).map(|j| j.status), Some(JobStatus::Cancelled));
+        assert_eq!(
+            w.job_record(job).map(|j| j.status),
+            Some(JobStatus::Cancelled)
+        );
     }
 }
 
@@ -61,11 +64,13 @@
                 .iter()
                 .all(|a| *a == JobStatus::Pending)
         );
-        assert_eq!(w.starts_of(job), 0);
+        assert_eq!(w.start_count_of(job), 0);
     }
     for pair in submit_dependent.windows(2) {
-        w.until(30_000, "the one before is done", |w| w.is_done(&pair[0]));
-        w.until(3500, "the next one begins", |w| w.running_of(&pair[1]) > 0);
+        w.run_until(30_000, "the one before is done", |w| w.is_done(&pair[0]));
+        w.run_until(3500, "the next one begins", |w| {
+            w.running_task_count_of(&pair[1]) > 0
+        });
     }
     w.assert_all_jobs_finish(&submit_dependent);
 }
@@ -75,9 +80,9 @@
     let mut w = World::settled(2, 3, 6);
     w.run_ms = 3000;
     let done = w.submit(1, w.spec(1));
-    w.until(20_000, "done", |w| w.is_done(&done));
-    w.until(60_000, "archived", |w| {
-        w.state.value(&job_key(&done)).is_none()
+    w.run_until(20_000, "done", |w| w.is_done(&done));
+    w.run_until(60_000, "archived", |w| {
+        w.store.value(&job_key(&done)).is_none()
     });
     let mut red = w.spec(2);
     red.team = "red".into();
@@ -85,18 +90,22 @@
     let slow = w.submit(3, w.spec(2));
     w.failing_jobs.insert(slow.clone());
     let last = w.submit_dependent(4, w.spec(2), &[&done, &other, &slow, &done]);
-    w.until(30_000, "the other is done", |w| w.is_done(&other));
+    w.run_until(30_000, "the other is done", |w| w.is_done(&other));
     w.run(20_000);
-    assert_eq!(w.starts_of(&last), 0, "one that it names is not done");
+    assert_eq!(w.start_count_of(&last), 0, "one that it names is not done");
     assert_eq!(
-        w.waiting(&last).map(|r| r.predecessors.names().len()),
+        w.waiting_record(&last)
+            .map(|r| r.predecessors.names().len()),
         Some(2)
     );
     w.failing_jobs.clear();
-    w.until(120_000, "done", |w| w.is_done(&last));
+    w.run_until(120_000, "done", |w| w.is_done(&last));
     let after = w.submit_dependent(5, w.spec(1), &[&done, &last]);
-    assert!(w.waiting(&after).is_none(), "all is done: it need not wait");
-    w.until(30_000, "done", |w| w.is_done(&after));
+    assert!(
+        w.waiting_record(&after).is_none(),
+        "all is done: it need not wait"
+    );
+    w.run_until(30_000, "done", |w| w.is_done(&after));
     w.assert_no_violations();
 }
 
@@ -107,12 +116,12 @@
     w.run(300);
     let never = "wk-000777".to_owned();
     assert_eq!(
-        w.submit_after(0, 2, w.spec(1), &[known.clone(), never]),
+        w.try_submit_dependent(0, 2, w.spec(1), &[known.clone(), never]),
         None
     );
     let itself = "wk-000002".to_owned();
-    assert_eq!(w.submit_after(0, 2, w.spec(1), &[itself]), None);
-    assert!(w.submit_after(0, 2, w.spec(1), &[known]).is_some());
+    assert_eq!(w.try_submit_dependent(0, 2, w.spec(1), &[itself]), None);
+    assert!(w.try_submit_dependent(0, 2, w.spec(1), &[known]).is_some());
 }
 
 #[test]
@@ -133,7 +142,7 @@
     );
     w.run_ms = 3000;
     let other = w.submit(30, w.spec(12));
-    w.until(15_000, "others have the room", |w| w.is_done(&other));
+    w.run_until(15_000, "others have the room", |w| w.is_done(&other));
     w.assert_no_violations();
 }
 
@@ -158,7 +167,7 @@
     let mut last = spec(&w, priority);
     last.due_s = due_s;
     w.submit_dependent(43, last, &[&second]);
-    w.until(120_000, "one is done", |w| {
+    w.run_until(120_000, "one is done", |w| {
         w.is_done(&first) || w.is_done(&alone)
     });
     w.assert_no_violations();
@@ -214,7 +223,7 @@
         all_cancelled(&mut w, &over);
         if cancelled_at == 1 {
             let named = [right, aside];
-            w.until(200_000, "the others go on", |w| {
+            w.run_until(200_000, "the others go on", |w| {
                 named.iter().all(|j| w.is_done(j))
             });
         }
@@ -246,22 +255,24 @@
             w.run_ms = 4000;
             let first = w.submit(1, w.spec(2));
             let next = w.submit_dependent(2, w.spec(2), &[&first]);
-            w.until(15_000, "it runs", |w| w.running_of(&first) == 2);
+            w.run_until(15_000, "it runs", |w| w.running_task_count_of(&first) == 2);
             if order {
-                w.until(15_000, "all tasks are done", |w| w.done(&first) == 2);
+                w.run_until(15_000, "all tasks are done", |w| {
+                    w.done_task_count(&first) == 2
+                });
             } else {
                 w.run(3900);
             }
             let i = seed as usize % 3;
             match w.cancel_through(i, &first) {
                 CommitOutcome::Done(_)
-                    if w.job(&first)
+                    if w.job_record(&first)
                         .is_some_and(|j| j.status == JobStatus::Cancelled) =>
                 {
                     all_cancelled(&mut w, &[first, next.clone()]);
-                    assert_eq!(w.starts_of(&next), 0);
+                    assert_eq!(w.start_count_of(&next), 0);
                 }
-                _ => w.until(60_000, "the chain goes on", |w| w.is_done(&next)),
+                _ => w.run_until(60_000, "the chain goes on", |w| w.is_done(&next)),
             }
             w.assert_no_violations();
         }
@@ -276,13 +287,13 @@
         let first = w.submit(1, w.spec(1));
         let next = w.submit_dependent(2, w.spec(2), &[&first]);
         let last = w.submit_dependent(3, w.spec(2), &[&next]);
-        w.until(30_000, "it is ready", |w| w.is_done(&first));
+        w.run_until(30_000, "it is ready", |w| w.is_done(&first));
         // An answer that is lost, a copy that is carried out later, a controller that refuses.
         let leader = w.leader().expect("leads");
-        w.links[leader].state = [
-            StoreFault::LosesAnswers,
-            StoreFault::Late(2500),
-            StoreFault::Good,
+        w.links[leader].store_fault = [
+            StoreFault::LosesResponses,
+            StoreFault::DelaysCommits(2500),
+            StoreFault::None,
         ][seed as usize % 3];
         w.run(100 * (seed % 4));
         let outcome = w.cancel_through((leader + 1) % 3, &next);
@@ -310,24 +321,24 @@
         if cancelled {
             w.cancel(&first);
         } else {
-            w.until(30_000, "done", |w| w.is_done(&first));
+            w.run_until(30_000, "done", |w| w.is_done(&first));
         }
         let transaction = planned.expect("planned").transaction().clone();
         assert!(matches!(
-            w.state.commit(&transaction),
+            w.store.commit(&transaction),
             CommitOutcome::Conflict(_)
         ));
-        w.until(90_000, "archived", |w| {
-            w.state.value(&past_key(&first)).is_some()
+        w.run_until(90_000, "archived", |w| {
+            w.store.value(&past_key(&first)).is_some()
         });
         assert!(matches!(
-            w.state.commit(&transaction),
+            w.store.commit(&transaction),
             CommitOutcome::Conflict(_)
         ));
         let second = w.submit_dependent(2, w.spec(1), &[&first]);
         match cancelled {
             true => all_cancelled(&mut w, &[second]),
-            false => w.until(30_000, "done", |w| w.is_done(&second)),
+            false => w.run_until(30_000, "done", |w| w.is_done(&second)),
         }
         w.assert_no_violations();
     }
@@ -342,21 +353,21 @@
     w.run(300);
     // With other names, with none, and as an ordinary job.
     assert_eq!(
-        w.submit_after(1, 2, w.spec(1), std::slice::from_ref(&first)),
+        w.try_submit_dependent(1, 2, w.spec(1), std::slice::from_ref(&first)),
         None
     );
     let record = quillbend::jobs::new_record(w.spec(1), w.now);
     let ordinary = quillbend::jobs::accept(&second, &record);
     assert!(matches!(
-        w.state.commit(&ordinary),
+        w.store.commit(&ordinary),
         CommitOutcome::Conflict(_)
     ));
-    w.until(60_000, "done", |w| w.is_done(&second));
+    w.run_until(60_000, "done", |w| w.is_done(&second));
     assert!(matches!(
-        w.state.commit(&ordinary),
+        w.store.commit(&ordinary),
         CommitOutcome::Conflict(_)
     ));
-    assert_eq!(w.starts_of(&second), 1);
+    assert_eq!(w.start_count_of(&second), 1);
     w.assert_no_violations();
 }
 
@@ -373,9 +384,9 @@
     let slow = w.submit(2, w.spec(1));
     w.failing_jobs.insert(slow.clone());
     let last = w.submit_dependent(3, w.spec(2), &[&first, &slow]);
-    w.until(20_000, "done", |w| w.is_done(&first));
+    w.run_until(20_000, "done", |w| w.is_done(&first));
     w.run(90_000);
-    let archived = |w: &World, job: &str| w.state.value(&past_key(job)).is_some();
+    let archived = |w: &World, job: &str| w.store.value(&past_key(job)).is_some();
     assert!(archived(&w, &aside), "nothing is archived at all");
     assert!(!archived(&w, &first), "it is still needed");
     // Everybody reads everything again.
@@ -385,11 +396,11 @@
     w.run(500);
     (0..3).for_each(|i| w.start(i));
     w.run(20_000);
-    assert_eq!(w.starts_of(&last), 0);
+    assert_eq!(w.start_count_of(&last), 0);
     w.failing_jobs.clear();
-    w.until(120_000, "done", |w| w.is_done(&last));
-    w.until(120_000, "archived", |w| {
-        w.state.value(&past_key(&first)).is_some()
+    w.run_until(120_000, "done", |w| w.is_done(&last));
+    w.run_until(120_000, "archived", |w| {
+        w.store.value(&past_key(&first)).is_some()
     });
     w.assert_no_violations();
 }
@@ -403,13 +414,13 @@
         w.failing_jobs.insert(first.clone());
         let next = w.submit_dependent(2, w.spec(1), &[&first]);
         w.run(3000);
-        let mut record = w.job(&first).expect("known");
+        let mut record = w.job_record(&first).expect("known");
         record.status = status;
         let value = serde_json::to_value(&record).expect("json");
-        w.state.overwrite(&past_key(&first), &value);
-        w.state.forget(&job_key(&first));
+        w.store.overwrite(&past_key(&first), &value);
+        w.store.delete_externally(&job_key(&first));
         match status {
-            JobStatus::Done => w.until(30_000, "done", |w| w.is_done(&next)),
+            JobStatus::Done => w.run_until(30_000, "done", |w| w.is_done(&next)),
             _ => all_cancelled(&mut w, &[next]),
         }
     }
@@ -430,18 +441,18 @@
             if let Some(leader) = leader {
                 w.crash(leader);
             }
-            w.outage(rng.random_bool(0.4));
+            w.set_store_outage(rng.random_bool(0.4));
             w.run(rng.random_range(500..6000));
             w.heal();
             w.run(rng.random_range(2000..8000));
         }
         let called_off = all[5].clone();
         let cancelled =
-            w.is_open(&called_off) && matches!(w.cancel(&called_off), CommitOutcome::Done(_));
+            w.is_unfinished(&called_off) && matches!(w.cancel(&called_off), CommitOutcome::Done(_));
         let (over, rest): (Vec<String>, Vec<String>) = all.into_iter().partition(|j| {
             cancelled && ["wk-000201", "wk-000202", "wk-000203"].contains(&j.as_str())
         });
-        w.run_asking(20_000, &over);
+        w.run_polling(20_000, &over);
         w.assert_all_jobs_finish(&rest);
         if cancelled {
             all_cancelled(&mut w, &over);
@@ -463,12 +474,12 @@
             w.cancel_through(at, &submit_dependent[0]),
             CommitOutcome::Done(_)
         ));
-        w.outage(true);
-        w.run_asking(3000, &submit_dependent);
+        w.set_store_outage(true);
+        w.run_polling(3000, &submit_dependent);
         w.crash(leader);
         w.run(3000);
         w.heal();
-        w.run_asking(15_000, &submit_dependent);
+        w.run_polling(15_000, &submit_dependent);
         all_cancelled(&mut w, &submit_dependent);
         w.assert_no_violations();
     }
@@ -478,7 +489,7 @@
 /// known to it.
 fn next_step(w: &World, name: &str, spec: &JobSpec, awaits: &[String]) -> Step {
     let replica = &w.controller(0).replica;
-    let archived = |name: &str| match w.job(name).map(|j| j.status) {
+    let archived = |name: &str| match w.job_record(name).map(|j| j.status) {
         Some(JobStatus::Done) => Predecessor::Done,
         Some(JobStatus::Cancelled) => Predecessor::Cancelled,
         _ => Predecessor::Unwatched,
@@ -504,13 +515,13 @@
     w.run_ms = 20_000;
     let awaits: Vec<String> = (1..=20).map(|n| w.submit(n, w.spec(1))).collect();
     w.run(3000);
-    w.note_submission("wk-000099", w.spec(1), &awaits);
+    w.register_submission("wk-000099", w.spec(1), &awaits);
     let step = next_step(&w, "wk-000099", &w.spec(1), &awaits);
     let Step::Incomplete(transaction) = &step else {
         panic!("{step:?}")
     };
     assert!(matches!(
-        w.state.commit(transaction),
+        w.store.commit(transaction),
         CommitOutcome::Done(_)
     ));
     w.run(1000);
@@ -529,14 +540,14 @@
         );
     }
     // A predecessor that is held is done, and one that is not; a controller ends.
-    w.until(40_000, "some are done", |w| {
+    w.run_until(40_000, "some are done", |w| {
         w.is_done(&awaits[0]) && w.is_done(&awaits[19])
     });
     w.crash(1);
     w.run(500);
     w.start(1);
     w.run(8000);
-    assert_eq!(w.starts_of(&job), 0, "it is incomplete");
+    assert_eq!(w.start_count_of(&job), 0, "it is incomplete");
     let last = next_step(&w, &job, &w.spec(1), &awaits);
     let Step::Complete(transaction) = last else {
         panic!("{last:?}")
@@ -545,38 +556,38 @@
     let Step::Incomplete(first) = first else {
         panic!("{first:?}")
     };
-    assert!(matches!(w.state.commit(&first), CommitOutcome::Conflict(_)));
+    assert!(matches!(w.store.commit(&first), CommitOutcome::Conflict(_)));
     assert!(matches!(
-        w.state.commit(&transaction),
+        w.store.commit(&transaction),
         CommitOutcome::Done(_)
     ));
     w.run(500);
     assert_eq!(w.poll_status(0, &job), Some(JobStatus::Pending));
-    w.until(120_000, "all that it names is done", |w| {
+    w.run_until(120_000, "all that it names is done", |w| {
         awaits.iter().all(|a| w.is_done(a))
     });
-    w.until(60_000, "it is done", |w| w.done(&job) == 1);
+    w.run_until(60_000, "it is done", |w| w.done_task_count(&job) == 1);
     w.assert_no_violations();
 }
 
 #[test]
 fn an_incomplete_job_that_its_user_gave_up_is_dropped_and_holds_nothing_up() {
     let (mut w, awaits, first) = begun_gradually(33);
-    w.until(200_000, "all are done", |w| {
+    w.run_until(200_000, "all are done", |w| {
         awaits.iter().all(|a| w.is_done(a))
     });
     let key = waiting_key("wk-000099");
-    assert!(w.state.value(&key).is_some());
-    w.until(200_000, "it is dropped", |w| w.state.value(&key).is_none());
-    let archived = |w: &World, j: &String| w.state.value(&past_key(j)).is_some();
-    w.until(200_000, "what it named is archived", |w| {
+    assert!(w.store.value(&key).is_some());
+    w.run_until(200_000, "it is dropped", |w| w.store.value(&key).is_none());
+    let archived = |w: &World, j: &String| w.store.value(&past_key(j)).is_some();
+    w.run_until(200_000, "what it named is archived", |w| {
         awaits.iter().all(|j| archived(w, j))
     });
     let Step::Incomplete(first) = first else {
         panic!("{first:?}")
     };
-    assert!(matches!(w.state.commit(&first), CommitOutcome::Conflict(_)));
-    assert_eq!(w.starts_of("wk-000099"), 0);
+    assert!(matches!(w.store.commit(&first), CommitOutcome::Conflict(_)));
+    assert_eq!(w.start_count_of("wk-000099"), 0);
     w.assert_no_violations();
 }
 
@@ -591,11 +602,14 @@
         panic!("{step:?}")
     };
     assert!(matches!(
-        w.state.commit(&transaction),
+        w.store.commit(&transaction),
         CommitOutcome::Done(_)
     ));
-    assert_eq!(w.job(&job).map(|j| j.status), Some(JobStatus::Cancelled));
-    assert!(w.state.value(&waiting_key(&job)).is_none());
+    assert_eq!(
+        w.job_record(&job).map(|j| j.status),
+        Some(JobStatus::Cancelled)
+    );
+    assert!(w.store.value(&waiting_key(&job)).is_none());
     w.run(5000);
-    assert_eq!(w.starts_of(&job), 0);
+    assert_eq!(w.start_count_of(&job), 0);
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -45,12 +45,12 @@
     w.run(6000);
     w.run_ms = 25_000;
     let jobs: Vec<String> = (1..=20).map(|n| w.submit(n, w.spec(100))).collect();
-    w.until(30_000, "most tasks run", |w| w.running() >= 1500);
+    w.run_until(30_000, "most tasks run", |w| w.running_task_count() >= 1500);
     let leader = w.leader().expect("leads");
     w.crash(leader);
     run_until_held(&mut w, 15);
     w.start(leader);
-    w.until(120_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+    w.run_until(120_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
     w.assert_no_violations();
     assert_eq!(w.starts.len(), 2000, "running work was lost");
 }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -212,8 +212,8 @@
 fn the_program_starts_and_does_a_job() {
     actix_web::rt::System::new().block_on(async move {
         let machine = running_machine("m-000001");
-        let outside = OutsideServices::start(vec![machine.clone()]);
-        let places = places(3);
+        let outside = ExternalServices::start(vec![machine.clone()]);
+        let places = allocate_addresses(3);
         let mut program = Program::start(
             Path::new(env!("CARGO_BIN_EXE_quillbend")),
             0,
@@ -228,7 +228,7 @@
             "loaners": true, "rideS": 1.0, "waypointS": 0.0, "stowS": 0.0 });
         let (mut accepted, mut done) = (false, false);
         let mut worker = LoopbackWorker::new(machine, 0);
-        let log = Mutex::new(WorkLog::default());
+        let log = Mutex::new(TaskLog::default());
         let began = Instant::now();
         while !done && began.elapsed() < Duration::from_secs(60) {
             let ready = call("GET", &format!("{base}/ready"), None).await;
@@ -256,7 +256,7 @@
             odd_requests(&base, &spec).await;
             chained_requests(&base, &spec).await;
         }
-        let url = format!("http://{}/status", places[0].back);
+        let url = format!("http://{}/status", places[0].internal);
         let status = call("GET", &url, None).await;
         let log = program.end();
         assert!(done, "the job was never done; log:\n{log}");
--- a/tests/loopback_cells.rs
+++ b/tests/loopback_cells.rs
@@ -24,8 +24,8 @@
 
 /// A cell of real processes.
 struct Cell {
-    outside: OutsideServices,
-    places: Vec<Place>,
+    outside: ExternalServices,
+    places: Vec<ControllerAddresses>,
     programs: Vec<Program>,
     files: Vec<PathBuf>,
 }
@@ -46,7 +46,7 @@
     file
 }
 
-fn spillover_file(cell: usize, places: &[Vec<Place>]) -> PathBuf {
+fn spillover_file(cell: usize, places: &[Vec<ControllerAddresses>]) -> PathBuf {
     let mut text = format!(
         "<spillover cell=\"{}\"><loan lease-s=\"4\" ask-s=\"0.5\" silent-s=\"4\"/>\
          <policy start-above-s=\"4\" stop-below-s=\"1\" sustain-s=\"0.5\" margin-s=\"1\" \
@@ -60,15 +60,19 @@
     {
         text += &format!("<cell name=\"{}\" worker-lease-s=\"12\">", CELLS[other]);
         for place in places {
-            text += &format!("<controller>{}</controller>", place.back);
+            text += &format!("<controller>{}</controller>", place.internal);
         }
         text += "<network>127.0.0.0/8</network></cell>";
     }
     write_file(CELLS[cell], "spillover", &(text + "</spillover>"))
 }
 
-fn start_cell(cell: usize, all_places: &[Vec<Place>], machines: Vec<LoopbackMachine>) -> Cell {
-    let outside = OutsideServices::start(machines);
+fn start_cell(
+    cell: usize,
+    all_places: &[Vec<ControllerAddresses>],
+    machines: Vec<LoopbackMachine>,
+) -> Cell {
+    let outside = ExternalServices::start(machines);
     let spillover = spillover_file(cell, all_places);
     let keep = "<quillbend><fleet><idle-s>3600</idle-s></fleet></quillbend>";
     let options = write_file(CELLS[cell], "options", keep);
@@ -140,7 +144,7 @@
 
 /// Jobs that the state service of a cell shows as lent to a cell.
 fn lent_to(cell: &Cell, borrower: &str) -> usize {
-    let (items, _) = cell.outside.state.lock().expect("lock").list("qb/job/");
+    let (items, _) = cell.outside.store.lock().expect("lock").list("qb/job/");
     let jobs = items.iter().filter_map(|i| i.value.read::<Value>().ok());
     let lent = jobs.filter(|job| job["st"] == "pending" && job["x"]["l"]["c"] == borrower);
     lent.count()
@@ -158,8 +162,11 @@
 #[expect(clippy::too_many_lines, reason = "one scenario, told in its order")]
 fn three_cells_one_starved_and_one_killed_do_every_job() {
     actix_web::rt::System::new().block_on(async {
-        let all_places: Vec<Vec<Place>> = CELLS.iter().map(|_| places(CONTROLLERS)).collect();
-        let log = Arc::new(Mutex::new(WorkLog::default()));
+        let all_places: Vec<Vec<ControllerAddresses>> = CELLS
+            .iter()
+            .map(|_| allocate_addresses(CONTROLLERS))
+            .collect();
+        let log = Arc::new(Mutex::new(TaskLog::default()));
         let mut cells = Vec::new();
         for (cell, places) in all_places.iter().enumerate() {
             let machines = machines_of(cell);
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -41,18 +41,18 @@
     (giant.team, giant.cpus, giant.memory_gb) = ("guest".into(), 0.25, 0.1);
     giant.estimate_s = 1.0;
     w.run(5000);
-    w.state.forget_history();
+    w.store.clear_history();
     let before = LIVE.load(Ordering::Relaxed);
     let giant = w.submit(1, giant);
     let mut largest = 0;
     for _ in 0..30 {
         w.run(2000);
         // The fakes' own records grow with time.
-        w.state.forget_history();
+        w.store.clear_history();
         w.starts = Vec::new();
         largest = largest.max(LIVE.load(Ordering::Relaxed).saturating_sub(before));
     }
-    assert!(w.done(&giant) > 500, "it runs");
+    assert!(w.done_task_count(&giant) > 500, "it runs");
     assert!(largest < GROWTH, "{largest} bytes more than without it");
     w.assert_no_violations();
 }
--- a/tests/missed_messages.rs
+++ b/tests/missed_messages.rs
@@ -19,13 +19,13 @@
 /// A settled world in which all tasks of one job run, each for `run_ms`.
 fn busy(seed: u64, controllers: usize, run_ms: u64) -> (World, String) {
     let mut w = settled(seed, controllers, 6);
-    let job = w.fill(run_ms, 16);
+    let job = w.start_job(run_ms, 16);
     (w, job)
 }
 
 /// The job of a [`busy`] world is done in the end, and each of its tasks was started once.
 fn nothing_lost(w: &mut World, job: &str) {
-    w.until(60_000, "done", |w| w.is_done(job));
+    w.run_until(60_000, "done", |w| w.is_done(job));
     w.assert_no_violations();
     assert_eq!(w.starts.len(), 16, "running work was lost");
 }
@@ -67,7 +67,7 @@
     let mut theirs = w.spec(8);
     theirs.team = "red".into();
     let theirs = w.submit(30, theirs);
-    w.until(60_000, "the other team's job is done", |w| {
+    w.run_until(60_000, "the other team's job is done", |w| {
         w.is_done(&theirs)
     });
     w.assert_no_violations();
@@ -80,14 +80,14 @@
     let mut long = w.spec(60);
     long.estimate_s = 20.0;
     w.submit(1, long);
-    w.until(30_000, "machines come", |w| w.workers.len() > 2);
+    w.run_until(30_000, "machines come", |w| w.workers.len() > 2);
     let unreachable = w.workers.len() - 1;
-    w.workers[unreachable].unreachable = true;
+    w.workers[unreachable].loses_responses = true;
     let machine = w.workers[unreachable].machine.name.clone();
-    let grants = w.state.writes_to("qb/grant/");
-    w.until(150_000, "it is returned", |w| w.returned.contains(&machine));
+    let grants = w.store.put_count("qb/grant/");
+    w.run_until(150_000, "it is returned", |w| w.returned.contains(&machine));
     assert!(w.starts.iter().all(|s| s.2 != machine));
-    let moved = w.state.writes_to("qb/grant/") - grants;
+    let moved = w.store.put_count("qb/grant/") - grants;
     assert!(moved <= 3, "its wandering moved {moved} grants");
     w.assert_no_violations();
 }
@@ -97,10 +97,10 @@
     for controllers in [3, 5] {
         let (mut w, job) = busy(4, controllers, 30_000);
         let at = with_tasks(&w)[0];
-        w.workers[at].unreachable = true;
+        w.workers[at].loses_responses = true;
         let since = w.now;
         let machine = w.workers[at].machine.name.clone();
-        w.until(150_000, "done", |w| w.is_done(&job));
+        w.run_until(150_000, "done", |w| w.is_done(&job));
         w.assert_no_violations();
         let again: Vec<_> = w.starts.iter().filter(|s| s.0 > since).collect();
         assert!(again.iter().all(|s| s.0 > since + 9000), "{again:?}");
@@ -115,12 +115,12 @@
 fn a_machine_that_is_reachable_again_is_used_again() {
     let mut w = settled(5, 3, 1);
     w.cloud_up = false;
-    w.workers[0].unreachable = true;
+    w.workers[0].loses_responses = true;
     let job = w.submit(1, w.spec(8));
     w.run(40_000);
     assert_eq!(w.starts.len(), 0);
-    w.workers[0].unreachable = false;
-    w.until(90_000, "done", |w| w.is_done(&job));
+    w.workers[0].loses_responses = false;
+    w.run_until(90_000, "done", |w| w.is_done(&job));
     w.assert_no_violations();
 }
 
@@ -133,14 +133,14 @@
         (9, vec![40_000, 60_000, 300]),
     ] {
         let mut w = settled(seed, 3, 6);
-        w.heartbeat_copies = ages.clone();
+        w.heartbeat_copy_delays_ms = ages.clone();
         w.run_ms = 12_000;
         let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(16))).collect();
         w.run(10_000);
-        let grants = w.state.writes_to("qb/grant/");
+        let grants = w.store.put_count("qb/grant/");
         w.run(20_000);
         assert_eq!(
-            w.state.writes_to("qb/grant/"),
+            w.store.put_count("qb/grant/"),
             grants,
             "a copy began a takeover"
         );
@@ -152,7 +152,7 @@
         (0..3).for_each(|i| w.crash(i));
         w.run(300);
         (0..3).for_each(|i| w.start(i));
-        w.until(150_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+        w.run_until(150_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
         w.assert_no_violations();
         assert_eq!(w.starts.len(), 48, "copies {ages:?} lost running work");
     }
@@ -161,7 +161,7 @@
 #[test]
 fn a_late_heartbeat_copy_revives_no_machine_that_is_gone() {
     let (mut w, job) = busy(10, 3, 20_000);
-    w.heartbeat_copies = vec![3000, 9000, 16_000, 30_000];
+    w.heartbeat_copy_delays_ms = vec![3000, 9000, 16_000, 30_000];
     w.run(4000);
     let at = with_tasks(&w)[0];
     let gone = w.workers.remove(at).machine.name;
@@ -170,7 +170,7 @@
     w.crash(leader);
     w.run(2000);
     w.start(leader);
-    w.until(120_000, "done", |w| w.is_done(&job));
+    w.run_until(120_000, "done", |w| w.is_done(&job));
     w.run(45_000);
     w.assert_no_violations();
     for i in 0..3 {
@@ -228,7 +228,7 @@
             w.step();
             assert!((w.now - cut) as f64 <= cancel_ms, "it acts for too long");
         }
-        w.until(40_000, "others hold its machines", |w| {
+        w.run_until(40_000, "others hold its machines", |w| {
             w.workers
                 .iter()
                 .all(|m| w.holder(&m.machine.name).is_some())
@@ -246,8 +246,11 @@
     w.cancel(&job);
     let cancel_s = w.settings.platform.settings.workers.cancel_s;
     w.run((cancel_s * 1000.0) as u64);
-    assert_eq!(w.running(), 0);
-    assert_eq!(w.job(&job).map(|j| j.status), Some(JobStatus::Cancelled));
+    assert_eq!(w.running_task_count(), 0);
+    assert_eq!(
+        w.job_record(&job).map(|j| j.status),
+        Some(JobStatus::Cancelled)
+    );
     w.assert_no_violations();
 }
 
@@ -256,7 +259,7 @@
     for (seed, controllers) in [(13, 3), (14, 5), (15, 5)] {
         let (mut w, job) = busy(seed, controllers, 40_000);
         // Writes of the earlier lives arrive when the later ones have begun.
-        (0..controllers).for_each(|i| w.links[i].state = StoreFault::Late(900));
+        (0..controllers).for_each(|i| w.links[i].store_fault = StoreFault::DelaysCommits(900));
         w.run(500);
         let leader = w.leader().expect("leads");
         w.crash(leader);
@@ -267,7 +270,7 @@
             w.crash(i);
             w.run(100);
             w.start(i);
-            w.links[i].state = StoreFault::Good;
+            w.links[i].store_fault = StoreFault::None;
             w.run(200);
         }
         nothing_lost(&mut w, &job);
@@ -281,13 +284,13 @@
     let machine = w.workers[at].machine.name.clone();
     let presumed_dead = w.workers[at].tasks.len();
     w.restart_machine(at);
-    w.until(90_000, "done", |w| w.is_done(&job));
+    w.run_until(90_000, "done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_eq!(w.starts.len(), 16 + presumed_dead);
     let again = w.submit(2, w.spec(40));
     w.cloud_up = false;
     let before = w.now;
-    w.until(120_000, "done", |w| w.is_done(&again));
+    w.run_until(120_000, "done", |w| w.is_done(&again));
     w.assert_no_violations();
     let used = w.starts.iter().any(|s| s.0 > before && s.2 == machine);
     assert!(
@@ -302,10 +305,10 @@
     for seed in 0..4 {
         let (mut w, _) = busy(40 + seed, 3, 30_000);
         w.run(5000);
-        let before = w.state.writes_to("qb/grant/");
+        let before = w.store.put_count("qb/grant/");
         w.restart_machine(with_tasks(&w)[0]);
         w.run(4000);
-        let grants = w.state.writes_to("qb/grant/") - before;
+        let grants = w.store.put_count("qb/grant/") - before;
         assert_eq!(grants, 1, "seed {seed}");
         w.assert_no_violations();
     }
@@ -315,13 +318,13 @@
 fn refused_connections_between_controllers_change_no_leader_and_no_holder() {
     for controllers in [3, 5] {
         let (mut w, job) = busy(17, controllers, 30_000);
-        let (leader, grants) = (w.leader(), w.state.writes_to("qb/grant/"));
-        (0..controllers).for_each(|i| w.links[i].peers = false);
+        let (leader, grants) = (w.leader(), w.store.put_count("qb/grant/"));
+        (0..controllers).for_each(|i| w.links[i].peers_reachable = false);
         w.run(20_000);
         assert_eq!(w.leader(), leader);
-        assert_eq!(w.state.writes_to("qb/grant/"), grants);
+        assert_eq!(w.store.put_count("qb/grant/"), grants);
         w.heal();
-        w.until(60_000, "done", |w| w.is_done(&job));
+        w.run_until(60_000, "done", |w| w.is_done(&job));
         w.assert_no_violations();
         assert_eq!(w.starts.len(), 16);
     }
@@ -333,11 +336,11 @@
     let leader = w.leader().expect("leads");
     // Two of five hear each other and nobody else; all reach the state service.
     let two = [(leader + 1) % 5, (leader + 2) % 5];
-    w.partition_side = (0..5).map(|i| u8::from(two.contains(&i))).collect();
-    let before = w.state.writes_to("qb/lead");
+    w.partition_group = (0..5).map(|i| u8::from(two.contains(&i))).collect();
+    let before = w.store.put_count("qb/lead");
     w.run(30_000);
     assert_eq!(
-        w.state.writes_to("qb/lead"),
+        w.store.put_count("qb/lead"),
         before,
         "somebody took the lead"
     );
@@ -351,11 +354,11 @@
         let mut rng = rand::rngs::SmallRng::seed_from_u64(500 + seed);
         let mut w = settled(500 + seed, 5, 8);
         if seed % 2 == 0 {
-            w.heartbeat_copies = vec![1500, 14_000];
+            w.heartbeat_copy_delays_ms = vec![1500, 14_000];
         }
         if seed % 3 == 0 {
             // Also from lives of controllers that are over.
-            w.peer_message_copies = vec![900, 8000, 30_000];
+            w.peer_message_copy_delays_ms = vec![900, 8000, 30_000];
         }
         let jobs: Vec<String> = (1..=4).map(|n| w.submit(n, w.spec(20))).collect();
         for _ in 0..12 {
@@ -368,8 +371,8 @@
                     if all > 0 {
                         let at = rng.random_range(0..all);
                         match n {
-                            6 => w.workers[at].cut = true,
-                            7 => w.workers[at].unreachable = true,
+                            6 => w.workers[at].disconnected = true,
+                            7 => w.workers[at].loses_responses = true,
                             _ => w.restart_machine(at),
                         }
                     }
@@ -388,7 +391,7 @@
 fn steals_in_a_large_busy_fleet_end_after_a_few_hops() {
     // On a grown deployment, thieves that found nothing sent their steals round all machines:
     // 357000 hops for 25 packs, and no time was left for reports.
-    let mut w = World::sized(19, 3, 120);
+    let mut w = World::with_size(19, 3, 120);
     w.settings.platform.settings.teams[0].cpus_max = 500.0;
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
@@ -418,12 +421,14 @@
     let mut w = settled(20, 3, 10);
     w.run_ms = 30_000;
     let job = w.submit(1, w.spec(16));
-    w.until(20_000, "all run", |w| w.running() == 16);
+    w.run_until(20_000, "all run", |w| w.running_task_count() == 16);
     let south = |w: &World| -> Vec<usize> {
         let of = |&i: &usize| w.workers[i].machine.zone == "south";
         (0..w.workers.len()).filter(of).collect()
     };
-    south(&w).into_iter().for_each(|i| w.workers[i].cut = true);
+    south(&w)
+        .into_iter()
+        .for_each(|i| w.workers[i].disconnected = true);
     let there: Vec<String> = south(&w)
         .into_iter()
         .map(|i| w.workers[i].machine.name.clone())
@@ -435,7 +440,7 @@
         .filter(|machine| !w.returned.contains(*machine));
     assert_eq!(kept.count(), there.len(), "{:?}", w.returned);
     w.heal();
-    w.until(150_000, "done", |w| w.is_done(&job));
+    w.run_until(150_000, "done", |w| w.is_done(&job));
     w.assert_no_violations();
 }
 
@@ -485,13 +490,13 @@
     // A binding whose answer was lost had been carried out; its repeat failed its conditions, and
     // before the watch showed why, the same tasks were bound in other blocks as well.
     for seed in 30..33 {
-        let mut w = World::sized(seed, 3, 40);
+        let mut w = World::with_size(seed, 3, 40);
         w.settings.platform.settings.teams[0].cpus_max = 500.0;
         (0..3).for_each(|i| w.crash(i));
         (0..3).for_each(|i| w.start(i));
         w.run(12_000);
         w.run_ms = 5000;
-        (0..3).for_each(|i| w.links[i].state = StoreFault::Slow(1500));
+        (0..3).for_each(|i| w.links[i].store_fault = StoreFault::Slow(1500));
         let jobs: Vec<String> = (1..=12)
             .map(|n| {
                 w.run(2000);
@@ -500,7 +505,7 @@
             .collect();
         w.run(10_000);
         w.heal();
-        w.until(120_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+        w.run_until(120_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
         w.assert_no_violations();
         assert_eq!(w.starts.len(), 720, "some task was started again");
     }
@@ -522,8 +527,8 @@
     controller.on_heartbeat(heartbeat.clone(), clock);
     assert!(controller.delay_ack(&machine, number, clock).is_some());
     let job = w.submit(1, w.spec(2));
-    w.workers[0].cut = true;
-    w.until(3000, "it is bound", |w| {
+    w.workers[0].disconnected = true;
+    w.run_until(3000, "it is bound", |w| {
         w.controller(i)
             .replica
             .machines
@@ -563,7 +568,7 @@
 #[test]
 fn no_write_is_larger_than_the_service_takes_however_full_the_blocks_are() {
     // Few blocks of many machines, small values, and jobs whose tasks end in no order.
-    let mut w = World::sized(24, 3, 90);
+    let mut w = World::with_size(24, 3, 90);
     w.settings.platform.settings.teams[0].cpus_max = 5000.0;
     w.settings.platform.settings.state.write_rps = 6.0;
     w.settings.platform.settings.state.value_kb = 1.5;
@@ -582,7 +587,7 @@
         })
         .collect();
     let largest = |w: &World| {
-        let blocks = w.state.list("qb/block/").0;
+        let blocks = w.store.list("qb/block/").0;
         blocks.iter().map(|b| b.value.size()).max().unwrap_or(0)
     };
     let mut full = 0;
@@ -591,7 +596,7 @@
         full = full.max(largest(&w));
     }
     assert!(full > 1000, "the blocks never filled up: {full}");
-    w.until(400_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+    w.run_until(400_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
     w.assert_no_violations();
 }
 
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -91,10 +91,10 @@
 struct Fleet {
     old: PathBuf,
     new: PathBuf,
-    outside: OutsideServices,
-    places: Vec<Place>,
+    outside: ExternalServices,
+    places: Vec<ControllerAddresses>,
     programs: Vec<Option<Program>>,
-    log: Rc<Mutex<WorkLog>>,
+    log: Rc<Mutex<TaskLog>>,
     /// Accepted jobs with their numbers of tasks.
     accepted: Vec<(String, u32)>,
     /// Final answers that some controller gave.
@@ -110,8 +110,8 @@
         let mut fleet = Fleet {
             old,
             new: env!("CARGO_BIN_EXE_quillbend").into(),
-            outside: OutsideServices::start(machines.clone()),
-            places: places(CONTROLLERS),
+            outside: ExternalServices::start(machines.clone()),
+            places: allocate_addresses(CONTROLLERS),
             programs: (0..CONTROLLERS).map(|_| None).collect(),
             log: Rc::default(),
             accepted: Vec::new(),
@@ -294,7 +294,7 @@
             assert_eq!(not_done, None, "not_done: {job}");
         }
         for job in over {
-            assert!(!log.is_present(job), "ran_cancelled: {job}");
+            assert!(!log.has_running_task(job), "ran_cancelled: {job}");
         }
     }
 }
@@ -307,7 +307,7 @@
     actix_web::rt::System::new().block_on(async move {
         let mut fleet = Fleet::in_production(old).await;
         // The right version runs: its status page shows waiting jobs, or does not know of them.
-        let url = format!("http://{}/status", fleet.places[0].back);
+        let url = format!("http://{}/status", fleet.places[0].internal);
         let page = call("GET", &url, None).await.expect("a status page").1;
         assert_eq!(page["waiting"].is_object(), knows_chains, "another version");
         let mut cancelled = Vec::new();
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -12,7 +12,7 @@
 
 /// The state service refuses one controller alone; its watch hangs.
 fn refuse(w: &mut World, i: usize) {
-    w.links[i].state = StoreFault::Refuses;
+    w.links[i].store_fault = StoreFault::RejectsRequests;
     w.links[i].watch_hangs = true;
 }
 
@@ -40,9 +40,9 @@
         (5, 3, false, false),
     ] {
         for pause in [0, 900, 2000] {
-            let (mut w, job) = World::busy(seed, controllers, 300_000);
-            w.drift[0] = -0.0005;
-            w.drift[1] = 0.0005;
+            let (mut w, job) = World::with_running_job(seed, controllers, 300_000);
+            w.clock_drift[0] = -0.0005;
+            w.clock_drift[1] = 0.0005;
             let leader = w.leader().expect("leads");
             let old = if leads {
                 leader
@@ -50,7 +50,7 @@
                 (leader + 1) % controllers
             };
             refuse(&mut w, old);
-            w.links[old].peers = !deaf_to_peers;
+            w.links[old].peers_reachable = !deaf_to_peers;
             w.run(pause);
             let other = (old + 1) % controllers;
             assert!(matches!(
@@ -58,12 +58,12 @@
                 CommitOutcome::Done(_)
             ));
             w.run(100);
-            w.outage(true);
+            w.set_store_outage(true);
             w.run(64_000);
-            assert_eq!(w.running_of(&job), 0);
+            assert_eq!(w.running_task_count_of(&job), 0);
             w.heal();
             w.run(20_000);
-            assert_eq!(w.running_of(&job), 0, "it runs again");
+            assert_eq!(w.running_task_count_of(&job), 0, "it runs again");
             w.assert_no_violations();
         }
     }
@@ -73,11 +73,11 @@
 fn a_refused_controller_hears_of_cancellations_from_its_peers_and_stops_those_tasks_alone() {
     let mut w = World::settled(6, 3, 8);
     w.run(3000);
-    let kept = w.fill(300_000, 6);
+    let kept = w.start_job(300_000, 6);
     let mut spec = w.spec(6);
     spec.team = "red".into();
     let called_off = w.submit(2, spec);
-    w.until(15_000, "all run", |w| w.running() == 12);
+    w.run_until(15_000, "all run", |w| w.running_task_count() == 12);
     let there = |w: &World, i: usize| {
         let held = w
             .workers
@@ -93,24 +93,32 @@
     let other = (old + 1) % 3;
     w.cancel_through(other, &called_off);
     w.run(200);
-    w.outage(true);
+    w.set_store_outage(true);
     w.run(9000);
-    assert_eq!(w.running_of(&called_off), 0, "they wait for their lease");
-    assert_eq!(w.running_of(&kept), 6, "others were stopped with them");
+    assert_eq!(
+        w.running_task_count_of(&called_off),
+        0,
+        "they wait for their lease"
+    );
+    assert_eq!(
+        w.running_task_count_of(&kept),
+        6,
+        "others were stopped with them"
+    );
     w.assert_no_violations();
 }
 
 #[test]
 fn authority_counts_from_when_a_request_was_sent_not_from_its_answer() {
     // A watch that was open before an outage is answered after it, as is a renewal.
-    let (mut w, _) = World::busy(7, 3, 300_000);
+    let (mut w, _) = World::with_running_job(7, 3, 300_000);
     let i = (w.leader().expect("leads") + 1) % 3;
-    w.outage(true);
+    w.set_store_outage(true);
     let sent = w.clock(i);
     let until = w.controller(i).authority_until().expect("it has some");
     assert!(until <= Timestamp(sent.0 + w.settings.block_lease_ms()));
     w.run(20_000);
-    let (now, revision) = (w.clock(i), w.state.revision());
+    let (now, revision) = (w.clock(i), w.store.revision());
     let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
     let empty = quillbend::protocol::WatchResponse {
         revision,
@@ -136,7 +144,7 @@
         (30.0, 60.0),
         (8.0, 14.0),
     ] {
-        let mut w = World::sized(8, 1, 0);
+        let mut w = World::with_size(8, 1, 0);
         let workers = &mut w.settings.platform.settings.workers;
         (workers.lease_s, workers.cancel_s) = (lease_s, cancel_s);
         let s = &w.settings;
@@ -155,7 +163,7 @@
 #[test]
 fn controllers_hand_over_and_back_all_end_and_one_returns_within_a_second() {
     for (seed, controllers) in [(10, 3), (11, 5)] {
-        let (mut w, job) = World::busy(seed, controllers, 40_000);
+        let (mut w, job) = World::with_running_job(seed, controllers, 40_000);
         for i in 0..controllers {
             w.crash(i);
             w.run(700);
@@ -173,10 +181,11 @@
 #[test]
 fn a_leader_ends_while_machines_with_long_tasks_do_not_hear_its_successor() {
     for (seed, unreachable) in [(12, true), (13, false)] {
-        let (mut w, job) = World::busy(seed, 3, 60_000);
+        let (mut w, job) = World::with_running_job(seed, 3, 60_000);
         let hit: Vec<usize> = with_tasks(&w).into_iter().take(2).collect();
         for &at in &hit {
-            (w.workers[at].unreachable, w.workers[at].cut) = (unreachable, !unreachable);
+            (w.workers[at].loses_responses, w.workers[at].disconnected) =
+                (unreachable, !unreachable);
         }
         let leader = w.leader().expect("leads");
         w.crash(leader);
@@ -184,8 +193,8 @@
         w.start(leader);
         // Within their lease they go on, beside whatever was decided meanwhile.
         hit.iter().for_each(|&at| {
-            w.workers[at].unreachable = false;
-            w.workers[at].cut = false;
+            w.workers[at].loses_responses = false;
+            w.workers[at].disconnected = false;
         });
         w.run(30_000);
         w.assert_all_jobs_finish(&[job]);
@@ -202,9 +211,9 @@
             if let Some(leader) = w.leader() {
                 w.crash(leader);
                 if out && turn % 3 == 0 {
-                    w.outage(true);
+                    w.set_store_outage(true);
                     w.run(5000);
-                    w.outage(false);
+                    w.set_store_outage(false);
                 }
                 w.run(400 + turn * 300);
                 w.start(leader);
@@ -217,11 +226,11 @@
 
 #[test]
 fn all_controllers_are_away_for_longer_than_a_workers_lease() {
-    let (mut w, job) = World::busy(16, 3, 60_000);
+    let (mut w, job) = World::with_running_job(16, 3, 60_000);
     let also = w.submit(2, w.spec(8));
     (0..3).for_each(|i| w.crash(i));
     w.run(14_000);
-    assert_eq!(w.running(), 0, "their lease is over");
+    assert_eq!(w.running_task_count(), 0, "their lease is over");
     w.assert_all_jobs_finish(&[job, also]);
     assert_eq!(w.starts.len(), 12 + 12 + 8);
 }
@@ -234,23 +243,23 @@
         // One task ends soon, the others late.
         w.run_ms = 3000;
         let job = w.submit(n, w.spec(2 + n % 2));
-        w.until(15_000, "one runs", |w| w.running_of(&job) > 0);
+        w.run_until(15_000, "one runs", |w| w.running_task_count_of(&job) > 0);
         w.run_ms = 45_000;
         jobs.push(job);
     }
     for _ in 0..4 {
         let leader = w.leader().expect("leads");
         w.crash(leader);
-        w.run_asking(6000, &jobs);
+        w.run_polling(6000, &jobs);
         w.start(leader);
-        w.run_asking(6000, &jobs);
+        w.run_polling(6000, &jobs);
     }
     let all: u32 = jobs
         .iter()
-        .map(|j| w.job(j).expect("known").spec.task_count)
+        .map(|j| w.job_record(j).expect("known").spec.task_count)
         .sum();
     all_once(&mut w, &jobs, all as usize);
-    w.run_asking(15_000, &jobs);
+    w.run_polling(15_000, &jobs);
     w.assert_no_violations();
 }
 
@@ -268,7 +277,7 @@
         w.run(9000);
         w.run_ms = 12_000;
         let mut jobs = Vec::new();
-        (0..3).for_each(|i| w.links[i].state = StoreFault::Slow(1500));
+        (0..3).for_each(|i| w.links[i].store_fault = StoreFault::Slow(1500));
         for n in 1..=8 {
             let mut spec = w.spec(14);
             (spec.one_zone, spec.spread) = (n % 2 == 0, n % 2 == 1);
@@ -290,28 +299,28 @@
 #[test]
 fn a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease() {
     for cancelled in [false, true] {
-        let (mut w, job) = World::busy(27, 3, 50_000);
+        let (mut w, job) = World::with_running_job(27, 3, 50_000);
         let inside = (w.leader().expect("leads") + 1) % 3;
-        w.partition_side[inside] = 1;
+        w.partition_group[inside] = 1;
         w.isolate(inside);
         let presumed_dead: Vec<usize> = (0..w.workers.len())
             .filter(|&i| w.workers[i].machine.zone == "south")
             .collect();
         for &at in &presumed_dead {
             // They reach the controller inside and nobody else.
-            w.workers[at].only = Some(inside);
+            w.workers[at].reaches_only = Some(inside);
         }
         w.run(4000);
         if cancelled {
             w.cancel(&job);
         }
         w.run(33_000);
-        w.workers.iter_mut().for_each(|m| m.only = None);
-        w.partition_side = vec![0; 3];
+        w.workers.iter_mut().for_each(|m| m.reaches_only = None);
+        w.partition_group = vec![0; 3];
         w.heal();
         w.run(15_000);
         if cancelled {
-            assert_eq!(w.running_of(&job), 0);
+            assert_eq!(w.running_task_count_of(&job), 0);
             w.assert_no_violations();
         } else {
             w.assert_all_jobs_finish(&[job]);
@@ -327,21 +336,21 @@
         let mut w = World::settled(seed, 3, 6);
         w.run_ms = 20_000;
         let jobs: Vec<String> = (1..=4).map(|n| w.submit(n, w.spec(6))).collect();
-        w.until(20_000, "some run", |w| w.running() >= 12);
-        (0..3).for_each(|i| w.links[i].state = StoreFault::Slow(1200));
-        w.run_asking(4000, &jobs);
+        w.run_until(20_000, "some run", |w| w.running_task_count() >= 12);
+        (0..3).for_each(|i| w.links[i].store_fault = StoreFault::Slow(1200));
+        w.run_polling(4000, &jobs);
         let leader = w.leader().expect("leads");
         refuse(&mut w, leader);
-        w.run_asking(1500, &jobs);
+        w.run_polling(1500, &jobs);
         w.cancel(&jobs[0]);
-        w.run_asking(600, &jobs);
-        w.outage(true);
-        w.run_asking(45_000, &jobs);
-        assert_eq!(w.running_of(&jobs[0]), 0);
+        w.run_polling(600, &jobs);
+        w.set_store_outage(true);
+        w.run_polling(45_000, &jobs);
+        assert_eq!(w.running_task_count_of(&jobs[0]), 0);
         w.heal();
-        w.run_asking(5000, &jobs);
+        w.run_polling(5000, &jobs);
         w.assert_all_jobs_finish(&jobs[1..]);
-        w.run_asking(9000, &jobs);
+        w.run_polling(9000, &jobs);
         w.assert_no_violations();
     }
 }
@@ -357,10 +366,10 @@
             for i in 0..3 {
                 let late = rng.random_bool(0.5);
                 let ms = rng.random_range(2000..12_000);
-                w.links[i].state = if late {
-                    StoreFault::Late(ms)
+                w.links[i].store_fault = if late {
+                    StoreFault::DelaysCommits(ms)
                 } else {
-                    StoreFault::Good
+                    StoreFault::None
                 };
             }
             w.run(rng.random_range(500..3000));
@@ -370,7 +379,7 @@
                 w.run(300);
                 w.start(i);
             }
-            (0..3).for_each(|i| w.links[i].state = StoreFault::Good);
+            (0..3).for_each(|i| w.links[i].store_fault = StoreFault::None);
             w.run(rng.random_range(500..4000));
         }
         w.assert_all_jobs_finish(&jobs);
@@ -380,14 +389,14 @@
 #[test]
 fn jobs_are_cancelled_through_the_new_leader_while_the_old_one_is_partitioned_with_its_workers() {
     for (seed, controllers) in [(40, 3), (41, 5)] {
-        let (mut w, job) = World::busy(seed, controllers, 200_000);
+        let (mut w, job) = World::with_running_job(seed, controllers, 200_000);
         let old = w.leader().expect("leads");
         w.isolate(old);
-        w.until(20_000, "another leads", |w| w.leader_but(old).is_some());
-        let new = w.leader_but(old).expect("leads");
+        w.run_until(20_000, "another leads", |w| w.leader_except(old).is_some());
+        let new = w.leader_except(old).expect("leads");
         w.cancel_through(new, &job);
-        w.run(w.cancel_ms());
-        assert_eq!(w.running_of(&job), 0);
+        w.run(w.cancel_limit_ms());
+        assert_eq!(w.running_task_count_of(&job), 0);
         w.heal();
         w.run(10_000);
         w.assert_no_violations();
@@ -399,7 +408,7 @@
     // Nothing was bound, and what was bound to its machines not started, before its lease ran out.
     for (seed, controllers, leads) in [(42, 3, true), (43, 3, false), (44, 5, true), (45, 5, false)]
     {
-        let (mut w, job) = World::busy(seed, controllers, 60_000);
+        let (mut w, job) = World::with_running_job(seed, controllers, 60_000);
         let leader = w.leader().expect("leads");
         let old = if leads {
             leader
@@ -407,14 +416,16 @@
             (leader + 1) % controllers
         };
         refuse(&mut w, old);
-        w.until(7000, "others hold every machine and lead", |w| {
-            let held = |m: &support::Worker| w.holder_of_all_but(old, &m.machine.name);
-            w.leader_but(old).is_some() && w.workers.iter().all(held)
+        w.run_until(7000, "others hold every machine and lead", |w| {
+            let held = |m: &support::Worker| w.is_held_by_other_than(old, &m.machine.name);
+            w.leader_except(old).is_some() && w.workers.iter().all(held)
         });
         let mut urgent = w.spec(4);
         (urgent.priority, urgent.team) = (Priority::Urgent, "red".into());
         let urgent = w.submit(2, urgent);
-        w.until(10_000, "urgent work starts", |w| w.running_of(&urgent) == 4);
+        w.run_until(10_000, "urgent work starts", |w| {
+            w.running_task_count_of(&urgent) == 4
+        });
         assert!(w.returned.is_empty(), "{:?}", w.returned);
         w.run(25_000);
         all_once(&mut w, &[job, urgent], 16);
@@ -427,26 +438,32 @@
     for ms in [14_000, 21_000, 22_500] {
         let mut w = World::settled(46, 3, 8);
         w.run(3000);
-        let job = w.fill(150_000, 16);
+        let job = w.start_job(150_000, 16);
         let mut theirs = w.spec(16);
         theirs.team = "red".into();
         w.submit(2, theirs);
-        w.until(15_000, "every machine is full", |w| w.running() == 32);
+        w.run_until(15_000, "every machine is full", |w| {
+            w.running_task_count() == 32
+        });
         w.run(45_000);
         let leader = w.leader().expect("leads");
         // Nobody can take over meanwhile.
         (0..3)
             .filter(|&i| i != leader)
-            .for_each(|i| w.links[i].state = StoreFault::Refuses);
+            .for_each(|i| w.links[i].store_fault = StoreFault::RejectsRequests);
         let others: Vec<usize> = (0..3).filter(|&i| i != leader).collect();
         w.pause(leader, ms);
         w.run(ms - 200);
         others
             .iter()
-            .for_each(|&i| w.links[i].state = StoreFault::Good);
+            .for_each(|&i| w.links[i].store_fault = StoreFault::None);
         w.run(30_000);
         assert!(w.returned.is_empty(), "after {ms} ms: {:?}", w.returned);
-        assert_eq!(w.running(), 32, "{job} and the other go on or run again");
+        assert_eq!(
+            w.running_task_count(),
+            32,
+            "{job} and the other go on or run again"
+        );
         w.assert_no_violations();
     }
 }
@@ -456,13 +473,13 @@
 #[test]
 fn heartbeats_arrive_again_from_earlier_epochs_and_attempts_and_at_a_new_leader() {
     for seed in 50..54 {
-        let (mut w, job) = World::busy(seed, 3, 25_000);
-        w.heartbeat_copies = vec![2500, 13_000, 29_000];
+        let (mut w, job) = World::with_running_job(seed, 3, 25_000);
+        w.heartbeat_copy_delays_ms = vec![2500, 13_000, 29_000];
         let at = with_tasks(&w)[0];
         // Its epoch ends; the next attempts run here or elsewhere.
-        w.workers[at].cut = true;
+        w.workers[at].disconnected = true;
         w.run(14_000);
-        w.workers[at].cut = false;
+        w.workers[at].disconnected = false;
         let held: Vec<_> = w.workers.iter().map(|m| m.heartbeat()).collect();
         let leader = w.leader().expect("leads");
         w.crash(leader);
@@ -488,7 +505,9 @@
         w.run(2000);
         w.run_ms = 60_000;
         let first = w.submit(1, w.spec(16));
-        w.until(15_000, "the team is at its limit", |w| w.running() == 16);
+        w.run_until(15_000, "the team is at its limit", |w| {
+            w.running_task_count() == 16
+        });
         let waiting = w.submit(2, w.spec(16));
         let out: Vec<usize> = with_tasks(&w).into_iter().take(3).collect();
         out.iter().for_each(|&at| w.workers[at].hung = true);
@@ -506,11 +525,12 @@
 
 #[test]
 fn workers_that_reach_no_controller_lose_their_tasks_once_and_are_used_again() {
-    let (mut w, job) = World::busy(60, 3, 20_000);
+    let (mut w, job) = World::with_running_job(60, 3, 20_000);
     let hit = with_tasks(&w);
-    hit.iter().for_each(|&at| w.workers[at].cut = true);
+    hit.iter().for_each(|&at| w.workers[at].disconnected = true);
     w.run(15_000);
-    hit.iter().for_each(|&at| w.workers[at].cut = false);
+    hit.iter()
+        .for_each(|&at| w.workers[at].disconnected = false);
     w.assert_all_jobs_finish(&[job]);
     assert_eq!(w.starts.len(), 24);
 }
@@ -518,14 +538,14 @@
 #[test]
 fn what_is_cancelled_while_its_machine_hangs_does_not_go_on_for_long() {
     for hang_ms in [5000, 11_000, 20_000, 50_000] {
-        let (mut w, job) = World::busy(61, 3, 200_000);
+        let (mut w, job) = World::with_running_job(61, 3, 200_000);
         w.cancel(&job);
         for at in with_tasks(&w) {
             w.workers[at].hung = true;
         }
         w.run(hang_ms);
         w.workers.iter_mut().for_each(|m| m.hung = false);
-        w.until(6000, "all are gone", |w| w.running_of(&job) == 0);
+        w.run_until(6000, "all are gone", |w| w.running_task_count_of(&job) == 0);
         w.run(30_000);
         w.assert_no_violations();
     }
@@ -542,12 +562,12 @@
         for turn in 0..6 {
             let i = (w.leader().unwrap_or(0) + turn) % 3;
             // Answers are lost for a moment, then the controller is.
-            w.workers.iter_mut().for_each(|m| m.unreachable = true);
+            w.workers.iter_mut().for_each(|m| m.loses_responses = true);
             w.run(900);
-            w.workers.iter_mut().for_each(|m| m.unreachable = false);
-            w.links[i].workers = false;
+            w.workers.iter_mut().for_each(|m| m.loses_responses = false);
+            w.links[i].workers_reachable = false;
             w.run(3500);
-            w.links[i].workers = true;
+            w.links[i].workers_reachable = true;
             w.run(3000);
         }
         w.assert_all_jobs_finish(&jobs);
@@ -563,9 +583,9 @@
         let mut w = World::settled(70, 3, 3);
         w.run_ms = 3000;
         let job = w.submit(1, w.spec(2));
-        w.until(15_000, "both run", |w| w.running() == 2);
+        w.run_until(15_000, "both run", |w| w.running_task_count() == 2);
         w.run(2000 + seed * 100);
-        let record = w.job(&job).expect("known");
+        let record = w.job_record(&job).expect("known");
         for i in 0..3 {
             w.poll_status(i, &job);
         }
@@ -581,7 +601,7 @@
         }
         // A repeat of the submission is refused by what is there, also once that was moved.
         let again = quillbend::jobs::new_record(w.spec(2), w.now);
-        let again = w.state.commit(&quillbend::jobs::accept(&job, &again));
+        let again = w.store.commit(&quillbend::jobs::accept(&job, &again));
         assert!(matches!(again, CommitOutcome::Conflict(_)));
         let last = w.poll_status(0, &job).expect("answered");
         match outcome {
@@ -614,7 +634,7 @@
         jobs.push(w.submit(n as u32, spec));
         w.run(700);
     }
-    (0..3).for_each(|i| w.links[i].state = StoreFault::Slow(800));
+    (0..3).for_each(|i| w.links[i].store_fault = StoreFault::Slow(800));
     w.run(15_000);
     w.assert_all_jobs_finish(&jobs);
 }
@@ -647,10 +667,10 @@
         let controllers = [3, 5][seed as usize % 2];
         let mut rng = SmallRng::seed_from_u64(900 + seed);
         let mut w = World::settled(900 + seed, controllers, 8);
-        w.drift[0] = -0.0005;
-        w.drift[1] = 0.0005;
+        w.clock_drift[0] = -0.0005;
+        w.clock_drift[1] = 0.0005;
         if seed % 3 == 0 {
-            w.heartbeat_copies = vec![2500, 14_000];
+            w.heartbeat_copy_delays_ms = vec![2500, 14_000];
         }
         let mut open: Vec<String> = Vec::new();
         let mut all: Vec<String> = Vec::new();
@@ -670,31 +690,36 @@
                 kind @ 0..=4 => w.inject_fault(i, kind, &mut rng),
                 5 => w.isolate(i),
                 6 => refuse(&mut w, i),
-                7 => w.outage(true),
+                7 => w.set_store_outage(true),
                 8 if rng.random_bool(0.3) => (0..controllers).for_each(|i| w.crash(i)),
-                8 => w.links[i].state = StoreFault::Late(rng.random_range(2000..12_000)),
+                8 => {
+                    w.links[i].store_fault =
+                        StoreFault::DelaysCommits(rng.random_range(2000..12_000))
+                }
                 kind if at < w.workers.len() => match kind {
-                    9 => w.workers[at].cut = true,
-                    10 => w.workers[at].unreachable = true,
+                    9 => w.workers[at].disconnected = true,
+                    10 => w.workers[at].loses_responses = true,
                     11 => w.workers[at].hung = true,
                     _ => w.restart_machine(at),
                 },
                 _ => {}
             }
-            w.run_asking(rng.random_range(100..6000), &all);
+            w.run_polling(rng.random_range(100..6000), &all);
             if rng.random_bool(0.2) && !open.is_empty() {
                 let job = open.swap_remove(rng.random_range(0..open.len()));
-                if w.job(&job).is_some_and(|j| j.status == JobStatus::Pending) {
+                if w.job_record(&job)
+                    .is_some_and(|j| j.status == JobStatus::Pending)
+                {
                     w.cancel(&job);
                 }
             }
-            w.run_asking(rng.random_range(100..6000), &all);
+            w.run_polling(rng.random_range(100..6000), &all);
             if rng.random_bool(0.5) {
                 w.heal();
             }
         }
         w.assert_all_jobs_finish(&open);
-        w.run_asking(10_000, &all);
+        w.run_polling(10_000, &all);
         w.assert_no_violations();
     }
 }
@@ -702,39 +727,42 @@
 #[test]
 fn after_a_restart_of_all_controllers_grants_are_written_before_gathered_writes() {
     // Many blocks and few changes a second: what ends and waits to be bound would use them up.
-    let mut w = World::sized(71, 3, 30);
+    let mut w = World::with_size(71, 3, 30);
     w.settings.options.block_machines = 1.0;
     let state = &mut w.settings.platform.settings.state;
     (state.write_rps, state.txn_ops) = (60.0, 4);
     (0..3).for_each(|i| w.start(i));
     w.run(12_000);
     w.cloud_up = false;
-    assert!(w.state.list("qb/block/").0.len() >= 25, "many blocks");
+    assert!(w.store.list("qb/block/").0.len() >= 25, "many blocks");
     w.run_ms = 90_000;
     let mut long = w.spec(16);
     long.team = "red".into();
     let long = w.submit(1, long);
-    w.until(20_000, "all run", |w| w.running_of(&long) == 16);
+    w.run_until(20_000, "all run", |w| w.running_task_count_of(&long) == 16);
     w.run_ms = 1500;
     let mut short = w.spec(4000);
     (short.team, short.cpus, short.memory_gb) = ("guest".into(), 0.25, 0.1);
     let short = w.submit(2, short);
     w.run(10_000);
-    assert!(w.running_of(&short) > 20, "nothing competes for the budget");
-    w.state.budget = Some((4.0, 4.0));
+    assert!(
+        w.running_task_count_of(&short) > 20,
+        "nothing competes for the budget"
+    );
+    w.store.write_budget = Some((4.0, 4.0));
     (0..3).for_each(|i| w.crash(i));
     w.run(4500);
     (0..3).for_each(|i| w.start(i));
-    let grants = w.state.writes_to("qb/grant/");
-    w.until(10_000, "the first grants", |w| {
-        w.state.writes_to("qb/grant/") > grants
+    let grants = w.store.put_count("qb/grant/");
+    w.run_until(10_000, "the first grants", |w| {
+        w.store.put_count("qb/grant/") > grants
     });
-    let blocks = w.state.writes_to("qb/block/");
+    let blocks = w.store.put_count("qb/block/");
     w.run(3000);
-    let gathered = w.state.writes_to("qb/block/") - blocks;
+    let gathered = w.store.put_count("qb/block/") - blocks;
     assert_eq!(gathered, 0, "gathered writes took changes from the grants");
     w.run(20_000);
-    w.state.budget = None;
-    w.until(200_000, "done", |w| w.is_done(&long));
+    w.store.write_budget = None;
+    w.run_until(200_000, "done", |w| w.is_done(&long));
     w.assert_no_violations();
 }
--- a/tests/processes/mod.rs
+++ b/tests/processes/mod.rs
@@ -3,8 +3,8 @@
 
 #![allow(dead_code)]
 
-use crate::support::occupancy::double_start;
-use crate::support::{PLATFORM, State, catalog};
+use crate::support::occupancy::find_duplicate_execution;
+use crate::support::{FakeStore, PLATFORM, catalog};
 use actix_web::dev::ServerHandle;
 use actix_web::{App, HttpResponse, HttpServer, web};
 use quillbend::controller::CommitOutcome;
@@ -21,7 +21,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-type Store = web::Data<Mutex<State>>;
+type Store = web::Data<Mutex<FakeStore>>;
 type Machines = web::Data<Vec<CloudMachine>>;
 
 /// Workers' lease in the settings, ms.
@@ -66,12 +66,12 @@
 
 async fn lease(s: Store, body: web::Json<Value>) -> HttpResponse {
     let life = body["lifeMs"].as_u64().unwrap_or(1000);
-    let lease_id = s.lock().expect("lock").lease(life, elapsed_ms());
+    let lease_id = s.lock().expect("lock").grant_lease(life, elapsed_ms());
     HttpResponse::Ok().json(json!({ "permit": lease_id }))
 }
 
 async fn extend(s: Store, lease_id: web::Path<u64>) -> HttpResponse {
-    match s.lock().expect("lock").renew(*lease_id, elapsed_ms()) {
+    match s.lock().expect("lock").renew_lease(*lease_id, elapsed_ms()) {
         true => HttpResponse::Ok().json(json!({})),
         false => HttpResponse::NotFound().finish(),
     }
@@ -83,7 +83,7 @@
     loop {
         let list = {
             let mut s = s.lock().expect("lock");
-            s.pass(elapsed_ms());
+            s.advance_to(elapsed_ms());
             s.events(q.get("starts").map_or("", String::as_str), number("after"))
         };
         if !list.events.is_empty() || elapsed_ms() >= until {
@@ -123,22 +123,22 @@
 }
 
 /// The state service and the cloud, at one address.
-pub struct OutsideServices {
+pub struct ExternalServices {
     pub address: SocketAddr,
-    pub state: Arc<Mutex<State>>,
+    pub store: Arc<Mutex<FakeStore>>,
     server: ServerHandle,
 }
 
-impl OutsideServices {
+impl ExternalServices {
     /// Serves an empty store and these machines.
     pub fn start(machines: Vec<CloudMachine>) -> Self {
-        let state = Arc::new(Mutex::new(State::default()));
-        let (store, machines) = (web::Data::from(state.clone()), web::Data::new(machines));
+        let store = Arc::new(Mutex::new(FakeStore::default()));
+        let (store_data, machines) = (web::Data::from(store.clone()), web::Data::new(machines));
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
         let server = HttpServer::new(move || {
             App::new()
-                .app_data(store.clone())
+                .app_data(store_data.clone())
                 .app_data(machines.clone())
                 .route("/keys", web::get().to(keys))
                 .route("/keys/{key:.*}", web::get().to(key))
@@ -159,7 +159,7 @@
         actix_web::rt::spawn(server);
         Self {
             address,
-            state,
+            store,
             server: handle,
         }
     }
@@ -176,37 +176,37 @@
 
 /// Where a controller listens.
 #[derive(Clone)]
-pub struct Place {
+pub struct ControllerAddresses {
     pub host: String,
     zone: &'static str,
     /// Base of its public address.
     pub public: String,
     /// Base of the address for other controllers and operators.
-    pub back: String,
+    pub internal: String,
 }
 
 /// Places for so many controllers, `n0` on.
-pub fn places(count: usize) -> Vec<Place> {
-    let place = |i| Place {
+pub fn allocate_addresses(count: usize) -> Vec<ControllerAddresses> {
+    let place = |i| ControllerAddresses {
         host: format!("n{i}"),
         zone: ["north", "south"][i % 2],
         public: format!("127.0.0.1:{}", free_port()),
-        back: format!("127.0.0.1:{}", free_port()),
+        internal: format!("127.0.0.1:{}", free_port()),
     };
     (0..count).map(place).collect()
 }
 
 /// The settings file of one of several controllers.
-fn settings_of(i: usize, places: &[Place], outside: SocketAddr) -> String {
+fn settings_of(i: usize, places: &[ControllerAddresses], outside: SocketAddr) -> String {
     let me = &places[i];
     let mut text = format!(
         "host_name = \"{}\"\nzone = \"{}\"\npublic_addr = \"{}\"\nback = \"{}\"\n",
-        me.host, me.zone, me.public, me.back
+        me.host, me.zone, me.public, me.internal
     );
     for other in places.iter().filter(|p| p.host != me.host) {
         text += &format!(
             "[[known]]\nhost_name = \"{}\"\nzone = \"{}\"\nendpoint = \"{}\"\n",
-            other.host, other.zone, other.back
+            other.host, other.zone, other.internal
         );
     }
     text += &format!("[external]\ncloud = \"{outside}\"\nstate = \"{outside}\"\n");
@@ -225,7 +225,7 @@
     pub fn start(
         binary: &Path,
         i: usize,
-        places: &[Place],
+        places: &[ControllerAddresses],
         outside: SocketAddr,
         log: Stdio,
     ) -> Self {
@@ -236,7 +236,7 @@
     pub fn start_with(
         binary: &Path,
         i: usize,
-        places: &[Place],
+        places: &[ControllerAddresses],
         outside: SocketAddr,
         log: Stdio,
         arguments: &[&Path],
@@ -293,7 +293,7 @@
 
 /// What happened on all workers, for the judgement of a test.
 #[derive(Default)]
-pub struct WorkLog {
+pub struct TaskLog {
     /// Each task that is on a machine now, with that machine.
     present: Vec<(String, String)>,
     /// Tasks that were completed.
@@ -307,12 +307,12 @@
     pub violations: Vec<String>,
 }
 
-impl WorkLog {
-    fn note_start(&mut self, task: &str, machine: &str) {
+impl TaskLog {
+    fn record_start(&mut self, task: &str, machine: &str) {
         self.present.push((task.into(), machine.into()));
         self.starts.push(task.into());
         let present = self.present.iter().map(|(t, m)| (t.as_str(), m.as_str()));
-        if let Some(double) = double_start(present) {
+        if let Some(double) = find_duplicate_execution(present) {
             self.violations.push(format!("ran_twice: {double:?}"));
         }
         let job = task.split('/').next().unwrap_or_default();
@@ -325,7 +325,7 @@
         }
     }
 
-    fn note_end(&mut self, task: &str, machine: &str, done: bool) {
+    fn record_end(&mut self, task: &str, machine: &str, done: bool) {
         self.present.retain(|(t, m)| t != task || m != machine);
         if done {
             self.done.insert(task.into());
@@ -333,7 +333,7 @@
     }
 
     /// Whether a task of this job is on a machine.
-    pub fn is_present(&self, job: &str) -> bool {
+    pub fn has_running_task(&self, job: &str) -> bool {
         let prefix = format!("{job}/");
         self.present.iter().any(|(t, _)| t.starts_with(&prefix))
     }
@@ -349,7 +349,7 @@
 pub struct LoopbackWorker {
     pub machine: CloudMachine,
     run_ms: u64,
-    at: usize,
+    current_controller: usize,
     worker_epoch: u64,
     sequence: u64,
     token: u64,
@@ -363,7 +363,7 @@
         Self {
             machine,
             run_ms,
-            at: 0,
+            current_controller: 0,
             worker_epoch: 1,
             sequence: 0,
             token: 0,
@@ -373,20 +373,24 @@
     }
 
     /// Ends what is over, sends one report, and does as it is told.
-    pub async fn heartbeat(&mut self, places: &[Place], log: &Mutex<WorkLog>) {
+    pub async fn heartbeat(&mut self, places: &[ControllerAddresses], log: &Mutex<TaskLog>) {
         let sent = elapsed_ms();
         self.end_tasks(sent, log);
         self.sequence += 1;
         let body = serde_json::to_value(self.message()).expect("json");
-        let url = format!("http://{}/v1/report", places[self.at].public);
+        let url = format!(
+            "http://{}/v1/report",
+            places[self.current_controller].public
+        );
         match call("POST", &url, Some(body)).await {
             Some((200, answer)) => self.obey(answer, sent, log),
             Some((421, answer)) => {
                 let named = places.iter().position(|p| answer["dispatcher"] == p.host);
-                let named = named.filter(|&to| to != self.at);
-                self.at = named.unwrap_or((self.at + 1) % places.len());
+                let named = named.filter(|&to| to != self.current_controller);
+                self.current_controller =
+                    named.unwrap_or((self.current_controller + 1) % places.len());
             }
-            _ => self.at = (self.at + 1) % places.len(),
+            _ => self.current_controller = (self.current_controller + 1) % places.len(),
         }
     }
 
@@ -406,25 +410,25 @@
     }
 
     /// Completes tasks whose time is over, and kills all once the lease is.
-    fn end_tasks(&mut self, now: u64, log: &Mutex<WorkLog>) {
+    fn end_tasks(&mut self, now: u64, log: &Mutex<TaskLog>) {
         let mut log = log.lock().expect("lock");
         for task in &mut self.tasks {
             if task.task.status == TaskPhase::Running && now >= task.ends_ms {
                 task.task.status = TaskPhase::Ended;
                 task.task.exit_reason = Some(ExitReason::Done);
-                log.note_end(&task.task.task, &self.machine.name, true);
+                log.record_end(&task.task.task, &self.machine.name, true);
             }
         }
         if now > self.answered_ms + LEASE_MS {
             for task in self.tasks.drain(..) {
-                log.note_end(&task.task.task, &self.machine.name, false);
+                log.record_end(&task.task.task, &self.machine.name, false);
             }
             self.worker_epoch += 1;
             self.answered_ms = now;
         }
     }
 
-    fn obey(&mut self, answer: Value, sent: u64, log: &Mutex<WorkLog>) {
+    fn obey(&mut self, answer: Value, sent: u64, log: &Mutex<TaskLog>) {
         let Ok(orders) = serde_json::from_value::<HeartbeatAck>(answer) else {
             return;
         };
@@ -449,7 +453,7 @@
         }
     }
 
-    fn launch(&mut self, task: String, attempt: u64, log: &mut WorkLog) {
+    fn launch(&mut self, task: String, attempt: u64, log: &mut TaskLog) {
         let known = self
             .tasks
             .iter()
@@ -462,7 +466,7 @@
             .iter()
             .any(|t| t.task.task == task && t.task.status != TaskPhase::Ended);
         if !refused {
-            log.note_start(&task, &self.machine.name);
+            log.record_start(&task, &self.machine.name);
         }
         // A result is kept: a task that was done once ends at once.
         let left = if log.done.contains(&task) {
@@ -486,13 +490,13 @@
         });
     }
 
-    fn stop(&mut self, name: &str, attempt: u64, log: &mut WorkLog) {
+    fn stop(&mut self, name: &str, attempt: u64, log: &mut TaskLog) {
         for task in &mut self.tasks {
             let meant = task.task.task == name && task.task.attempt == attempt;
             if meant && task.task.status != TaskPhase::Ended {
                 task.task.status = TaskPhase::Ended;
                 task.task.exit_reason = Some(ExitReason::Halted);
-                log.note_end(name, &self.machine.name, false);
+                log.record_end(name, &self.machine.name, false);
             }
         }
     }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -17,7 +17,7 @@
 /// A settled world in which all tasks of one job run, each for `run_ms`.
 fn busy(seed: u64, machines: usize, run_ms: u64, tasks: u32) -> (World, String) {
     let mut w = settled(seed, machines);
-    let job = w.fill(run_ms, tasks);
+    let job = w.start_job(run_ms, tasks);
     (w, job)
 }
 
@@ -25,10 +25,10 @@
 fn a_job_is_bound_started_finished_and_reported_done() {
     let mut w = settled(1, 3);
     let job = w.submit(1, w.spec(20));
-    w.until(60_000, "the job is done", |w| w.is_done(&job));
+    w.run_until(60_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_eq!(w.starts.len(), 20, "every task started once");
-    assert_eq!(w.job(&job).map(|j| j.done.tasks.len()), Some(20));
+    assert_eq!(w.job_record(&job).map(|j| j.done.tasks.len()), Some(20));
     w.run(10_000);
     assert!(
         w.workers.iter().all(|m| m.tasks.is_empty()),
@@ -42,8 +42,8 @@
     // Team blue may use 16 CPUs at a time, and 24 are there.
     let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(20))).collect();
     let mut most = 0;
-    w.until(90_000, "all done", |w| {
-        most = most.max(w.running());
+    w.run_until(90_000, "all done", |w| {
+        most = most.max(w.running_task_count());
         jobs.iter().all(|j| w.is_done(j))
     });
     w.assert_no_violations();
@@ -55,7 +55,7 @@
     let (mut w, job) = busy(3, 6, 25_000, 16);
     let dead = (w.leader().expect("leads") + 1) % 3;
     w.crash(dead);
-    w.until(60_000, "done", |w| w.is_done(&job));
+    w.run_until(60_000, "done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_eq!(w.starts.len(), 16, "no running task was lost");
 }
@@ -66,7 +66,7 @@
     let leader = w.leader().expect("leads");
     w.crash(leader);
     let job = w.submit(1, w.spec(10));
-    w.until(40_000, "done", |w| w.is_done(&job));
+    w.run_until(40_000, "done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_ne!(w.leader(), Some(leader));
 }
@@ -77,7 +77,7 @@
     (0..3).for_each(|i| w.crash(i));
     w.run(6000);
     (0..3).for_each(|i| w.start(i));
-    w.until(60_000, "done", |w| w.is_done(&job));
+    w.run_until(60_000, "done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_eq!(
         w.starts.len(),
@@ -90,7 +90,7 @@
 fn a_holder_without_the_state_service_loses_its_authority_in_time() {
     let mut w = settled(6, 3);
     let i = (w.leader().expect("leads") + 1) % 3;
-    w.links[i].state = StoreFault::Refuses;
+    w.links[i].store_fault = StoreFault::RejectsRequests;
     let cut = w.now;
     while w.controller(i).has_authority(Timestamp(w.now)) {
         w.step();
@@ -118,21 +118,21 @@
 
 #[test]
 fn lost_acknowledgements_and_duplicated_writes_do_no_harm() {
-    for fault in [StoreFault::LosesAnswers, StoreFault::Late(3000)] {
+    for fault in [StoreFault::LosesResponses, StoreFault::DelaysCommits(3000)] {
         let mut w = settled(8, 6);
         let leader = w.leader().expect("leads");
         let jobs: Vec<String> = (1..=2).map(|n| w.submit(n, w.spec(20))).collect();
         for _ in 0..6 {
             for i in 0..3 {
-                w.links[i].state = fault;
+                w.links[i].store_fault = fault;
             }
             w.run(700);
             for i in 0..3 {
-                w.links[i].state = StoreFault::Good;
+                w.links[i].store_fault = StoreFault::None;
             }
             w.run(2500);
         }
-        w.until(90_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+        w.run_until(90_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
         w.assert_no_violations();
         assert_eq!(w.starts.len(), 40, "led by {leader} first");
     }
@@ -143,12 +143,12 @@
     // Its peers hear it, and its keys last for a whole lease; but its earlier life is over.
     let (mut w, job) = busy(24, 9, 40_000, 16);
     let leader = w.leader().expect("leads");
-    w.links[leader].state = StoreFault::Refuses;
+    w.links[leader].store_fault = StoreFault::RejectsRequests;
     (0..3).for_each(|i| w.crash(i));
     w.run(3000);
     (0..3).for_each(|i| w.start(i));
-    w.until(6000, "another leads", |w| w.leader().is_some());
-    w.until(60_000, "done", |w| w.is_done(&job));
+    w.run_until(6000, "another leads", |w| w.leader().is_some());
+    w.run_until(60_000, "done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_eq!(w.starts.len(), 16, "no running task was lost");
 }
@@ -158,11 +158,11 @@
     let mut w = settled(9, 6);
     let old = w.leader().expect("leads");
     // Its writes are under way for long; meanwhile it is cut from its peers and replaced.
-    w.links[old].state = StoreFault::Late(20_000);
-    w.links[old].peers = false;
+    w.links[old].store_fault = StoreFault::DelaysCommits(20_000);
+    w.links[old].peers_reachable = false;
     let job = w.submit(1, w.spec(16));
-    w.until(60_000, "another leads and finishes", |w| w.is_done(&job));
-    w.links[old].state = StoreFault::Good;
+    w.run_until(60_000, "another leads and finishes", |w| w.is_done(&job));
+    w.links[old].store_fault = StoreFault::None;
     w.run(30_000);
     w.assert_no_violations();
     assert_eq!(w.starts.len(), 16);
@@ -173,7 +173,7 @@
     let mut w = settled(10, 3);
     let leader = w.leader().expect("leads");
     let lonely = (leader + 1) % 3;
-    w.links[lonely].peers = false;
+    w.links[lonely].peers_reachable = false;
     for _ in 0..200 {
         w.step();
         assert_ne!(w.leader(), Some(lonely));
@@ -184,8 +184,8 @@
 fn machines_that_cannot_reach_their_holder_get_another() {
     let (mut w, job) = busy(11, 6, 30_000, 16);
     let cut = (w.leader().expect("leads") + 1) % 3;
-    w.links[cut].workers = false;
-    w.until(80_000, "done", |w| w.is_done(&job));
+    w.links[cut].workers_reachable = false;
+    w.run_until(80_000, "done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_eq!(
         w.starts.len(),
@@ -202,10 +202,10 @@
         .iter()
         .position(|m| !m.tasks.is_empty())
         .expect("busy");
-    w.workers[at].cut = true;
+    w.workers[at].disconnected = true;
     let since = w.now;
     let presumed_dead = w.workers[at].tasks.len();
-    w.until(120_000, "done", |w| w.is_done(&job));
+    w.run_until(120_000, "done", |w| w.is_done(&job));
     w.assert_no_violations();
     let again: Vec<_> = w.starts.iter().filter(|s| s.0 > since).collect();
     assert!(again.len() >= presumed_dead);
@@ -217,17 +217,20 @@
     let mut w = settled(13, 6);
     w.run_ms = 60_000;
     let job = w.submit(1, w.spec(40));
-    w.until(15_000, "some run", |w| w.running() >= 10);
+    w.run_until(15_000, "some run", |w| w.running_task_count() >= 10);
     assert!(matches!(w.cancel(&job), CommitOutcome::Done(_)));
     let at = w.now;
     w.run(8000);
-    assert_eq!(w.running(), 0);
+    assert_eq!(w.running_task_count(), 0);
     w.run(20_000);
     assert!(
         w.starts.iter().all(|s| s.0 <= at + 300),
         "nothing starts any more"
     );
-    assert_eq!(w.job(&job).map(|j| j.status), Some(JobStatus::Cancelled));
+    assert_eq!(
+        w.job_record(&job).map(|j| j.status),
+        Some(JobStatus::Cancelled)
+    );
     w.assert_no_violations();
 }
 
@@ -235,10 +238,10 @@
 fn a_cancellation_and_the_last_ending_race_in_one_key() {
     let mut w = settled(14, 3);
     let job = w.submit(1, w.spec(1));
-    w.until(30_000, "done", |w| w.is_done(&job));
-    let record = w.job(&job).expect("known");
+    w.run_until(30_000, "done", |w| w.is_done(&job));
+    let record = w.job_record(&job).expect("known");
     let stale = quillbend::jobs::cancel(&job, &record, 1, w.settings.value_bytes());
-    assert!(matches!(w.state.commit(&stale), CommitOutcome::Conflict(_)));
+    assert!(matches!(w.store.commit(&stale), CommitOutcome::Conflict(_)));
     w.run(10_000);
     assert!(w.is_done(&job), "also after it left the watched part");
 }
@@ -252,7 +255,7 @@
     (0..3).for_each(|i| w.crash(i));
     w.run(1000);
     // Nor is it found in the state service.
-    w.state.forget("qb/catalog");
+    w.store.delete_externally("qb/catalog");
     (0..3).for_each(|i| w.start(i));
     w.run(8000);
     assert!((0..3).all(|i| !w.controller(i).catalog_known()));
@@ -281,7 +284,7 @@
     for (m, at) in w.workers.iter_mut().zip(held) {
         m.up_at = at;
     }
-    w.until(120_000, "done", |w| w.is_done(&job));
+    w.run_until(120_000, "done", |w| w.is_done(&job));
     w.assert_no_violations();
 }
 
@@ -321,12 +324,12 @@
     w.settings.options.queue_ahead_s = 600.0;
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
-    w.until(20_000, "a leader", |w| w.leader().is_some());
+    w.run_until(20_000, "a leader", |w| w.leader().is_some());
     w.cloud_up = false;
     let job = w.submit(1, w.spec(16));
-    w.until(15_000, "queues are full", |w| w.running() == 8);
+    w.run_until(15_000, "queues are full", |w| w.running_task_count() == 8);
     w.cloud_up = true;
-    w.until(90_000, "done", |w| w.is_done(&job));
+    w.run_until(90_000, "done", |w| w.is_done(&job));
     w.assert_no_violations();
     let moved: u64 = (0..3).map(|i| w.controller(i).counters.stolen_tasks).sum();
     assert!(moved > 0, "machines that came later stole nothing");
@@ -339,28 +342,34 @@
     w.settings.options.queue_ahead_s = 600.0;
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
-    w.until(20_000, "a leader", |w| w.leader().is_some());
+    w.run_until(20_000, "a leader", |w| w.leader().is_some());
     w.cloud_up = false;
     w.run_ms = 60_000;
     w.submit(1, w.spec(8));
     let machine = w.workers[0].machine.name.clone();
-    let queue = |w: &World| w.block("qb/block/0000").machines[&machine].queue.clone();
-    w.until(20_000, "the machine is full", |w| w.running() == 4);
+    let queue = |w: &World| {
+        w.block_record("qb/block/0000").machines[&machine]
+            .queue
+            .clone()
+    };
+    w.run_until(20_000, "the machine is full", |w| {
+        w.running_task_count() == 4
+    });
     w.run(3000);
     let holder = w.holder(&machine).expect("held");
     let before = queue(&w);
     // On notice the holder concludes that the unstarted tasks are free, but cannot write it.
-    w.links[holder].state = StoreFault::Refuses;
+    w.links[holder].store_fault = StoreFault::RejectsRequests;
     w.workers[0].reclaim_s = Some(30.0);
     w.run(2500);
     w.workers[0].reclaim_s = None;
-    w.workers[0].cut = true;
+    w.workers[0].disconnected = true;
     // The block goes to somebody else, who may start them, and comes back.
-    let mine = w.state.value("qb/grant/0000").expect("granted");
+    let mine = w.store.value("qb/grant/0000").expect("granted");
     let theirs = serde_json::json!({ "h": "other", "b": 1 });
-    w.state.overwrite("qb/grant/0000", &theirs);
-    w.state.overwrite("qb/grant/0000", &mine);
-    w.links[holder].state = StoreFault::Good;
+    w.store.overwrite("qb/grant/0000", &theirs);
+    w.store.overwrite("qb/grant/0000", &mine);
+    w.links[holder].store_fault = StoreFault::None;
     w.run(2000);
     assert_eq!(queue(&w), before);
 }
@@ -373,17 +382,17 @@
         let mut w = settled(100 + seed, 6);
         w.run_ms = 15_000;
         let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(16))).collect();
-        w.until(15_000, "many run", |w| w.running() >= 14);
+        w.run_until(15_000, "many run", |w| w.running_task_count() >= 14);
         for _ in 0..4 {
             let i = (w.leader().unwrap_or(0) + 1) % 3;
-            w.links[i].state = StoreFault::Refuses;
-            w.links[i].peers = false;
+            w.links[i].store_fault = StoreFault::RejectsRequests;
+            w.links[i].peers_reachable = false;
             w.run(5000 + seed * 700);
-            w.links[i].state = StoreFault::Good;
-            w.links[i].peers = true;
+            w.links[i].store_fault = StoreFault::None;
+            w.links[i].peers_reachable = true;
             w.run(4000);
         }
-        w.until(150_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+        w.run_until(150_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
         w.assert_no_violations();
     }
 }
@@ -408,7 +417,7 @@
         let listed = known(i).is_some_and(|m| w.controller(i).replica.machines.contains_key(&m));
         assert!(!listed, "its tasks still wait on it");
     }
-    w.until(100_000, "done", |w| w.is_done(&job));
+    w.run_until(100_000, "done", |w| w.is_done(&job));
     w.assert_no_violations();
 }
 
@@ -421,12 +430,12 @@
     two.iter().for_each(|&i| w.crash(i));
     w.run(6000);
     // One machine goes silent just as they come back.
-    w.workers[0].cut = true;
+    w.workers[0].disconnected = true;
     two.iter().for_each(|&i| w.start(i));
     w.run(1500);
-    let before = w.state.writes_to("qb/grant/");
+    let before = w.store.put_count("qb/grant/");
     w.run(4500);
-    let moved = w.state.writes_to("qb/grant/") - before;
+    let moved = w.store.put_count("qb/grant/") - before;
     assert!(moved <= 3, "{moved} grants in 4.5 s");
 }
 
@@ -443,7 +452,7 @@
     w.run(20_000);
     let busy = w.workers.iter().filter(|m| !m.tasks.is_empty()).count();
     assert!(busy > 0);
-    assert_eq!(w.running(), 16, "returned: {:?}", w.returned);
+    assert_eq!(w.running_task_count(), 16, "returned: {:?}", w.returned);
     assert_eq!(w.starts.len(), 16);
 }
 
@@ -451,11 +460,11 @@
 fn a_machine_that_fails_every_task_is_quarantined_and_replaced() {
     let mut w = settled(18, 6);
     let first = w.submit(1, w.spec(16));
-    w.until(60_000, "done", |w| w.is_done(&first));
+    w.run_until(60_000, "done", |w| w.is_done(&first));
     let fails_tasks = w.workers[0].machine.name.clone();
     w.workers[0].fails_tasks = true;
     let jobs: Vec<String> = (2..=3).map(|n| w.submit(n, w.spec(30))).collect();
-    w.until(150_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+    w.run_until(150_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
     w.run(15_000);
     w.assert_no_violations();
     assert!(w.returned.contains(&fails_tasks), "{:?}", w.returned);
@@ -475,7 +484,7 @@
 fn idle_machines_are_returned_and_request_ids_are_never_reused() {
     let mut w = settled(20, 3);
     let job = w.submit(1, w.spec(60));
-    w.until(150_000, "done", |w| w.is_done(&job));
+    w.run_until(150_000, "done", |w| w.is_done(&job));
     w.run(120_000);
     assert!(
         w.workers.is_empty(),
@@ -487,7 +496,7 @@
     w.run(8000);
     w.start(leader);
     let again = w.submit(2, w.spec(8));
-    w.until(90_000, "done", |w| w.is_done(&again));
+    w.run_until(90_000, "done", |w| w.is_done(&again));
     w.assert_no_violations();
 }
 
@@ -506,7 +515,7 @@
                 _ => {
                     let n = w.workers.len();
                     if n > 0 {
-                        w.workers[rng.random_range(0..n)].cut = true;
+                        w.workers[rng.random_range(0..n)].disconnected = true;
                     }
                 }
             }
@@ -523,19 +532,19 @@
 fn a_storm_of_refusals_and_clocks_at_their_bound_keep_the_rules() {
     for seed in 0..4 {
         let mut w = settled(300 + seed, 6);
-        w.drift = vec![0.0005, 0.0, -0.0005];
+        w.clock_drift = vec![0.0005, 0.0, -0.0005];
         let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(20))).collect();
         for i in 0..3 {
-            w.links[i].state = StoreFault::Intermittent;
+            w.links[i].store_fault = StoreFault::Intermittent;
         }
         w.run(30_000);
         let busy = w.workers.iter().position(|m| !m.tasks.is_empty());
         if let Some(at) = busy {
-            w.workers[at].cut = true;
+            w.workers[at].disconnected = true;
         }
         w.run(30_000);
         w.heal();
-        w.until(120_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+        w.run_until(120_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
         w.assert_no_violations();
     }
 }
@@ -550,11 +559,11 @@
     w.run(10_000);
     w.run_ms = 6000;
     let jobs: Vec<String> = (1..=4).map(|n| w.submit(n, w.spec(6))).collect();
-    let ended = |w: &World| w.starts.len() == 24 && w.running() == 0;
-    w.until(60_000, "all tasks have ended", ended);
+    let ended = |w: &World| w.starts.len() == 24 && w.running_task_count() == 0;
+    w.run_until(60_000, "all tasks have ended", ended);
     w.run(2500);
     let recorded: u32 = {
-        let blocks = w.state.list("qb/block/").0.into_iter();
+        let blocks = w.store.list("qb/block/").0.into_iter();
         let blocks = blocks.map(|b| b.value.read::<BlockRecord>().expect("a block"));
         let queued = blocks.flat_map(|b| b.machines.into_values().flat_map(|m| m.queue));
         queued.map(|binding| binding.tasks.len()).sum()
@@ -578,7 +587,9 @@
         (spec.team, spec.cpus, spec.memory_gb) = ("guest".into(), 0.25, 0.1);
         spec.one_zone = one_zone;
         w.submit(1, spec);
-        w.until(30_000, "more than a share runs", |w| w.running() > 320);
+        w.run_until(30_000, "more than a share runs", |w| {
+            w.running_task_count() > 320
+        });
         w.assert_no_violations();
     }
 }
--- a/tests/search.rs
+++ b/tests/search.rs
@@ -2,11 +2,11 @@
 
 mod support;
 
-use support::days::{DayPlan, play};
+use support::scenarios::{ScenarioPlan, play};
 use support::search;
 
-fn plan(seed: u64) -> DayPlan {
-    DayPlan {
+fn plan(seed: u64) -> ScenarioPlan {
+    ScenarioPlan {
         seed,
         machines: 12 + (seed % 5) as usize * 12,
         faults: 25,
--- a/tests/spillover.rs
+++ b/tests/spillover.rs
@@ -34,8 +34,8 @@
 fn lending_long(seed: u64, run_ms: u64) -> (Cells, Vec<String>) {
     let (mut c, jobs) = saturated(seed, &[2, 6]);
     c.cells[NORTH].run_ms = run_ms;
-    c.until(30_000, "loans run in the north", |c| {
-        c.starts_in(NORTH, &jobs) >= 4
+    c.run_until(30_000, "loans run in the north", |c| {
+        c.start_count_in(NORTH, &jobs) >= 4
     });
     (c, jobs)
 }
@@ -43,22 +43,25 @@
 #[test]
 fn jobs_of_a_saturated_cell_run_in_another_and_end_at_home() {
     let (mut c, jobs) = saturated(1, &[2, 6]);
-    c.until(60_000, "done", |c| {
+    c.run_until(60_000, "done", |c| {
         jobs.iter().all(|j| c.cells[EAST].is_done(j))
     });
-    let (home, away) = (c.starts_in(EAST, &jobs), c.starts_in(NORTH, &jobs));
+    let (home, away) = (
+        c.start_count_in(EAST, &jobs),
+        c.start_count_in(NORTH, &jobs),
+    );
     assert!(home >= 8 && away >= 8, "{home} at home, {away} away");
     assert_eq!(home + away, 48, "each task began once");
     // The loans leave the borrower's watched keys once their ends are known at home.
     let theirs = c.submit_many(NORTH, 6, 4);
-    c.until(60_000, "archived", |c| {
-        let kept = |job: &String| c.cells[NORTH].state.mod_revision(&job_key(job)) > 0;
+    c.run_until(60_000, "archived", |c| {
+        let kept = |job: &String| c.cells[NORTH].store.mod_revision(&job_key(job)) > 0;
         theirs.iter().all(|job| c.cells[NORTH].is_done(job)) && !jobs.iter().any(kept)
     });
     // The cell has recovered: what comes now stays.
     let later = c.submit_many(EAST, 1, 4);
     c.assert_all_jobs_finish(EAST, &later);
-    assert_eq!(c.starts_in(NORTH, &later), 0);
+    assert_eq!(c.start_count_in(NORTH, &later), 0);
 }
 
 #[test]
@@ -68,30 +71,30 @@
         w.submit(n, w.spec(4));
     });
     w.run(30_000);
-    assert!(w.cell_calls.is_empty());
-    for item in w.state.list("qb/job/").0 {
+    assert!(w.outgoing_cell_requests.is_empty());
+    for item in w.store.list("qb/job/").0 {
         assert_eq!(
             item.value.read::<JobRecord>().expect("a job").transfer,
             None
         );
     }
-    let format = w.state.value("qb/format").expect("recorded");
+    let format = w.store.value("qb/format").expect("recorded");
     assert_eq!(format["v"], SPILLOVER_FORMAT - 1);
 }
 
 #[test]
 fn answers_that_are_lost_and_offers_that_come_again_make_one_loan() {
     let (mut c, jobs) = saturated(2, &[2, 6]);
-    c.cell_links[EAST][NORTH] = CellLink::LosesAnswers;
-    c.request_copies = vec![700, 9000, 40_000];
+    c.cell_links[EAST][NORTH] = CellLink::LosesResponses;
+    c.request_copy_delays_ms = vec![700, 9000, 40_000];
     c.run(4000);
     c.cell_links[EAST][NORTH] = CellLink::Open;
-    c.until(40_000, "loans run", |c| c.starts_in(NORTH, &jobs) > 0);
+    c.run_until(40_000, "loans run", |c| c.start_count_in(NORTH, &jobs) > 0);
     c.assert_all_jobs_finish(EAST, &jobs);
     // Copies that come after all is over change nothing.
-    let starts = c.starts_in(NORTH, &jobs);
+    let starts = c.start_count_in(NORTH, &jobs);
     c.run(60_000);
-    assert_eq!(c.starts_in(NORTH, &jobs), starts);
+    assert_eq!(c.start_count_in(NORTH, &jobs), starts);
     c.assert_no_violations();
 }
 
@@ -100,22 +103,25 @@
 #[test]
 fn a_job_whose_lending_is_under_way_is_not_bound_at_home() {
     let (mut c, jobs) = saturated(60, &[2, 6]);
-    c.cells[EAST].late_lending = Some(7000);
-    c.until(20_000, "a write is under way", |c| {
-        c.cells[EAST].state.is_lending_late()
+    c.cells[EAST].loan_write_delay_ms = Some(7000);
+    c.run_until(20_000, "a write is under way", |c| {
+        c.cells[EAST].store.has_delayed_loan_write()
     });
     // What runs ends, until the last jobs would have their turn at home; those run for long.
     c.cells[EAST].run_ms = 30_000;
     for _ in 0..8 {
-        if c.starts_in(EAST, &jobs[8..]) == 0 {
+        if c.start_count_in(EAST, &jobs[8..]) == 0 {
             let tasks = c.cells[EAST].workers.iter_mut().flat_map(|w| &mut w.tasks);
             tasks.for_each(|task| task.left_ms = task.left_ms.min(100));
         }
         c.run(700);
     }
     c.run(12_000);
-    assert!(c.starts_in(NORTH, &jobs) > 0, "some were lent all the same");
-    c.cells[EAST].late_lending = None;
+    assert!(
+        c.start_count_in(NORTH, &jobs) > 0,
+        "some were lent all the same"
+    );
+    c.cells[EAST].loan_write_delay_ms = None;
     c.assert_all_jobs_finish(EAST, &jobs);
 }
 
@@ -125,11 +131,14 @@
 fn a_borrower_that_falls_silent_loses_its_loans_and_none_runs_twice() {
     for (seed, silent_ms) in [(3, 5000), (4, 20_000), (5, 32_000), (6, 90_000)] {
         let (mut c, jobs) = lending_long(seed, 60_000);
-        c.cut_off(NORTH);
+        c.disconnect(NORTH);
         c.run(silent_ms);
         if silent_ms > 60_000 {
-            assert_eq!(c.lent(EAST), Vec::<String>::new(), "all came home");
-            let running: usize = jobs.iter().map(|j| c.cells[NORTH].running_of(j)).sum();
+            assert_eq!(c.lent_jobs(EAST), Vec::<String>::new(), "all came home");
+            let running: usize = jobs
+                .iter()
+                .map(|j| c.cells[NORTH].running_task_count_of(j))
+                .sum();
             assert_eq!(running, 0, "stopped without a confirmation");
         }
         c.assert_all_jobs_finish(EAST, &jobs);
@@ -139,11 +148,11 @@
 #[test]
 fn a_borrower_that_finishes_unheard_is_believed_until_the_job_was_taken_back() {
     let (mut c, jobs) = lending(7);
-    c.cut_off(NORTH);
+    c.disconnect(NORTH);
     // Jobs of its own let it archive what is over.
     c.submit_many(NORTH, 4, 2);
     // Tasks of 8 s end within the lease of 10 s.
-    c.until(15_000, "a loan is done there", |c| {
+    c.run_until(15_000, "a loan is done there", |c| {
         jobs.iter()
             .any(|j| c.is_lent(EAST, j) && c.cells[NORTH].is_done(j))
     });
@@ -154,8 +163,8 @@
     // Long enough to archive it, too short to take it back.
     c.run(12_000);
     c.heal();
-    c.until(5000, "recorded", |c| c.cells[EAST].is_done(&done));
-    assert_eq!(c.starts_in(EAST, std::slice::from_ref(&done)), 0);
+    c.run_until(5000, "recorded", |c| c.cells[EAST].is_done(&done));
+    assert_eq!(c.start_count_in(EAST, std::slice::from_ref(&done)), 0);
     c.assert_all_jobs_finish(EAST, &jobs);
 }
 
@@ -165,11 +174,14 @@
         let (mut c, jobs) = lending(seed);
         match kind {
             0 => (0..3).for_each(|i| c.cells[EAST].crash(i)),
-            1 => c.cells[EAST].outage(true),
-            _ => c.cut_off(EAST),
+            1 => c.cells[EAST].set_store_outage(true),
+            _ => c.disconnect(EAST),
         }
         c.run(16_000);
-        let running: usize = jobs.iter().map(|j| c.cells[NORTH].running_of(j)).sum();
+        let running: usize = jobs
+            .iter()
+            .map(|j| c.cells[NORTH].running_task_count_of(j))
+            .sum();
         assert_eq!(running, 0, "no confirmation, no work");
         c.assert_all_jobs_finish(EAST, &jobs);
     }
@@ -186,7 +198,7 @@
         match seed % 3 {
             0 => c.cells[cell].crash(leader),
             1 => (0..3).for_each(|i| c.cells[cell].crash(i)),
-            _ => c.cells[cell].outage(true),
+            _ => c.cells[cell].set_store_outage(true),
         }
         c.run(rng.random_range(500..20_000));
         c.assert_all_jobs_finish(EAST, &jobs);
@@ -200,17 +212,17 @@
         c.cells[NORTH].run_ms = 90_000;
         c.run(wait_ms);
         if silent {
-            c.cut_off(NORTH);
+            c.disconnect(NORTH);
         }
-        let lent = c.lent(EAST);
+        let lent = c.lent_jobs(EAST);
         assert!(!lent.is_empty());
         for job in &lent {
             c.cells[EAST].cancel(job);
         }
         c.run(38_000);
         for job in &lent {
-            assert_eq!(c.cells[NORTH].running_of(job), 0);
-            let state = c.cells[EAST].job(job).expect("known").status;
+            assert_eq!(c.cells[NORTH].running_task_count_of(job), 0);
+            let state = c.cells[EAST].job_record(job).expect("known").status;
             assert_eq!(state, JobStatus::Cancelled);
         }
         let rest: Vec<String> = jobs.into_iter().filter(|j| !lent.contains(j)).collect();
@@ -223,19 +235,19 @@
 fn a_cancellation_races_with_the_end_of_a_loan() {
     for seed in 30..36 {
         let (mut c, jobs) = lending(seed);
-        let lent = c.lent(EAST);
+        let lent = c.lent_jobs(EAST);
         c.run(5000 + (seed - 30) * 700);
         for job in &lent {
-            if c.cells[EAST].is_open(job) {
+            if c.cells[EAST].is_unfinished(job) {
                 c.cells[EAST].cancel(job);
             }
         }
         c.run(40_000);
-        let over = |job: &String| !c.cells[EAST].is_open(job);
+        let over = |job: &String| !c.cells[EAST].is_unfinished(job);
         assert!(lent.iter().all(over));
         c.heal();
-        c.until(120_000, "the others are done", |c| {
-            jobs.iter().all(|job| !c.cells[EAST].is_open(job))
+        c.run_until(120_000, "the others are done", |c| {
+            jobs.iter().all(|job| !c.cells[EAST].is_unfinished(job))
         });
         c.assert_no_violations();
     }
@@ -246,7 +258,7 @@
     let (mut c, jobs) = lending_long(40, 30_000);
     let leader = c.cells[NORTH].leader().expect("leads");
     let refusing = (0..3).find(|&i| i != leader).expect("another one");
-    c.refusing.insert((NORTH, refusing));
+    c.unreachable_controllers.insert((NORTH, refusing));
     c.run(14_000);
     // Its machines go on, for its peers tell it what was confirmed.
     let held = |m: &&support::Worker| c.cells[NORTH].holder(&m.machine.name) == Some(refusing);
@@ -259,13 +271,13 @@
 fn a_one_way_cut_lends_nothing_and_keeps_nothing() {
     for (seed, (from, to)) in [(41, (EAST, NORTH)), (42, (NORTH, EAST))] {
         let (mut c, jobs) = lending(seed);
-        c.cell_links[from][to] = CellLink::Cut;
+        c.cell_links[from][to] = CellLink::Disconnected;
         // There is no room at home that would call them back.
         c.cells[EAST].run_ms = 60_000;
         let more = c.submit_many(EAST, 6, 4);
         // The lease, the silence, and what a called back loan takes.
         c.run(50_000);
-        assert_eq!(c.lent(EAST), Vec::<String>::new());
+        assert_eq!(c.lent_jobs(EAST), Vec::<String>::new());
         c.cells[EAST].run_ms = 8000;
         c.assert_all_jobs_finish(EAST, &[jobs, more].concat());
     }
@@ -288,17 +300,20 @@
 fn a_confirmation_from_a_controller_that_is_behind_does_not_outlive_a_cancellation() {
     let (mut c, _) = lending_long(48, 90_000);
     let leader = c.cells[EAST].leader().expect("leads");
-    c.refusing.insert((EAST, leader));
+    c.unreachable_controllers.insert((EAST, leader));
     for i in (0..3).filter(|&i| i != leader) {
         c.cells[EAST].isolate(i);
     }
     c.run(2000);
-    let lent = c.lent(EAST);
+    let lent = c.lent_jobs(EAST);
     lent.iter().for_each(|job| {
         c.cells[EAST].cancel(job);
     });
     c.run(38_000);
-    let running: usize = lent.iter().map(|j| c.cells[NORTH].running_of(j)).sum();
+    let running: usize = lent
+        .iter()
+        .map(|j| c.cells[NORTH].running_task_count_of(j))
+        .sum();
     assert_eq!(running, 0);
     c.assert_no_violations();
 }
@@ -308,7 +323,7 @@
 #[test]
 fn a_borrower_whose_controllers_restart_again_and_again_keeps_no_loan_alive() {
     let (mut c, jobs) = lending_long(49, 90_000);
-    c.cut_off(NORTH);
+    c.disconnect(NORTH);
     for _ in 0..25 {
         (0..3).for_each(|i| c.cells[NORTH].crash(i));
         c.run(200);
@@ -324,9 +339,12 @@
     let jobs = c.submit_many(EAST, 10, 4);
     let theirs = c.submit_many(NORTH, 10, 4);
     c.run(20_000);
-    assert_eq!(c.starts_in(NORTH, &jobs) + c.starts_in(EAST, &theirs), 0);
+    assert_eq!(
+        c.start_count_in(NORTH, &jobs) + c.start_count_in(EAST, &theirs),
+        0
+    );
     c.assert_all_jobs_finish(EAST, &jobs);
-    c.until(120_000, "done", |c| {
+    c.run_until(120_000, "done", |c| {
         theirs.iter().all(|j| c.cells[NORTH].is_done(j))
     });
 }
@@ -335,19 +353,19 @@
 #[test]
 fn loans_that_do_not_begin_come_home() {
     let (mut c, jobs) = saturated(51, &[3, 3]);
-    c.until(20_000, "lent", |c| c.lent(EAST).len() >= 2);
-    let lent = c.lent(EAST);
+    c.run_until(20_000, "lent", |c| c.lent_jobs(EAST).len() >= 2);
+    let lent = c.lent_jobs(EAST);
     c.cells[NORTH].run_ms = 100_000;
     let mut urgent = c.cells[NORTH].spec(12);
     urgent.priority = quillbend::protocol::Priority::Urgent;
     c.cells[NORTH].submit(900, urgent);
-    c.until(60_000, "home, or begun there", |c| {
-        let begun = |job: &String| c.cells[NORTH].starts_of(job) > 0;
-        c.lent(EAST).iter().all(begun)
+    c.run_until(60_000, "home, or begun there", |c| {
+        let begun = |job: &String| c.cells[NORTH].start_count_of(job) > 0;
+        c.lent_jobs(EAST).iter().all(begun)
     });
     assert!(
         lent.iter()
-            .any(|job| !c.is_lent(EAST, job) && c.cells[NORTH].starts_of(job) == 0)
+            .any(|job| !c.is_lent(EAST, job) && c.cells[NORTH].start_count_of(job) == 0)
     );
     c.assert_all_jobs_finish(EAST, &jobs);
 }
@@ -358,8 +376,8 @@
     let east = c.submit_many(EAST, 12, 4);
     let north = c.submit_many(NORTH, 12, 4);
     c.run(25_000);
-    assert!(c.starts_in(WEST, &east) + c.starts_in(WEST, &north) > 0);
-    let marks = |cell: usize| c.cells[cell].state.list("qb/job/").0;
+    assert!(c.start_count_in(WEST, &east) + c.start_count_in(WEST, &north) > 0);
+    let marks = |cell: usize| c.cells[cell].store.list("qb/job/").0;
     for item in marks(NORTH).into_iter().chain(marks(WEST)) {
         let job: JobRecord = item.value.read().expect("a job");
         let name = &item.key["qb/job/".len()..];
@@ -371,7 +389,7 @@
         }
     }
     c.assert_all_jobs_finish(EAST, &east);
-    c.until(120_000, "done", |c| {
+    c.run_until(120_000, "done", |c| {
         north.iter().all(|j| c.cells[NORTH].is_done(j))
     });
 }
@@ -379,15 +397,15 @@
 #[test]
 fn nothing_is_lent_beside_a_version_that_does_not_know_loans() {
     let mut c = Cells::new(53, &[2, 6]);
-    c.cells[EAST].state.forget("qb/format");
-    c.cells[EAST].old[0] = true;
-    c.cells[EAST].old_format = 3;
+    c.cells[EAST].store.delete_externally("qb/format");
+    c.cells[EAST].runs_previous_version[0] = true;
+    c.cells[EAST].previous_format = 3;
     (0..3).for_each(|i| c.cells[EAST].crash(i));
     (0..3).for_each(|i| c.cells[EAST].start(i));
     let jobs = c.submit_many(EAST, 12, 4);
     c.run(25_000);
-    assert_eq!(c.starts_in(NORTH, &jobs), 0);
-    c.cells[EAST].old[0] = false;
+    assert_eq!(c.start_count_in(NORTH, &jobs), 0);
+    c.cells[EAST].runs_previous_version[0] = false;
     c.cells[EAST].crash(0);
     c.assert_all_jobs_finish(EAST, &jobs);
 }
@@ -396,17 +414,17 @@
 #[test]
 fn a_refused_offer_stays_refused_whatever_copies_of_it_arrive() {
     let (mut c, jobs) = saturated(55, &[2, 6]);
-    c.request_copies = vec![30_000];
-    c.until(20_000, "lent", |c| !c.lent(EAST).is_empty());
-    let offered = c.lent(EAST);
-    c.restart_with(NORTH, |settings| settings.borrow = false);
-    c.until(20_000, "home again", |c| {
+    c.request_copy_delays_ms = vec![30_000];
+    c.run_until(20_000, "lent", |c| !c.lent_jobs(EAST).is_empty());
+    let offered = c.lent_jobs(EAST);
+    c.restart_with_settings(NORTH, |settings| settings.borrow = false);
+    c.run_until(20_000, "home again", |c| {
         !offered.iter().any(|job| c.is_lent(EAST, job))
     });
-    c.restart_with(EAST, |settings| settings.lend = false);
-    c.restart_with(NORTH, |settings| settings.borrow = true);
+    c.restart_with_settings(EAST, |settings| settings.lend = false);
+    c.restart_with_settings(NORTH, |settings| settings.borrow = true);
     c.run(40_000);
-    assert_eq!(c.cells[NORTH].state.writes_to("qb/job/"), 0);
+    assert_eq!(c.cells[NORTH].store.put_count("qb/job/"), 0);
     c.assert_all_jobs_finish(EAST, &jobs);
 }
 
@@ -415,10 +433,10 @@
 #[test]
 fn a_loan_that_was_given_up_is_not_called_refused_while_its_tasks_run() {
     let (mut c, _) = lending_long(56, 60_000);
-    let runs = |c: &Cells, job: &String| c.cells[NORTH].running_of(job) > 0;
-    let lent = c.lent(EAST).into_iter().find(|job| runs(&c, job));
+    let runs = |c: &Cells, job: &String| c.cells[NORTH].running_task_count_of(job) > 0;
+    let lent = c.lent_jobs(EAST).into_iter().find(|job| runs(&c, job));
     let job = lent.expect("one runs");
-    let record = c.cells[EAST].job(&job).expect("known");
+    let record = c.cells[EAST].job_record(&job).expect("known");
     let Some(Transfer::Lent(mark)) = record.transfer.as_deref().cloned() else {
         panic!("lent");
     };
@@ -439,16 +457,16 @@
     };
     let decision = |c: &mut Cells| {
         let leader = c.cells[NORTH].leader().expect("leads");
-        match c.cells[NORTH].take_cell_request(leader, &request) {
+        match c.cells[NORTH].handle_cell_request(leader, &request) {
             CellAnswer::Offers(answers) => answers[0].decision,
             other => panic!("{other:?}"),
         }
     };
     assert_eq!(decision(&mut c), Decision::Accepted);
     c.cells[EAST].cancel(&job);
-    c.until(10_000, "given up", |c| {
+    c.run_until(10_000, "given up", |c| {
         c.cells[NORTH]
-            .job(&job)
+            .job_record(&job)
             .is_some_and(|j| j.status == JobStatus::Cancelled)
     });
     assert!(runs(&c, &job));
@@ -487,7 +505,8 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut c = Cells::new(seed, &[2, 5, 4]);
     if rng.random_bool(0.5) {
-        c.request_copies = vec![rng.random_range(200..5000), rng.random_range(5000..60_000)];
+        c.request_copy_delays_ms =
+            vec![rng.random_range(200..5000), rng.random_range(5000..60_000)];
     }
     let mut jobs: Vec<(usize, String)> = Vec::new();
     for _ in 0..14 {
@@ -500,7 +519,7 @@
         jobs.extend(new.into_iter().map(|job| (cell, job)));
         if rng.random_bool(0.3) {
             let (cell, job) = jobs[rng.random_range(0..jobs.len())].clone();
-            if c.cells[cell].is_open(&job) && !c.cells[cell].state.out {
+            if c.cells[cell].is_unfinished(&job) && !c.cells[cell].store.unavailable {
                 c.cells[cell].cancel(&job);
             }
         }
@@ -527,15 +546,15 @@
         .collect();
     let open = jobs
         .iter()
-        .filter(|(cell, job)| c.cells[*cell].is_open(job));
+        .filter(|(cell, job)| c.cells[*cell].is_unfinished(job));
     violations.extend(open.map(|(cell, job)| {
         let home = &c.cells[*cell];
-        let value = serde_json::to_string(&home.job(job)).expect("plain data");
-        let (done, running) = (home.done(job), home.running_of(job));
+        let value = serde_json::to_string(&home.job_record(job)).expect("plain data");
+        let (done, running) = (home.done_task_count(job), home.running_task_count_of(job));
         let away: Vec<_> = c
             .cells
             .iter()
-            .map(|w| w.job(job).map(|j| j.status))
+            .map(|w| w.job_record(job).map(|j| j.status))
             .collect();
         format!(
             "{job} of {cell} is not over: {done} done, {running} run at home, {away:?}, {value}"
@@ -555,18 +574,18 @@
     match rng.random_range(0..13) {
         0 => c.cells[cell].crash(node),
         1 => (0..3).for_each(|i| c.cells[cell].crash(i)),
-        2 => c.cells[cell].outage(true),
+        2 => c.cells[cell].set_store_outage(true),
         3 => c.cells[cell].pause(node, ms),
         4 => (0..3).for_each(|i| c.cells[cell].pause(i, ms)),
-        5 => c.cells[cell].links[node].state = StoreFault::Intermittent,
-        6 => c.cells[cell].links[node].state = StoreFault::Late(ms.min(12_000)),
+        5 => c.cells[cell].links[node].store_fault = StoreFault::Intermittent,
+        6 => c.cells[cell].links[node].store_fault = StoreFault::DelaysCommits(ms.min(12_000)),
         7 => c.cells[cell].isolate(node),
-        8 => c.cut_off(cell),
-        9 => c.cell_links[cell][other] = CellLink::Cut,
-        10 => c.cell_links[cell][other] = CellLink::LosesAnswers,
-        11 => c.cell_links[cell][other] = CellLink::Late(ms),
+        8 => c.disconnect(cell),
+        9 => c.cell_links[cell][other] = CellLink::Disconnected,
+        10 => c.cell_links[cell][other] = CellLink::LosesResponses,
+        11 => c.cell_links[cell][other] = CellLink::Delayed(ms),
         _ => {
-            c.refusing.insert((cell, node));
+            c.unreachable_controllers.insert((cell, node));
             if let Some(worker) = c.cells[cell].workers.get_mut(node) {
                 worker.hung = true;
             }
@@ -614,11 +633,11 @@
     const DUE_MS: u64 = 45_000;
     let mut c = Cells::new(seed, &[4, 6]);
     if !lend {
-        (0..2).for_each(|cell| c.cut_off(cell));
+        (0..2).for_each(|cell| c.disconnect(cell));
         c.run(12_000);
     }
-    let writes = |c: &Cells| c.cells.iter().map(|w| w.state.writes).sum::<u64>();
-    let (writes_before, requests_before) = (writes(&c), c.requests);
+    let writes = |c: &Cells| c.cells.iter().map(|w| w.store.write_count).sum::<u64>();
+    let (writes_before, requests_before) = (writes(&c), c.sent_request_count);
     let mut jobs: Vec<(usize, String, u64)> = Vec::new();
     let mut done: Vec<Option<u64>> = Vec::new();
     for second in 0..400u64 {
@@ -660,7 +679,7 @@
     };
     let east = || jobs.iter().filter(|j| j.0 == EAST);
     let loans = east()
-        .filter(|j| c.cells[NORTH].starts_of(&j.1) > 0)
+        .filter(|j| c.cells[NORTH].start_count_of(&j.1) > 0)
         .count();
     println!(
         "{} jobs of the east, {loans} of them ran in the north",
@@ -670,7 +689,7 @@
         served(EAST),
         served(NORTH),
         writes(&c) - writes_before,
-        c.requests - requests_before,
+        c.sent_request_count - requests_before,
     )
 }
 
@@ -695,14 +714,14 @@
     }
     for seed in 1..6 {
         let (mut c, jobs) = lending_long(seed, 60_000);
-        let away: Vec<String> = c.lent(EAST);
-        c.cut_off(NORTH);
+        let away: Vec<String> = c.lent_jobs(EAST);
+        c.disconnect(NORTH);
         let cut = c.now();
-        c.until(120_000, "home", |c| {
-            away.iter().any(|j| c.cells[EAST].starts_of(j) > 0)
+        c.run_until(120_000, "home", |c| {
+            away.iter().any(|j| c.cells[EAST].start_count_of(j) > 0)
         });
         let first = (c.now() - cut) as f64 / 1000.0;
-        c.until(120_000, "all home", |c| c.lent(EAST).is_empty());
+        c.run_until(120_000, "all home", |c| c.lent_jobs(EAST).is_empty());
         println!(
             "seed {seed}: {} loans of a silent cell, the first restarts after {first:.1} s, all home after {:.1} s",
             away.len(),
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -1,7 +1,7 @@
 //! Several worlds as cells that lend each other jobs, with the network between them.
 
 use super::{
-    BTreeSet, CommitOutcome, Controller, JobRecord, JobSpec, Mutation, Rng, State, StoreFault,
+    BTreeSet, CommitOutcome, Controller, FakeStore, JobRecord, JobSpec, Mutation, Rng, StoreFault,
     Timestamp, Transaction, Transfer, World, digest, occupancy, past_key,
 };
 use quillbend::spillover::{Archived, CellCall, CellRequest, OfferPlan};
@@ -15,11 +15,11 @@
 #[derive(Clone, Copy, PartialEq)]
 pub enum CellLink {
     Open,
-    Cut,
+    Disconnected,
     /// Requests arrive, answers are lost.
-    LosesAnswers,
+    LosesResponses,
     /// Requests arrive this many ms late, and nobody waits for the answer.
-    Late(u64),
+    Delayed(u64),
 }
 
 /// A request that is under way.
@@ -40,13 +40,13 @@
     /// How messages of each cell reach each other cell.
     pub cell_links: Vec<Vec<CellLink>>,
     /// Controllers, by cell and place, that reach no other cell.
-    pub refusing: BTreeSet<(usize, usize)>,
+    pub unreachable_controllers: BTreeSet<(usize, usize)>,
     /// Copies of each request arrive this many ms later.
-    pub request_copies: Vec<u64>,
+    pub request_copy_delays_ms: Vec<u64>,
     pub violations: Vec<String>,
     /// Requests between cells that were sent.
-    pub requests: u64,
-    requests_under_way: Vec<Request>,
+    pub sent_request_count: u64,
+    requests_in_flight: Vec<Request>,
     last_number: u32,
 }
 
@@ -88,10 +88,12 @@
     transaction.mutations.iter().any(lent)
 }
 
-impl State {
+impl FakeStore {
     /// Whether a write that lends jobs is still to be carried out.
-    pub fn is_lending_late(&self) -> bool {
-        self.late.iter().any(|(_, transaction)| lends(transaction))
+    pub fn has_delayed_loan_write(&self) -> bool {
+        self.delayed_commits
+            .iter()
+            .any(|(_, transaction)| lends(transaction))
     }
 }
 
@@ -116,11 +118,11 @@
         let mut cells = Cells {
             cells: worlds.collect(),
             cell_links: vec![vec![CellLink::Open; machines.len()]; machines.len()],
-            refusing: BTreeSet::new(),
-            request_copies: Vec::new(),
+            unreachable_controllers: BTreeSet::new(),
+            request_copy_delays_ms: Vec::new(),
             violations: Vec::new(),
-            requests: 0,
-            requests_under_way: Vec::new(),
+            sent_request_count: 0,
+            requests_in_flight: Vec::new(),
             last_number: 0,
         };
         cells.run(20_000);
@@ -136,7 +138,7 @@
         self.last_number += 1;
         let spec = self.cells[cell].spec(tasks);
         for world in &mut self.cells {
-            world.know_spec(self.last_number, &spec);
+            world.register_spec(self.last_number, &spec);
         }
         self.cells[cell].submit(self.last_number, spec)
     }
@@ -152,7 +154,7 @@
         }
     }
 
-    pub fn until(&mut self, ms: u64, what: &str, mut holds: impl FnMut(&Cells) -> bool) {
+    pub fn run_until(&mut self, ms: u64, what: &str, mut holds: impl FnMut(&Cells) -> bool) {
         let end = self.now() + ms;
         while !holds(self) {
             assert!(self.now() < end, "never happened: {what}");
@@ -163,7 +165,7 @@
     /// Ends all faults; every job is done in the end, and the rules were kept.
     pub fn assert_all_jobs_finish(&mut self, cell: usize, jobs: &[String]) {
         self.heal();
-        self.until(240_000, "done", |c| {
+        self.run_until(240_000, "done", |c| {
             jobs.iter().all(|job| c.cells[cell].is_done(job))
         });
         self.assert_no_violations();
@@ -175,7 +177,7 @@
             .iter_mut()
             .flatten()
             .for_each(|w| *w = CellLink::Open);
-        self.refusing.clear();
+        self.unreachable_controllers.clear();
     }
 
     pub fn assert_no_violations(&self) {
@@ -186,27 +188,33 @@
     /// Whether a cell's state service shows a job as lent.
     pub fn is_lent(&self, cell: usize, job: &str) -> bool {
         let lent = |job: JobRecord| matches!(job.transfer.as_deref(), Some(Transfer::Lent(_)));
-        self.cells[cell].job(job).is_some_and(lent)
+        self.cells[cell].job_record(job).is_some_and(lent)
     }
 
     /// Jobs that a cell has lent and that are not over.
-    pub fn lent(&self, cell: usize) -> Vec<String> {
-        let (items, _) = self.cells[cell].state.list("qb/job/");
+    pub fn lent_jobs(&self, cell: usize) -> Vec<String> {
+        let (items, _) = self.cells[cell].store.list("qb/job/");
         let names = items
             .iter()
             .map(|item| item.key["qb/job/".len()..].to_owned());
         names
-            .filter(|job| self.is_lent(cell, job) && self.cells[cell].is_open(job))
+            .filter(|job| self.is_lent(cell, job) && self.cells[cell].is_unfinished(job))
             .collect()
     }
 
     /// How often tasks of these jobs were started in a cell.
-    pub fn starts_in(&self, cell: usize, jobs: &[String]) -> usize {
-        jobs.iter().map(|job| self.cells[cell].starts_of(job)).sum()
+    pub fn start_count_in(&self, cell: usize, jobs: &[String]) -> usize {
+        jobs.iter()
+            .map(|job| self.cells[cell].start_count_of(job))
+            .sum()
     }
 
     /// Restarts all controllers of a cell with other settings.
-    pub fn restart_with(&mut self, cell: usize, change: impl FnOnce(&mut SpilloverSettings)) {
+    pub fn restart_with_settings(
+        &mut self,
+        cell: usize,
+        change: impl FnOnce(&mut SpilloverSettings),
+    ) {
         let world = &mut self.cells[cell];
         change(world.settings.spillover.as_mut().expect("turned on"));
         for i in 0..world.controllers.len() {
@@ -216,22 +224,22 @@
     }
 
     /// Cuts a cell from all others, in both directions.
-    pub fn cut_off(&mut self, cell: usize) {
+    pub fn disconnect(&mut self, cell: usize) {
         for other in 0..self.cells.len() {
-            self.cell_links[cell][other] = CellLink::Cut;
-            self.cell_links[other][cell] = CellLink::Cut;
+            self.cell_links[cell][other] = CellLink::Disconnected;
+            self.cell_links[other][cell] = CellLink::Disconnected;
         }
     }
 
     pub fn step(&mut self) {
         for cell in 0..self.cells.len() {
             self.cells[cell].step();
-            for (node, call) in std::mem::take(&mut self.cells[cell].cell_calls) {
+            for (node, call) in std::mem::take(&mut self.cells[cell].outgoing_cell_requests) {
                 self.send(cell, node, call);
             }
         }
         let now = self.now();
-        let due = self.requests_under_way.extract_if(.., |r| r.at <= now);
+        let due = self.requests_in_flight.extract_if(.., |r| r.at <= now);
         for request in due.collect::<Vec<_>>() {
             self.deliver(request);
         }
@@ -244,14 +252,19 @@
     )]
     fn send(&mut self, from: usize, node: usize, call: CellCall) {
         let to = place(&call.address).expect("an address of ours");
-        self.requests += u64::from(to.0 != from);
+        self.sent_request_count += u64::from(to.0 != from);
         let sent = self.cells[from].clock(node);
         let way = match from == to.0 {
             true => CellLink::Open,
             false => self.cell_links[from][to.0],
         };
-        let delay = if let CellLink::Late(ms) = way { ms } else { 0 };
-        let cut = way == CellLink::Cut || (from != to.0 && self.refusing.contains(&(from, node)));
+        let delay = if let CellLink::Delayed(ms) = way {
+            ms
+        } else {
+            0
+        };
+        let cut = way == CellLink::Disconnected
+            || (from != to.0 && self.unreachable_controllers.contains(&(from, node)));
         let request = |at: u64, awaited: bool| Request {
             at,
             from,
@@ -265,18 +278,18 @@
         if cut || delay > 0 {
             self.answer(&request(now, true), None);
         } else {
-            let awaited = way != CellLink::LosesAnswers;
-            self.requests_under_way.push(request(now, awaited));
+            let awaited = way != CellLink::LosesResponses;
+            self.requests_in_flight.push(request(now, awaited));
             if !awaited {
                 self.answer(&request(now, true), None);
             }
         }
-        let request_copies = self.request_copies.iter().copied();
-        let late = request_copies
+        let request_copy_delays_ms = self.request_copy_delays_ms.iter().copied();
+        let late = request_copy_delays_ms
             .chain((delay > 0).then_some(delay))
             .filter(|_| !cut);
         let late: Vec<Request> = late.map(|ms| request(now + ms, false)).collect();
-        self.requests_under_way.extend(late);
+        self.requests_in_flight.extend(late);
     }
 
     #[expect(
@@ -286,10 +299,10 @@
     fn deliver(&mut self, request: Request) {
         let (cell, node) = request.to;
         let world = &mut self.cells[cell];
-        let unreachable = world.paused(node)
-            || (request.from != cell && self.refusing.contains(&(cell, node)))
+        let unreachable = world.is_paused(node)
+            || (request.from != cell && self.unreachable_controllers.contains(&(cell, node)))
             || world.controllers[node].is_none();
-        let answer = (!unreachable).then(|| world.take_cell_request(node, &request.call.request));
+        let answer = (!unreachable).then(|| world.handle_cell_request(node, &request.call.request));
         if request.awaited {
             self.answer(&request, answer);
         }
@@ -300,7 +313,7 @@
         let now = world.clock(request.node);
         let back = match request.from == request.to.0 {
             true => true,
-            false => self.cell_links[request.to.0][request.from] != CellLink::Cut,
+            false => self.cell_links[request.to.0][request.from] != CellLink::Disconnected,
         };
         if let Some(node) = &mut world.controllers[request.node] {
             let controller = &mut node.controller;
@@ -329,14 +342,14 @@
                 on.map(move |t| (t.task.as_str(), name.as_str()))
             })
         });
-        if let Some(double) = occupancy::double_start(present) {
+        if let Some(double) = occupancy::find_duplicate_execution(present) {
             let what = format!("ran_twice: {double:?} at {}", self.now());
             self.violations.push(what);
         }
         for origin in &self.cells {
             for (job, at) in &origin.cancelled {
-                let late = self.now() > at + origin.cancel_ms();
-                let runs = late && self.cells.iter().any(|w| w.running_of(job) > 0);
+                let late = self.now() > at + origin.cancel_limit_ms();
+                let runs = late && self.cells.iter().any(|w| w.running_task_count_of(job) > 0);
                 if runs {
                     self.violations.push(format!("ran_cancelled: {job}"));
                 }
@@ -347,12 +360,12 @@
 
 impl World {
     /// The description of a job that another cell accepted.
-    pub fn know_spec(&mut self, number: u32, spec: &JobSpec) {
+    pub fn register_spec(&mut self, number: u32, spec: &JobSpec) {
         self.specs.insert(format!("wk-{number:06}"), spec.clone());
     }
 
     /// A controller takes a request of another cell, as its door does.
-    pub fn take_cell_request(&mut self, node: usize, request: &CellRequest) -> CellAnswer {
+    pub fn handle_cell_request(&mut self, node: usize, request: &CellRequest) -> CellAnswer {
         let now = self.clock(node);
         let mut taken = self.controllers[node].take().expect("alive");
         let controller = &mut taken.controller;
@@ -406,10 +419,10 @@
                 }
                 CommitOutcome::Conflict(_) => {
                     let key = past_key(&offer.loan.job);
-                    let value = self.state.value(&key);
+                    let value = self.store.value(&key);
                     archived = value.map(|v| Archived {
                         record: serde_json::from_value(v).expect("a job's value"),
-                        mod_revision: self.state.mod_revision(&key),
+                        mod_revision: self.store.mod_revision(&key),
                     });
                 }
                 _ => break,
@@ -421,22 +434,24 @@
     /// Sends a transaction of a controller's door.
     fn write(&mut self, node: usize, transaction: &Transaction) -> CommitOutcome {
         digest::transaction(self.origin(node), transaction);
-        self.check_size(node, transaction);
-        match self.link(node).state {
-            StoreFault::Good | StoreFault::Slow(_) => self.state.commit(transaction),
-            StoreFault::LosesAnswers => {
-                self.state.commit(transaction);
+        self.check_transaction_size(node, transaction);
+        match self.link(node).store_fault {
+            StoreFault::None | StoreFault::Slow(_) => self.store.commit(transaction),
+            StoreFault::LosesResponses => {
+                self.store.commit(transaction);
                 CommitOutcome::Unknown
             }
-            StoreFault::Late(ms) => {
-                self.state.late.push((self.now + ms, transaction.clone()));
+            StoreFault::DelaysCommits(ms) => {
+                self.store
+                    .delayed_commits
+                    .push((self.now + ms, transaction.clone()));
                 CommitOutcome::Unknown
             }
             StoreFault::Intermittent if self.rng.random_bool(0.3) => {
-                self.state.commit(transaction);
+                self.store.commit(transaction);
                 CommitOutcome::Unknown
             }
-            StoreFault::Intermittent | StoreFault::Refuses => CommitOutcome::Refused,
+            StoreFault::Intermittent | StoreFault::RejectsRequests => CommitOutcome::Refused,
         }
     }
 }
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -4,7 +4,7 @@
 
 impl World {
     /// The cloud's list, which lags, and may be older than the one before it.
-    pub(super) fn cloud_list(&mut self) -> Vec<CloudMachine> {
+    pub(super) fn lagging_cloud_list(&mut self) -> Vec<CloudMachine> {
         let current = self.workers.iter().map(|w| w.machine.clone()).collect();
         if self.list_lag_ms == 0 {
             return current;
@@ -18,7 +18,7 @@
     }
 
     /// Remembers what the cloud may list later.
-    pub(super) fn note_list(&mut self) {
+    pub(super) fn record_cloud_list(&mut self) {
         if self.list_lag_ms == 0 || !self.now.is_multiple_of(1000) {
             return;
         }
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -1,7 +1,7 @@
 //! The controllers: their lives, and what they ask of the state service, of each other and of the cloud.
 
 use super::{
-    BEGIN, CommitOutcome, Controller, Effect, JobRecord, Link, Mutation, Node, Rng, SmallRng,
+    CommitOutcome, Controller, Effect, JobRecord, Link, Mutation, Node, Rng, START_MS, SmallRng,
     StoreFault, Timestamp, Transaction, World, WriteKind, catalog, cells, digest, past_key,
     position,
 };
@@ -12,23 +12,23 @@
     pub fn inject_fault(&mut self, i: usize, kind: u32, rng: &mut SmallRng) {
         match kind {
             0 => self.crash(i),
-            1 => self.links[i].state = StoreFault::Refuses,
-            2 if rng.random_bool(0.5) => self.links[i].state = StoreFault::Slow(1500),
-            2 => self.links[i].state = StoreFault::Late(rng.random_range(200..8000)),
-            3 => self.links[i].peers = false,
-            _ => self.links[i].workers = false,
+            1 => self.links[i].store_fault = StoreFault::RejectsRequests,
+            2 if rng.random_bool(0.5) => self.links[i].store_fault = StoreFault::Slow(1500),
+            2 => self.links[i].store_fault = StoreFault::DelaysCommits(rng.random_range(200..8000)),
+            3 => self.links[i].peers_reachable = false,
+            _ => self.links[i].workers_reachable = false,
         }
     }
 
     /// A controller's steady clock. It drifts, but does not jump when a test sets its drift.
     pub fn clock(&self, i: usize) -> Timestamp {
-        let passed = (self.now - BEGIN) as f64 * (1.0 + self.drift[i]);
-        Timestamp(BEGIN + passed as u64)
+        let passed = (self.now - START_MS) as f64 * (1.0 + self.clock_drift[i]);
+        Timestamp(START_MS + passed as u64)
     }
 
     pub fn start(&mut self, i: usize) {
-        let mut s = match self.old[i] {
-            true => self.old_settings.clone(),
+        let mut s = match self.runs_previous_version[i] {
+            true => self.previous_settings.clone(),
             false => self.settings.clone(),
         };
         let names: Vec<String> = (0..self.controllers.len())
@@ -45,8 +45,8 @@
             })
             .collect();
         let mut controller = Controller::new(s, self.rng.random());
-        if self.old[i] {
-            controller.run_as_format(self.old_format);
+        if self.runs_previous_version[i] {
+            controller.run_as_format(self.previous_format);
         }
         let node = Node {
             controller,
@@ -70,7 +70,7 @@
     }
 
     /// The controller that leads, one that does not know better aside.
-    pub fn leader_but(&self, old: usize) -> Option<usize> {
+    pub fn leader_except(&self, old: usize) -> Option<usize> {
         self.leader_among((0..self.controllers.len()).filter(|&i| i != old))
     }
 
@@ -86,7 +86,7 @@
     }
 
     /// Whether a controller other than `old` holds a machine.
-    pub fn holder_of_all_but(&self, old: usize, machine: &str) -> bool {
+    pub fn is_held_by_other_than(&self, old: usize, machine: &str) -> bool {
         let others = (0..self.controllers.len()).filter(|&i| i != old);
         self.holder_among(others, machine).is_some()
     }
@@ -116,8 +116,8 @@
     }
 
     /// The state service is out for everybody, or is back.
-    pub fn outage(&mut self, out: bool) {
-        self.state.out = out;
+    pub fn set_store_outage(&mut self, out: bool) {
+        self.store.unavailable = out;
     }
 
     /// A controller is paused for a while; what is asked of it then has no answer.
@@ -127,16 +127,16 @@
         }
     }
 
-    pub(super) fn paused(&self, i: usize) -> bool {
+    pub(super) fn is_paused(&self, i: usize) -> bool {
         let node = self.controllers[i].as_ref();
         node.is_some_and(|n| self.now < n.paused_until)
     }
 
     /// How a controller reaches the others now.
     pub(super) fn link(&self, i: usize) -> Link {
-        match self.state.out {
+        match self.store.unavailable {
             true => Link {
-                state: StoreFault::Refuses,
+                store_fault: StoreFault::RejectsRequests,
                 watch_hangs: true,
                 ..self.links[i]
             },
@@ -146,9 +146,9 @@
 
     /// Cuts a controller from the state service and from the others, but not from its workers.
     pub fn isolate(&mut self, i: usize) {
-        self.links[i].state = StoreFault::Refuses;
+        self.links[i].store_fault = StoreFault::RejectsRequests;
         self.links[i].watch_hangs = true;
-        self.links[i].peers = false;
+        self.links[i].peers_reachable = false;
     }
 
     /// Names the controller and the time in what a traced test logs.
@@ -156,15 +156,15 @@
         tracing::debug_span!("controller", i, now = self.now)
     }
 
-    pub(super) fn play_node(&mut self, i: usize) {
+    pub(super) fn step_controller(&mut self, i: usize) {
         let Some(mut node) = self.controllers[i].take() else {
             return;
         };
         let _span = self.span(i).entered();
         let now = self.clock(i);
         let link = self.link(i);
-        let late = match link.state {
-            StoreFault::Good | StoreFault::Intermittent => Some(0),
+        let late = match link.store_fault {
+            StoreFault::None | StoreFault::Intermittent => Some(0),
             StoreFault::Slow(ms) => Some(ms),
             _ => None,
         };
@@ -175,14 +175,14 @@
             if node.loaded {
                 let after = node.controller.replica.revision;
                 let list = match late {
-                    0 => self.state.events("qb/", after),
-                    late => self.state.messages_by("qb/", after, self.now - late),
+                    0 => self.store.events("qb/", after),
+                    late => self.store.events_by("qb/", after, self.now - late),
                 };
                 // What a late answer shows was current when the watch was opened.
                 let sent = Timestamp(now.0.saturating_sub(late));
                 node.controller.on_watch_response(list, sent, now);
             } else {
-                let (items, revision) = self.state.list("qb/");
+                let (items, revision) = self.store.list("qb/");
                 node.controller.on_load(items, revision, revision, now, now);
                 node.loaded = true;
             }
@@ -190,7 +190,7 @@
         let mut todo = node.controller.tick(now, self.now);
         let mut rounds = 0;
         while let Some(effect) = todo.pop() {
-            let done = self.carry_out(i, &mut node.controller, effect);
+            let done = self.execute_effect(i, &mut node.controller, effect);
             rounds += 1;
             if done && rounds < 20 {
                 todo.extend(node.controller.tick(now, self.now));
@@ -203,20 +203,20 @@
         clippy::too_many_lines,
         reason = "one match with an arm for each effect"
     )]
-    pub(super) fn carry_out(
+    pub(super) fn execute_effect(
         &mut self,
         i: usize,
         controller: &mut Controller,
         effect: Effect,
     ) -> bool {
         digest::request(self.origin(i), controller, &effect);
-        let (now, fault) = (self.clock(i), self.link(i).state);
-        let reachable = fault != StoreFault::Refuses;
+        let (now, fault) = (self.clock(i), self.link(i).store_fault);
+        let reachable = fault != StoreFault::RejectsRequests;
         match effect {
             Effect::NewLease { lease_ms } if reachable => {
-                controller.on_lease(self.state.lease(lease_ms, self.now), now);
+                controller.on_lease(self.store.grant_lease(lease_ms, self.now), now);
             }
-            Effect::Renew { lease_id } if reachable => match self.state.leases.get_mut(&lease_id) {
+            Effect::Renew { lease_id } if reachable => match self.store.leases.get_mut(&lease_id) {
                 Some(l) => {
                     l.1 = self.now + l.0;
                     controller.on_renewed(lease_id, now);
@@ -233,12 +233,16 @@
                 let Some(j) = position(&name).filter(|j| *j < self.controllers.len()) else {
                     return false;
                 };
-                let apart = self.partition_side[i] != self.partition_side[j];
-                if apart || self.paused(j) || !self.links[i].peers || !self.links[j].peers {
+                let apart = self.partition_group[i] != self.partition_group[j];
+                if apart
+                    || self.is_paused(j)
+                    || !self.links[i].peers_reachable
+                    || !self.links[j].peers_reachable
+                {
                     return false;
                 }
-                for &age in &self.peer_message_copies {
-                    self.late_messages
+                for &age in &self.peer_message_copy_delays_ms {
+                    self.delayed_peer_messages
                         .push((self.now + age, j, (*message).clone()));
                 }
                 let (theirs, origin) = (self.clock(j), self.origin(j));
@@ -251,19 +255,19 @@
             Effect::Catalog if self.cloud_up => controller.on_catalog(catalog()),
             Effect::Catalog => {}
             Effect::List => {
-                let list = self.cloud_list();
+                let list = self.lagging_cloud_list();
                 controller.on_list(self.cloud_up.then_some(list), now);
             }
             Effect::Archived(jobs) => {
                 for job in jobs.iter().filter(|_| reachable) {
-                    let record = self.state.value(&past_key(job));
+                    let record = self.store.value(&past_key(job));
                     let record = record.and_then(|v| serde_json::from_value::<JobRecord>(v).ok());
                     if let Some(record) = record {
                         controller.on_archived(job, record.status);
                     }
                 }
             }
-            Effect::Cell(call) => self.cell_calls.push((i, *call)),
+            Effect::Cell(call) => self.outgoing_cell_requests.push((i, *call)),
             Effect::Rent(r) => {
                 if self.cloud_up && self.cloud_has_no_capacity {
                     controller.on_rented(&r, RentalOutcome::Refused, now);
@@ -273,16 +277,16 @@
                     controller.on_rented(&r, RentalOutcome::Unknown, now);
                     return false;
                 }
-                let names = match self.request_counter.get(&r.request_id) {
+                let names = match self.machines_by_request.get(&r.request_id) {
                     Some(names) => names.clone(),
                     None => (0..r.number.min(4))
                         .map(|_| {
-                            let boot_ms = self.slow_boot.unwrap_or(5000);
-                            self.machine(&r.machine_type, &r.zone, r.spot, boot_ms)
+                            let boot_ms = self.boot_delay_ms.unwrap_or(5000);
+                            self.add_machine(&r.machine_type, &r.zone, r.spot, boot_ms)
                         })
                         .collect(),
                 };
-                self.request_counter
+                self.machines_by_request
                     .insert(r.request_id.clone(), names.clone());
                 controller.on_rented(&r, RentalOutcome::Rented(names), now);
             }
@@ -306,30 +310,37 @@
         fault: StoreFault,
     ) -> bool {
         let fault = match (fault, self.rng.random_range(0..6)) {
-            (StoreFault::Intermittent, 0) => StoreFault::LosesAnswers,
-            (StoreFault::Intermittent, 1) => StoreFault::Late(self.rng.random_range(100..5000)),
-            (StoreFault::Intermittent, 2 | 3) => StoreFault::Refuses,
-            (StoreFault::Intermittent, _) => StoreFault::Good,
-            (StoreFault::Slow(_), 0 | 1) => StoreFault::LosesAnswers,
-            (StoreFault::Slow(_), _) => StoreFault::Good,
+            (StoreFault::Intermittent, 0) => StoreFault::LosesResponses,
+            (StoreFault::Intermittent, 1) => {
+                StoreFault::DelaysCommits(self.rng.random_range(100..5000))
+            }
+            (StoreFault::Intermittent, 2 | 3) => StoreFault::RejectsRequests,
+            (StoreFault::Intermittent, _) => StoreFault::None,
+            (StoreFault::Slow(_), 0 | 1) => StoreFault::LosesResponses,
+            (StoreFault::Slow(_), _) => StoreFault::None,
             (fault, _) => fault,
         };
-        self.check_size(i, &transaction);
-        let fault = match self.late_lending.filter(|_| cells::lends(&transaction)) {
-            Some(ms) => StoreFault::Late(ms),
+        self.check_transaction_size(i, &transaction);
+        let fault = match self
+            .loan_write_delay_ms
+            .filter(|_| cells::lends(&transaction))
+        {
+            Some(ms) => StoreFault::DelaysCommits(ms),
             None => fault,
         };
         let outcome = match fault {
-            StoreFault::Good => self.state.commit(&transaction),
-            StoreFault::LosesAnswers => {
-                self.state.commit(&transaction);
+            StoreFault::None => self.store.commit(&transaction),
+            StoreFault::LosesResponses => {
+                self.store.commit(&transaction);
                 CommitOutcome::Unknown
             }
-            StoreFault::Late(ms) => {
-                self.state.late.push((self.now + ms, transaction));
+            StoreFault::DelaysCommits(ms) => {
+                self.store
+                    .delayed_commits
+                    .push((self.now + ms, transaction));
                 CommitOutcome::Unknown
             }
-            StoreFault::Refuses | StoreFault::Intermittent | StoreFault::Slow(_) => {
+            StoreFault::RejectsRequests | StoreFault::Intermittent | StoreFault::Slow(_) => {
                 CommitOutcome::Refused
             }
         };
@@ -338,9 +349,9 @@
     }
 
     /// What the service would call malformed would be sent again and again.
-    pub(super) fn check_size(&mut self, i: usize, transaction: &Transaction) {
-        let settings = match self.old[i] {
-            true => &self.old_settings,
+    pub(super) fn check_transaction_size(&mut self, i: usize, transaction: &Transaction) {
+        let settings = match self.runs_previous_version[i] {
+            true => &self.previous_settings,
             false => &self.settings,
         };
         let s = &settings.platform.settings.state;
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -224,7 +224,7 @@
     }
 
     /// Every second each controller is asked for each job, as its users may ask at any time.
-    pub(super) fn record_user_answers(&self) {
+    pub(super) fn digest_user_answers(&self) {
         if !is_recording() || !self.now.is_multiple_of(1000) {
             return;
         }
--- a/tests/support/rules.rs
+++ b/tests/support/invariants.rs
@@ -4,27 +4,27 @@
 
 impl World {
     /// Milliseconds that a cancellation has.
-    pub fn cancel_ms(&self) -> u64 {
+    pub fn cancel_limit_ms(&self) -> u64 {
         (self.settings.platform.settings.workers.cancel_s * 1000.0) as u64
     }
 
     /// No task is on two machines, whoever can reach them.
-    pub(super) fn check_double_starts(&mut self) {
-        self.check_double_starts_among(|_| true);
+    pub(super) fn check_duplicate_executions(&mut self) {
+        self.check_duplicate_executions_among(|_| true);
     }
 
     /// The same for one task, at the moment at which it starts.
-    pub(super) fn check_double_start_of(&mut self, task: &str) {
-        self.check_double_starts_among(|other| other == task);
+    pub(super) fn check_duplicate_execution_of(&mut self, task: &str) {
+        self.check_duplicate_executions_among(|other| other == task);
     }
 
-    fn check_double_starts_among(&mut self, concerns: impl Fn(&str) -> bool) {
+    fn check_duplicate_executions_among(&mut self, concerns: impl Fn(&str) -> bool) {
         let present = self.workers.iter().flat_map(|w| {
             let on = w.tasks.iter().filter(|t| t.is_on_machine());
             on.map(|t| (t.task.as_str(), w.machine.name.as_str()))
         });
         let present = present.filter(|(task, _)| concerns(task));
-        if let Some(double) = occupancy::double_start(present) {
+        if let Some(double) = occupancy::find_duplicate_execution(present) {
             let [one, other] = double.machines;
             let what = format!(
                 "ran_twice: {} on {one} and {other} at {}",
@@ -37,8 +37,8 @@
     }
 
     /// A task of a job has just started on a machine, where its job must permit it.
-    pub(super) fn check_place(&mut self, at: usize, name: &str) {
-        let Some(spec) = self.job(name).map(|j| j.spec) else {
+    pub(super) fn check_placement(&mut self, at: usize, name: &str) {
+        let Some(spec) = self.job_record(name).map(|j| j.spec) else {
             return;
         };
         let machine = &self.workers[at].machine;
@@ -69,12 +69,12 @@
 
     /// What its user called off is gone from every machine in time, wherever that hangs.
     pub(super) fn check_cancelled(&mut self) {
-        let cancel_ms = self.cancel_ms();
+        let cancel_ms = self.cancel_limit_ms();
         for w in &self.workers {
             for t in w.tasks.iter().filter(|t| t.ended.is_none()) {
                 let job = job_of(&t.task);
                 let cancelled = self.cancelled.get(job).copied();
-                if let Some(at) = cancelled.or_else(|| self.orphaned_since(job))
+                if let Some(at) = cancelled.or_else(|| self.predecessor_cancelled_at(job))
                     && self.now > at + cancel_ms
                 {
                     let late = self.now - at;
@@ -89,9 +89,9 @@
     }
 
     /// A job that waited is bindable only once all that it named is finally done.
-    pub(super) fn check_ready(&mut self) {
+    pub(super) fn check_predecessors(&mut self) {
         for (job, named) in &self.awaits {
-            let bindable = self.state.value(&job_key(job)).is_some();
+            let bindable = self.store.value(&job_key(job)).is_some();
             if let Some(early) = named.iter().find(|n| bindable && !self.is_done(n)) {
                 let what = format!("too_early: {job} may be bound, {early} is not done");
                 self.violations.push(what);
@@ -100,9 +100,9 @@
     }
 
     pub(super) fn check(&mut self) {
-        self.check_double_starts();
+        self.check_duplicate_executions();
         self.check_cancelled();
-        self.check_ready();
+        self.check_predecessors();
         let mut used: HashMap<String, f64> = HashMap::new();
         for w in &self.workers {
             for t in w.tasks.iter().filter(|t| t.is_on_machine()) {
--- a/tests/support/machines.rs
+++ b/tests/support/machines.rs
@@ -7,19 +7,19 @@
 
 impl World {
     /// Tasks of a job that run now.
-    pub fn running_of(&self, job: &str) -> usize {
+    pub fn running_task_count_of(&self, job: &str) -> usize {
         let tasks = self.workers.iter().flat_map(|w| &w.tasks);
         let of_job = |t: &&Task| job_of(&t.task) == job;
         tasks.filter(of_job).filter(|t| t.ended.is_none()).count()
     }
 
     /// How often tasks of a job were started.
-    pub fn starts_of(&self, job: &str) -> usize {
+    pub fn start_count_of(&self, job: &str) -> usize {
         let of_job = |s: &&(u64, String, String)| job_of(&s.1) == job;
         self.starts.iter().filter(of_job).count()
     }
 
-    pub(super) fn machine(
+    pub(super) fn add_machine(
         &mut self,
         machine_type: &str,
         zone: &str,
@@ -44,15 +44,15 @@
             sequence: 0,
             token: 0,
             tasks: Vec::new(),
-            at: self.rented as usize % self.controllers.len(),
+            current_controller: self.rented as usize % self.controllers.len(),
             next_heartbeat: self.now + boot_ms,
             silent_until: 0,
-            answered: self.now + boot_ms,
-            held: None,
-            cut: false,
-            unreachable: false,
+            last_acked_at: self.now + boot_ms,
+            pending_ack: None,
+            disconnected: false,
+            loses_responses: false,
             hung: false,
-            only: None,
+            reaches_only: None,
             fails_tasks: false,
             reclaim_s: None,
         });
@@ -65,8 +65,8 @@
         tracing::debug!(now = self.now, machine = w.machine.name, "worker restarts");
         (w.worker_epoch, w.sequence, w.token) = (1, 0, 0);
         w.tasks.clear();
-        w.held = None;
-        w.answered = self.now;
+        w.pending_ack = None;
+        w.last_acked_at = self.now;
         w.next_heartbeat = self.now + 200;
     }
 
@@ -74,7 +74,7 @@
         clippy::too_many_lines,
         reason = "a worker's step as PROTOCOL lays it out, in its order"
     )]
-    pub(super) fn play_worker(&mut self, at: usize) {
+    pub(super) fn step_worker(&mut self, at: usize) {
         // Its clock is as slow as it may be.
         let workers = &self.settings.platform.settings.workers;
         let lease_s = workers.lease_s * 1.0005;
@@ -84,11 +84,11 @@
         if now < w.up_at {
             return;
         }
-        if now > w.answered + lease {
+        if now > w.last_acked_at + lease {
             w.worker_epoch += 1;
             w.sequence = 0;
             w.tasks.clear();
-            w.answered = now;
+            w.last_acked_at = now;
         }
         if w.hung {
             // Within its lease it may go on as if nothing had been.
@@ -129,46 +129,46 @@
             }
         }
         for task in begun {
-            self.note_start(at, task);
+            self.record_start(at, task);
         }
         let w = &mut self.workers[at];
-        if let Some((sent, until, node)) = w.held {
+        if let Some((sent, until, node)) = w.pending_ack {
             // One heartbeat at a time: it is still waiting for this answer.
             let (machine, number) = (w.machine.name.clone(), (w.worker_epoch, w.sequence));
             let (clock, origin) = (self.clock(node), self.origin(node));
-            let reached = self.links[node].workers && !self.workers[at].cut;
-            if self.paused(node) {
+            let reached = self.links[node].workers_reachable && !self.workers[at].disconnected;
+            if self.is_paused(node) {
                 if now > sent + 4000 {
-                    self.give_up(at, sent);
+                    self.handle_missing_response(at, sent);
                 }
                 return;
             }
             let Some(controller) = self.controllers[node].as_mut().map(|n| &mut n.controller)
             else {
-                self.give_up(at, sent);
+                self.handle_missing_response(at, sent);
                 return;
             };
-            let machines_given_tasks = controller.woken_machines();
-            self.machines_given_tasks.extend(machines_given_tasks);
-            if now < until && !self.machines_given_tasks.remove(&machine) {
+            let machines_with_due_acks = controller.woken_machines();
+            self.machines_with_due_acks.extend(machines_with_due_acks);
+            if now < until && !self.machines_with_due_acks.remove(&machine) {
                 return;
             }
             let _span = tracing::debug_span!("controller", node, now).entered();
             let reply = controller.release_ack(&machine, number, clock);
             digest::heartbeat_answer(origin, &machine, &reply);
             match reached {
-                true => self.take_answer(at, reply, sent),
-                false => self.give_up(at, sent),
+                true => self.handle_response(at, reply, sent),
+                false => self.handle_missing_response(at, sent),
             }
             return;
         }
-        if (now < w.next_heartbeat && !changed) || now < w.silent_until || w.cut {
+        if (now < w.next_heartbeat && !changed) || now < w.silent_until || w.disconnected {
             return;
         }
         w.next_heartbeat = now + report_ms;
         w.sequence += 1;
         let heartbeat = w.heartbeat();
-        let node = w.at;
+        let node = w.current_controller;
         tracing::debug!(
             now,
             node,
@@ -178,19 +178,22 @@
             sequence = heartbeat.sequence,
             "sends a report"
         );
-        let reaches = w.only.is_none_or(|o| o == node);
-        for &age in &self.heartbeat_copies {
+        let reaches = w.reaches_only.is_none_or(|o| o == node);
+        for &age in &self.heartbeat_copy_delays_ms {
             let to = self.rng.random_range(0..self.controllers.len());
-            self.late_heartbeats
+            self.delayed_heartbeats
                 .push((now + age, to, heartbeat.clone()));
         }
-        if self.copies_for_next && self.rng.random_bool(0.3) && self.kept_copies.len() < 5000 {
-            self.kept_copies.push(heartbeat.clone());
+        if self.replays_heartbeats_to_next_leader
+            && self.rng.random_bool(0.3)
+            && self.heartbeats_to_replay.len() < 5000
+        {
+            self.heartbeats_to_replay.push(heartbeat.clone());
         }
-        if self.paused(node) {
+        if self.is_paused(node) {
             // It finds the heartbeat when it goes on; nobody waits for the answer any more.
-            self.late_heartbeats.push((now + 100, node, heartbeat));
-            self.give_up(at, now);
+            self.delayed_heartbeats.push((now + 100, node, heartbeat));
+            self.handle_missing_response(at, now);
             return;
         }
         let _span = self.span(node).entered();
@@ -199,15 +202,15 @@
             heartbeat.machine.clone(),
             (heartbeat.worker_epoch, heartbeat.sequence),
         );
-        let state_refuses = self.link(node).state == StoreFault::Refuses;
+        let state_refuses = self.link(node).store_fault == StoreFault::RejectsRequests;
         let reply = match (
             &mut self.controllers[node],
-            self.links[node].workers && reaches,
+            self.links[node].workers_reachable && reaches,
         ) {
             (Some(n), true) => {
                 let reply = n.controller.on_heartbeat(heartbeat.clone(), clock);
                 // It is confirmed as the door does it, by a read of the state service.
-                let current = n.controller.replica.revision >= self.state.revision;
+                let current = n.controller.replica.revision >= self.store.revision;
                 let reply = match reply {
                     HeartbeatResponse::Unconfirmed if current && !state_refuses => {
                         n.controller.on_confirmed_heartbeat(heartbeat, clock)
@@ -218,9 +221,9 @@
                     matches!(&reply, HeartbeatResponse::HeartbeatAck(o) if o.commands.is_empty());
                 let patience = nothing.then(|| n.controller.delay_ack(&machine, number, clock));
                 if let Some(ms) = patience.flatten()
-                    && !self.workers[at].unreachable
+                    && !self.workers[at].loses_responses
                 {
-                    self.workers[at].held = Some((now, now + ms, node));
+                    self.workers[at].pending_ack = Some((now, now + ms, node));
                     return;
                 }
                 digest::heartbeat_answer(origin, &machine, &reply);
@@ -228,45 +231,45 @@
             }
             _ => HeartbeatResponse::Unavailable,
         };
-        if self.workers[at].unreachable {
-            self.give_up(at, now);
+        if self.workers[at].loses_responses {
+            self.handle_missing_response(at, now);
             return;
         }
-        self.take_answer(at, reply, now);
+        self.handle_response(at, reply, now);
     }
 
     /// A worker that has no answer to what it sent gives up and goes on to the next controller.
-    pub(super) fn give_up(&mut self, at: usize, sent: u64) {
+    pub(super) fn handle_missing_response(&mut self, at: usize, sent: u64) {
         let controllers = self.controllers.len();
         let w = &mut self.workers[at];
-        w.held = None;
-        w.at = (w.at + 1) % controllers;
+        w.pending_ack = None;
+        w.current_controller = (w.current_controller + 1) % controllers;
         w.next_heartbeat = sent + 5000;
         w.silent_until = w.next_heartbeat;
     }
 
-    pub(super) fn take_answer(&mut self, at: usize, reply: HeartbeatResponse, sent: u64) {
+    pub(super) fn handle_response(&mut self, at: usize, reply: HeartbeatResponse, sent: u64) {
         let now = self.now;
         let w = &mut self.workers[at];
-        w.held = None;
+        w.pending_ack = None;
         match reply {
             HeartbeatResponse::HeartbeatAck(o) if o.token >= w.token => {
                 if o.token > w.token {
                     w.next_heartbeat = now + 500;
                 }
                 w.token = o.token;
-                w.answered = sent;
+                w.last_acked_at = sent;
                 self.execute(at, o.commands);
             }
             HeartbeatResponse::HeartbeatAck(_) => {}
             HeartbeatResponse::Elsewhere(Some(to)) => {
-                w.at = position(&to).unwrap_or(0);
+                w.current_controller = position(&to).unwrap_or(0);
                 w.next_heartbeat = now + 100;
             }
             HeartbeatResponse::Elsewhere(None)
             | HeartbeatResponse::Unavailable
             | HeartbeatResponse::Unconfirmed => {
-                w.at = (w.at + 1) % self.controllers.len();
+                w.current_controller = (w.current_controller + 1) % self.controllers.len();
                 w.next_heartbeat = now + 1000;
             }
         }
@@ -305,12 +308,12 @@
         }
         let refused = if tasks.iter().any(|t| held(t) && t.ended.is_none()) {
             Some(ExitReason::InUse)
-        } else if !self.has_room(at, &task) {
+        } else if !self.has_free_cpus(at, &task) {
             Some(ExitReason::Full)
         } else {
             None
         };
-        let job = self.job(job_of(&task));
+        let job = self.job_record(job_of(&task));
         if job.is_some_and(|j| j.status == JobStatus::Done) {
             let what = format!("{task} is launched after its job is done");
             self.violations.push(what);
@@ -329,12 +332,12 @@
             ended: refused,
         });
         if refused.is_none() && fetch_ms == 0 {
-            self.note_start(at, task);
+            self.record_start(at, task);
         }
     }
 
     /// Puts a task on a machine behind everybody's back, for tests of the checker itself.
-    pub fn plant(&mut self, at: usize, task: &str) {
+    pub fn insert_task(&mut self, at: usize, task: &str) {
         self.workers[at].tasks.push(Task {
             task: task.to_owned(),
             attempt: u64::MAX,
@@ -346,7 +349,7 @@
     }
 
     /// Whether a machine has CPUs for one more task; those that fetch count.
-    pub(super) fn has_room(&self, at: usize, task: &str) -> bool {
+    pub(super) fn has_free_cpus(&self, at: usize, task: &str) -> bool {
         let w = &self.workers[at];
         let cpus = |task: &str| self.specs.get(job_of(task)).map_or(0.0, |s| s.cpus);
         let open = w.tasks.iter().filter(|t| t.ended.is_none());
@@ -359,11 +362,11 @@
     }
 
     /// A task has its image and starts.
-    pub(super) fn note_start(&mut self, at: usize, task: String) {
+    pub(super) fn record_start(&mut self, at: usize, task: String) {
         let machine = self.workers[at].machine.name.clone();
-        self.check_double_start_of(&task);
+        self.check_duplicate_execution_of(&task);
         let job = job_of(&task);
-        self.check_place(at, job);
+        self.check_placement(at, job);
         let named = self.awaits.get(job).into_iter().flatten();
         if let Some(early) = named.clone().find(|a| !self.is_done(a)) {
             let what = format!("too_early: {task} starts before {early} is done");
@@ -372,7 +375,7 @@
         self.starts.push((self.now, task, machine));
     }
 
-    pub fn running(&self) -> usize {
+    pub fn running_task_count(&self) -> usize {
         let tasks = self.workers.iter().flat_map(|w| &w.tasks);
         tasks.filter(|t| t.ended.is_none()).count()
     }
