--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -20,29 +20,29 @@
 pub mod cells;
 mod cloud;
 mod controllers;
-pub mod days;
 pub mod digest;
+mod invariants;
 mod machines;
 pub mod occupancy;
-mod rules;
+pub mod scenarios;
 pub mod search;
-mod state;
+mod store;
 mod users;
 mod worker;
 
-pub use state::State;
+pub use store::FakeStore;
 pub use worker::{Task, Worker};
 
 /// How the state service treats the transactions of a controller.
 #[derive(Clone, Copy, PartialEq)]
 pub enum StoreFault {
-    Good,
+    None,
     /// Carried out, but the answer is lost.
-    LosesAnswers,
+    LosesResponses,
     /// Not carried out now; applied after this many ms, without an answer.
-    Late(u64),
+    DelaysCommits(u64),
     /// 429 or 503.
-    Refuses,
+    RejectsRequests,
     /// Any of these, at random.
     Intermittent,
     /// Carried out, but some answers are lost, and the watch comes this many ms late.
@@ -60,24 +60,24 @@
 /// What happens between a controller and the others.
 #[derive(Clone, Copy)]
 pub struct Link {
-    pub state: StoreFault,
+    pub store_fault: StoreFault,
     /// The watch hangs although other requests are answered.
     pub watch_hangs: bool,
-    pub peers: bool,
-    pub workers: bool,
+    pub peers_reachable: bool,
+    pub workers_reachable: bool,
 }
 
-const GOOD: Link = Link {
-    state: StoreFault::Good,
+const HEALTHY_LINK: Link = Link {
+    store_fault: StoreFault::None,
     watch_hangs: false,
-    peers: true,
-    workers: true,
+    peers_reachable: true,
+    workers_reachable: true,
 };
 
 /// Everything together.
 pub struct World {
     pub now: u64,
-    pub state: State,
+    pub store: FakeStore,
     pub controllers: Vec<Option<Node>>,
     pub links: Vec<Link>,
     pub workers: Vec<Worker>,
@@ -87,9 +87,9 @@
     /// Which of several cells this is.
     pub cell: usize,
     /// Writes that lend jobs are carried out this many ms late, and have no answer.
-    pub late_lending: Option<u64>,
+    pub loan_write_delay_ms: Option<u64>,
     /// Requests to other cells, by controller, that are to be sent.
-    pub cell_calls: Vec<(usize, quillbend::spillover::CellCall)>,
+    pub outgoing_cell_requests: Vec<(usize, quillbend::spillover::CellCall)>,
     pub run_ms: u64,
     /// How long an image takes to fetch.
     pub fetch_ms: u64,
@@ -104,43 +104,43 @@
     /// Tasks whose result is kept: started again they end as soon as they have their image.
     completed: BTreeSet<String>,
     /// Copies of heartbeats that are kept until another controller leads.
-    pub copies_for_next: bool,
-    kept_copies: Vec<Heartbeat>,
+    pub replays_heartbeats_to_next_leader: bool,
+    heartbeats_to_replay: Vec<Heartbeat>,
     last_leader: Option<usize>,
     pub starts: Vec<(u64, String, String)>,
     pub violations: Vec<String>,
     pub returned: BTreeSet<String>,
-    burst_jobs: u32,
+    last_burst_job: u32,
     /// Jobs submitted with a mistake: each of their tasks fails, wherever it runs.
     pub failing_jobs: BTreeSet<String>,
     /// Machines that are rented come up after so many ms, if not after the usual 5 s.
-    pub slow_boot: Option<u64>,
+    pub boot_delay_ms: Option<u64>,
     /// When a job's user was told that it is cancelled.
     cancelled: BTreeMap<String, u64>,
     /// The newest final answer that a job's user was given.
     last_final_answer: BTreeMap<String, JobStatus>,
     /// How much faster than true time each controller's steady clock runs.
-    pub drift: Vec<f64>,
+    pub clock_drift: Vec<f64>,
     pub settings: Settings,
     /// Settings of the version before, which does not read the limits to come.
-    pub old_settings: Settings,
+    pub previous_settings: Settings,
     /// Controllers that come up in the version before.
-    pub old: Vec<bool>,
+    pub runs_previous_version: Vec<bool>,
     /// The format of stored values that this version reads.
-    pub old_format: u32,
+    pub previous_format: u32,
     /// The jobs that each job named when it was submitted.
     awaits: BTreeMap<String, Vec<String>>,
     /// Of each heartbeat copies arrive this many ms later, at any controller.
-    pub heartbeat_copies: Vec<u64>,
+    pub heartbeat_copy_delays_ms: Vec<u64>,
     /// Of each message between controllers copies arrive this many ms later.
-    pub peer_message_copies: Vec<u64>,
-    late_messages: Vec<(u64, usize, PeerMessage)>,
+    pub peer_message_copy_delays_ms: Vec<u64>,
+    delayed_peer_messages: Vec<(u64, usize, PeerMessage)>,
     /// Controllers on different sides do not reach each other.
-    pub partition_side: Vec<u8>,
-    late_heartbeats: Vec<(u64, usize, Heartbeat)>,
+    pub partition_group: Vec<u8>,
+    delayed_heartbeats: Vec<(u64, usize, Heartbeat)>,
     /// Machines whose waiting answers are due.
-    machines_given_tasks: BTreeSet<String>,
-    request_counter: HashMap<String, Vec<String>>,
+    machines_with_due_acks: BTreeSet<String>,
+    machines_by_request: HashMap<String, Vec<String>>,
     rng: SmallRng,
     rented: u32,
 }
@@ -148,63 +148,66 @@
 pub const PLATFORM: &str = include_str!("platform.toml");
 
 /// What the settings say of limits to come.
-pub const NEXT_LIMITS: &str =
+pub const ANNOUNCED_LIMITS: &str =
     "[settings.state.next]\nvalue_kb = 1.5\ntxn_ops = 4\nwrite_rps = 18.0\n";
 
 /// When every test begins, ms.
-const BEGIN: u64 = 10_000_000;
+const START_MS: u64 = 10_000_000;
 
 impl World {
     /// A world of three controllers and some machines that run already.
     pub fn new(seed: u64, machines: usize) -> World {
-        World::sized(seed, 3, machines)
+        World::with_size(seed, 3, machines)
     }
 
     /// A world of so many controllers and machines.
-    pub fn sized(seed: u64, controllers: usize, machines: usize) -> World {
-        World::of_platform(seed, controllers, machines, PLATFORM, false)
+    pub fn with_size(seed: u64, controllers: usize, machines: usize) -> World {
+        World::build(seed, controllers, machines, PLATFORM, false)
     }
 
     /// A world in production: its controllers run the version before, and the settings name the
     /// limits that the state service will have after the upgrade.
-    pub fn in_production(seed: u64, controllers: usize, machines: usize) -> World {
-        let platform = PLATFORM.replace("txn_ops = 12\n", &format!("txn_ops = 12\n{NEXT_LIMITS}"));
-        World::of_platform(seed, controllers, machines, &platform, true)
+    pub fn before_upgrade(seed: u64, controllers: usize, machines: usize) -> World {
+        let platform = PLATFORM.replace(
+            "txn_ops = 12\n",
+            &format!("txn_ops = 12\n{ANNOUNCED_LIMITS}"),
+        );
+        World::build(seed, controllers, machines, &platform, true)
     }
 
     /// A world with other limits than the usual ones.
     pub fn with_platform(seed: u64, controllers: usize, machines: usize, platform: &str) -> World {
-        World::of_platform(seed, controllers, machines, platform, false)
+        World::build(seed, controllers, machines, platform, false)
     }
 
     #[expect(
         clippy::too_many_lines,
         reason = "one literal with every field of the world"
     )]
-    fn of_platform(
+    fn build(
         seed: u64,
         controllers: usize,
         machines: usize,
         platform: &str,
-        old: bool,
+        previous_version: bool,
     ) -> World {
         let count = format!("count = {controllers}");
         let parse = |text: &str| {
             let platform = Platform::parse(&text.replace("count = 3", &count)).expect("good");
             Settings::new(platform, Options::default())
         };
-        let (settings, old_settings) = (parse(platform), parse(PLATFORM));
+        let (settings, previous_settings) = (parse(platform), parse(PLATFORM));
         let mut w = World {
-            now: BEGIN,
-            state: State::default(),
+            now: START_MS,
+            store: FakeStore::default(),
             controllers: (0..controllers).map(|_| None).collect(),
-            links: vec![GOOD; controllers],
+            links: vec![HEALTHY_LINK; controllers],
             workers: Vec::new(),
             cloud_up: true,
             cloud_has_no_capacity: false,
             cell: 0,
-            late_lending: None,
-            cell_calls: Vec::new(),
+            loan_write_delay_ms: None,
+            outgoing_cell_requests: Vec::new(),
             run_ms: 8000,
             fetch_ms: 0,
             save_ms: 0,
@@ -212,35 +215,35 @@
             lists: VecDeque::new(),
             specs: HashMap::new(),
             completed: BTreeSet::new(),
-            copies_for_next: false,
-            kept_copies: Vec::new(),
+            replays_heartbeats_to_next_leader: false,
+            heartbeats_to_replay: Vec::new(),
             last_leader: None,
             starts: Vec::new(),
             violations: Vec::new(),
             returned: BTreeSet::new(),
-            burst_jobs: 1000,
+            last_burst_job: 1000,
             failing_jobs: BTreeSet::new(),
-            slow_boot: None,
+            boot_delay_ms: None,
             cancelled: BTreeMap::new(),
             last_final_answer: BTreeMap::new(),
-            drift: vec![0.0; controllers],
+            clock_drift: vec![0.0; controllers],
             settings,
-            old_settings,
-            old: vec![old; controllers],
-            old_format: 0,
+            previous_settings,
+            runs_previous_version: vec![previous_version; controllers],
+            previous_format: 0,
             awaits: BTreeMap::new(),
-            heartbeat_copies: Vec::new(),
-            peer_message_copies: Vec::new(),
-            late_messages: Vec::new(),
-            partition_side: vec![0; controllers],
-            late_heartbeats: Vec::new(),
-            machines_given_tasks: BTreeSet::new(),
-            request_counter: HashMap::new(),
+            heartbeat_copy_delays_ms: Vec::new(),
+            peer_message_copy_delays_ms: Vec::new(),
+            delayed_peer_messages: Vec::new(),
+            partition_group: vec![0; controllers],
+            delayed_heartbeats: Vec::new(),
+            machines_with_due_acks: BTreeSet::new(),
+            machines_by_request: HashMap::new(),
             rng: SmallRng::seed_from_u64(seed),
             rented: 0,
         };
         for i in 0..machines {
-            w.machine("small", ["north", "south"][i % 2], false, 0);
+            w.add_machine("small", ["north", "south"][i % 2], false, 0);
         }
         (0..controllers).for_each(|i| w.start(i));
         w
@@ -248,9 +251,9 @@
 
     /// A world that has settled: somebody leads and every machine is held.
     pub fn settled(seed: u64, controllers: usize, machines: usize) -> World {
-        let mut w = World::sized(seed, controllers, machines);
-        w.until(5000, "a leader", |w| w.leader().is_some());
-        w.until(8000, "every machine is held", |w| {
+        let mut w = World::with_size(seed, controllers, machines);
+        w.run_until(5000, "a leader", |w| w.leader().is_some());
+        w.run_until(8000, "every machine is held", |w| {
             w.workers
                 .iter()
                 .all(|m| w.holder(&m.machine.name).is_some())
@@ -260,21 +263,21 @@
 
     /// A world that has settled and in which all tasks of a job run, each for `run_ms`; what is
     /// submitted later runs for 8 s a task.
-    pub fn busy(seed: u64, controllers: usize, run_ms: u64) -> (World, String) {
+    pub fn with_running_job(seed: u64, controllers: usize, run_ms: u64) -> (World, String) {
         let mut w = World::settled(seed, controllers, 8);
         w.run(3000);
-        let job = w.fill(run_ms, 12);
+        let job = w.start_job(run_ms, 12);
         w.run_ms = 8000;
         (w, job)
     }
 
     /// Ends every fault and starts what is down.
     pub fn heal(&mut self) {
-        self.links = vec![GOOD; self.controllers.len()];
+        self.links = vec![HEALTHY_LINK; self.controllers.len()];
         self.workers
             .iter_mut()
-            .for_each(|m| (m.cut, m.unreachable, m.hung) = (false, false, false));
-        self.outage(false);
+            .for_each(|m| (m.disconnected, m.loses_responses, m.hung) = (false, false, false));
+        self.set_store_outage(false);
         for i in 0..self.controllers.len() {
             if self.controllers[i].is_none() {
                 self.start(i);
@@ -285,7 +288,7 @@
     /// Ends every fault; all jobs must be done in the end, with the rules kept.
     pub fn assert_all_jobs_finish(&mut self, jobs: &[String]) {
         self.heal();
-        self.until(200_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+        self.run_until(200_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
         self.assert_no_violations();
     }
 
@@ -298,7 +301,7 @@
     }
 
     /// Plays until something holds; fails the test if it does not within the time.
-    pub fn until(&mut self, ms: u64, what: &str, mut holds: impl FnMut(&World) -> bool) {
+    pub fn run_until(&mut self, ms: u64, what: &str, mut holds: impl FnMut(&World) -> bool) {
         let end = self.now + ms;
         while !holds(self) {
             assert!(self.now < end, "never happened: {what}");
@@ -308,26 +311,26 @@
 
     pub fn step(&mut self) {
         self.now += 100;
-        self.state.pass(self.now);
-        self.note_list();
-        self.release_kept_copies();
+        self.store.advance_to(self.now);
+        self.record_cloud_list();
+        self.replay_heartbeats();
         for i in 0..self.controllers.len() {
-            if !self.paused(i) {
-                self.play_node(i);
+            if !self.is_paused(i) {
+                self.step_controller(i);
             }
         }
         for w in 0..self.workers.len() {
-            self.play_worker(w);
+            self.step_worker(w);
         }
         let paused: Vec<bool> = (0..self.controllers.len())
-            .map(|i| self.paused(i))
+            .map(|i| self.is_paused(i))
             .collect();
         let due = |at: u64, node: usize| at <= self.now && !paused[node];
         let due_messages: Vec<_> = self
-            .late_messages
+            .delayed_peer_messages
             .extract_if(.., |n| due(n.0, n.1))
             .collect();
-        let due = self.late_heartbeats.extract_if(.., |r| due(r.0, r.1));
+        let due = self.delayed_heartbeats.extract_if(.., |r| due(r.0, r.1));
         for (_, node, heartbeat) in due.collect::<Vec<_>>() {
             let _span = self.span(node).entered();
             let (clock, origin) = (self.clock(node), self.origin(node));
@@ -352,13 +355,13 @@
                 digest::peer_answer(origin, &answer);
             }
         }
-        self.record_user_answers();
+        self.digest_user_answers();
         self.check();
     }
 
     /// Copies of heartbeats that were kept for the next leader arrive there and at all others.
-    fn release_kept_copies(&mut self) {
-        if !self.copies_for_next {
+    fn replay_heartbeats(&mut self) {
+        if !self.replays_heartbeats_to_next_leader {
             return;
         }
         let leader = self.leader();
@@ -366,10 +369,10 @@
             return;
         }
         self.last_leader = leader;
-        for heartbeat in std::mem::take(&mut self.kept_copies) {
+        for heartbeat in std::mem::take(&mut self.heartbeats_to_replay) {
             let after = self.rng.random_range(100..6000);
             for node in 0..self.controllers.len() {
-                self.late_heartbeats
+                self.delayed_heartbeats
                     .push((self.now + after, node, heartbeat.clone()));
             }
         }
--- a/tests/support/days.rs
+++ b/tests/support/scenarios.rs
@@ -104,7 +104,7 @@
 
 /// How a day is played.
 #[derive(Debug, Clone, Copy)]
-pub struct DayPlan {
+pub struct ScenarioPlan {
     pub seed: u64,
     pub machines: usize,
     /// Number of faults.
@@ -117,7 +117,7 @@
 struct Day {
     world: World,
     rng: SmallRng,
-    plan: DayPlan,
+    plan: ScenarioPlan,
     open: Vec<String>,
     submitted: u32,
     /// What happened, for the test that a failing day is shortened to.
@@ -126,7 +126,7 @@
 
 /// What a day came to: the same for every play of one plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DayResult {
+pub struct ScenarioResult {
     /// Revision of the state service at the end.
     pub revision: u64,
     /// All starts of tasks: time, task, machine.
@@ -134,7 +134,7 @@
 }
 
 /// Plays a day; the rules that were broken, with what had happened before.
-pub fn play(plan: DayPlan) -> Result<DayResult, Vec<String>> {
+pub fn play(plan: ScenarioPlan) -> Result<ScenarioResult, Vec<String>> {
     let mut day = Day::new(plan);
     for _ in 0..plan.faults {
         day.submit_some();
@@ -155,8 +155,8 @@
     day.world.cloud_up = true;
     day.world.run(30_000);
     match day.world.violations.is_empty() {
-        true => Ok(DayResult {
-            revision: day.world.state.revision(),
+        true => Ok(ScenarioResult {
+            revision: day.world.store.revision(),
             starts: std::mem::take(&mut day.world.starts),
         }),
         false => Err(day.heartbeat()),
@@ -164,7 +164,7 @@
 }
 
 impl Day {
-    fn new(plan: DayPlan) -> Day {
+    fn new(plan: ScenarioPlan) -> Day {
         let limits = &LIMITS[plan.seed as usize % LIMITS.len()];
         let mut rng = SmallRng::seed_from_u64(plan.seed);
         let platform = PLATFORM
@@ -193,12 +193,12 @@
         world.save_ms = [0, 3000][rng.random_range(0..2)];
         world.list_lag_ms = [0, 3000, 6000][rng.random_range(0..3)];
         if rng.random_bool(0.6) {
-            world.heartbeat_copies =
+            world.heartbeat_copy_delays_ms =
                 vec![rng.random_range(300..8000), rng.random_range(8000..40_000)];
         }
-        world.copies_for_next = rng.random_bool(0.5);
-        world.drift[0] = -0.0005;
-        world.drift[1] = 0.0005;
+        world.replays_heartbeats_to_next_leader = rng.random_bool(0.5);
+        world.clock_drift[0] = -0.0005;
+        world.clock_drift[1] = 0.0005;
         world.run(12_000);
         Day {
             world,
@@ -254,7 +254,7 @@
         let job = self
             .open
             .swap_remove(self.rng.random_range(0..self.open.len()));
-        if self.world.is_open(&job) && !self.world.state.out {
+        if self.world.is_unfinished(&job) && !self.world.store.unavailable {
             self.note(format!("cancel {job}"));
             self.world.cancel(&job);
         }
@@ -299,8 +299,8 @@
         for &at in machines.iter().rev() {
             let worker = &mut world.workers[at];
             match kind {
-                Fault::MachinesCut => worker.cut = true,
-                Fault::MachinesUnreachable => worker.unreachable = true,
+                Fault::MachinesCut => worker.disconnected = true,
+                Fault::MachinesUnreachable => worker.loses_responses = true,
                 Fault::MachinesHang => worker.hung = true,
                 Fault::MachinesFailTasks => worker.fails_tasks = true,
                 Fault::SpotNotice => worker.reclaim_s = Some(20.0),
@@ -322,27 +322,29 @@
                 world.run(300);
                 world.start(i);
             }
-            Fault::StateRefuses => world.links[i].state = StoreFault::Refuses,
-            Fault::StateLate => world.links[i].state = StoreFault::Late(ms.min(12_000)),
-            Fault::StateIntermittent => world.links[i].state = StoreFault::Intermittent,
-            Fault::StateSlow => world.links[i].state = StoreFault::Slow(ms.min(3000)),
+            Fault::StateRefuses => world.links[i].store_fault = StoreFault::RejectsRequests,
+            Fault::StateLate => {
+                world.links[i].store_fault = StoreFault::DelaysCommits(ms.min(12_000))
+            }
+            Fault::StateIntermittent => world.links[i].store_fault = StoreFault::Intermittent,
+            Fault::StateSlow => world.links[i].store_fault = StoreFault::Slow(ms.min(3000)),
             Fault::WatchHangs => world.links[i].watch_hangs = true,
-            Fault::Outage => world.outage(true),
-            Fault::PeersCut => world.links[i].peers = false,
-            Fault::WorkersCut => world.links[i].workers = false,
+            Fault::Outage => world.set_store_outage(true),
+            Fault::PeersCut => world.links[i].peers_reachable = false,
+            Fault::WorkersCut => world.links[i].workers_reachable = false,
             Fault::Isolated => world.isolate(i),
             Fault::Paused => world.pause(i, ms),
             Fault::ZoneCut => {
                 let zone = ["north", "south"][i % 2];
                 let of_zone = world.workers.iter_mut().filter(|w| w.machine.zone == zone);
-                of_zone.for_each(|w| w.only = Some(i));
-                world.links[i].peers = false;
-                world.links[i].state = StoreFault::Refuses;
+                of_zone.for_each(|w| w.reaches_only = Some(i));
+                world.links[i].peers_reachable = false;
+                world.links[i].store_fault = StoreFault::RejectsRequests;
                 world.links[i].watch_hangs = true;
             }
             Fault::CloudDown => world.cloud_up = false,
             _ => world.workers.iter_mut().for_each(|w| {
-                (w.only, w.fails_tasks, w.reclaim_s) = (None, false, None);
+                (w.reaches_only, w.fails_tasks, w.reclaim_s) = (None, false, None);
             }),
         }
     }
--- a/tests/support/state.rs
+++ b/tests/support/store.rs
@@ -12,39 +12,39 @@
 
 /// The state service.
 #[derive(Default)]
-pub struct State {
+pub struct FakeStore {
     keys: BTreeMap<String, Key>,
     pub(super) revision: u64,
     pub(super) history: Vec<WatchEvent>,
     pub(super) leases: BTreeMap<u64, (u64, u64)>,
     pub(super) next_lease: u64,
-    pub(super) late: Vec<(u64, Transaction)>,
+    pub(super) delayed_commits: Vec<(u64, Transaction)>,
     /// It answers nobody, and leases are paused.
-    pub out: bool,
+    pub unavailable: bool,
     /// Its revision at each moment.
-    pub(super) marks: Vec<(u64, u64)>,
-    pub writes: u64,
+    pub(super) revision_history: Vec<(u64, u64)>,
+    pub write_count: u64,
     /// Largest value, bytes, and most changes of a transaction, once it has such limits.
-    pub limits: Option<(usize, usize)>,
+    pub size_limits: Option<(usize, usize)>,
     /// Changes that it takes a second, and those that it takes now.
-    pub budget: Option<(f64, f64)>,
+    pub write_budget: Option<(f64, f64)>,
     /// Transactions that were too large for them.
-    pub too_large: u64,
+    pub too_large_count: u64,
 }
 
-impl State {
+impl FakeStore {
     pub fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
-        if let Some((value_bytes, txn_ops)) = self.limits
+        if let Some((value_bytes, txn_ops)) = self.size_limits
             && (transaction.mutations.len() > txn_ops
                 || transaction
                     .mutations
                     .iter()
                     .any(|c| c.value_bytes() > value_bytes))
         {
-            self.too_large += 1;
+            self.too_large_count += 1;
             return CommitOutcome::Malformed;
         }
-        if let Some((_, left)) = &mut self.budget {
+        if let Some((_, left)) = &mut self.write_budget {
             let changes = transaction.mutations.len() as f64;
             if *left < changes {
                 return CommitOutcome::Refused;
@@ -69,7 +69,7 @@
             return CommitOutcome::Conflict(self.revision);
         }
         self.revision += 1;
-        self.writes += transaction.mutations.len() as u64;
+        self.write_count += transaction.mutations.len() as u64;
         for c in &transaction.mutations {
             match c {
                 Mutation::Put {
@@ -77,7 +77,7 @@
                     value,
                     lease_id,
                 } => self.put(key, value.clone(), *lease_id),
-                Mutation::Delete { key } => self.drop_key(key),
+                Mutation::Delete { key } => self.delete_key(key),
             }
         }
         CommitOutcome::Done(self.revision)
@@ -100,7 +100,7 @@
         });
     }
 
-    fn drop_key(&mut self, key: &str) {
+    fn delete_key(&mut self, key: &str) {
         if self.keys.remove(key).is_some() {
             let (drop, mod_revision) = (Some(key.into()), self.revision);
             let value = Json::default();
@@ -119,21 +119,21 @@
     }
 
     /// How often keys with a prefix were written.
-    pub fn writes_to(&self, starts: &str) -> usize {
+    pub fn put_count(&self, starts: &str) -> usize {
         let of = |n: &&WatchEvent| n.put.as_ref().is_some_and(|k| k.starts_with(starts));
         self.history.iter().filter(of).count()
     }
 
     /// Forgets the changes that every watch has delivered.
-    pub fn forget_history(&mut self) {
+    pub fn clear_history(&mut self) {
         self.history = Vec::new();
-        self.marks = Vec::new();
+        self.revision_history = Vec::new();
     }
 
     /// Removes a key behind everybody's back.
-    pub fn forget(&mut self, key: &str) {
+    pub fn delete_externally(&mut self, key: &str) {
         self.revision += 1;
-        self.drop_key(key);
+        self.delete_key(key);
     }
 
     /// Writes a key behind everybody's back; its lease stays.
@@ -175,14 +175,14 @@
         }
     }
 
-    pub fn lease(&mut self, life: u64, now: u64) -> u64 {
+    pub fn grant_lease(&mut self, life: u64, now: u64) -> u64 {
         self.next_lease += 1;
         self.leases.insert(self.next_lease, (life, now + life));
         self.next_lease
     }
 
     /// Renews a lease, if it is not over.
-    pub fn renew(&mut self, lease_id: u64, now: u64) -> bool {
+    pub fn renew_lease(&mut self, lease_id: u64, now: u64) -> bool {
         match self.leases.get_mut(&lease_id) {
             Some(l) => {
                 l.1 = now + l.0;
@@ -193,27 +193,30 @@
     }
 
     /// What had changed by a moment.
-    pub fn messages_by(&self, starts: &str, after: u64, moment: u64) -> WatchResponse {
-        let at = self.marks.partition_point(|m| m.0 <= moment);
-        let revision = self.marks[..at].last().map_or(0, |m| m.1).max(after);
+    pub fn events_by(&self, starts: &str, after: u64, moment: u64) -> WatchResponse {
+        let at = self.revision_history.partition_point(|m| m.0 <= moment);
+        let revision = self.revision_history[..at]
+            .last()
+            .map_or(0, |m| m.1)
+            .max(after);
         let mut list = self.events(starts, after);
         list.events.retain(|n| n.mod_revision <= revision);
         list.revision = revision;
         list
     }
 
-    pub fn pass(&mut self, now: u64) {
-        self.marks.push((now, self.revision));
-        if let Some((rate, left)) = &mut self.budget {
+    pub fn advance_to(&mut self, now: u64) {
+        self.revision_history.push((now, self.revision));
+        if let Some((rate, left)) = &mut self.write_budget {
             *left = (*left + *rate / 10.0).min(*rate);
         }
-        if self.out {
+        if self.unavailable {
             // Afterwards every lease has its full time again.
             self.leases.values_mut().for_each(|l| l.1 = now + l.0);
             return;
         }
         let due: Vec<Transaction> = self
-            .late
+            .delayed_commits
             .extract_if(.., |l| l.0 <= now)
             .map(|l| l.1)
             .collect();
@@ -236,7 +239,7 @@
                 .collect();
             self.revision += 1;
             for k in keys {
-                self.drop_key(&k);
+                self.delete_key(&k);
             }
         }
     }
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -10,16 +10,16 @@
     /// Plays on while more urgent work comes, eight tasks a second, than a team may run.
     pub fn submit_burst(&mut self, seconds: u32) {
         for _ in 0..seconds {
-            self.burst_jobs += 1;
+            self.last_burst_job += 1;
             let mut urgent = self.spec(8);
             urgent.priority = Priority::Urgent;
-            self.submit(self.burst_jobs, urgent);
+            self.submit(self.last_burst_job, urgent);
             self.run(1000);
         }
     }
 
     /// Plays on while a user asks any controller for a job every second.
-    pub fn run_asking(&mut self, ms: u64, jobs: &[String]) {
+    pub fn run_polling(&mut self, ms: u64, jobs: &[String]) {
         let end = self.now + ms;
         while self.now < end {
             self.run(500);
@@ -32,10 +32,12 @@
     }
 
     /// Submits a job and plays until all of its tasks run, each for `run_ms`.
-    pub fn fill(&mut self, run_ms: u64, tasks: u32) -> String {
+    pub fn start_job(&mut self, run_ms: u64, tasks: u32) -> String {
         self.run_ms = run_ms;
         let job = self.submit(1, self.spec(tasks));
-        self.until(15_000, "all run", |w| w.running() == tasks as usize);
+        self.run_until(15_000, "all run", |w| {
+            w.running_task_count() == tasks as usize
+        });
         job
     }
 
@@ -69,7 +71,7 @@
         let transaction = jobs::accept(&name, &jobs::new_record(spec, self.now));
         digest::transaction(self.origin(0), &transaction);
         assert!(
-            matches!(self.state.commit(&transaction), CommitOutcome::Done(_)),
+            matches!(self.store.commit(&transaction), CommitOutcome::Done(_)),
             "accepted"
         );
         name
@@ -77,7 +79,7 @@
 
     /// A user submits a job that names others through a controller, as the door does; none if that
     /// is not taken now.
-    pub fn submit_after(
+    pub fn try_submit_dependent(
         &mut self,
         i: usize,
         n: u32,
@@ -87,14 +89,14 @@
         let name = format!("wk-{n:06}");
         let clock = self.clock(i);
         let controller = &self.controllers[i].as_ref()?.controller;
-        if controller.replica.revision < self.state.revision()
-            || self.link(i).state == StoreFault::Refuses
+        if controller.replica.revision < self.store.revision()
+            || self.link(i).store_fault == StoreFault::RejectsRequests
         {
             return None;
         }
         let named = awaits.iter().map(|a| {
             let shown = controller.replica.predecessor(a);
-            let archived = || match self.job(a).map(|j| j.status) {
+            let archived = || match self.job_record(a).map(|j| j.status) {
                 Some(JobStatus::Done) => Predecessor::Done,
                 Some(JobStatus::Cancelled) => Predecessor::Cancelled,
                 _ => Predecessor::Unwatched,
@@ -114,18 +116,18 @@
         }
         let transaction = accepted.transaction().clone();
         digest::transaction(self.origin(i), &transaction);
-        let CommitOutcome::Done(revision) = self.state.commit(&transaction) else {
+        let CommitOutcome::Done(revision) = self.store.commit(&transaction) else {
             return None;
         };
         if let Some(node) = &mut self.controllers[i] {
             node.controller.replica.apply_own(&transaction, revision);
         }
-        self.note_submission(&name, kept, awaits);
+        self.register_submission(&name, kept, awaits);
         Some(name)
     }
 
     /// From now on the rules are checked for a job that names others.
-    pub fn note_submission(&mut self, name: &str, spec: JobSpec, awaits: &[String]) {
+    pub fn register_submission(&mut self, name: &str, spec: JobSpec, awaits: &[String]) {
         self.specs.insert(name.to_owned(), spec);
         self.awaits.insert(name.to_owned(), awaits.to_vec());
     }
@@ -140,7 +142,7 @@
         let end = self.now + 20_000;
         while self.now < end {
             for i in 0..self.controllers.len() {
-                if let Some(name) = self.submit_after(i, n, spec.clone(), &awaits) {
+                if let Some(name) = self.try_submit_dependent(i, n, spec.clone(), &awaits) {
                     return name;
                 }
             }
@@ -150,48 +152,48 @@
     }
 
     /// Whether a job that this one needs, directly or through others, was cancelled; since when.
-    pub(super) fn orphaned_since(&self, name: &str) -> Option<u64> {
+    pub(super) fn predecessor_cancelled_at(&self, name: &str) -> Option<u64> {
         let named = self.awaits.get(name)?;
         let since = named.iter().filter_map(|a| {
             let own = self.cancelled.get(a).copied();
-            own.or_else(|| self.orphaned_since(a))
+            own.or_else(|| self.predecessor_cancelled_at(a))
         });
         since.min()
     }
 
     /// The value of a job that waits for others.
-    pub fn waiting(&self, name: &str) -> Option<WaitingRecord> {
-        serde_json::from_value(self.state.value(&waiting_key(name))?).ok()
+    pub fn waiting_record(&self, name: &str) -> Option<WaitingRecord> {
+        serde_json::from_value(self.store.value(&waiting_key(name))?).ok()
     }
 
     pub fn cancel(&mut self, name: &str) -> CommitOutcome {
-        self.call_off(name).1
+        self.commit_cancellation(name).1
     }
 
-    pub(super) fn call_off(&mut self, name: &str) -> (Transaction, CommitOutcome) {
-        let transaction = match self.waiting(name) {
+    pub(super) fn commit_cancellation(&mut self, name: &str) -> (Transaction, CommitOutcome) {
+        let transaction = match self.waiting_record(name) {
             Some(record) => {
-                let mod_revision = self.state.mod_revision(&waiting_key(name));
+                let mod_revision = self.store.mod_revision(&waiting_key(name));
                 chained::cancel_waiting(name, &record, mod_revision)
             }
             None => {
-                let record = self.job(name).expect("known");
-                let mod_revision = self.state.mod_revision(&job_key(name));
+                let record = self.job_record(name).expect("known");
+                let mod_revision = self.store.mod_revision(&job_key(name));
                 jobs::cancel(name, &record, mod_revision, self.settings.value_bytes())
             }
         };
         digest::transaction(self.origin(0), &transaction);
-        let outcome = self.state.commit(&transaction);
+        let outcome = self.store.commit(&transaction);
         if let CommitOutcome::Done(_) = outcome {
             self.cancelled.insert(name.into(), self.now);
-            self.tell(name, JobStatus::Cancelled);
+            self.check_status_answer(name, JobStatus::Cancelled);
         }
         (transaction, outcome)
     }
 
     /// A user cancels through a controller that is to know at once, as the one that is asked does.
     pub fn cancel_through(&mut self, i: usize, name: &str) -> CommitOutcome {
-        let (transaction, outcome) = self.call_off(name);
+        let (transaction, outcome) = self.commit_cancellation(name);
         if let (CommitOutcome::Done(revision), Some(n)) = (outcome, &mut self.controllers[i]) {
             n.controller.replica.apply_own(&transaction, revision);
         }
@@ -202,7 +204,7 @@
     /// service's revision, as the door does; none if it has not yet.
     pub fn poll_status(&mut self, i: usize, name: &str) -> Option<JobStatus> {
         let replica = &self.controllers[i].as_ref()?.controller.replica;
-        if replica.revision < self.state.revision() {
+        if replica.revision < self.store.revision() {
             return None;
         }
         let known = replica
@@ -212,26 +214,26 @@
             .and_then(|job_id| replica.status_of(job_id));
         let status = match known {
             Some(status) => status,
-            None => self.job(name)?.status,
+            None => self.job_record(name)?.status,
         };
         if let Some(at) = self
-            .orphaned_since(name)
+            .predecessor_cancelled_at(name)
             .filter(|_| status != JobStatus::Cancelled)
         {
             let what = format!("orphaned: {name} is {status:?}, cancelled at {at}");
             self.violations.push(what);
         }
-        self.tell(name, status);
+        self.check_status_answer(name, status);
         Some(status)
     }
 
-    pub(super) fn tell(&mut self, name: &str, status: JobStatus) {
+    pub(super) fn check_status_answer(&mut self, name: &str, status: JobStatus) {
         if let Some(before) = self.last_final_answer.get(name).filter(|b| **b != status) {
             self.violations
                 .push(format!("went_back: {name} {before:?}, then {status:?}"));
         }
         if status == JobStatus::Done
-            && self.done(name) < self.job(name).map_or(0, |j| j.spec.task_count)
+            && self.done_task_count(name) < self.job_record(name).map_or(0, |j| j.spec.task_count)
         {
             self.violations.push(format!("not_done: {name}"));
         }
@@ -240,18 +242,21 @@
         }
     }
 
-    pub fn job(&self, name: &str) -> Option<JobRecord> {
+    pub fn job_record(&self, name: &str) -> Option<JobRecord> {
         let v = self
-            .state
+            .store
             .value(&job_key(name))
-            .or(self.state.value(&past_key(name)))?;
+            .or(self.store.value(&past_key(name)))?;
         serde_json::from_value(v).ok()
     }
 
     /// Tasks done, as the job's key and all blocks together show them.
-    pub fn done(&self, name: &str) -> u32 {
-        let mut done = self.job(name).map(|j| j.done.tasks).unwrap_or_default();
-        for item in self.state.list("qb/block/").0 {
+    pub fn done_task_count(&self, name: &str) -> u32 {
+        let mut done = self
+            .job_record(name)
+            .map(|j| j.done.tasks)
+            .unwrap_or_default();
+        for item in self.store.list("qb/block/").0 {
             let block: BlockRecord = item.value.read().expect("a block");
             for (job, tasks) in &block.done {
                 if block.jobs[*job] == name {
@@ -263,19 +268,20 @@
     }
 
     /// A block's value as the state service has it.
-    pub fn block(&self, key: &str) -> BlockRecord {
-        let value = self.state.value(key).expect("a block");
+    pub fn block_record(&self, key: &str) -> BlockRecord {
+        let value = self.store.value(key).expect("a block");
         serde_json::from_value(value).expect("a block's value")
     }
 
     /// Whether a job is not over; the door cancels no other.
-    pub fn is_open(&self, name: &str) -> bool {
+    pub fn is_unfinished(&self, name: &str) -> bool {
         let pending = |status| status == JobStatus::Pending;
-        self.waiting(name).is_some_and(|w| pending(w.status))
-            || self.job(name).is_some_and(|j| pending(j.status))
+        self.waiting_record(name).is_some_and(|w| pending(w.status))
+            || self.job_record(name).is_some_and(|j| pending(j.status))
     }
 
     pub fn is_done(&self, name: &str) -> bool {
-        self.job(name).is_some_and(|j| j.status == JobStatus::Done)
+        self.job_record(name)
+            .is_some_and(|j| j.status == JobStatus::Done)
     }
 }
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -54,21 +54,21 @@
     pub sequence: u64,
     pub token: u64,
     pub tasks: Vec<Task>,
-    pub at: usize,
+    pub current_controller: usize,
     pub(super) next_heartbeat: u64,
     /// A heartbeat is under way until then.
     pub(super) silent_until: u64,
-    pub(super) answered: u64,
+    pub(super) last_acked_at: u64,
     /// Its heartbeat, sent then, was taken in by a controller, whose answer waits until then.
-    pub(super) held: Option<(u64, u64, usize)>,
+    pub(super) pending_ack: Option<(u64, u64, usize)>,
     /// No report leaves it and nothing reaches it.
-    pub cut: bool,
+    pub disconnected: bool,
     /// Its reports arrive, but no answer reaches it.
-    pub unreachable: bool,
+    pub loses_responses: bool,
     /// It is paused with all that runs on it, and may go on at any time.
     pub hung: bool,
     /// It reaches this controller alone.
-    pub only: Option<usize>,
+    pub reaches_only: Option<usize>,
     /// It fails whatever it starts.
     pub fails_tasks: bool,
     pub reclaim_s: Option<f64>,
