--- a/benches/costs.rs
+++ b/benches/costs.rs
@@ -1,6 +1,6 @@
-//! What heartbeats, peers' messages, polls, submissions, changes of the replica and looks at what is
-//! due cost at several sizes of the fleet, on fakes and without I/O.
-//! `cargo bench` prints microseconds; the work is the same in every run.
+//! Cost of heartbeats, peer messages, status requests, submissions, replica updates and controller
+//! ticks for several fleet sizes, on fakes and without I/O. `cargo bench` prints microseconds; every run
+//! does the same work.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -13,22 +13,22 @@
 use std::time::Instant;
 use support::World;
 
-/// Sizes of the fleet that are measured, machines.
-const FLEETS: [usize; 5] = [50, 200, 700, 1850, 4000];
-/// Steps of the world, of a tenth of a second each, in which the costs of a fleet are measured.
-const STEPS: usize = 100;
-/// Submissions that are read and judged.
+/// Measured fleet sizes, machines.
+const FLEET_SIZES: [usize; 5] = [50, 200, 700, 1850, 4000];
+/// Number of measured simulation steps of 0.1 s for each fleet size.
+const MEASURED_STEPS: usize = 100;
+/// Number of measured submissions.
 const SUBMISSIONS: usize = 2000;
-/// The longest duration that a histogram can show, nanoseconds.
-const MAX_NANOS: u64 = 10_000_000_000;
+/// Longest duration that a histogram can record, nanoseconds.
+const MAX_DURATION_NS: u64 = 10_000_000_000;
 
-/// Durations of one kind of work, in nanoseconds.
+/// Durations of one operation, in nanoseconds, with its name.
 struct Cost(&'static str, Histogram<u64>);
 
 impl Cost {
     fn new(what: &'static str) -> Cost {
-        let bounds = Histogram::<u64>::new_with_bounds(1, MAX_NANOS, 3);
-        Cost(what, bounds.expect("good bounds"))
+        let bounds = Histogram::<u64>::new_with_bounds(1, MAX_DURATION_NS, 3);
+        Cost(what, bounds.expect("valid bounds"))
     }
 
     fn measure<T>(&mut self, work: impl FnOnce() -> T) {
@@ -49,7 +49,7 @@
     }
 }
 
-/// A cell with three controllers, and a job of 20 tasks for each machine.
+/// Creates a cell with three controllers and, for each machine, one job of 20 tasks.
 fn loaded_world(machines: usize) -> World {
     let mut world = World::with_size(1, 3, machines);
     for team in &mut world.settings.platform.settings.teams {
@@ -60,7 +60,9 @@
     world.settings.platform.settings.state.txn_ops = 24;
     (0..3).for_each(|at| world.crash(at));
     (0..3).for_each(|at| world.start(at));
-    world.run_until(20_000, "a leader", |world| world.leader().is_some());
+    world.run_until(20_000, "there is a leader", |world| {
+        world.leader().is_some()
+    });
     world.cloud_up = false;
     for n in 1..=(machines as u32) {
         let spec = world.spec(20);
@@ -72,36 +74,36 @@
 
 fn costs(machines: usize) {
     let mut world = loaded_world(machines);
-    let mut heartbeat = Cost::new("a worker's heartbeat");
-    let mut due = Cost::new("a look at what is due, leader");
-    let mut long = Cost::new("a peer's long message");
-    let mut short = Cost::new("a peer's short message");
-    let mut poll = Cost::new("a poll, once the replica is there");
-    let mut message = Cost::new("a tenth of a second of changes");
-    for _ in 0..STEPS {
+    let mut heartbeat = Cost::new("worker heartbeat");
+    let mut tick = Cost::new("tick of the leader");
+    let mut long = Cost::new("long peer message");
+    let mut short = Cost::new("short peer message");
+    let mut poll = Cost::new("status request, current replica");
+    let mut replica_update = Cost::new("replica update, 0.1 s of changes");
+    for _ in 0..MEASURED_STEPS {
         let before = world.store.revision();
         world.step();
         let now = Timestamp(world.now);
         let leader = world.leader().unwrap_or(0);
         for at in (0..world.workers.len()).step_by(machines / 50) {
             world.workers[at].sequence += 1;
-            let beat = world.workers[at].heartbeat();
-            let Some(holder) = world.holder(&beat.machine) else {
+            let message = world.workers[at].heartbeat();
+            let Some(holder) = world.holder(&message.machine) else {
                 continue;
             };
             if let Some(node) = world.controllers[holder].as_mut() {
-                heartbeat.measure(|| node.controller.on_heartbeat(beat, now));
+                heartbeat.measure(|| node.controller.on_heartbeat(message, now));
             }
         }
-        let list = world.store.events("qb/", before);
-        let day = world.now;
+        let changes = world.store.events("qb/", before);
+        let unix_time_ms = world.now;
         let Some(node) = world.controllers[leader].as_mut() else {
             continue;
         };
-        // The same changes once more, as another controller would take them in.
+        // Applies the changes of this step again, as another controller does.
         node.controller.replica.revision = before.min(node.controller.replica.revision);
-        message.measure(|| node.controller.on_watch_response(list, now, now));
-        due.measure(|| node.controller.tick(now, day));
+        replica_update.measure(|| node.controller.on_watch_response(changes, now, now));
+        tick.measure(|| node.controller.tick(now, unix_time_ms));
         long.measure(|| node.controller.peer_message(MessageLength::Long, now));
         short.measure(|| node.controller.peer_message(MessageLength::Short, now));
         poll.measure(|| {
@@ -116,16 +118,16 @@
         "{machines} machines, {} tasks running",
         world.running_task_count()
     );
-    for cost in [&heartbeat, &due, &long, &short, &poll, &message] {
+    for cost in [&heartbeat, &tick, &long, &short, &poll, &replica_update] {
         cost.show();
     }
 }
 
 fn main() {
-    for machines in FLEETS {
+    for machines in FLEET_SIZES {
         costs(machines);
     }
-    let mut submission = Cost::new("reading and judging a submission");
+    let mut submission = Cost::new("parse and validate a submission");
     let world = World::new(1, 3);
     let mut body = serde_json::to_value(world.spec(100_000)).expect("plain data");
     body["ref"] = "wk-000412".into();
--- a/tests/behaviour_digest.rs
+++ b/tests/behaviour_digest.rs
@@ -1,10 +1,10 @@
-//! Digests of everything that leaves the controllers on seeded days, run by hand before and after a step
-//! of a refactoring that is to change no behaviour:
+//! Digests of all messages that controllers send in seeded scenarios, run manually before and after a
+//! refactoring that must not change behaviour:
 //!
 //! `cargo test --locked --test behaviour_digest -- --ignored --nocapture`
 //!
-//! `DIGEST_THREADS` says how many days are played at once, and `DIGEST_TRACE` names a directory into which
-//! every message is written, to compare the traces of a day whose digest differs.
+//! `DIGEST_THREADS` sets the number of scenarios that run at once. `DIGEST_TRACE` names a directory into
+//! which every message is written, to compare the traces of a scenario whose digest differs.
 
 mod support;
 
@@ -18,71 +18,72 @@
 use support::scenarios::{self, ScenarioPlan};
 use support::{StoreFault, World, search};
 
-/// Days that are played at once, if nothing else is said.
-const THREADS: u64 = 3;
+/// Number of scenarios that run at once unless `DIGEST_THREADS` is set.
+const DEFAULT_THREADS: u64 = 3;
 
-/// One kind of day.
-struct Kind {
+/// A kind of scenario.
+struct ScenarioKind {
     name: &'static str,
     seeds: std::ops::Range<u64>,
-    /// Plays the day of a seed; the rules that were broken.
-    play: fn(u64) -> Vec<String>,
+    /// Runs the scenario of a seed and returns the violated invariants.
+    run: fn(u64) -> Vec<String>,
 }
 
-const KINDS: [Kind; 4] = [
-    Kind {
+const KINDS: [ScenarioKind; 4] = [
+    ScenarioKind {
         name: "random-faults",
         seeds: 100..112,
-        play: random_faults,
+        run: random_faults,
     },
-    Kind {
+    ScenarioKind {
         name: "small-values",
         seeds: 200..204,
-        play: small_values,
+        run: small_values,
     },
-    Kind {
+    ScenarioKind {
         name: "mixed-formats",
         seeds: 300..306,
-        play: mixed_formats,
+        run: mixed_formats,
     },
-    Kind {
+    ScenarioKind {
         name: "spillover",
         seeds: 400..404,
-        play: spillover,
+        run: spillover,
     },
 ];
 
-/// What a day came to.
-struct DayReport {
-    day: usize,
+/// Result of one scenario.
+struct ScenarioReport {
+    /// Position in the printed list.
+    index: usize,
     line: String,
     violations: Vec<String>,
 }
 
 #[test]
-#[ignore = "run by hand before and after a step that is to change no behaviour"]
+#[ignore = "run manually before and after a refactoring"]
 fn behaviour_digests() {
     let all = KINDS.iter();
-    let days = all.flat_map(|kind| kind.seeds.clone().map(move |seed| (kind, seed)));
-    let days = Mutex::new(days.enumerate());
+    let scenarios = all.flat_map(|kind| kind.seeds.clone().map(move |seed| (kind, seed)));
+    let scenarios = Mutex::new(scenarios.enumerate());
     let results = Mutex::new(Vec::new());
-    let threads = search::number("DIGEST_THREADS").unwrap_or(THREADS);
+    let threads = search::number("DIGEST_THREADS").unwrap_or(DEFAULT_THREADS);
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
                 loop {
-                    let next = days.lock().expect("no panic").next();
-                    let Some((day, (kind, seed))) = next else {
+                    let next = scenarios.lock().expect("lock is not poisoned").next();
+                    let Some((index, (kind, seed))) = next else {
                         return;
                     };
-                    let result = play(day, kind, seed);
-                    results.lock().expect("no panic").push(result);
+                    let result = run_scenario(index, kind, seed);
+                    results.lock().expect("lock is not poisoned").push(result);
                 }
             });
         }
     });
-    let mut results = results.into_inner().expect("no panic");
-    results.sort_by_key(|result| result.day);
+    let mut results = results.into_inner().expect("lock is not poisoned");
+    results.sort_by_key(|result| result.index);
     results
         .iter()
         .for_each(|result| println!("{}", result.line));
@@ -93,16 +94,16 @@
     assert!(violations.is_empty(), "{violations:#?}");
 }
 
-fn play(day: usize, kind: &Kind, seed: u64) -> DayReport {
+fn run_scenario(index: usize, kind: &ScenarioKind, seed: u64) -> ScenarioReport {
     let name = format!("{}-{seed}", kind.name);
-    let (summary, violations) = digest::record(&name, || (kind.play)(seed));
+    let (summary, violations) = digest::record(&name, || (kind.run)(seed));
     let Summary {
         messages,
         bytes,
         digest,
     } = summary;
-    DayReport {
-        day,
+    ScenarioReport {
+        index,
         line: format!(
             "{} {seed} {messages} messages {bytes} bytes {digest}",
             kind.name
@@ -111,7 +112,7 @@
     }
 }
 
-/// Faults of every kind come at random and overlap.
+/// Random faults of all kinds overlap.
 fn random_faults(seed: u64) -> Vec<String> {
     let plan = ScenarioPlan {
         seed,
@@ -119,10 +120,10 @@
         faults: 25,
         restarts: !seed.is_multiple_of(3),
     };
-    scenarios::play(plan).err().unwrap_or_default()
+    scenarios::run(plan).err().unwrap_or_default()
 }
 
-/// The state service takes small values and small transactions only.
+/// The state service accepts only small values and small transactions.
 fn small_values(seed: u64) -> Vec<String> {
     let mut world = World::before_upgrade(seed, 3, 8);
     for controller in 0..world.controllers.len() {
@@ -133,7 +134,7 @@
     submissions_and_faults(&mut world, seed, Vec::new())
 }
 
-/// Controllers of an earlier format of stored values are replaced one after another.
+/// Controllers that write an earlier format of stored values are upgraded one after another.
 fn mixed_formats(seed: u64) -> Vec<String> {
     let controllers = [3, 5][seed as usize % 2];
     let mut world = World::before_upgrade(seed, controllers, 10);
@@ -146,7 +147,7 @@
     submissions_and_faults(&mut world, seed, (0..controllers).collect())
 }
 
-/// The state service has the limits that the settings announced.
+/// Enforces the limits that the settings announced.
 fn lower_limits(world: &mut World) {
     let limits = &world.settings.platform.settings.state;
     world.store.size_limits = Some(((limits.value_kb * 1024.0) as usize, limits.txn_ops));
@@ -159,8 +160,8 @@
     world.start(controller);
 }
 
-/// Jobs, chained ones among them, cancellations and faults; meanwhile these controllers are replaced by
-/// ones of this version, and then the state service lowers its limits.
+/// Submits jobs with and without predecessors, cancels some and injects faults. Meanwhile the controllers
+/// in `to_replace` are upgraded, and after the last one the state service lowers its limits.
 fn submissions_and_faults(world: &mut World, seed: u64, mut to_replace: Vec<usize>) -> Vec<String> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut jobs: Vec<String> = Vec::new();
@@ -192,7 +193,7 @@
     std::mem::take(&mut world.violations)
 }
 
-/// Submits a job, sometimes one that waits for others.
+/// Submits a job, sometimes with predecessors.
 fn submit(world: &mut World, rng: &mut SmallRng, number: u32, jobs: &mut Vec<String>) {
     let mut spec = world.spec(rng.random_range(1..24));
     spec.team = ["blue", "red", "guest"][rng.random_range(0..3)].into();
@@ -200,18 +201,18 @@
         spec.priority = Priority::Urgent;
     }
     world.run_ms = rng.random_range(2000..20_000);
-    let named: Vec<String> = (0..rng.random_range(0..3))
+    let predecessors: Vec<String> = (0..rng.random_range(0..3))
         .filter_map(|_| jobs.get(rng.random_range(0..jobs.len().max(1))).cloned())
         .collect();
     let controller = rng.random_range(0..world.controllers.len());
-    let accepted = match named.is_empty() {
+    let accepted = match predecessors.is_empty() {
         true => Some(world.submit(number, spec)),
-        false => world.try_submit_dependent(controller, number, spec, &named),
+        false => world.try_submit_dependent(controller, number, spec, &predecessors),
     };
     jobs.extend(accepted);
 }
 
-/// Sometimes a user cancels a job.
+/// Cancels a random job with a probability of 15%.
 fn cancel(world: &mut World, rng: &mut SmallRng, jobs: &[String]) {
     if jobs.is_empty() || !rng.random_bool(0.15) {
         return;
@@ -223,7 +224,7 @@
     }
 }
 
-/// Three cells lend each other jobs while faults come at random in and between them.
+/// Three cells lend each other jobs during random faults in and between them.
 fn spillover(seed: u64) -> Vec<String> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut cells = Cells::new(seed, &[2, 5, 4]);
@@ -254,8 +255,9 @@
     cells.heal();
     cells.run(60_000);
     let violations = cells.cells.iter().flat_map(|world| &world.violations);
-    // A start that was on its way when the job's end was recorded breaks no rule.
-    let violations = violations.filter(|rule| !rule.ends_with("is launched after its job is done"));
+    // A launch that was in flight when the end of its job was recorded is allowed.
+    let violations =
+        violations.filter(|violation| !violation.ends_with("is launched after its job is done"));
     violations.chain(&cells.violations).cloned().collect()
 }
 
--- a/tests/duplicate_execution.rs
+++ b/tests/duplicate_execution.rs
@@ -1,5 +1,5 @@
-//! Tests of the rule that a task is on one machine at a time: each one made a task run twice, or
-//! freed one that might still start, before its guard was there.
+//! Regression tests for the invariant that a task runs on one machine at a time. Each scenario once made
+//! a task run twice, or freed a task that could still start.
 
 mod support;
 
@@ -10,9 +10,9 @@
 use support::{StoreFault, World};
 
 #[test]
-fn the_checker_sees_a_task_on_two_machines_and_nothing_else() {
-    let kept = [("wk-000001/0", "m-1"), ("wk-000001/1", "m-2")];
-    assert_eq!(find_duplicate_execution(kept.into_iter()), None);
+fn only_a_task_on_two_machines_is_reported() {
+    let separate = [("wk-000001/0", "m-1"), ("wk-000001/1", "m-2")];
+    assert_eq!(find_duplicate_execution(separate.into_iter()), None);
     let planted = [("wk-000001/0", "m-1"), ("wk-000001/0", "m-2")];
     let expected = DuplicateExecution {
         task: "wk-000001/0".into(),
@@ -24,21 +24,21 @@
     );
 }
 
-/// Wherever it is planted, the world's own check finds a task that is on a second machine: while that
-/// machine is cut off, hangs, or the task saves.
+/// The simulation's invariant check must detect a task on a second machine even if its first machine is
+/// disconnected or hung, or if the task is saving its progress.
 #[test]
-fn a_planted_double_start_is_found_while_its_machine_is_cut_off_hangs_or_saves() {
-    for inject_fault in 0..3 {
+fn a_duplicate_execution_is_detected_on_disconnected_hung_or_saving_machines() {
+    for fault in 0..3 {
         let (mut w, _) = World::with_running_job(1, 3, 60_000);
         let at = w.workers.iter().position(|m| !m.tasks.is_empty());
-        let at = at.expect("something runs");
-        match inject_fault {
+        let at = at.expect("a machine runs a task");
+        match fault {
             0 => w.workers[at].disconnected = true,
             1 => w.workers[at].hung = true,
             _ => {
                 for task in &mut w.workers[at].tasks {
                     task.stop(5000, 9000);
-                    assert!(task.is_on_machine(), "it saves");
+                    assert!(task.is_on_machine(), "a saving task is on its machine");
                 }
             }
         }
@@ -51,7 +51,7 @@
     }
 }
 
-/// The block that lists a machine.
+/// Key and record of the block that lists a machine.
 fn block_of(w: &World, machine: &str) -> (String, BlockRecord) {
     let (items, _) = w.store.list("qb/block/");
     let mut blocks = items
@@ -59,15 +59,19 @@
         .map(|i| (i.key.clone(), w.block_record(&i.key)));
     blocks
         .find(|(_, b)| b.machines.contains_key(machine))
-        .expect("listed")
+        .expect("the machine is listed")
 }
 
-/// Moves the last task of one machine's queue to another's, as a steal does, behind everybody's back.
+/// Moves the last task of the victim's queue to the thief's, as a steal does, directly in the store.
 /// Returns the task.
-fn steal(w: &mut World, victim: &str, thief: &str) -> String {
+fn move_last_task(w: &mut World, victim: &str, thief: &str) -> String {
     let (from_key, mut from) = block_of(w, victim);
     let (to_key, mut to) = block_of(w, thief);
-    let queue = &mut from.machines.get_mut(victim).expect("listed").queue;
+    let queue = &mut from
+        .machines
+        .get_mut(victim)
+        .expect("the machine is listed")
+        .queue;
     let last = queue.last_mut().expect("queued");
     let task = last.tasks.iter().last().expect("a task");
     let mut tasks = RangeSet::new();
@@ -76,18 +80,19 @@
     let name = from.jobs[last.job].clone();
     let attempt = last.attempt + from.first_attempt;
     let job = to.jobs.iter().position(|j| *j == name);
-    let job = job.expect("listed there too");
-    // Attempts are stored as what they exceed the block's first one by.
+    let job = job.expect("the job is listed in the thief's block");
+    // Attempts are stored relative to the block's first attempt.
     let first = to.first_attempt.min(attempt);
-    let worker_epoch = to.first_attempt - first;
+    let offset = to.first_attempt - first;
     to.first_attempt = first;
     for machine in to.machines.values_mut() {
-        machine
-            .queue
-            .iter_mut()
-            .for_each(|q| q.attempt += worker_epoch);
+        machine.queue.iter_mut().for_each(|q| q.attempt += offset);
     }
-    let queue = &mut to.machines.get_mut(thief).expect("listed").queue;
+    let queue = &mut to
+        .machines
+        .get_mut(thief)
+        .expect("the machine is listed")
+        .queue;
     let attempt = attempt - first;
     queue.push(StoredBinding {
         job,
@@ -101,18 +106,18 @@
     format!("{name}/{task}")
 }
 
-/// Completions that a holder has heard of count for it when its block is granted again. It used to
-/// forget them with the token, and started the tasks of a job that its leader had recorded as done on
-/// its word (search, seed 12151).
+/// A holder must keep the completions reported to it when its block is granted to it again. It once
+/// dropped them with the old fencing token and relaunched tasks of a job that the leader had already
+/// recorded as done, based on the holder's own report (search, seed 12151).
 #[test]
-fn a_completion_is_not_forgotten_when_the_block_is_granted_again() {
+fn reported_completions_survive_a_new_grant_of_the_block() {
     let (mut w, job) = World::with_running_job(1, 3, 60_000);
     let at = w.workers.iter().position(|m| !m.tasks.is_empty());
-    let at = at.expect("something runs");
+    let at = at.expect("a machine runs a task");
     let machine = w.workers[at].machine.name.clone();
-    let holder = w.holder(&machine).expect("held");
-    let begun = w.start_count_of(&job);
-    // The tasks end, and the worker's lease with them: only a copy of its heartbeat arrives.
+    let holder = w.holder(&machine).expect("the machine has a holder");
+    let starts_before = w.start_count_of(&job);
+    // The tasks end and the worker's lease expires. Only a copy of its heartbeat arrives.
     let mut copy = w.workers[at].heartbeat();
     for task in &mut copy.tasks {
         (task.status, task.exit_reason) = (TaskPhase::Ended, Some(ExitReason::Done));
@@ -122,53 +127,55 @@
     worker.tasks.clear();
     (worker.worker_epoch, worker.sequence) = (worker.worker_epoch + 1, 0);
     let clock = w.clock(holder);
-    let node = w.controllers[holder].as_mut().expect("alive");
+    let node = w.controllers[holder]
+        .as_mut()
+        .expect("the controller is running");
     node.controller.on_heartbeat(copy, clock);
-    // Before that is recorded, the block is granted to the same holder once more.
+    // Before the completions are recorded, the block is granted to the same holder again.
     let key = block_of(&w, &machine).0.replace("block", "grant");
     let grant = w.store.value(&key).expect("granted");
     w.store.overwrite(&key, &grant);
     w.run(10_000);
-    assert_eq!(w.start_count_of(&job), begun);
+    assert_eq!(w.start_count_of(&job), starts_before);
     w.assert_no_violations();
 }
 
-/// Machines whose blocks the leader does not hold.
+/// Indexes of the machines whose blocks the leader does not hold.
 fn held_by_others(w: &World, leader: usize) -> Vec<usize> {
     let others = |&at: &usize| w.holder(&w.workers[at].machine.name) != Some(leader);
     (0..w.workers.len()).filter(others).collect()
 }
 
-/// A steal that the leader's watch does not show, and then the end of the victim's holder. Returns
-/// whether the leader came to hold the victim.
+/// Moves a task while the leader's watch hangs, then crashes the victim's holder. Returns whether the
+/// leader took over the victim's block.
 fn steal_behind_the_leaders_watch(seed: u64) -> (World, bool) {
     let mut w = World::settled(seed, 3, 3);
     w.run(3000);
     w.cloud_up = false;
-    let leader = w.leader().expect("leads");
+    let leader = w.leader().expect("there is a leader");
     let others = held_by_others(&w, leader);
     let [victim, thief] = others[..] else {
         return (w, false);
     };
     let machine = |at: usize| w.workers[at].machine.name.clone();
     let (victim_machine, thief_machine) = (machine(victim), machine(thief));
-    let holder = w.holder(&victim_machine).expect("held");
+    let holder = w.holder(&victim_machine).expect("the machine has a holder");
     if w.holder(&thief_machine) == Some(holder) {
         return (w, false);
     }
-    // What is bound to the victim is not started yet.
+    // Tasks bound to the victim do not start yet.
     w.workers[victim].disconnected = true;
     w.run_ms = 60_000;
     let mut spec = w.spec(12);
     spec.cpus = 0.5;
     w.submit(1, spec);
-    w.run_until(4000, "bound", |w| {
+    w.run_until(4000, "tasks are bound to the machine", |w| {
         let (_, block) = block_of(w, &victim_machine);
         w.running_task_count() >= 2 && !block.machines[&victim_machine].queue.is_empty()
     });
     w.links[leader].watch_hangs = true;
-    let task = steal(&mut w, &victim_machine, &thief_machine);
-    w.run_until(6000, "the thief runs it", |w| {
+    let task = move_last_task(&mut w, &victim_machine, &thief_machine);
+    w.run_until(6000, "the thief runs the task", |w| {
         w.starts.iter().any(|s| s.1 == task && s.2 == thief_machine)
     });
     w.crash(holder);
@@ -188,10 +195,10 @@
 }
 
 #[test]
-fn a_holder_starts_nothing_before_its_watch_has_reached_its_grant() {
-    // Found by the search (seed 3059): the leader's watch lagged while it granted a block to itself.
-    // The grant showed at once, the steals that the former holder had written before it did not, and
-    // what had moved away was started once more where it no longer was listed.
+fn a_holder_launches_no_task_before_its_watch_has_reached_its_grant() {
+    // Found by the search (seed 3059): a leader whose watch lagged granted a block to itself. It saw its
+    // grant at once, but not the moves that the former holder had committed before, and launched a
+    // moved task again on the machine that it had been moved from.
     let mut taken_over = 0;
     for seed in 0..24 {
         let (w, held) = steal_behind_the_leaders_watch(seed);
@@ -203,65 +210,77 @@
 
 #[test]
 fn an_exit_reported_by_an_earlier_epoch_frees_no_task_that_has_restarted() {
-    // A new holder took in what a late copy said had failed, before the machine had shown its token.
-    // The task had been started again in the machine's next epoch.
+    // A new holder accepted a failure from a delayed heartbeat before the machine had reported the new
+    // fencing token. The task had already been restarted in the machine's next epoch.
     for seed in 0..6 {
         let (mut w, _) = World::with_running_job(seed, 3, 60_000);
         w.cloud_up = false;
         w.run_ms = 60_000;
         let runs = |m: &support::Worker| !m.tasks.is_empty();
-        let at = w.workers.iter().position(runs).expect("something runs");
-        // Its task fails; the heartbeat of this is held up on its way.
+        let at = w
+            .workers
+            .iter()
+            .position(runs)
+            .expect("a machine runs a task");
+        // A task fails, and the heartbeat that reports this is delayed.
         w.workers[at].disconnected = true;
         let mut late = w.workers[at].heartbeat();
         late.sequence += 1;
         late.tasks[0].status = TaskPhase::Ended;
         late.tasks[0].exit_reason = Some(ExitReason::Error);
         let task = late.tasks[0].task.clone();
-        // All controllers are away until its epoch is over.
+        // All controllers are down until the worker's epoch has ended.
         (0..3).for_each(|i| w.crash(i));
         w.run(13_000);
         w.workers[at].disconnected = false;
         (0..3).for_each(|i| w.start(i));
         let machine = w.workers[at].machine.name.clone();
         let since = w.now;
-        w.run_until(30_000, "it runs again", |w| {
+        w.run_until(30_000, "the task is restarted", |w| {
             let again = |s: &(u64, String, String)| s.0 > since && s.1 == task && s.2 == machine;
             w.starts.iter().any(again)
         });
         for i in 0..3 {
             let clock = w.clock(i);
-            let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
+            let controller = &mut w.controllers[i]
+                .as_mut()
+                .expect("the controller is running")
+                .controller;
             controller.on_heartbeat(late.clone(), clock);
         }
         let starts = |w: &World| w.starts.iter().filter(|s| s.1 == task).count();
         let before = starts(&w);
         w.run(20_000);
-        assert_eq!(starts(&w), before, "{task} was started once more");
+        assert_eq!(starts(&w), before, "{task} was started a second time");
         w.assert_no_violations();
     }
 }
 
 #[test]
-fn a_restarted_worker_gets_nothing_from_a_former_holder() {
-    // Its token is 0 again, so it would obey anybody. A controller that had never heard it under an
-    // older grant, and does not know of the newer one, started what had long moved elsewhere.
+fn a_former_holder_launches_no_task_on_a_restarted_worker() {
+    // A restarted worker reports token 0 and accepts commands from any controller. A former holder that
+    // had received none of its heartbeats under the older grant, and did not know of the newer grant,
+    // launched tasks that had been moved elsewhere.
     for seed in 0..6 {
         let mut w = World::settled(seed, 3, 3);
         w.run(3000);
         w.cloud_up = false;
-        let leader = w.leader().expect("leads");
-        let stale = (0..3).find(|&i| i != leader).expect("three of them");
+        let leader = w.leader().expect("there is a leader");
+        let stale = (0..3)
+            .find(|&i| i != leader)
+            .expect("there are three controllers");
         let other = |at: &usize| w.holder(&w.workers[*at].machine.name) != Some(stale);
-        let at = (0..3).find(other).expect("one is held by another");
+        let at = (0..3)
+            .find(other)
+            .expect("another controller holds a machine");
         let machine = w.workers[at].machine.name.clone();
         w.workers[at].disconnected = true;
         w.run_ms = 6000;
         w.submit(1, w.spec(12));
-        w.run_until(4000, "bound", |w| {
+        w.run_until(4000, "tasks are bound to the machine", |w| {
             !block_of(w, &machine).1.machines[&machine].queue.is_empty()
         });
-        // A controller is granted the block, and is then cut from all but the workers.
+        // A controller is granted the block, then loses its connections to all but the workers.
         let stale_grant = grant_of(&w, stale);
         let (key, _) = block_of(&w, &machine);
         w.store
@@ -269,14 +288,17 @@
         w.run(200);
         w.isolate(stale);
         w.run(5000);
-        // The next holder finds that it may not start anything there, and frees what is bound.
+        // The next holder cannot launch anything on the machine, whose reclaim is announced, and frees its
+        // tasks.
         w.workers[at].disconnected = false;
         w.workers[at].reclaim_s = Some(30.0);
         w.run_ms = 60_000;
-        w.run_until(9000, "freed", |w| {
+        w.run_until(9000, "the queue is empty", |w| {
             block_of(w, &machine).1.machines[&machine].queue.is_empty()
         });
-        w.run_until(9000, "it runs elsewhere", |w| w.running_task_count() >= 4);
+        w.run_until(9000, "the tasks run elsewhere", |w| {
+            w.running_task_count() >= 4
+        });
         w.restart_machine(at);
         w.workers[at].reclaim_s = None;
         w.workers[at].current_controller = stale;
@@ -286,7 +308,7 @@
     }
 }
 
-/// The grant of some block that a controller holds.
+/// Stored grant of a block that a controller holds.
 fn grant_of(w: &World, i: usize) -> serde_json::Value {
     let (items, _) = w.store.list("qb/grant/");
     let values = items
@@ -294,17 +316,17 @@
         .filter_map(|item| w.store.value(&item.key));
     let name = format!("n{i}");
     let mut mine = values.filter(|v| v["h"] == name.as_str());
-    mine.next().expect("it holds something")
+    mine.next().expect("the controller holds a block")
 }
 
 #[test]
-fn an_unacknowledged_binding_is_not_forgotten_when_its_retry_is_called_malformed() {
-    // The service's limits may fall between the two.
+fn a_binding_in_doubt_is_kept_when_its_retry_is_rejected_as_malformed() {
+    // The limits of the service may be lowered between a write and its retry.
     for seed in 0..12 {
         let mut w = World::settled(seed, 3, 6);
         w.cloud_up = false;
         w.run(3000);
-        let leader = w.leader().expect("leads");
+        let leader = w.leader().expect("there is a leader");
         w.run_ms = 20_000;
         w.links[leader].store_fault = StoreFault::Slow(2500);
         for n in 1..=4 {
@@ -322,12 +344,16 @@
 }
 
 #[test]
-fn a_task_that_is_refused_because_it_is_there_already_is_not_free() {
+fn a_launch_rejected_as_in_use_does_not_free_the_task() {
     let (mut w, _) = World::with_running_job(3, 3, 60_000);
     let runs = |m: &support::Worker| !m.tasks.is_empty();
-    let at = w.workers.iter().position(runs).expect("something runs");
+    let at = w
+        .workers
+        .iter()
+        .position(runs)
+        .expect("a machine runs a task");
     let machine = w.workers[at].machine.name.clone();
-    let holder = w.holder(&machine).expect("held");
+    let holder = w.holder(&machine).expect("the machine has a holder");
     let before = block_of(&w, &machine).1.machines[&machine].queue.clone();
     let mut heartbeat = w.workers[at].heartbeat();
     heartbeat.sequence += 1;
@@ -337,9 +363,12 @@
     let attempt = listed.attempt - 1;
     heartbeat.tasks.push(TaskStatus { attempt, ..listed });
     let clock = w.clock(holder);
-    let controller = &mut w.controllers[holder].as_mut().expect("alive").controller;
+    let controller = &mut w.controllers[holder]
+        .as_mut()
+        .expect("the controller is running")
+        .controller;
     controller.on_heartbeat(heartbeat, clock);
-    // Its worker is out of sight for a moment: nothing else tells of the task.
+    // The worker is disconnected, so no other heartbeat reports the task.
     w.workers[at].disconnected = true;
     w.run(4000);
     assert_eq!(block_of(&w, &machine).1.machines[&machine].queue, before);
@@ -347,19 +376,19 @@
 
 #[test]
 fn a_superseded_holder_frees_no_task_of_machines_it_presumes_dead() {
-    // It reaches no worker and its watch hangs, but its writes arrive: its machines have another holder
-    // and run on.
+    // The holder reaches no worker and its watch hangs, but its writes arrive. Its machines keep running
+    // under another holder.
     for seed in 0..4 {
         let (mut w, job) = World::with_running_job(seed, 3, 40_000);
-        let leader = w.leader().expect("leads");
+        let leader = w.leader().expect("there is a leader");
         let i = (leader + 1) % 3;
         w.links[i].watch_hangs = true;
         w.links[i].workers_reachable = false;
         w.run(18_000);
         w.links[i].watch_hangs = false;
         w.links[i].workers_reachable = true;
-        w.run_until(60_000, "done", |w| w.is_done(&job));
+        w.run_until(60_000, "the job is done", |w| w.is_done(&job));
         w.assert_no_violations();
-        assert_eq!(w.start_count_of(&job), 12, "running work was lost");
+        assert_eq!(w.start_count_of(&job), 12, "running tasks were restarted");
     }
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! A test of about 4,000 machines, the largest fleet that the users run.
+//! Failover of the leader with 4,000 machines, the largest fleet in use.
 
 mod support;
 
@@ -6,7 +6,7 @@
 
 const MACHINES: usize = 4000;
 
-/// Five controllers with the reports, leases and budgets of a deployment of this size.
+/// Five controllers with the heartbeat period, leases and rate limits of a deployment of this size.
 fn fleet(seed: u64) -> World {
     let platform = PLATFORM
         .replace("report_s = 2.0", "report_s = 5.0")
@@ -18,39 +18,43 @@
     World::with_platform(seed, 5, MACHINES, &platform)
 }
 
-/// Machines that some controller holds.
-fn held(w: &World) -> usize {
+/// Number of machines that have a holder.
+fn held_count(w: &World) -> usize {
     let machines = w.workers.iter().map(|m| &m.machine.name);
-    machines.filter(|r| w.holder(r).is_some()).count()
+    machines.filter(|name| w.holder(name).is_some()).count()
 }
 
-/// Plays until every machine is held, for so many seconds at most.
+/// Runs until every machine has a holder. Fails after this many seconds.
 fn run_until_held(w: &mut World, seconds: u32) {
     for _ in 0..seconds {
         w.run(1000);
-        if held(w) == MACHINES {
+        if held_count(w) == MACHINES {
             return;
         }
     }
-    panic!("{} of {MACHINES} machines are held", held(w));
+    panic!("{} of {MACHINES} machines have a holder", held_count(w));
 }
 
 #[test]
 fn four_thousand_machines_survive_a_failover_of_the_leader() {
     let mut w = fleet(1);
-    // The cloud is away once the machine types are known, so that idle machines stay.
+    // The cloud is unavailable after the catalog was read, so that idle machines are not returned.
     w.run(1000);
     w.cloud_up = false;
     run_until_held(&mut w, 60);
     w.run(6000);
     w.run_ms = 25_000;
     let jobs: Vec<String> = (1..=20).map(|n| w.submit(n, w.spec(100))).collect();
-    w.run_until(30_000, "most tasks run", |w| w.running_task_count() >= 1500);
-    let leader = w.leader().expect("leads");
+    w.run_until(30_000, "1500 tasks are launched", |w| {
+        w.running_task_count() >= 1500
+    });
+    let leader = w.leader().expect("there is a leader");
     w.crash(leader);
     run_until_held(&mut w, 15);
     w.start(leader);
-    w.run_until(120_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+    w.run_until(120_000, "all jobs are done", |w| {
+        jobs.iter().all(|j| w.is_done(j))
+    });
     w.assert_no_violations();
-    assert_eq!(w.starts.len(), 2000, "running work was lost");
+    assert_eq!(w.starts.len(), 2000, "running tasks were restarted");
 }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! The real program on loopback, against stand-ins for the state service and the cloud and one
-//! worker: it starts, takes a job, runs it and says so.
+//! Runs the program on loopback against fakes of the state service, the cloud and one worker: it starts,
+//! accepts a job, runs it and reports it as done. Also checks its answers to users and its settings.
 
 mod processes;
 mod support;
@@ -11,29 +11,33 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// The same, with an address of its own.
-async fn call_owned(method: &str, url: String, body: Option<Value>) -> Option<(u16, Value)> {
+/// Like [`call`], but owns its URL, so that the future borrows nothing.
+async fn call_with_owned_url(
+    method: &str,
+    url: String,
+    body: Option<Value>,
+) -> Option<(u16, Value)> {
     call(method, &url, body).await
 }
 
-/// What users must be told of submissions that are malformed or can never run, and of a job that
-/// is done: `known` is one.
+/// Checks the answers to malformed submissions, to submissions that can never run, and to requests about
+/// `completed`, a job that is done.
 #[expect(
     clippy::too_many_lines,
     reason = "a list of requests with their answers"
 )]
-async fn odd_requests(base: &str, known: &Value) {
+async fn check_submissions(base: &str, completed: &Value) {
     let jobs = format!("{base}/api/jobs");
-    let mut new = known.clone();
+    let mut new = completed.clone();
     new["ref"] = json!("wk-000100");
     let with = |changes: Value| {
         let mut spec = new.clone();
-        for (k, v) in changes.as_object().expect("fields") {
+        for (k, v) in changes.as_object().expect("a JSON object") {
             spec[k] = v.clone();
         }
         spec
     };
-    let fields = new.as_object().expect("fields").clone();
+    let fields = new.as_object().expect("a JSON object").clone();
     let mut table: Vec<(Value, u16)> = vec![
         (json!([]), 400),
         (json!("text"), 400),
@@ -59,7 +63,10 @@
     ];
     for (field, value) in &fields {
         let mut missing = new.clone();
-        missing.as_object_mut().expect("fields").remove(field);
+        missing
+            .as_object_mut()
+            .expect("a JSON object")
+            .remove(field);
         table.push((missing, 400));
         table.push((with(json!({ field: null })), 400));
         table.push((with(json!({ field: { "of": "another type" } })), 400));
@@ -71,17 +78,17 @@
     for (body, expected) in table {
         let answer = call("POST", &jobs, Some(body.clone())).await;
         assert_eq!(answer.map(|a| a.0), Some(expected), "{body}");
-        // A job that was accepted is known, however its repeat looks.
-        let mut again = body;
-        if again.is_object() && again["ref"] == "wk-000100" {
-            again["ref"] = known["ref"].clone();
-            let answer = call("POST", &jobs, Some(again.clone())).await;
-            let (status, v) = answer.expect("answered");
-            assert_eq!((status, &v["status"]), (200, &json!("done")), "{again}");
+        // A repeated submission of an accepted job gets the job's state, whatever else it contains.
+        let mut repeat = body;
+        if repeat.is_object() && repeat["ref"] == "wk-000100" {
+            repeat["ref"] = completed["ref"].clone();
+            let answer = call("POST", &jobs, Some(repeat.clone())).await;
+            let (status, v) = answer.expect("a response");
+            assert_eq!((status, &v["status"]), (200, &json!("done")), "{repeat}");
         }
     }
     let never = format!("{jobs}/wk-000100");
-    let gone = format!("{jobs}/{}", known["ref"].as_str().expect("a name"));
+    let gone = format!("{jobs}/{}", completed["ref"].as_str().expect("a job name"));
     let cancel = |job: &str| format!("{job}/cancel");
     for (method, url, expected) in [
         ("GET", never.clone(), (404, Value::Null)),
@@ -90,35 +97,36 @@
         ("POST", cancel(&gone), (200, json!("done"))),
         ("GET", gone, (200, json!("done"))),
     ] {
-        let answer = call(method, &url, None).await.expect("answered");
+        let answer = call(method, &url, None).await.expect("a response");
         assert_eq!(
             (answer.0, answer.1["status"].clone()),
             expected,
             "{method} {url}"
         );
     }
-    // What may be null may be absent or null, and half of a spread job fits in its one zone.
-    let odd = json!({ "ref": "wk-000101", "frames": null, "yard": "north", "dueS": null,
+    // Optional fields may be absent or null, and a spread job may name a single zone, which holds half
+    // of its tasks.
+    let optional_fields = json!({ "ref": "wk-000101", "frames": null, "yard": "north", "dueS": null,
         "spread": true, "vcpus": 0.25 });
-    let answer = call("POST", &jobs, Some(with(odd))).await;
+    let answer = call("POST", &jobs, Some(with(optional_fields))).await;
     assert_eq!(answer.map(|a| a.0), Some(201));
 }
 
-/// What users are told of submissions that name other jobs: `known` is done, and wk-000101 is open,
-/// for the only worker reports no more.
+/// Checks the answers to submissions with predecessors. The job `completed` is done, and wk-000101 stays
+/// unfinished because the only worker sends no more heartbeats.
 #[expect(
     clippy::too_many_lines,
     reason = "a list of requests with their answers"
 )]
-async fn chained_requests(base: &str, known: &Value) {
+async fn check_dependent_submissions(base: &str, completed: &Value) {
     let jobs = format!("{base}/api/jobs");
     let submit = |name: &str, awaits: Value| {
-        let mut spec = known.clone();
+        let mut spec = completed.clone();
         spec["ref"] = json!(name);
         spec["awaits"] = awaits;
-        call_owned("POST", jobs.clone(), Some(spec))
+        call_with_owned_url("POST", jobs.clone(), Some(spec))
     };
-    let done = known["ref"].clone();
+    let done = completed["ref"].clone();
     for (name, awaits, expected) in [
         ("wk-000200", json!("wk-000101"), (400, Value::Null)),
         ("wk-000200", json!([7]), (400, Value::Null)),
@@ -138,16 +146,17 @@
             (201, json!("pending")),
         ),
         ("wk-000205", json!(["wk-000204"]), (201, json!("pending"))),
-        // A repeat is answered with the job's state, whatever else it holds.
+        // A repeated submission gets the job's state, whatever else it contains.
         ("wk-000204", json!(["wk-000999"]), (200, json!("pending"))),
         ("wk-000204", json!("nothing"), (200, json!("pending"))),
         ("wk-000204", json!(["wk-000101"]), (200, json!("pending"))),
     ] {
-        let answer = submit(name, awaits.clone()).await.expect("answered");
+        let answer = submit(name, awaits.clone()).await.expect("a response");
         let status = answer.1["status"].clone();
         assert_eq!((answer.0, status), expected, "{name} {awaits}");
     }
-    // More unfinished jobs than one transaction has conditions for: it is accepted in several writes.
+    // More unfinished predecessors than one transaction allows preconditions: the submission takes
+    // several writes.
     let mut many = Vec::new();
     for n in 300..346 {
         let name = format!("wk-{n:06}");
@@ -160,32 +169,32 @@
         (json!(many), 200),
         (json!(["wk-000999"]), 200),
     ] {
-        let answer = submit("wk-000400", awaits).await.expect("answered");
+        let answer = submit("wk-000400", awaits).await.expect("a response");
         assert_eq!(
             (answer.0, &answer.1["status"]),
             (expected, &json!("pending"))
         );
     }
-    let state = |name: &str| call_owned("GET", format!("{jobs}/{name}"), None);
-    let cancel = |name: &str| call_owned("POST", format!("{jobs}/{name}/cancel"), None);
+    let state = |name: &str| call_with_owned_url("GET", format!("{jobs}/{name}"), None);
+    let cancel = |name: &str| call_with_owned_url("POST", format!("{jobs}/{name}/cancel"), None);
     for name in ["wk-000203", "wk-000204", "wk-000205"] {
-        let answer = state(name).await.expect("answered");
+        let answer = state(name).await.expect("a response");
         assert_eq!(
             (answer.0, &answer.1["status"]),
             (200, &json!("pending")),
             "{name}"
         );
     }
-    let answer = cancel("wk-000101").await.expect("answered");
+    let answer = cancel("wk-000101").await.expect("a response");
     assert_eq!((answer.0, &answer.1["status"]), (200, &json!("withdrawn")));
     for name in ["wk-000204", "wk-000205", "wk-000400"] {
-        let answer = state(name).await.expect("answered");
+        let answer = state(name).await.expect("a response");
         assert_eq!(
             (answer.0, &answer.1["status"]),
             (200, &json!("withdrawn")),
             "{name}"
         );
-        let answer = cancel(name).await.expect("answered");
+        let answer = cancel(name).await.expect("a response");
         assert_eq!(
             (answer.0, &answer.1["status"]),
             (200, &json!("withdrawn")),
@@ -194,34 +203,34 @@
     }
     let late = submit("wk-000206", json!(["wk-000205"]))
         .await
-        .expect("answered");
+        .expect("a response");
     assert_eq!((late.0, &late.1["status"]), (201, &json!("withdrawn")));
-    let answer = state("wk-000206").await.expect("answered");
+    let answer = state("wk-000206").await.expect("a response");
     assert_eq!((answer.0, &answer.1["status"]), (200, &json!("withdrawn")));
-    // One that waits can be cancelled by itself.
+    // A waiting job can be cancelled on its own.
     assert_eq!(
         submit("wk-000207", json!(["wk-000201"])).await.map(|a| a.0),
         Some(201)
     );
-    let answer = cancel("wk-000207").await.expect("answered");
+    let answer = cancel("wk-000207").await.expect("a response");
     assert_eq!((answer.0, &answer.1["status"]), (200, &json!("withdrawn")));
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one scenario, told in its order")]
-fn the_program_starts_and_does_a_job() {
+#[expect(clippy::too_many_lines, reason = "one scenario in order")]
+fn the_program_starts_and_completes_a_job() {
     actix_web::rt::System::new().block_on(async move {
         let machine = running_machine("m-000001");
-        let outside = ExternalServices::start(vec![machine.clone()]);
-        let places = allocate_addresses(3);
+        let external = ExternalServices::start(vec![machine.clone()]);
+        let addresses = allocate_addresses(3);
         let mut program = Program::start(
             Path::new(env!("CARGO_BIN_EXE_quillbend")),
             0,
-            &places,
-            outside.address,
+            &addresses,
+            external.address,
             Stdio::piped(),
         );
-        let base = format!("http://{}", places[0].public);
+        let base = format!("http://{}", addresses[0].public);
         let spec: Value = json!({ "ref": "wk-000007", "route": "nightly", "crew": "blue",
             "shape": "batch", "urgency": "normal", "legs": 6, "vcpus": 1.0, "gpus": 0.0,
             "ramGb": 1.0, "kit": "img", "sizeGb": 0.1, "samePlace": false, "spread": false,
@@ -236,15 +245,15 @@
                 let url = format!("{base}/api/jobs");
                 let answer = call("POST", &url, Some(spec.clone())).await;
                 accepted = answer.is_some_and(|a| a.0 == 201);
-                let again = call("POST", &url, Some(spec.clone())).await;
-                assert!(!accepted || again.is_some_and(|a| a.0 == 200));
+                let repeat = call("POST", &url, Some(spec.clone())).await;
+                assert!(!accepted || repeat.is_some_and(|a| a.0 == 200));
                 let bad = call("POST", &url, Some(json!({ "ref": 1 }))).await;
                 assert_eq!(bad.map(|b| b.0), Some(400));
                 let none = call("GET", &format!("{url}/wk-000008"), None).await;
                 assert_eq!(none.map(|n| n.0), Some(404));
             }
             if accepted {
-                worker.heartbeat(&places[..1], &log).await;
+                worker.send_heartbeat(&addresses[..1], &log).await;
                 let url = format!("{base}/api/jobs/wk-000007");
                 if let Some((200, v)) = call("GET", &url, None).await {
                     done = v["status"] == "done" && v["done"] == 6;
@@ -253,32 +262,32 @@
             actix_web::rt::time::sleep(Duration::from_millis(20)).await;
         }
         if done {
-            odd_requests(&base, &spec).await;
-            chained_requests(&base, &spec).await;
+            check_submissions(&base, &spec).await;
+            check_dependent_submissions(&base, &spec).await;
         }
-        let url = format!("http://{}/status", places[0].internal);
+        let url = format!("http://{}/status", addresses[0].internal);
         let status = call("GET", &url, None).await;
-        let log = program.end();
-        assert!(done, "the job was never done; log:\n{log}");
+        let log = program.kill();
+        assert!(done, "the job was not done in time; log:\n{log}");
         assert_eq!(
             status.map(|s| s.1["counters"]["done"].clone()),
             Some(json!(6))
         );
-        outside.stop().await;
+        external.stop().await;
     });
 }
 
 #[test]
-fn a_bad_spillover_file_ends_the_program_with_one_line() {
+fn an_invalid_spillover_file_fails_with_a_one_line_error() {
     let write = |name: &str, text: &str| {
         let id = std::process::id();
         let file = std::env::temp_dir().join(format!("quillbend-spillover-{id}-{name}"));
-        std::fs::write(&file, text).expect("written");
+        std::fs::write(&file, text).expect("the file is written");
         file
     };
     let config = write("platform.toml", support::PLATFORM);
     let example = include_str!("../deploy/spillover.xml");
-    for (name, text, named) in [
+    for (name, text, expected_name) in [
         ("good.xml", example.to_owned(), ""),
         (
             "bad.xml",
@@ -293,26 +302,27 @@
             .arg("--config")
             .arg(&config)
             .output()
-            .expect("starts");
+            .expect("the process starts");
         let _ = std::fs::remove_file(&file);
         let errors = String::from_utf8_lossy(&out.stderr).trim().to_owned();
-        let lines = usize::from(!named.is_empty());
-        assert_eq!(out.status.success(), named.is_empty(), "{errors}");
-        assert!(errors.contains(named), "{errors}");
+        let lines = usize::from(!expected_name.is_empty());
+        assert_eq!(out.status.success(), expected_name.is_empty(), "{errors}");
+        assert!(errors.contains(expected_name), "{errors}");
         assert_eq!(errors.lines().count(), lines, "{errors}");
     }
     let _ = std::fs::remove_file(&config);
 }
 
 #[test]
-fn bad_settings_end_the_program_with_one_line() {
+fn invalid_settings_fail_with_a_one_line_error() {
     let file = std::env::temp_dir().join(format!("quillbend-bad-{}.toml", std::process::id()));
-    std::fs::write(&file, support::PLATFORM.replace("rps = 150.0", "rps = -1")).expect("written");
+    std::fs::write(&file, support::PLATFORM.replace("rps = 150.0", "rps = -1"))
+        .expect("the file is written");
     let out = Command::new(env!("CARGO_BIN_EXE_quillbend"))
         .args(["--check", "--config"])
         .arg(&file)
         .output()
-        .expect("starts");
+        .expect("the process starts");
     let _ = std::fs::remove_file(&file);
     let text = String::from_utf8_lossy(&out.stderr);
     assert!(!out.status.success());
--- a/tests/loopback_cells.rs
+++ b/tests/loopback_cells.rs
@@ -1,5 +1,5 @@
-//! Three cells of real processes on loopback that lend each other jobs: one is starved, one is killed
-//! in the middle of a transfer, and every job is done in the end, no task ever in two places.
+//! Three cells of real processes on loopback lend each other jobs. One has too few machines and one is
+//! killed while it has loans. Every job must finish, and no task may run on two machines.
 
 mod processes;
 mod support;
@@ -12,20 +12,20 @@
 use std::time::{Duration, Instant};
 
 const CELLS: [&str; 3] = ["east", "north", "west"];
-/// Controllers of each cell.
+/// Number of controllers of each cell.
 const CONTROLLERS: usize = 2;
-/// Machines of each cell: the first is starved.
+/// Number of machines of each cell; the first has too few.
 const MACHINES: [usize; 3] = [1, 3, 3];
 const JOBS: usize = 14;
 const TASKS: u32 = 2;
 const RUN_MS: u64 = 3000;
-/// Longest time that the whole test may take: a called back loan takes 18 s.
-const PATIENCE: Duration = Duration::from_secs(150);
+/// Longest time for the whole test. Recalling a loan takes 18 s.
+const TEST_TIMEOUT: Duration = Duration::from_secs(150);
 
 /// A cell of real processes.
 struct Cell {
-    outside: ExternalServices,
-    places: Vec<ControllerAddresses>,
+    external: ExternalServices,
+    addresses: Vec<ControllerAddresses>,
     programs: Vec<Program>,
     files: Vec<PathBuf>,
 }
@@ -38,29 +38,29 @@
     }
 }
 
-/// A file that the programs of one cell read.
+/// Writes a file that the processes of one cell read.
 fn write_file(cell: &str, name: &str, text: &str) -> PathBuf {
     let id = std::process::id();
     let file = std::env::temp_dir().join(format!("quillbend-{id}-{cell}-{name}.xml"));
-    std::fs::write(&file, text).expect("written");
+    std::fs::write(&file, text).expect("the file is written");
     file
 }
 
-fn spillover_file(cell: usize, places: &[Vec<ControllerAddresses>]) -> PathBuf {
+fn spillover_file(cell: usize, addresses: &[Vec<ControllerAddresses>]) -> PathBuf {
     let mut text = format!(
         "<spillover cell=\"{}\"><loan lease-s=\"4\" ask-s=\"0.5\" silent-s=\"4\"/>\
          <policy start-above-s=\"4\" stop-below-s=\"1\" sustain-s=\"0.5\" margin-s=\"1\" \
          period-s=\"0.5\" jobs-per-period=\"3\" idle-s=\"3\"/>",
         CELLS[cell]
     );
-    for (other, places) in places
+    for (other, addresses) in addresses
         .iter()
         .enumerate()
         .filter(|(other, _)| *other != cell)
     {
         text += &format!("<cell name=\"{}\" worker-lease-s=\"12\">", CELLS[other]);
-        for place in places {
-            text += &format!("<controller>{}</controller>", place.internal);
+        for address in addresses {
+            text += &format!("<controller>{}</controller>", address.internal);
         }
         text += "<network>127.0.0.0/8</network></cell>";
     }
@@ -69,13 +69,13 @@
 
 fn start_cell(
     cell: usize,
-    all_places: &[Vec<ControllerAddresses>],
-    machines: Vec<LoopbackMachine>,
+    all_addresses: &[Vec<ControllerAddresses>],
+    machines: Vec<CloudMachine>,
 ) -> Cell {
-    let outside = ExternalServices::start(machines);
-    let spillover = spillover_file(cell, all_places);
-    let keep = "<quillbend><fleet><idle-s>3600</idle-s></fleet></quillbend>";
-    let options = write_file(CELLS[cell], "options", keep);
+    let external = ExternalServices::start(machines);
+    let spillover = spillover_file(cell, all_addresses);
+    let no_returns = "<quillbend><fleet><idle-s>3600</idle-s></fleet></quillbend>";
+    let options = write_file(CELLS[cell], "options", no_returns);
     let arguments = [
         Path::new("--spillover"),
         &spillover,
@@ -83,26 +83,26 @@
         &options,
     ];
     let binary = Path::new(env!("CARGO_BIN_EXE_quillbend"));
-    let places = all_places[cell].clone();
+    let addresses = all_addresses[cell].clone();
     let start = |i| {
         let log = match std::env::var("CELL_LOG") {
             Ok(_) => Stdio::inherit(),
             Err(_) => Stdio::null(),
         };
-        Program::start_with(binary, i, &places, outside.address, log, &arguments)
+        Program::start_with(binary, i, &addresses, external.address, log, &arguments)
     };
     Cell {
         programs: (0..CONTROLLERS).map(start).collect(),
-        places,
-        outside,
+        addresses,
+        external,
         files: vec![spillover, options],
     }
 }
 
-type LoopbackMachine = quillbend::protocol::CloudMachine;
+type CloudMachine = quillbend::protocol::CloudMachine;
 
-/// The machines of a cell, named apart from those of all others.
-fn machines_of(cell: usize) -> Vec<LoopbackMachine> {
+/// Machines of a cell, with names that are unique among all cells.
+fn machines_of(cell: usize) -> Vec<CloudMachine> {
     let names = (0..MACHINES[cell]).map(|m| format!("m-{cell}{m:05}"));
     names.map(|name| running_machine(&name)).collect()
 }
@@ -118,9 +118,9 @@
         "sizeGb": 0.1, "samePlace": false, "spread": false, "loaners": true, "rideS": 3.0,
         "waypointS": 0.0, "stowS": 0.0 });
     let began = Instant::now();
-    while began.elapsed() < PATIENCE {
-        for place in &cell.places {
-            let url = format!("http://{}/api/jobs", place.public);
+    while began.elapsed() < TEST_TIMEOUT {
+        for address in &cell.addresses {
+            let url = format!("http://{}/api/jobs", address.public);
             let answer = call("POST", &url, Some(spec.clone())).await;
             if answer.is_some_and(|a| a.0 == 201 || a.0 == 200) {
                 return;
@@ -128,13 +128,13 @@
         }
         actix_web::rt::time::sleep(Duration::from_millis(100)).await;
     }
-    panic!("job {n} was never accepted");
+    panic!("job {n} was not accepted in time");
 }
 
-/// What a cell's users are told of a job.
-async fn state_of(cell: &Cell, n: usize) -> Option<(u16, Value)> {
-    for place in &cell.places {
-        let url = format!("http://{}/api/jobs/{}", place.public, job_name(n));
+/// Answer of a cell to a status request for a job.
+async fn job_status(cell: &Cell, n: usize) -> Option<(u16, Value)> {
+    for address in &cell.addresses {
+        let url = format!("http://{}/api/jobs/{}", address.public, job_name(n));
         if let Some(answer) = call("GET", &url, None).await {
             return Some(answer);
         }
@@ -142,9 +142,14 @@
     None
 }
 
-/// Jobs that the state service of a cell shows as lent to a cell.
-fn lent_to(cell: &Cell, borrower: &str) -> usize {
-    let (items, _) = cell.outside.store.lock().expect("lock").list("qb/job/");
+/// Number of unfinished jobs that the store of a cell shows as lent to this borrower.
+fn jobs_lent_to(cell: &Cell, borrower: &str) -> usize {
+    let (items, _) = cell
+        .external
+        .store
+        .lock()
+        .expect("lock is not poisoned")
+        .list("qb/job/");
     let jobs = items.iter().filter_map(|i| i.value.read::<Value>().ok());
     let lent = jobs.filter(|job| job["st"] == "pending" && job["x"]["l"]["c"] == borrower);
     lent.count()
@@ -153,66 +158,75 @@
 async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let began = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < PATIENCE, "never happened: {what}");
+        assert!(
+            began.elapsed() < TEST_TIMEOUT,
+            "condition not reached in time: {what}"
+        );
         actix_web::rt::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one scenario, told in its order")]
-fn three_cells_one_starved_and_one_killed_do_every_job() {
+#[expect(clippy::too_many_lines, reason = "one scenario in order")]
+fn every_job_finishes_with_one_overloaded_and_one_killed_cell() {
     actix_web::rt::System::new().block_on(async {
-        let all_places: Vec<Vec<ControllerAddresses>> = CELLS
+        let all_addresses: Vec<Vec<ControllerAddresses>> = CELLS
             .iter()
             .map(|_| allocate_addresses(CONTROLLERS))
             .collect();
         let log = Arc::new(Mutex::new(TaskLog::default()));
         let mut cells = Vec::new();
-        for (cell, places) in all_places.iter().enumerate() {
+        for (cell, addresses) in all_addresses.iter().enumerate() {
             let machines = machines_of(cell);
             for machine in &machines {
-                let (places, log) = (places.clone(), log.clone());
+                let (addresses, log) = (addresses.clone(), log.clone());
                 let mut worker = LoopbackWorker::new(machine.clone(), RUN_MS);
                 actix_web::rt::spawn(async move {
                     loop {
-                        worker.heartbeat(&places, &log).await;
+                        worker.send_heartbeat(&addresses, &log).await;
                         actix_web::rt::time::sleep(Duration::from_millis(300)).await;
                     }
                 });
             }
-            cells.push(start_cell(cell, &all_places, machines));
+            cells.push(start_cell(cell, &all_addresses, machines));
         }
         for n in 0..JOBS {
             submit(&cells[0], n).await;
         }
-        wait_until("the north has loans", || lent_to(&cells[0], "north") > 0).await;
+        wait_until("cell north has borrowed jobs", || {
+            jobs_lent_to(&cells[0], "north") > 0
+        })
+        .await;
         cells[1].programs.iter_mut().for_each(|p| {
-            p.end();
+            p.kill();
         });
         let began = Instant::now();
         for n in 0..JOBS {
             loop {
-                let state = state_of(&cells[0], n).await;
+                let state = job_status(&cells[0], n).await;
                 if let Some((status, answer)) = &state {
-                    assert_ne!(*status, 404, "an accepted job is known");
+                    assert_ne!(*status, 404, "an accepted job is unknown");
                     if answer["status"] == "done" {
                         assert_eq!(answer["done"], TASKS);
                         break;
                     }
                 }
-                assert!(began.elapsed() < PATIENCE, "job {n} is not done: {state:?}");
+                assert!(
+                    began.elapsed() < TEST_TIMEOUT,
+                    "job {n} is not done: {state:?}"
+                );
                 actix_web::rt::time::sleep(Duration::from_millis(200)).await;
             }
         }
-        // The users of another cell never submitted it.
-        let elsewhere = state_of(&cells[2], 0).await;
+        // The job was not submitted to this cell, so the cell's users do not see it.
+        let elsewhere = job_status(&cells[2], 0).await;
         assert_eq!(elsewhere.map(|s| s.0), Some(404));
-        let log = log.lock().expect("lock");
+        let log = log.lock().expect("lock is not poisoned");
         assert_eq!(log.violations, Vec::<String>::new());
         assert_eq!(
             log.done.len(),
             JOBS * TASKS as usize,
-            "every task was completed"
+            "number of completed tasks"
         );
         let starts = log.starts.len();
         println!("{starts} starts of {} tasks", JOBS * TASKS as usize);
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,4 +1,4 @@
-//! What a controller keeps in memory while a giant job runs, by counting live allocations.
+//! Memory use of controllers while a job of 100,000 tasks runs, measured by counting live allocations.
 
 mod support;
 
@@ -6,34 +6,33 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use support::World;
 
-/// Bytes that are allocated now.
-static LIVE: AtomicUsize = AtomicUsize::new(0);
+/// Bytes currently allocated.
+static LIVE_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-/// The system's allocator, counted.
-struct Counted;
+/// The system allocator with a count of the allocated bytes.
+struct CountingAllocator;
 
-// SAFETY: every call is handed on unchanged to the system's allocator; counting touches an atomic
-// number only.
-unsafe impl GlobalAlloc for Counted {
+// SAFETY: every call is forwarded unchanged to the system allocator; counting only updates an atomic.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        LIVE.fetch_add(layout.size(), Ordering::Relaxed);
+        LIVE_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, memory: *mut u8, layout: Layout) {
-        LIVE.fetch_sub(layout.size(), Ordering::Relaxed);
+        LIVE_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
         unsafe { System.dealloc(memory, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counted = Counted;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// Most that three controllers together may grow by while a giant job runs.
-const GROWTH: usize = 3 << 20;
+/// Most bytes by which the three controllers together may grow while the job runs.
+const MAX_GROWTH_BYTES: usize = 3 << 20;
 
 #[test]
-fn a_giant_job_costs_a_controller_no_more_memory_than_what_runs_of_it() {
+fn memory_does_not_grow_with_the_number_of_unbound_tasks() {
     let mut w = World::settled(1, 3, 8);
     w.cloud_up = false;
     w.run_ms = 1000;
@@ -42,17 +41,20 @@
     giant.estimate_s = 1.0;
     w.run(5000);
     w.store.clear_history();
-    let before = LIVE.load(Ordering::Relaxed);
+    let before = LIVE_BYTES.load(Ordering::Relaxed);
     let giant = w.submit(1, giant);
     let mut largest = 0;
     for _ in 0..30 {
         w.run(2000);
-        // The fakes' own records grow with time.
+        // The records of the fakes grow with time and are not counted.
         w.store.clear_history();
         w.starts = Vec::new();
-        largest = largest.max(LIVE.load(Ordering::Relaxed).saturating_sub(before));
+        largest = largest.max(LIVE_BYTES.load(Ordering::Relaxed).saturating_sub(before));
     }
-    assert!(w.done_task_count(&giant) > 500, "it runs");
-    assert!(largest < GROWTH, "{largest} bytes more than without it");
+    assert!(
+        w.done_task_count(&giant) > 500,
+        "too few tasks were completed"
+    );
+    assert!(largest < MAX_GROWTH_BYTES, "memory grew by {largest} bytes");
     w.assert_no_violations();
 }
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -1,8 +1,7 @@
-//! Rolling upgrades with real processes of two versions: an earlier one, built from this repository's
-//! history, and the present one serve side by side on one store while jobs run, chains wait and
-//! some are cancelled.
+//! Rolling upgrades with real processes: an earlier version, built from this repository's history, and
+//! the current one share a store while jobs run, dependent jobs wait and some jobs are cancelled.
 //!
-//! The earlier versions have to be built first, so these tests are run by `.ci/run` and by
+//! The tests build the earlier versions, so they run only in `.ci/run` and with
 //! `cargo test --test mixed_versions -- --ignored`.
 
 mod processes;
@@ -17,44 +16,44 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// The version that was in production before chained jobs came.
+/// Last version in production that did not support dependent jobs.
 const BEFORE_CHAINS: &str = "b96ac05e584a083426183af7e8f9facdedcbad81";
 const CONTROLLERS: usize = 3;
 const MACHINES: usize = 4;
-/// How long a task runs, ms.
+/// Run time of a task, ms.
 const RUN_MS: u64 = 1500;
-/// Interval of workers' reports and of questions about jobs.
-const REPORT_EVERY: Duration = Duration::from_millis(250);
-/// Time that a cancellation has (`cancel_s` in the settings).
-const CANCEL_WAIT: Duration = Duration::from_secs(37);
+/// Period of the workers' heartbeats and of status requests.
+const REPORT_PERIOD: Duration = Duration::from_millis(250);
+/// Time within which a cancellation takes effect (`cancel_s` in the settings).
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(37);
 
 /// The commit that `deploy/service.toml` names as the version in production.
-fn in_production() -> String {
+fn production_commit() -> String {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/service.toml");
-    let text = std::fs::read_to_string(file).expect("the deploy file");
-    let deploy: HashMap<String, String> = toml::from_str(&text).expect("of its form");
+    let text = std::fs::read_to_string(file).expect("the deploy file is read");
+    let deploy: HashMap<String, String> = toml::from_str(&text).expect("valid TOML");
     deploy["production"].clone()
 }
 
-fn succeeds(command: &mut Command) {
-    let status = command.status().expect("starts");
+fn run_command(command: &mut Command) {
+    let status = command.status().expect("the process starts");
     assert!(status.success(), "{command:?}: {status}");
 }
 
-/// Makes a package a workspace of its own. It lies below this repository's workspace, of which it is no
-/// member, and cargo refuses to build such a package.
-fn stand_alone(manifest: &Path) {
-    let text = std::fs::read_to_string(manifest).expect("a manifest");
+/// Makes a package its own workspace, because cargo refuses to build a package that lies below another
+/// workspace without being a member.
+fn make_own_workspace(manifest: &Path) {
+    let text = std::fs::read_to_string(manifest).expect("the manifest is read");
     if !text.contains("[workspace]") {
-        std::fs::write(manifest, format!("[workspace]\n\n{text}")).expect("written");
+        std::fs::write(manifest, format!("[workspace]\n\n{text}")).expect("the file is written");
     }
 }
 
-/// Builds an earlier version from the repository's history and returns its program.
+/// Builds an earlier version from the repository's history and returns the path of its binary.
 fn build(commit: &str) -> PathBuf {
-    // One build directory serves all versions, so that their libraries are built once.
-    static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
-    let _turn = ONE_AT_A_TIME.lock();
+    // All versions share one build directory, so that their dependencies are built only once.
+    static BUILD_LOCK: Mutex<()> = Mutex::new(());
+    let _guard = BUILD_LOCK.lock();
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let versions = root.join("target/versions");
     let sources = versions.join(commit);
@@ -62,56 +61,56 @@
     if program.exists() {
         return program;
     }
-    std::fs::create_dir_all(&sources).expect("a directory");
+    std::fs::create_dir_all(&sources).expect("the directory is created");
     let archive = versions.join(format!("{commit}.tar"));
     let mut git = Command::new("git");
     git.current_dir(root)
         .args(["archive", "--format=tar", "-o"])
         .arg(&archive)
         .arg(commit);
-    succeeds(&mut git);
+    run_command(&mut git);
     let mut tar = Command::new("tar");
     tar.arg("-xf").arg(&archive).arg("-C").arg(&sources);
-    succeeds(&mut tar);
-    stand_alone(&sources.join("Cargo.toml"));
+    run_command(&mut tar);
+    make_own_workspace(&sources.join("Cargo.toml"));
     let cargo = |arguments: &[&str]| {
         let mut cargo = Command::new(env!("CARGO"));
         let target = versions.join("build");
         cargo.current_dir(&sources).args(arguments);
-        succeeds(cargo.arg("--target-dir").arg(target));
+        run_command(cargo.arg("--target-dir").arg(target));
     };
-    // To cargo the packages of all versions are the same one: what was built last would be fresh.
+    // Cargo cannot tell the packages of different versions apart and would consider the last build fresh.
     cargo(&["clean", "-p", "quillbend"]);
     cargo(&["build", "--locked", "--bin", "quillbend"]);
-    std::fs::copy(versions.join("build/debug/quillbend"), &program).expect("copied");
+    std::fs::copy(versions.join("build/debug/quillbend"), &program).expect("the binary is copied");
     program
 }
 
-/// A service in the middle of an upgrade, with its users and workers.
+/// A cell during an upgrade, with its users and workers.
 struct Fleet {
     old: PathBuf,
     new: PathBuf,
-    outside: ExternalServices,
-    places: Vec<ControllerAddresses>,
+    external: ExternalServices,
+    addresses: Vec<ControllerAddresses>,
     programs: Vec<Option<Program>>,
     log: Rc<Mutex<TaskLog>>,
-    /// Accepted jobs with their numbers of tasks.
+    /// Accepted jobs, each with its number of tasks.
     accepted: Vec<(String, u32)>,
-    /// Final answers that some controller gave.
+    /// First final state that any controller reported for each job.
     last_final_answer: HashMap<String, String>,
 }
 
 impl Fleet {
-    /// All controllers run the old version, and all machines have reported.
-    async fn in_production(old: PathBuf) -> Fleet {
+    /// Starts all controllers in the old version and all workers, and waits until the controllers are ready.
+    async fn start(old: PathBuf) -> Fleet {
         let machines: Vec<_> = (1..=MACHINES)
             .map(|n| running_machine(&format!("m-{n:06}")))
             .collect();
         let mut fleet = Fleet {
             old,
             new: env!("CARGO_BIN_EXE_quillbend").into(),
-            outside: ExternalServices::start(machines.clone()),
-            places: allocate_addresses(CONTROLLERS),
+            external: ExternalServices::start(machines.clone()),
+            addresses: allocate_addresses(CONTROLLERS),
             programs: (0..CONTROLLERS).map(|_| None).collect(),
             log: Rc::default(),
             accepted: Vec::new(),
@@ -121,24 +120,24 @@
             fleet.start_old(i);
         }
         for machine in machines {
-            let (places, log) = (fleet.places.clone(), fleet.log.clone());
+            let (addresses, log) = (fleet.addresses.clone(), fleet.log.clone());
             actix_web::rt::spawn(async move {
                 let mut worker = LoopbackWorker::new(machine, RUN_MS);
                 loop {
-                    worker.heartbeat(&places, &log).await;
-                    actix_web::rt::time::sleep(REPORT_EVERY).await;
+                    worker.send_heartbeat(&addresses, &log).await;
+                    actix_web::rt::time::sleep(REPORT_PERIOD).await;
                 }
             });
         }
         for i in 0..CONTROLLERS {
-            fleet.until_ready(i).await;
+            fleet.wait_until_ready(i).await;
         }
         fleet
     }
 
     fn start_program(&mut self, i: usize, program: &Path) {
-        let address = self.outside.address;
-        let program = Program::start(program, i, &self.places, address, Stdio::null());
+        let address = self.external.address;
+        let program = Program::start(program, i, &self.addresses, address, Stdio::null());
         self.programs[i] = Some(program);
     }
 
@@ -146,50 +145,53 @@
         self.start_program(i, &self.old.clone());
     }
 
-    /// Kills a controller; its next life runs the new version.
+    /// Kills a controller and starts it in the new version.
     async fn upgrade(&mut self, i: usize) {
         self.programs[i] = None;
         self.pause(500).await;
         self.start_program(i, &self.new.clone());
-        self.until_ready(i).await;
+        self.wait_until_ready(i).await;
     }
 
-    async fn until_ready(&mut self, i: usize) {
-        let url = format!("http://{}/ready", self.places[i].public);
+    async fn wait_until_ready(&mut self, i: usize) {
+        let url = format!("http://{}/ready", self.addresses[i].public);
         let began = Instant::now();
         while call("GET", &url, None).await.is_none_or(|a| a.0 != 200) {
-            assert!(began.elapsed() < Duration::from_secs(30), "{i} never ready");
+            assert!(
+                began.elapsed() < Duration::from_secs(30),
+                "controller {i} is not ready"
+            );
             actix_web::rt::time::sleep(Duration::from_millis(50)).await;
         }
     }
 
-    /// Lets time pass while users go on asking.
+    /// Waits while users continue to poll all jobs.
     async fn pause(&mut self, ms: u64) {
         let until = Instant::now() + Duration::from_millis(ms);
         while Instant::now() < until {
-            self.ask_all().await;
-            actix_web::rt::time::sleep(REPORT_EVERY).await;
+            self.poll_all().await;
+            actix_web::rt::time::sleep(REPORT_PERIOD).await;
         }
     }
 
-    /// Submits through a controller; returns the status of the answer.
-    async fn try_submit(&mut self, i: usize, n: u32, tasks: u32, awaits: &[&str]) -> u16 {
+    /// Submits a job through a controller and returns the HTTP status, or 0 without a response.
+    async fn try_submit(&mut self, i: usize, n: u32, tasks: u32, predecessors: &[&str]) -> u16 {
         let name = format!("wk-{n:06}");
         let job = json!({ "ref": name, "route": "nightly", "crew": "blue", "shape": "batch",
             "urgency": "normal", "legs": tasks, "vcpus": 1.0, "gpus": 0.0, "ramGb": 1.0,
             "kit": "img", "sizeGb": 0.1, "samePlace": false, "spread": false, "loaners": true,
-            "rideS": 1.5, "waypointS": 0.0, "stowS": 0.0, "awaits": awaits });
-        let needs = awaits.iter().map(|needed| {
-            let tasks = self.accepted.iter().find(|a| a.0 == *needed);
-            (needed.to_string(), tasks.map_or(0, |a| a.1))
+            "rideS": 1.5, "waypointS": 0.0, "stowS": 0.0, "awaits": predecessors });
+        let required = predecessors.iter().map(|name| {
+            let tasks = self.accepted.iter().find(|a| a.0 == *name);
+            (name.to_string(), tasks.map_or(0, |a| a.1))
         });
-        let needs = needs.collect();
+        let required = required.collect();
         self.log
             .lock()
-            .expect("lock")
-            .needs
-            .insert(name.clone(), needs);
-        let url = format!("http://{}/api/jobs", self.places[i].public);
+            .expect("lock is not poisoned")
+            .predecessors
+            .insert(name.clone(), required);
+        let url = format!("http://{}/api/jobs", self.addresses[i].public);
         let status = call("POST", &url, Some(job)).await.map_or(0, |a| a.0);
         if status == 201 {
             self.accepted.push((name, tasks));
@@ -197,36 +199,36 @@
         status
     }
 
-    /// The same, until it is accepted.
-    async fn submit(&mut self, i: usize, n: u32, tasks: u32, awaits: &[&str]) -> String {
+    /// Submits a job through a controller and retries until it is accepted.
+    async fn submit(&mut self, i: usize, n: u32, tasks: u32, predecessors: &[&str]) -> String {
         let began = Instant::now();
         loop {
-            let status = self.try_submit(i, n, tasks, awaits).await;
+            let status = self.try_submit(i, n, tasks, predecessors).await;
             if matches!(status, 200 | 201) {
                 return format!("wk-{n:06}");
             }
             assert!(matches!(status, 0 | 429 | 503), "{n}: {status}");
             assert!(
                 began.elapsed() < Duration::from_secs(60),
-                "{n}: never taken"
+                "job {n} was not accepted in time"
             );
             actix_web::rt::time::sleep(Duration::from_millis(300)).await;
         }
     }
 
-    /// What a controller answers about a job; none if it does not serve.
+    /// State of a job as a controller reports it; None if the controller does not serve.
     async fn poll_status(&self, i: usize, job: &str) -> Option<String> {
-        let url = format!("http://{}/api/jobs/{job}", self.places[i].public);
+        let url = format!("http://{}/api/jobs/{job}", self.addresses[i].public);
         let (status, answer) = call("GET", &url, None).await?;
         match status {
             200 => Some(answer["status"].as_str().expect("a status").to_owned()),
-            404 => Some("forgotten".into()),
+            404 => Some("not found".into()),
             _ => None,
         }
     }
 
-    /// Asks every controller about every accepted job, and holds the answers to the rules.
-    async fn ask_all(&mut self) {
+    /// Polls every controller for every accepted job. No job may become unknown or leave a final state.
+    async fn poll_all(&mut self) {
         for (job, _) in self.accepted.clone() {
             for i in 0..CONTROLLERS {
                 if self.programs[i].is_none() {
@@ -235,7 +237,7 @@
                 let Some(answer) = self.poll_status(i, &job).await else {
                     continue;
                 };
-                assert_ne!(answer, "forgotten", "{job} at {i}");
+                assert_ne!(answer, "not found", "{job} at {i}");
                 if let Some(last_final_answer) = self.last_final_answer.get(&job) {
                     assert_eq!(&answer, last_final_answer, "went_back: {job} at {i}");
                 } else if ["done", "withdrawn"].contains(&answer.as_str()) {
@@ -245,19 +247,19 @@
         }
     }
 
-    /// Cancels a job through a controller.
+    /// Cancels a job through a controller and returns the reported state.
     async fn cancel(&mut self, i: usize, job: &str) -> Value {
-        let url = format!("http://{}/api/jobs/{job}/cancel", self.places[i].public);
-        let answer = call("POST", &url, None).await.expect("answered");
+        let url = format!("http://{}/api/jobs/{job}/cancel", self.addresses[i].public);
+        let answer = call("POST", &url, None).await.expect("a response");
         assert_eq!(answer.0, 200, "{job}");
         answer.1["status"].clone()
     }
 
-    /// Waits until jobs have this final state for every controller.
-    async fn until_all(&mut self, jobs: &[&str], state: &str, wait: Duration) {
+    /// Waits until this final state has been reported for all of these jobs.
+    async fn wait_for_final_state(&mut self, jobs: &[&str], state: &str, wait: Duration) {
         let began = Instant::now();
         loop {
-            self.ask_all().await;
+            self.poll_all().await;
             if jobs
                 .iter()
                 .all(|j| self.last_final_answer.get(*j).is_some_and(|s| s == state))
@@ -270,50 +272,52 @@
                 "{jobs:?} not {state}: {:?}",
                 self.last_final_answer
             );
-            actix_web::rt::time::sleep(REPORT_EVERY).await;
+            actix_web::rt::time::sleep(REPORT_PERIOD).await;
         }
     }
 
-    /// Each accepted job is done, but for those that were cancelled, and no rule was broken.
+    /// Asserts that all accepted jobs finish, except the cancelled ones, and that no invariant was violated.
     async fn assert_all_jobs_finish(&mut self, cancelled: &[&str]) {
         let jobs: Vec<String> = self.accepted.iter().map(|a| a.0.clone()).collect();
-        let (over, rest): (Vec<&str>, Vec<&str>) = jobs
+        let (cancelled_jobs, other_jobs): (Vec<&str>, Vec<&str>) = jobs
             .iter()
             .map(String::as_str)
             .partition(|j| cancelled.contains(j));
-        self.until_all(&over, "withdrawn", CANCEL_WAIT).await;
-        self.until_all(&rest, "done", Duration::from_secs(90)).await;
-        let log = self.log.lock().expect("lock");
-        assert_eq!(log.violations, [""; 0], "rules were broken");
+        self.wait_for_final_state(&cancelled_jobs, "withdrawn", CANCEL_TIMEOUT)
+            .await;
+        self.wait_for_final_state(&other_jobs, "done", Duration::from_secs(90))
+            .await;
+        let log = self.log.lock().expect("lock is not poisoned");
+        assert_eq!(log.violations, [""; 0], "violated invariants");
         for (job, tasks) in self
             .accepted
             .iter()
-            .filter(|a| rest.contains(&a.0.as_str()))
+            .filter(|a| other_jobs.contains(&a.0.as_str()))
         {
             let not_done = (0..*tasks).find(|n| !log.done.contains(&format!("{job}/{n}")));
             assert_eq!(not_done, None, "not_done: {job}");
         }
-        for job in over {
+        for job in cancelled_jobs {
             assert!(!log.has_running_task(job), "ran_cancelled: {job}");
         }
     }
 }
 
-/// Jobs run on, and work is taken and cancelled, while controllers go over to the new version one
-/// after the other; one of them dies before its turn and comes back old, one dies again when it is
-/// new.
-fn replace_one_process_after_another(commit: &str, knows_chains: bool) {
+/// Upgrades the controllers one after another while jobs run, are submitted and are cancelled. One
+/// controller crashes before its upgrade and restarts in the old version, and one crashes again right
+/// after its upgrade.
+fn run_rolling_upgrade(commit: &str, has_dependencies: bool) {
     let old = build(commit);
     actix_web::rt::System::new().block_on(async move {
-        let mut fleet = Fleet::in_production(old).await;
-        // The right version runs: its status page shows waiting jobs, or does not know of them.
-        let url = format!("http://{}/status", fleet.places[0].internal);
+        let mut fleet = Fleet::start(old).await;
+        // Checks the version that runs: only one that supports dependent jobs shows waiting jobs.
+        let url = format!("http://{}/status", fleet.addresses[0].internal);
         let page = call("GET", &url, None).await.expect("a status page").1;
-        assert_eq!(page["waiting"].is_object(), knows_chains, "another version");
+        assert_eq!(page["waiting"].is_object(), has_dependencies, "wrong build");
         let mut cancelled = Vec::new();
         let first = fleet.submit(0, 1, 20, &[]).await;
         let long = fleet.submit(1, 2, 40, &[]).await;
-        if knows_chains {
+        if has_dependencies {
             let second = fleet.submit(2, 11, 3, &[&first]).await;
             fleet.submit(0, 12, 2, &[&second]).await;
             let next = fleet.submit(1, 21, 2, &[&long]).await;
@@ -322,8 +326,8 @@
         }
         fleet.upgrade(0).await;
         fleet.submit(0, 3, 4, &[]).await;
-        if knows_chains {
-            // What the old version accepted is named to the new one, and the other way round.
+        if has_dependencies {
+            // Each version accepts jobs whose predecessors were submitted to the other version.
             let third = fleet.submit(0, 31, 2, &[&first]).await;
             fleet.submit(1, 32, 1, &[&third]).await;
             assert_eq!(fleet.cancel(0, &long).await, "withdrawn");
@@ -332,38 +336,38 @@
                 assert_eq!(answer.as_deref(), Some("withdrawn"), "{job} at {i}");
             }
         }
-        // It dies before its turn.
+        // Controller 2 crashes before its upgrade.
         fleet.programs[2] = None;
         fleet.pause(300).await;
         fleet.start_old(2);
-        fleet.until_ready(2).await;
+        fleet.wait_until_ready(2).await;
         fleet.submit(2, 4, 6, &[]).await;
         fleet.upgrade(1).await;
         fleet.submit(1, 5, 6, &[]).await;
         fleet.upgrade(2).await;
-        // The new one dies at once, and is back within a moment.
+        // The upgraded controller crashes at once and restarts.
         fleet.upgrade(2).await;
         let late = fleet.submit(1, 41, 2, &[&first, "wk-000005"]).await;
         fleet.submit(2, 42, 1, &[&late]).await;
-        if !knows_chains {
+        if !has_dependencies {
             assert_eq!(fleet.cancel(2, &late).await, "withdrawn");
             cancelled.extend([late, "wk-000042".into()]);
         }
         let cancelled: Vec<&str> = cancelled.iter().map(String::as_str).collect();
         fleet.assert_all_jobs_finish(&cancelled).await;
         drop(fleet.programs);
-        fleet.outside.stop().await;
+        fleet.external.stop().await;
     });
 }
 
 #[test]
 #[ignore = "builds an earlier version; run by .ci/run"]
 fn the_version_in_production_is_replaced_while_dependent_jobs_run() {
-    replace_one_process_after_another(&in_production(), true);
+    run_rolling_upgrade(&production_commit(), true);
 }
 
 #[test]
 #[ignore = "builds an earlier version; run by .ci/run"]
 fn the_version_before_dependent_jobs_is_replaced_while_jobs_run() {
-    replace_one_process_after_another(BEFORE_CHAINS, false);
+    run_rolling_upgrade(BEFORE_CHAINS, false);
 }
--- a/tests/processes/mod.rs
+++ b/tests/processes/mod.rs
@@ -1,5 +1,5 @@
-//! The program as child processes on loopback, with stand-ins of the state service, the cloud and the
-//! workers that it meets there over HTTP.
+//! Runs the program as child processes on loopback, against fakes of the state service, the cloud and
+//! the workers that serve or call it over HTTP.
 
 #![allow(dead_code)]
 
@@ -21,13 +21,13 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-type Store = web::Data<Mutex<FakeStore>>;
-type Machines = web::Data<Vec<CloudMachine>>;
+type StoreData = web::Data<Mutex<FakeStore>>;
+type MachinesData = web::Data<Vec<CloudMachine>>;
 
 /// Workers' lease in the settings, ms.
 const LEASE_MS: u64 = 12_000;
-/// Longest wait for an answer.
-const ANSWER_WAIT: Duration = Duration::from_secs(3);
+/// Longest wait for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time since the first call, ms.
 pub fn elapsed_ms() -> u64 {
@@ -35,14 +35,14 @@
     START.get_or_init(Instant::now).elapsed().as_millis() as u64
 }
 
-async fn keys(s: Store, q: web::Query<HashMap<String, String>>) -> HttpResponse {
+async fn keys(s: StoreData, q: web::Query<HashMap<String, String>>) -> HttpResponse {
     let starts = q.get("starts").cloned().unwrap_or_default();
-    let (items, revision) = s.lock().expect("lock").list(&starts);
+    let (items, revision) = s.lock().expect("lock is not poisoned").list(&starts);
     HttpResponse::Ok().json(json!({ "items": items, "hasNext": false, "ledger": revision }))
 }
 
-async fn key(s: Store, key: web::Path<String>) -> HttpResponse {
-    let s = s.lock().expect("lock");
+async fn key(s: StoreData, key: web::Path<String>) -> HttpResponse {
+    let s = s.lock().expect("lock is not poisoned");
     match s.value(&key) {
         Some(v) => {
             HttpResponse::Ok().json(json!({ "k": *key, "v": v, "stamp": s.mod_revision(&key) }))
@@ -51,8 +51,8 @@
     }
 }
 
-async fn commit(s: Store, transaction: web::Json<Transaction>) -> HttpResponse {
-    match s.lock().expect("lock").commit(&transaction) {
+async fn commit(s: StoreData, transaction: web::Json<Transaction>) -> HttpResponse {
+    match s.lock().expect("lock is not poisoned").commit(&transaction) {
         CommitOutcome::Done(revision) => HttpResponse::Ok().json(json!({ "ledger": revision })),
         CommitOutcome::Conflict(revision) => {
             HttpResponse::Conflict().json(json!({ "ledger": revision }))
@@ -64,25 +64,32 @@
     }
 }
 
-async fn lease(s: Store, body: web::Json<Value>) -> HttpResponse {
+async fn lease(s: StoreData, body: web::Json<Value>) -> HttpResponse {
     let life = body["lifeMs"].as_u64().unwrap_or(1000);
-    let lease_id = s.lock().expect("lock").grant_lease(life, elapsed_ms());
+    let lease_id = s
+        .lock()
+        .expect("lock is not poisoned")
+        .grant_lease(life, elapsed_ms());
     HttpResponse::Ok().json(json!({ "permit": lease_id }))
 }
 
-async fn extend(s: Store, lease_id: web::Path<u64>) -> HttpResponse {
-    match s.lock().expect("lock").renew_lease(*lease_id, elapsed_ms()) {
+async fn extend(s: StoreData, lease_id: web::Path<u64>) -> HttpResponse {
+    match s
+        .lock()
+        .expect("lock is not poisoned")
+        .renew_lease(*lease_id, elapsed_ms())
+    {
         true => HttpResponse::Ok().json(json!({})),
         false => HttpResponse::NotFound().finish(),
     }
 }
 
-async fn watch(s: Store, q: web::Query<HashMap<String, String>>) -> HttpResponse {
+async fn watch(s: StoreData, q: web::Query<HashMap<String, String>>) -> HttpResponse {
     let number = |key: &str| q.get(key).and_then(|v| v.parse::<u64>().ok()).unwrap_or(0);
     let until = elapsed_ms() + number("waitMs");
     loop {
         let list = {
-            let mut s = s.lock().expect("lock");
+            let mut s = s.lock().expect("lock is not poisoned");
             s.advance_to(elapsed_ms());
             s.events(q.get("starts").map_or("", String::as_str), number("after"))
         };
@@ -97,7 +104,7 @@
     HttpResponse::Ok().json(catalog())
 }
 
-async fn list_machines(machines: Machines) -> HttpResponse {
+async fn list_machines(machines: MachinesData) -> HttpResponse {
     HttpResponse::Ok().json(json!({ "rigs": **machines, "hasNext": false }))
 }
 
@@ -105,11 +112,11 @@
     HttpResponse::ServiceUnavailable().json(json!({ "error": "no capacity" }))
 }
 
-async fn give_back(_: web::Json<MachineNames>) -> HttpResponse {
+async fn return_machines(_: web::Json<MachineNames>) -> HttpResponse {
     HttpResponse::Ok().json(json!({}))
 }
 
-/// A machine that runs already, as the cloud lists it.
+/// A running machine as the cloud lists it.
 pub fn running_machine(name: &str) -> CloudMachine {
     CloudMachine {
         name: name.into(),
@@ -122,7 +129,7 @@
     }
 }
 
-/// The state service and the cloud, at one address.
+/// Fakes of the state service and the cloud, served at one address.
 pub struct ExternalServices {
     pub address: SocketAddr,
     pub store: Arc<Mutex<FakeStore>>,
@@ -130,12 +137,12 @@
 }
 
 impl ExternalServices {
-    /// Serves an empty store and these machines.
+    /// Serves an empty store and a cloud that lists these machines and rents no others.
     pub fn start(machines: Vec<CloudMachine>) -> Self {
         let store = Arc::new(Mutex::new(FakeStore::default()));
         let (store_data, machines) = (web::Data::from(store.clone()), web::Data::new(machines));
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("a local address");
         let server = HttpServer::new(move || {
             App::new()
                 .app_data(store_data.clone())
@@ -149,11 +156,11 @@
                 .route("/catalog", web::get().to(machine_types))
                 .route("/machines", web::get().to(list_machines))
                 .route("/machines", web::post().to(rent))
-                .route("/machines/return", web::post().to(give_back))
+                .route("/machines/return", web::post().to(return_machines))
         })
         .workers(1)
         .listen(listener)
-        .expect("listens")
+        .expect("the server listens")
         .run();
         let handle = server.handle();
         actix_web::rt::spawn(server);
@@ -170,80 +177,83 @@
 }
 
 fn free_port() -> u16 {
-    let l = TcpListener::bind("127.0.0.1:0").expect("a port");
-    l.local_addr().expect("bound").port()
+    let l = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    l.local_addr().expect("a local address").port()
 }
 
-/// Where a controller listens.
+/// Addresses on which a controller listens.
 #[derive(Clone)]
 pub struct ControllerAddresses {
     pub host: String,
     zone: &'static str,
-    /// Base of its public address.
+    /// Host and port for users and workers.
     pub public: String,
-    /// Base of the address for other controllers and operators.
+    /// Host and port for other controllers and operators.
     pub internal: String,
 }
 
-/// Places for so many controllers, `n0` on.
+/// Allocates free ports for this many controllers, named from `n0` on.
 pub fn allocate_addresses(count: usize) -> Vec<ControllerAddresses> {
-    let place = |i| ControllerAddresses {
+    let address = |i| ControllerAddresses {
         host: format!("n{i}"),
         zone: ["north", "south"][i % 2],
         public: format!("127.0.0.1:{}", free_port()),
         internal: format!("127.0.0.1:{}", free_port()),
     };
-    (0..count).map(place).collect()
+    (0..count).map(address).collect()
 }
 
-/// The settings file of one of several controllers.
-fn settings_of(i: usize, places: &[ControllerAddresses], outside: SocketAddr) -> String {
-    let me = &places[i];
+/// Text of the settings file of controller `i`.
+fn settings_file(i: usize, addresses: &[ControllerAddresses], external: SocketAddr) -> String {
+    let own = &addresses[i];
     let mut text = format!(
         "host_name = \"{}\"\nzone = \"{}\"\npublic_addr = \"{}\"\nback = \"{}\"\n",
-        me.host, me.zone, me.public, me.internal
+        own.host, own.zone, own.public, own.internal
     );
-    for other in places.iter().filter(|p| p.host != me.host) {
+    for other in addresses.iter().filter(|p| p.host != own.host) {
         text += &format!(
             "[[known]]\nhost_name = \"{}\"\nzone = \"{}\"\nendpoint = \"{}\"\n",
             other.host, other.zone, other.internal
         );
     }
-    text += &format!("[external]\ncloud = \"{outside}\"\nstate = \"{outside}\"\n");
-    let deployment = PLATFORM.find("[settings]").expect("the deployment");
+    text += &format!("[external]\ncloud = \"{external}\"\nstate = \"{external}\"\n");
+    let deployment = PLATFORM
+        .find("[settings]")
+        .expect("the section of the deployment");
     text + &PLATFORM[deployment..]
 }
 
-/// The program; it ends with the test.
+/// A child process of the program, which is killed when this value is dropped.
 pub struct Program {
     child: Child,
     settings: PathBuf,
 }
 
 impl Program {
-    /// Starts a binary as controller `i`; its log goes to a pipe, or nowhere.
+    /// Starts a binary as controller `i`, with its log sent to `log`.
     pub fn start(
         binary: &Path,
         i: usize,
-        places: &[ControllerAddresses],
-        outside: SocketAddr,
+        addresses: &[ControllerAddresses],
+        external: SocketAddr,
         log: Stdio,
     ) -> Self {
-        Self::start_with(binary, i, places, outside, log, &[])
+        Self::start_with(binary, i, addresses, external, log, &[])
     }
 
-    /// The same with further arguments.
+    /// Starts a binary as controller `i` with further command line arguments.
     pub fn start_with(
         binary: &Path,
         i: usize,
-        places: &[ControllerAddresses],
-        outside: SocketAddr,
+        addresses: &[ControllerAddresses],
+        external: SocketAddr,
         log: Stdio,
         arguments: &[&Path],
     ) -> Self {
-        let name = format!("quillbend-{}.toml", places[i].public.replace(':', "-"));
+        let name = format!("quillbend-{}.toml", addresses[i].public.replace(':', "-"));
         let settings = std::env::temp_dir().join(name);
-        std::fs::write(&settings, settings_of(i, places, outside)).expect("written");
+        std::fs::write(&settings, settings_file(i, addresses, external))
+            .expect("the file is written");
         let child = process::Command::new(binary)
             .args(arguments)
             .arg("--config")
@@ -251,12 +261,12 @@
             .env("LOG_LEVEL", "info")
             .stderr(log)
             .spawn()
-            .expect("starts");
+            .expect("the process starts");
         Self { child, settings }
     }
 
-    /// Ends it, and returns its log if that went to a pipe.
-    pub fn end(&mut self) -> String {
+    /// Kills the process and returns its log, which is empty unless it went to a pipe.
+    pub fn kill(&mut self) -> String {
         let _ = self.child.kill();
         let _ = self.child.wait();
         let mut log = String::new();
@@ -269,19 +279,19 @@
 
 impl Drop for Program {
     fn drop(&mut self) {
-        self.end();
+        self.kill();
         let _ = std::fs::remove_file(&self.settings);
     }
 }
 
-/// Sends a request; none if there is no answer in time.
+/// Sends a request and returns status and body; None if there is no response in time.
 pub async fn call(method: &str, url: &str, body: Option<Value>) -> Option<(u16, Value)> {
     let http = awc::Client::default();
     let request = match method {
         "POST" => http.post(url),
         _ => http.get(url),
     };
-    let request = request.timeout(ANSWER_WAIT);
+    let request = request.timeout(RESPONSE_TIMEOUT);
     let answer = match body {
         Some(body) => request.send_json(&body).await,
         None => request.send().await,
@@ -291,19 +301,19 @@
     Some((status, answer.json().await.unwrap_or(Value::Null)))
 }
 
-/// What happened on all workers, for the judgement of a test.
+/// Events on all workers, with the invariants that they violated.
 #[derive(Default)]
 pub struct TaskLog {
-    /// Each task that is on a machine now, with that machine.
+    /// Tasks that are on a machine now, each with that machine.
     present: Vec<(String, String)>,
-    /// Tasks that were completed.
+    /// Completed tasks.
     pub done: HashSet<String>,
-    /// Starts of tasks, in their order.
+    /// Started tasks, in order of their starts.
     pub starts: Vec<String>,
-    /// The jobs, by name, whose tasks must be done before a job's first starts; with their number
-    /// of tasks.
-    pub needs: HashMap<String, Vec<(String, u32)>>,
-    /// What broke a rule.
+    /// Predecessors of each job, which must be done before its first task starts, with their number of
+    /// tasks.
+    pub predecessors: HashMap<String, Vec<(String, u32)>>,
+    /// Violated invariants.
     pub violations: Vec<String>,
 }
 
@@ -312,15 +322,15 @@
         self.present.push((task.into(), machine.into()));
         self.starts.push(task.into());
         let present = self.present.iter().map(|(t, m)| (t.as_str(), m.as_str()));
-        if let Some(double) = find_duplicate_execution(present) {
-            self.violations.push(format!("ran_twice: {double:?}"));
+        if let Some(duplicate) = find_duplicate_execution(present) {
+            self.violations.push(format!("ran_twice: {duplicate:?}"));
         }
         let job = task.split('/').next().unwrap_or_default();
-        for (needed, tasks) in self.needs.get(job).cloned().unwrap_or_default() {
-            let done = (0..tasks).all(|n| self.done.contains(&format!("{needed}/{n}")));
+        for (predecessor, tasks) in self.predecessors.get(job).cloned().unwrap_or_default() {
+            let done = (0..tasks).all(|n| self.done.contains(&format!("{predecessor}/{n}")));
             if !done {
                 self.violations
-                    .push(format!("too_early: {task} before {needed}"));
+                    .push(format!("too_early: {task} before {predecessor}"));
             }
         }
     }
@@ -339,13 +349,13 @@
     }
 }
 
-/// A task on a worker.
-struct RunningTask {
+/// A task that was launched on a worker.
+struct WorkerTask {
     task: TaskStatus,
     ends_ms: u64,
 }
 
-/// The worker of one machine. Tasks need no image, and run for as long as it is told.
+/// Fake worker of one machine. Its tasks fetch no image and run for a fixed time.
 pub struct LoopbackWorker {
     pub machine: CloudMachine,
     run_ms: u64,
@@ -353,9 +363,9 @@
     worker_epoch: u64,
     sequence: u64,
     token: u64,
-    tasks: Vec<RunningTask>,
-    /// When the last answered report was sent.
-    answered_ms: u64,
+    tasks: Vec<WorkerTask>,
+    /// When the last acknowledged heartbeat was sent.
+    last_acked_ms: u64,
 }
 
 impl LoopbackWorker {
@@ -368,33 +378,39 @@
             sequence: 0,
             token: 0,
             tasks: Vec::new(),
-            answered_ms: elapsed_ms(),
+            last_acked_ms: elapsed_ms(),
         }
     }
 
-    /// Ends what is over, sends one report, and does as it is told.
-    pub async fn heartbeat(&mut self, places: &[ControllerAddresses], log: &Mutex<TaskLog>) {
+    /// Ends tasks that are complete, sends one heartbeat and executes the commands of the response.
+    pub async fn send_heartbeat(
+        &mut self,
+        addresses: &[ControllerAddresses],
+        log: &Mutex<TaskLog>,
+    ) {
         let sent = elapsed_ms();
         self.end_tasks(sent, log);
         self.sequence += 1;
-        let body = serde_json::to_value(self.message()).expect("json");
+        let body = serde_json::to_value(self.heartbeat()).expect("serializable");
         let url = format!(
             "http://{}/v1/report",
-            places[self.current_controller].public
+            addresses[self.current_controller].public
         );
         match call("POST", &url, Some(body)).await {
-            Some((200, answer)) => self.obey(answer, sent, log),
+            Some((200, answer)) => self.handle_ack(answer, sent, log),
             Some((421, answer)) => {
-                let named = places.iter().position(|p| answer["dispatcher"] == p.host);
-                let named = named.filter(|&to| to != self.current_controller);
+                let target = addresses
+                    .iter()
+                    .position(|p| answer["dispatcher"] == p.host);
+                let target = target.filter(|&to| to != self.current_controller);
                 self.current_controller =
-                    named.unwrap_or((self.current_controller + 1) % places.len());
+                    target.unwrap_or((self.current_controller + 1) % addresses.len());
             }
-            _ => self.current_controller = (self.current_controller + 1) % places.len(),
+            _ => self.current_controller = (self.current_controller + 1) % addresses.len(),
         }
     }
 
-    fn message(&self) -> Heartbeat {
+    fn heartbeat(&self) -> Heartbeat {
         Heartbeat {
             machine: self.machine.name.clone(),
             endpoint: self.machine.endpoint.clone(),
@@ -409,9 +425,9 @@
         }
     }
 
-    /// Completes tasks whose time is over, and kills all once the lease is.
+    /// Completes tasks whose run time is over, and kills all tasks once the worker's lease has expired.
     fn end_tasks(&mut self, now: u64, log: &Mutex<TaskLog>) {
-        let mut log = log.lock().expect("lock");
+        let mut log = log.lock().expect("lock is not poisoned");
         for task in &mut self.tasks {
             if task.task.status == TaskPhase::Running && now >= task.ends_ms {
                 task.task.status = TaskPhase::Ended;
@@ -419,27 +435,27 @@
                 log.record_end(&task.task.task, &self.machine.name, true);
             }
         }
-        if now > self.answered_ms + LEASE_MS {
+        if now > self.last_acked_ms + LEASE_MS {
             for task in self.tasks.drain(..) {
                 log.record_end(&task.task.task, &self.machine.name, false);
             }
             self.worker_epoch += 1;
-            self.answered_ms = now;
+            self.last_acked_ms = now;
         }
     }
 
-    fn obey(&mut self, answer: Value, sent: u64, log: &Mutex<TaskLog>) {
-        let Ok(orders) = serde_json::from_value::<HeartbeatAck>(answer) else {
+    fn handle_ack(&mut self, answer: Value, sent: u64, log: &Mutex<TaskLog>) {
+        let Ok(ack) = serde_json::from_value::<HeartbeatAck>(answer) else {
             return;
         };
-        if orders.token < self.token {
+        if ack.token < self.token {
             return;
         }
-        self.token = orders.token;
-        self.answered_ms = sent;
-        let mut log = log.lock().expect("lock");
-        for order in orders.commands {
-            match order {
+        self.token = ack.token;
+        self.last_acked_ms = sent;
+        let mut log = log.lock().expect("lock is not poisoned");
+        for command in ack.commands {
+            match command {
                 Command::Launch { task, attempt } => self.launch(task, attempt, &mut log),
                 Command::Stop { task, attempt, .. } => self.stop(&task, attempt, &mut log),
                 Command::Clear { task, attempt } => {
@@ -454,11 +470,11 @@
     }
 
     fn launch(&mut self, task: String, attempt: u64, log: &mut TaskLog) {
-        let known = self
+        let already_launched = self
             .tasks
             .iter()
             .any(|t| t.task.task == task && t.task.attempt == attempt);
-        if known {
+        if already_launched {
             return;
         }
         let refused = self
@@ -468,22 +484,22 @@
         if !refused {
             log.record_start(&task, &self.machine.name);
         }
-        // A result is kept: a task that was done once ends at once.
+        // Results are kept: a task that completed before ends at once when it is launched again.
         let left = if log.done.contains(&task) {
             0
         } else {
             self.run_ms
         };
-        let (status, cause) = match refused {
+        let (status, reason) = match refused {
             true => (TaskPhase::Ended, Some(ExitReason::InUse)),
             false => (TaskPhase::Running, None),
         };
-        self.tasks.push(RunningTask {
+        self.tasks.push(WorkerTask {
             task: TaskStatus {
                 task,
                 attempt,
                 status,
-                exit_reason: cause,
+                exit_reason: reason,
                 saved: None,
             },
             ends_ms: elapsed_ms() + left,
@@ -492,8 +508,8 @@
 
     fn stop(&mut self, name: &str, attempt: u64, log: &mut TaskLog) {
         for task in &mut self.tasks {
-            let meant = task.task.task == name && task.task.attempt == attempt;
-            if meant && task.task.status != TaskPhase::Ended {
+            let matches = task.task.task == name && task.task.attempt == attempt;
+            if matches && task.task.status != TaskPhase::Ended {
                 task.task.status = TaskPhase::Ended;
                 task.task.exit_reason = Some(ExitReason::Halted);
                 log.record_end(name, &self.machine.name, false);
--- a/tests/search.rs
+++ b/tests/search.rs
@@ -1,8 +1,8 @@
-//! Days at random on many machines, and the search for one that breaks a rule.
+//! Scenarios with random faults on many machines, and a search for seeds that violate an invariant.
 
 mod support;
 
-use support::scenarios::{ScenarioPlan, play};
+use support::scenarios::{ScenarioPlan, run};
 use support::search;
 
 fn plan(seed: u64) -> ScenarioPlan {
@@ -15,31 +15,31 @@
 }
 
 #[test]
-fn random_fault_days_keep_the_rules() {
+fn random_faults_violate_no_invariant() {
     for seed in 0..4 {
-        if let Err(violations) = play(plan(seed)) {
+        if let Err(violations) = run(plan(seed)) {
             panic!("{}", violations.join("\n"));
         }
     }
 }
 
-/// A failure that a search finds can be played again, and traced.
+/// A failure that a search finds must be reproducible from its seed.
 #[test]
-fn a_day_is_the_same_each_time_it_is_played() {
-    let once = play(plan(5)).expect("the rules are kept");
-    let again = play(plan(5)).expect("the rules are kept");
-    assert!(once.starts.len() > 50, "{} starts", once.starts.len());
-    assert_eq!(once, again);
+fn a_scenario_is_reproducible() {
+    let first = run(plan(5)).expect("no invariant is violated");
+    let second = run(plan(5)).expect("no invariant is violated");
+    assert!(first.starts.len() > 50, "{} starts", first.starts.len());
+    assert_eq!(first, second);
 }
 
-/// Plays days as [`search::search`] says, with so many machines as `SEARCH_MACHINES` says if it is set.
+/// Runs the scenarios that [`search::search`] selects, with `SEARCH_MACHINES` machines if that is set.
 #[test]
-#[ignore = "a search that is run by hand"]
+#[ignore = "run manually"]
 fn search() {
     let machines = search::number("SEARCH_MACHINES");
     search::search(|seed| {
         let mut plan = plan(seed);
         plan.machines = machines.map_or(plan.machines, |m| m as usize);
-        play(plan).map(|_| ())
+        run(plan).map(|_| ())
     });
 }
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -1,4 +1,4 @@
-//! Several worlds as cells that lend each other jobs, with the network between them.
+//! Simulation of several cells that lend each other jobs, with the network between them.
 
 use super::{
     BTreeSet, CommitOutcome, Controller, FakeStore, JobRecord, JobSpec, Mutation, Rng, StoreFault,
@@ -8,77 +8,81 @@
 use quillbend_spillover::message::{CellAnswer, Decision, OfferAnswer, Reason, RequestBody};
 use quillbend_spillover::settings::SpilloverSettings;
 
-/// Names of the cells.
-const NAMES: [&str; 3] = ["east", "north", "west"];
+/// Names of the cells, by index.
+const CELL_NAMES: [&str; 3] = ["east", "north", "west"];
 
-/// What happens to messages from one controller or cell to another cell.
+/// Fault of the network from one cell to another.
 #[derive(Clone, Copy, PartialEq)]
 pub enum CellLink {
     Open,
     Disconnected,
-    /// Requests arrive, answers are lost.
+    /// Requests arrive, but the responses are lost.
     LosesResponses,
-    /// Requests arrive this many ms late, and nobody waits for the answer.
+    /// Requests arrive this many ms late, after the sender has stopped waiting for the response.
     Delayed(u64),
 }
 
-/// A request that is under way.
+/// A request that is in flight.
 struct Request {
     at: u64,
     from: usize,
     node: usize,
     to: (usize, usize),
     call: CellCall,
-    sent: Timestamp,
-    /// Whether somebody waits for the answer.
-    awaited: bool,
+    sent_at: Timestamp,
+    /// Whether the sender still waits for the response.
+    awaits_response: bool,
 }
 
-/// Several cells.
+/// The simulated cells and their network.
 pub struct Cells {
     pub cells: Vec<World>,
-    /// How messages of each cell reach each other cell.
+    /// Link from each cell to each other cell, by sender and receiver.
     pub cell_links: Vec<Vec<CellLink>>,
-    /// Controllers, by cell and place, that reach no other cell.
+    /// Controllers, by cell and index, that exchange no messages with other cells.
     pub unreachable_controllers: BTreeSet<(usize, usize)>,
-    /// Copies of each request arrive this many ms later.
+    /// Delays after which copies of each request arrive, ms.
     pub request_copy_delays_ms: Vec<u64>,
+    /// Violated invariants that concern several cells.
     pub violations: Vec<String>,
-    /// Requests between cells that were sent.
+    /// Number of requests sent between different cells.
     pub sent_request_count: u64,
     requests_in_flight: Vec<Request>,
-    last_number: u32,
+    last_job_number: u32,
 }
 
-/// The settings of a cell that knows these others.
+/// Spillover settings of a cell with these other cells.
 pub fn spillover_settings(cell: usize, others: &[usize], controllers: usize) -> SpilloverSettings {
-    let mut text = format!("<spillover cell=\"{}\">", NAMES[cell]);
+    let mut text = format!("<spillover cell=\"{}\">", CELL_NAMES[cell]);
     text += "<loan lease-s=\"10\" ask-s=\"1\" silent-s=\"8\"/>";
     text += "<policy start-above-s=\"10\" stop-below-s=\"3\" sustain-s=\"1\" margin-s=\"2\" \
              period-s=\"1\" idle-s=\"4\"/>";
     for &other in others {
-        text += &format!("<cell name=\"{}\" worker-lease-s=\"12\">", NAMES[other]);
+        text += &format!(
+            "<cell name=\"{}\" worker-lease-s=\"12\">",
+            CELL_NAMES[other]
+        );
         for node in 0..controllers {
             text += &format!("<controller>{}</controller>", address(other, node));
         }
         text += "</cell>";
     }
-    SpilloverSettings::parse(&(text + "</spillover>"), 37.0).expect("good")
+    SpilloverSettings::parse(&(text + "</spillover>"), 37.0).expect("valid settings")
 }
 
-/// The address of a controller for other controllers.
+/// Address of a controller for other controllers.
 pub fn address(cell: usize, node: usize) -> String {
     format!("10.0.{cell}.{node}:8081")
 }
 
-/// The cell and the place of a controller.
-fn place(address: &str) -> Option<(usize, usize)> {
+/// Indexes of the cell and the controller with this address.
+fn parse_address(address: &str) -> Option<(usize, usize)> {
     let mut parts = address.split(['.', ':']).skip(2);
     Some((parts.next()?.parse().ok()?, parts.next()?.parse().ok()?))
 }
 
-/// Whether a transaction lends a job.
-pub fn lends(transaction: &Transaction) -> bool {
+/// Whether a transaction marks a job as lent.
+pub fn marks_job_lent(transaction: &Transaction) -> bool {
     let lent = |change: &Mutation| match change {
         Mutation::Put { value, .. } => value
             .read::<JobRecord>()
@@ -89,16 +93,16 @@
 }
 
 impl FakeStore {
-    /// Whether a write that lends jobs is still to be carried out.
+    /// Whether a delayed transaction that marks a job as lent is still to be committed.
     pub fn has_delayed_loan_write(&self) -> bool {
         self.delayed_commits
             .iter()
-            .any(|(_, transaction)| lends(transaction))
+            .any(|(_, transaction)| marks_job_lent(transaction))
     }
 }
 
 impl Cells {
-    /// Cells of three controllers each, with so many machines, none of which can rent more.
+    /// Creates one cell of three controllers for each number of machines. No cell can rent more.
     pub fn new(seed: u64, machines: &[usize]) -> Cells {
         let all: Vec<usize> = (0..machines.len()).collect();
         let worlds = machines.iter().enumerate().map(|(cell, &machines)| {
@@ -107,9 +111,9 @@
             let others: Vec<usize> = all.iter().copied().filter(|&o| o != cell).collect();
             let controllers = world.controllers.len();
             world.settings.spillover = Some(spillover_settings(cell, &others, controllers));
-            // What is over leaves the watched keys at once.
+            // Finished jobs leave the watched keys at once.
             world.settings.options.jobs_kept = 0.0;
-            // What is there stays there.
+            // Idle machines are not returned.
             world.settings.options.fleet_idle_s = 3600.0;
             (0..controllers).for_each(|i| world.start(i));
             world.cloud_has_no_capacity = true;
@@ -123,7 +127,7 @@
             violations: Vec::new(),
             sent_request_count: 0,
             requests_in_flight: Vec::new(),
-            last_number: 0,
+            last_job_number: 0,
         };
         cells.run(20_000);
         cells
@@ -133,20 +137,21 @@
         self.cells[0].now
     }
 
-    /// Users of a cell submit a job; its description can be had everywhere.
+    /// Submits a job to a cell. All cells know its specification for their checks.
     pub fn submit(&mut self, cell: usize, tasks: u32) -> String {
-        self.last_number += 1;
+        self.last_job_number += 1;
         let spec = self.cells[cell].spec(tasks);
         for world in &mut self.cells {
-            world.register_spec(self.last_number, &spec);
+            world.register_spec(self.last_job_number, &spec);
         }
-        self.cells[cell].submit(self.last_number, spec)
+        self.cells[cell].submit(self.last_job_number, spec)
     }
 
     pub fn submit_many(&mut self, cell: usize, jobs: usize, tasks: u32) -> Vec<String> {
         (0..jobs).map(|_| self.submit(cell, tasks)).collect()
     }
 
+    /// Advances all cells by `ms`.
     pub fn run(&mut self, ms: u64) {
         let end = self.now() + ms;
         while self.now() < end {
@@ -154,23 +159,25 @@
         }
     }
 
+    /// Advances all cells until the condition holds. Fails the test if that takes longer than `ms`.
     pub fn run_until(&mut self, ms: u64, what: &str, mut holds: impl FnMut(&Cells) -> bool) {
         let end = self.now() + ms;
         while !holds(self) {
-            assert!(self.now() < end, "never happened: {what}");
+            assert!(self.now() < end, "condition not reached in time: {what}");
             self.step();
         }
     }
 
-    /// Ends all faults; every job is done in the end, and the rules were kept.
+    /// Ends all faults, then asserts that all jobs finish and that no invariant was violated.
     pub fn assert_all_jobs_finish(&mut self, cell: usize, jobs: &[String]) {
         self.heal();
-        self.run_until(240_000, "done", |c| {
+        self.run_until(240_000, "all jobs are done", |c| {
             jobs.iter().all(|job| c.cells[cell].is_done(job))
         });
         self.assert_no_violations();
     }
 
+    /// Ends all faults and starts the controllers that are down.
     pub fn heal(&mut self) {
         self.cells.iter_mut().for_each(World::heal);
         self.cell_links
@@ -191,7 +198,7 @@
         self.cells[cell].job_record(job).is_some_and(lent)
     }
 
-    /// Jobs that a cell has lent and that are not over.
+    /// Unfinished jobs that a cell has lent.
     pub fn lent_jobs(&self, cell: usize) -> Vec<String> {
         let (items, _) = self.cells[cell].store.list("qb/job/");
         let names = items
@@ -202,28 +209,34 @@
             .collect()
     }
 
-    /// How often tasks of these jobs were started in a cell.
+    /// Number of task starts of these jobs in a cell.
     pub fn start_count_in(&self, cell: usize, jobs: &[String]) -> usize {
         jobs.iter()
             .map(|job| self.cells[cell].start_count_of(job))
             .sum()
     }
 
-    /// Restarts all controllers of a cell with other settings.
+    /// Changes the spillover settings of a cell and restarts all of its controllers.
     pub fn restart_with_settings(
         &mut self,
         cell: usize,
         change: impl FnOnce(&mut SpilloverSettings),
     ) {
         let world = &mut self.cells[cell];
-        change(world.settings.spillover.as_mut().expect("turned on"));
+        change(
+            world
+                .settings
+                .spillover
+                .as_mut()
+                .expect("spillover is enabled"),
+        );
         for i in 0..world.controllers.len() {
             world.crash(i);
             world.start(i);
         }
     }
 
-    /// Cuts a cell from all others, in both directions.
+    /// Disconnects a cell from all others, in both directions.
     pub fn disconnect(&mut self, cell: usize) {
         for other in 0..self.cells.len() {
             self.cell_links[cell][other] = CellLink::Disconnected;
@@ -243,58 +256,58 @@
         for request in due.collect::<Vec<_>>() {
             self.deliver(request);
         }
-        self.check();
+        self.check_invariants();
     }
 
     #[expect(
         clippy::needless_pass_by_value,
-        reason = "a call is handed over, as to a network"
+        reason = "the call is consumed, as by a network"
     )]
     fn send(&mut self, from: usize, node: usize, call: CellCall) {
-        let to = place(&call.address).expect("an address of ours");
+        let to = parse_address(&call.address).expect("the address of a simulated controller");
         self.sent_request_count += u64::from(to.0 != from);
-        let sent = self.cells[from].clock(node);
-        let way = match from == to.0 {
+        let sent_at = self.cells[from].clock(node);
+        let link = match from == to.0 {
             true => CellLink::Open,
             false => self.cell_links[from][to.0],
         };
-        let delay = if let CellLink::Delayed(ms) = way {
+        let delay = if let CellLink::Delayed(ms) = link {
             ms
         } else {
             0
         };
-        let cut = way == CellLink::Disconnected
+        let disconnected = link == CellLink::Disconnected
             || (from != to.0 && self.unreachable_controllers.contains(&(from, node)));
-        let request = |at: u64, awaited: bool| Request {
+        let request = |at: u64, awaits_response: bool| Request {
             at,
             from,
             node,
             to,
             call: call.clone(),
-            sent,
-            awaited,
+            sent_at,
+            awaits_response,
         };
         let now = self.now();
-        if cut || delay > 0 {
-            self.answer(&request(now, true), None);
+        if disconnected || delay > 0 {
+            self.deliver_response(&request(now, true), None);
         } else {
-            let awaited = way != CellLink::LosesResponses;
-            self.requests_in_flight.push(request(now, awaited));
-            if !awaited {
-                self.answer(&request(now, true), None);
+            let awaits_response = link != CellLink::LosesResponses;
+            self.requests_in_flight.push(request(now, awaits_response));
+            if !awaits_response {
+                self.deliver_response(&request(now, true), None);
             }
         }
         let request_copy_delays_ms = self.request_copy_delays_ms.iter().copied();
         let late = request_copy_delays_ms
             .chain((delay > 0).then_some(delay))
-            .filter(|_| !cut);
+            .filter(|_| !disconnected);
         let late: Vec<Request> = late.map(|ms| request(now + ms, false)).collect();
         self.requests_in_flight.extend(late);
     }
 
     #[expect(
         clippy::needless_pass_by_value,
-        reason = "a request is handed over, as by a network"
+        reason = "the request is consumed, as by a network"
     )]
     fn deliver(&mut self, request: Request) {
         let (cell, node) = request.to;
@@ -303,27 +316,31 @@
             || (request.from != cell && self.unreachable_controllers.contains(&(cell, node)))
             || world.controllers[node].is_none();
         let answer = (!unreachable).then(|| world.handle_cell_request(node, &request.call.request));
-        if request.awaited {
-            self.answer(&request, answer);
+        if request.awaits_response {
+            self.deliver_response(&request, answer);
         }
     }
 
-    fn answer(&mut self, request: &Request, answer: Option<CellAnswer>) {
+    fn deliver_response(&mut self, request: &Request, answer: Option<CellAnswer>) {
         let world = &mut self.cells[request.from];
         let now = world.clock(request.node);
-        let back = match request.from == request.to.0 {
+        let response_arrives = match request.from == request.to.0 {
             true => true,
             false => self.cell_links[request.to.0][request.from] != CellLink::Disconnected,
         };
         if let Some(node) = &mut world.controllers[request.node] {
             let controller = &mut node.controller;
-            controller.on_cell_answer(&request.call, answer.filter(|_| back), request.sent, now);
+            controller.on_cell_answer(
+                &request.call,
+                answer.filter(|_| response_arrives),
+                request.sent_at,
+                now,
+            );
         }
     }
 
-    /// No task is on machines of two cells, and what its user cancelled is gone in time wherever it
-    /// ran.
-    fn check(&mut self) {
+    /// Checks that no task runs in two cells and that cancelled jobs stop in time in every cell.
+    fn check_invariants(&mut self) {
         let names: Vec<Vec<String>> = self
             .cells
             .iter()
@@ -342,12 +359,12 @@
                 on.map(move |t| (t.task.as_str(), name.as_str()))
             })
         });
-        if let Some(double) = occupancy::find_duplicate_execution(present) {
-            let what = format!("ran_twice: {double:?} at {}", self.now());
+        if let Some(duplicate) = occupancy::find_duplicate_execution(present) {
+            let what = format!("ran_twice: {duplicate:?} at {}", self.now());
             self.violations.push(what);
         }
         for origin in &self.cells {
-            for (job, at) in &origin.cancelled {
+            for (job, at) in &origin.cancelled_at {
                 let late = self.now() > at + origin.cancel_limit_ms();
                 let runs = late && self.cells.iter().any(|w| w.running_task_count_of(job) > 0);
                 if runs {
@@ -359,29 +376,31 @@
 }
 
 impl World {
-    /// The description of a job that another cell accepted.
+    /// Makes the specification of a job known to the checks of a cell that may borrow it.
     pub fn register_spec(&mut self, number: u32, spec: &JobSpec) {
         self.specs.insert(format!("wk-{number:06}"), spec.clone());
     }
 
-    /// A controller takes a request of another cell, as its door does.
+    /// Handles a request of another cell like the HTTP handler of a controller.
     pub fn handle_cell_request(&mut self, node: usize, request: &CellRequest) -> CellAnswer {
         let now = self.clock(node);
-        let mut taken = self.controllers[node].take().expect("alive");
-        let controller = &mut taken.controller;
+        let mut process = self.controllers[node].take().expect("alive");
+        let controller = &mut process.controller;
         let answer = match (controller.refuse_cell_request(request, None), &request.body) {
             (Some(refusal), _) => refusal,
             (None, RequestBody::Offer(offers)) if controller.leads().is_some() => {
                 let answers = offers.iter().map(|offer| OfferAnswer {
                     loan: offer.loan.clone(),
-                    decision: self.decide(node, controller, &request.from, offer),
+                    decision: self.decide_offer(node, controller, &request.from, offer),
                 });
                 CellAnswer::Offers(answers.collect())
             }
             (None, body) => {
                 if let RequestBody::Confirm { loans, .. } = body {
                     for transaction in controller.plan_loan_ends(&request.from, loans, now) {
-                        if let CommitOutcome::Done(revision) = self.write(node, &transaction) {
+                        if let CommitOutcome::Done(revision) =
+                            self.commit_for_cell(node, &transaction)
+                        {
                             controller.on_loan_end(&transaction, revision);
                         }
                     }
@@ -389,12 +408,12 @@
                 controller.answer_cell(request, now)
             }
         };
-        self.controllers[node] = Some(taken);
+        self.controllers[node] = Some(process);
         digest::cell_answer(self.origin(node), &answer);
         answer
     }
 
-    fn decide(
+    fn decide_offer(
         &mut self,
         node: usize,
         controller: &mut Controller,
@@ -412,7 +431,7 @@
                     decision,
                 } => (transaction, decision),
             };
-            match self.write(node, &transaction) {
+            match self.commit_for_cell(node, &transaction) {
                 CommitOutcome::Done(revision) => {
                     controller.replica.apply_own(&transaction, revision);
                     return decision;
@@ -421,7 +440,7 @@
                     let key = past_key(&offer.loan.job);
                     let value = self.store.value(&key);
                     archived = value.map(|v| Archived {
-                        record: serde_json::from_value(v).expect("a job's value"),
+                        record: serde_json::from_value(v).expect("a valid job record"),
                         mod_revision: self.store.mod_revision(&key),
                     });
                 }
@@ -431,8 +450,8 @@
         Decision::Later(Reason::State)
     }
 
-    /// Sends a transaction of a controller's door.
-    fn write(&mut self, node: usize, transaction: &Transaction) -> CommitOutcome {
+    /// Commits a transaction of a request handler, subject to the controller's store fault.
+    fn commit_for_cell(&mut self, node: usize, transaction: &Transaction) -> CommitOutcome {
         digest::transaction(self.origin(node), transaction);
         self.check_transaction_size(node, transaction);
         match self.link(node).store_fault {
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -1,14 +1,14 @@
-//! The controllers: their lives, and what they ask of the state service, of each other and of the cloud.
+//! Simulated controllers: their starts, crashes, pauses and faults, and the execution of their effects.
 
 use super::{
-    CommitOutcome, Controller, Effect, JobRecord, Link, Mutation, Node, Rng, START_MS, SmallRng,
-    StoreFault, Timestamp, Transaction, World, WriteKind, catalog, cells, digest, past_key,
-    position,
+    CommitOutcome, Controller, ControllerProcess, Effect, JobRecord, Link, Mutation, Rng, START_MS,
+    SmallRng, StoreFault, Timestamp, Transaction, World, WriteKind, catalog, cells,
+    controller_index, digest, past_key,
 };
 use quillbend::leadership::RentalOutcome;
 
 impl World {
-    /// One of six faults of a controller.
+    /// Injects one of six faults into a controller.
     pub fn inject_fault(&mut self, i: usize, kind: u32, rng: &mut SmallRng) {
         match kind {
             0 => self.crash(i),
@@ -20,12 +20,13 @@
         }
     }
 
-    /// A controller's steady clock. It drifts, but does not jump when a test sets its drift.
+    /// Time of a controller's monotonic clock, which drifts.
     pub fn clock(&self, i: usize) -> Timestamp {
         let passed = (self.now - START_MS) as f64 * (1.0 + self.clock_drift[i]);
         Timestamp(START_MS + passed as u64)
     }
 
+    /// Starts a controller process with an empty replica and a new incarnation.
     pub fn start(&mut self, i: usize) {
         let mut s = match self.runs_previous_version[i] {
             true => self.previous_settings.clone(),
@@ -41,22 +42,26 @@
             .map(|n| quillbend::settings::PeerAddress {
                 host_name: (*n).clone(),
                 zone: String::new(),
-                endpoint: cells::address(self.cell, position(n).expect("a place")),
+                endpoint: cells::address(
+                    self.cell,
+                    controller_index(n).expect("a controller's name"),
+                ),
             })
             .collect();
         let mut controller = Controller::new(s, self.rng.random());
         if self.runs_previous_version[i] {
             controller.run_as_format(self.previous_format);
         }
-        let node = Node {
+        let node = ControllerProcess {
             controller,
             paused_until: 0,
-            next_watch: 0,
-            loaded: false,
+            next_watch_at: 0,
+            replica_loaded: false,
         };
         self.controllers[i] = Some(node);
     }
 
+    /// Ends a controller process at once.
     pub fn crash(&mut self, i: usize) {
         self.controllers[i] = None;
     }
@@ -65,11 +70,12 @@
         &self.controllers[i].as_ref().expect("alive").controller
     }
 
+    /// Index of a controller that considers itself the leader.
     pub fn leader(&self) -> Option<usize> {
         self.leader_among(0..self.controllers.len())
     }
 
-    /// The controller that leads, one that does not know better aside.
+    /// The leader, without regard to a former leader that has not noticed its replacement.
     pub fn leader_except(&self, old: usize) -> Option<usize> {
         self.leader_among((0..self.controllers.len()).filter(|&i| i != old))
     }
@@ -85,13 +91,13 @@
         })
     }
 
-    /// Whether a controller other than `old` holds a machine.
+    /// Whether a controller other than `old` holds this machine.
     pub fn is_held_by_other_than(&self, old: usize, machine: &str) -> bool {
         let others = (0..self.controllers.len()).filter(|&i| i != old);
         self.holder_among(others, machine).is_some()
     }
 
-    /// The controller that holds a machine.
+    /// The controller that holds a machine and has authority over it.
     pub fn holder(&self, machine: &str) -> Option<usize> {
         self.holder_among(0..self.controllers.len(), machine)
     }
@@ -115,12 +121,12 @@
         })
     }
 
-    /// The state service is out for everybody, or is back.
+    /// Starts or ends an outage of the state service for all controllers.
     pub fn set_store_outage(&mut self, out: bool) {
         self.store.unavailable = out;
     }
 
-    /// A controller is paused for a while; what is asked of it then has no answer.
+    /// Pauses a controller for `ms`. Requests to it get no response meanwhile.
     pub fn pause(&mut self, i: usize, ms: u64) {
         if let Some(n) = &mut self.controllers[i] {
             n.paused_until = self.now + ms;
@@ -132,7 +138,7 @@
         node.is_some_and(|n| self.now < n.paused_until)
     }
 
-    /// How a controller reaches the others now.
+    /// Connections of a controller, an outage of the state service included.
     pub(super) fn link(&self, i: usize) -> Link {
         match self.store.unavailable {
             true => Link {
@@ -144,15 +150,15 @@
         }
     }
 
-    /// Cuts a controller from the state service and from the others, but not from its workers.
+    /// Disconnects a controller from the state service and its peers, but not from its workers.
     pub fn isolate(&mut self, i: usize) {
         self.links[i].store_fault = StoreFault::RejectsRequests;
         self.links[i].watch_hangs = true;
         self.links[i].peers_reachable = false;
     }
 
-    /// Names the controller and the time in what a traced test logs.
-    pub(super) fn span(&self, i: usize) -> tracing::Span {
+    /// Log span with the controller and the simulated time.
+    pub(super) fn log_span(&self, i: usize) -> tracing::Span {
         tracing::debug_span!("controller", i, now = self.now)
     }
 
@@ -160,7 +166,7 @@
         let Some(mut node) = self.controllers[i].take() else {
             return;
         };
-        let _span = self.span(i).entered();
+        let _span = self.log_span(i).entered();
         let now = self.clock(i);
         let link = self.link(i);
         let late = match link.store_fault {
@@ -168,23 +174,23 @@
             StoreFault::Slow(ms) => Some(ms),
             _ => None,
         };
-        // After it was paused its timers fire before the first answers are in.
+        // After a pause, timers fire before the first responses arrive.
         let waking = node.paused_until > 0 && self.now < node.paused_until + 400;
-        let due = self.now >= node.next_watch && !link.watch_hangs && !waking;
+        let due = self.now >= node.next_watch_at && !link.watch_hangs && !waking;
         if let Some(late) = late.filter(|_| due) {
-            if node.loaded {
+            if node.replica_loaded {
                 let after = node.controller.replica.revision;
                 let list = match late {
                     0 => self.store.events("qb/", after),
                     late => self.store.events_by("qb/", after, self.now - late),
                 };
-                // What a late answer shows was current when the watch was opened.
+                // A late response shows the state at the time when the watch was opened.
                 let sent = Timestamp(now.0.saturating_sub(late));
                 node.controller.on_watch_response(list, sent, now);
             } else {
                 let (items, revision) = self.store.list("qb/");
                 node.controller.on_load(items, revision, revision, now, now);
-                node.loaded = true;
+                node.replica_loaded = true;
             }
         }
         let mut todo = node.controller.tick(now, self.now);
@@ -230,7 +236,8 @@
             } => return self.commit(i, controller, write_kind, transaction, fault),
             Effect::Peer { host, message } => {
                 let name = controller.replica.names.hosts.name(host).to_owned();
-                let Some(j) = position(&name).filter(|j| *j < self.controllers.len()) else {
+                let Some(j) = controller_index(&name).filter(|j| *j < self.controllers.len())
+                else {
                     return false;
                 };
                 let apart = self.partition_group[i] != self.partition_group[j];
@@ -323,7 +330,7 @@
         self.check_transaction_size(i, &transaction);
         let fault = match self
             .loan_write_delay_ms
-            .filter(|_| cells::lends(&transaction))
+            .filter(|_| cells::marks_job_lent(&transaction))
         {
             Some(ms) => StoreFault::DelaysCommits(ms),
             None => fault,
@@ -348,7 +355,8 @@
         matches!(outcome, CommitOutcome::Done(_))
     }
 
-    /// What the service would call malformed would be sent again and again.
+    /// Checks that a transaction is within the limits of the service, which would reject it as malformed
+    /// on every retry.
     pub(super) fn check_transaction_size(&mut self, i: usize, transaction: &Transaction) {
         let settings = match self.runs_previous_version[i] {
             true => &self.previous_settings,
@@ -369,10 +377,10 @@
             || transaction.preconditions.len() > s.txn_ops * 4
             || all > 64 * 1024
         {
-            let (in_flight, preconditions) =
+            let (mutations, preconditions) =
                 (transaction.mutations.len(), transaction.preconditions.len());
             let what = format!(
-                "commit: {largest} of {all} bytes, {in_flight} changes, {preconditions} conditions"
+                "commit: {largest} of {all} bytes, {mutations} mutations, {preconditions} preconditions"
             );
             self.violations.push(what);
         }
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -1,9 +1,9 @@
-//! A digest of everything that leaves the controllers, byte by byte and in order.
+//! Digest of all messages that the controllers send, byte by byte and in order.
 //!
-//! A step of a refactoring that only renames or moves leaves the digest of a seeded day as it was.
-//! The in-memory world feeds a recorder of its thread at the points where it delivers messages;
-//! outside [`record`] there is none, and nothing is serialised. Messages are recorded as they go
-//! over the wire, and kinds of message as numbers, so that no name in the sources is part of a digest.
+//! A refactoring that only renames or moves code leaves the digest of a seeded scenario unchanged. The
+//! simulation passes each message that it delivers to a thread-local recorder; outside [`record`] there
+//! is none, and nothing is serialised. Messages are recorded in their wire format and message kinds as
+//! numbers, so that a digest depends on no identifier of the sources.
 
 use super::{
     BTreeSet, Controller, Effect, HeartbeatResponse, MachineNames, PeerMessage, Transaction, World,
@@ -16,20 +16,21 @@
 use std::fs::File;
 use std::io::{BufWriter, Write};
 
-/// Names the directory into which the messages of each day are written if it is set, one a line, to
-/// find the first one that differs: time, cell, controller, kind and length, then the raw bytes.
+/// Environment variable with a directory for traces. If it is set, the messages of each scenario are
+/// written there, one per line, to find the first difference: time, cell, controller, kind and length,
+/// then the raw bytes.
 const TRACE_DIRECTORY: &str = "DIGEST_TRACE";
 
-/// Bytes of a digest that are shown.
+/// Number of leading bytes of a digest that are shown.
 const SHOWN_BYTES: usize = 8;
 
 thread_local! {
     static RECORDER: RefCell<Option<Recorder>> = const { RefCell::new(None) };
 }
 
-/// Kinds of message. The numbers are part of every digest.
+/// Kinds of messages. The numbers are part of every digest.
 #[derive(Clone, Copy)]
-enum Kind {
+enum MessageKind {
     Transaction = 1,
     LeaseRequest = 2,
     LeaseRenewal = 3,
@@ -46,7 +47,7 @@
     CellAnswer = 14,
 }
 
-/// When and from which controller a message is sent.
+/// Simulated time of a message and the controller that sends it.
 #[derive(Clone, Copy)]
 pub struct Origin {
     time_ms: u64,
@@ -54,16 +55,16 @@
     controller: usize,
 }
 
-/// What left the controllers on one day.
+/// Summary of the messages that the controllers sent in one scenario.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Summary {
     pub messages: u64,
     pub bytes: u64,
-    /// The first digits of the digest.
+    /// First hexadecimal digits of the digest.
     pub digest: String,
 }
 
-/// Takes in the messages of one day.
+/// Hashes and counts the messages of one scenario.
 struct Recorder {
     hasher: Sha256,
     messages: u64,
@@ -72,9 +73,9 @@
 }
 
 impl Recorder {
-    fn new(day: &str) -> Recorder {
+    fn new(scenario: &str) -> Recorder {
         let trace = std::env::var_os(TRACE_DIRECTORY).map(|directory| {
-            let path = std::path::Path::new(&directory).join(format!("{day}.trace"));
+            let path = std::path::Path::new(&directory).join(format!("{scenario}.trace"));
             BufWriter::new(File::create(path).expect("a file for the trace"))
         });
         Recorder {
@@ -85,7 +86,7 @@
         }
     }
 
-    fn take(&mut self, origin: Origin, kind: Kind, message: &[u8]) {
+    fn add(&mut self, origin: Origin, kind: MessageKind, message: &[u8]) {
         let head = [
             origin.time_ms,
             origin.cell as u64,
@@ -118,23 +119,23 @@
     }
 }
 
-/// Plays a day on this thread and sums up what left its controllers; also returns what `play` does.
-pub fn record<Played>(day: &str, play: impl FnOnce() -> Played) -> (Summary, Played) {
-    RECORDER.set(Some(Recorder::new(day)));
-    let played = play();
+/// Runs a scenario on this thread. Returns the summary of its messages and the result of `run`.
+pub fn record<Output>(scenario: &str, run: impl FnOnce() -> Output) -> (Summary, Output) {
+    RECORDER.set(Some(Recorder::new(scenario)));
+    let output = run();
     let recorder = RECORDER.take().expect("set above");
-    (recorder.finish(), played)
+    (recorder.finish(), output)
 }
 
-/// Whether this thread's day is recorded.
+/// Whether this thread records a scenario.
 fn is_recording() -> bool {
     RECORDER.with_borrow(Option::is_some)
 }
 
-fn feed(origin: Origin, kind: Kind, message: &[u8]) {
+fn record_message(origin: Origin, kind: MessageKind, message: &[u8]) {
     RECORDER.with_borrow_mut(|recorder| {
         if let Some(recorder) = recorder {
-            recorder.take(origin, kind, message);
+            recorder.add(origin, kind, message);
         }
     });
 }
@@ -143,78 +144,78 @@
     serde_json::to_vec(message).expect("plain data")
 }
 
-/// A message to an address in the form that controllers and cells use among themselves.
+/// An address followed by a message in the encoding between controllers and cells.
 fn addressed(address: &str, message: &impl Serialize) -> Vec<u8> {
     let body = rmp_serde::to_vec_named(message).expect("plain data");
     [address.as_bytes(), &[0], &body].concat()
 }
 
-/// A controller asks for something, whether or not the request will arrive.
+/// Records a request of a controller, whether or not it will arrive.
 pub(super) fn request(origin: Origin, controller: &Controller, effect: &Effect) {
     if !is_recording() {
         return;
     }
     let (kind, message) = match effect {
-        Effect::NewLease { lease_ms } => (Kind::LeaseRequest, json(lease_ms)),
-        Effect::Renew { lease_id } => (Kind::LeaseRenewal, json(lease_id)),
-        Effect::Commit { transaction, .. } => (Kind::Transaction, json(transaction)),
+        Effect::NewLease { lease_ms } => (MessageKind::LeaseRequest, json(lease_ms)),
+        Effect::Renew { lease_id } => (MessageKind::LeaseRenewal, json(lease_id)),
+        Effect::Commit { transaction, .. } => (MessageKind::Transaction, json(transaction)),
         Effect::Peer { host, message } => {
             let name = controller.replica.names.hosts.name(*host);
-            (Kind::PeerMessage, addressed(name, message))
+            (MessageKind::PeerMessage, addressed(name, message))
         }
-        Effect::Catalog => (Kind::CatalogRequest, Vec::new()),
-        Effect::List => (Kind::MachineListRequest, Vec::new()),
-        Effect::Archived(jobs) => (Kind::ArchiveRequest, json(jobs)),
-        Effect::Rent(rental) => (Kind::RentRequest, json(rental)),
+        Effect::Catalog => (MessageKind::CatalogRequest, Vec::new()),
+        Effect::List => (MessageKind::MachineListRequest, Vec::new()),
+        Effect::Archived(jobs) => (MessageKind::ArchiveRequest, json(jobs)),
+        Effect::Rent(rental) => (MessageKind::RentRequest, json(rental)),
         Effect::Return(machines) => {
             let machines = machines.clone();
-            (Kind::ReturnRequest, json(&MachineNames { machines }))
+            (MessageKind::ReturnRequest, json(&MachineNames { machines }))
         }
         Effect::Cell(call) => {
             let message = addressed(&call.address, &call.request);
-            (Kind::CellRequest, message)
+            (MessageKind::CellRequest, message)
         }
     };
-    feed(origin, kind, &message);
+    record_message(origin, kind, &message);
 }
 
-/// A transaction goes to the state service on behalf of a user or of another cell.
+/// Records a transaction on behalf of a user or of another cell.
 pub(super) fn transaction(origin: Origin, transaction: &Transaction) {
     if is_recording() {
-        feed(origin, Kind::Transaction, &json(transaction));
+        record_message(origin, MessageKind::Transaction, &json(transaction));
     }
 }
 
-/// A controller answers another one.
+/// Records a controller's response to a peer.
 pub(super) fn peer_answer(origin: Origin, answer: &PeerMessage) {
     if is_recording() {
-        feed(origin, Kind::PeerAnswer, &addressed("", answer));
+        record_message(origin, MessageKind::PeerAnswer, &addressed("", answer));
     }
 }
 
-/// A controller answers another cell.
+/// Records a controller's response to another cell.
 pub(super) fn cell_answer(origin: Origin, answer: &CellAnswer) {
     if is_recording() {
-        feed(origin, Kind::CellAnswer, &addressed("", answer));
+        record_message(origin, MessageKind::CellAnswer, &addressed("", answer));
     }
 }
 
-/// A controller answers a worker's heartbeat: the HTTP status and the body.
+/// Records a controller's response to a heartbeat: the HTTP status and the body.
 pub(super) fn heartbeat_answer(origin: Origin, machine: &str, reply: &HeartbeatResponse) {
     if !is_recording() {
         return;
     }
     let (status, body) = match reply {
-        HeartbeatResponse::HeartbeatAck(orders) => (200, json(orders)),
+        HeartbeatResponse::HeartbeatAck(ack) => (200, json(ack)),
         HeartbeatResponse::Elsewhere(controller) => (421, json(controller)),
         HeartbeatResponse::Unconfirmed | HeartbeatResponse::Unavailable => (503, Vec::new()),
     };
     let message = [format!("{machine} {status} ").as_bytes(), &body].concat();
-    feed(origin, Kind::HeartbeatAnswer, &message);
+    record_message(origin, MessageKind::HeartbeatAnswer, &message);
 }
 
 impl World {
-    /// Where a message comes from that a controller sends now.
+    /// Origin of a message that a controller sends now.
     pub(super) fn origin(&self, controller: usize) -> Origin {
         Origin {
             time_ms: self.now,
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Every second each controller is asked for each job, as its users may ask at any time.
+    /// Once a second, records the answer of each controller to a status request for each job.
     pub(super) fn digest_user_answers(&self) {
         if !is_recording() || !self.now.is_multiple_of(1000) {
             return;
@@ -244,7 +245,11 @@
                 let done = replica.jobs.get(&index).map_or(0, |job| job.done.len());
                 let answer =
                     jobs::answer(job, status, done, node.controller.running_task_count(index));
-                feed(self.origin(controller), Kind::UserAnswer, &json(&answer));
+                record_message(
+                    self.origin(controller),
+                    MessageKind::UserAnswer,
+                    &json(&answer),
+                );
             }
         }
     }
--- a/tests/support/invariants.rs
+++ b/tests/support/invariants.rs
@@ -1,34 +1,34 @@
-//! The rules, judged from the machines, the state service and what users were told.
+//! Invariants of the simulation, checked against the machines, the state service and the answers to users.
 
 use super::{HashMap, Task, World, job_key, job_of, occupancy};
 
 impl World {
-    /// Milliseconds that a cancellation has.
+    /// Time within which the tasks of a cancelled job must stop, ms.
     pub fn cancel_limit_ms(&self) -> u64 {
         (self.settings.platform.settings.workers.cancel_s * 1000.0) as u64
     }
 
-    /// No task is on two machines, whoever can reach them.
+    /// Checks that no task is on two machines, whether or not they are reachable.
     pub(super) fn check_duplicate_executions(&mut self) {
         self.check_duplicate_executions_among(|_| true);
     }
 
-    /// The same for one task, at the moment at which it starts.
+    /// Checks that this task, which has just started, is not on two machines.
     pub(super) fn check_duplicate_execution_of(&mut self, task: &str) {
         self.check_duplicate_executions_among(|other| other == task);
     }
 
-    fn check_duplicate_executions_among(&mut self, concerns: impl Fn(&str) -> bool) {
+    fn check_duplicate_executions_among(&mut self, is_checked: impl Fn(&str) -> bool) {
         let present = self.workers.iter().flat_map(|w| {
             let on = w.tasks.iter().filter(|t| t.is_on_machine());
             on.map(|t| (t.task.as_str(), w.machine.name.as_str()))
         });
-        let present = present.filter(|(task, _)| concerns(task));
-        if let Some(double) = occupancy::find_duplicate_execution(present) {
-            let [one, other] = double.machines;
+        let present = present.filter(|(task, _)| is_checked(task));
+        if let Some(duplicate) = occupancy::find_duplicate_execution(present) {
+            let [one, other] = duplicate.machines;
             let what = format!(
                 "ran_twice: {} on {one} and {other} at {}",
-                double.task, self.now
+                duplicate.task, self.now
             );
             if self.violations.last() != Some(&what) {
                 self.violations.push(what);
@@ -36,29 +36,29 @@
         }
     }
 
-    /// A task of a job has just started on a machine, where its job must permit it.
+    /// Checks that a job's constraints allow the machine on which one of its tasks has just started.
     pub(super) fn check_placement(&mut self, at: usize, name: &str) {
         let Some(spec) = self.job_record(name).map(|j| j.spec) else {
             return;
         };
         let machine = &self.workers[at].machine;
         let of_job = |t: &&Task| t.ended.is_none() && job_of(&t.task) == name;
-        let in_zone = |here: bool| -> usize {
+        let tasks_in_zone = |same_zone: bool| -> usize {
             let zone = self
                 .workers
                 .iter()
-                .filter(|w| (w.machine.zone == machine.zone) == here);
+                .filter(|w| (w.machine.zone == machine.zone) == same_zone);
             zone.flat_map(|w| &w.tasks).filter(of_job).count()
         };
-        let wrong = spec
+        let not_allowed = spec
             .machine_types
             .as_ref()
             .is_some_and(|f| !f.contains(&machine.machine_type))
             || spec.zone.as_ref().is_some_and(|y| *y != machine.zone)
             || (machine.spot && !spec.spot)
-            || (spec.one_zone && in_zone(false) > 0)
-            || (spec.spread && in_zone(true) > spec.task_count.div_ceil(2) as usize);
-        if wrong {
+            || (spec.one_zone && tasks_in_zone(false) > 0)
+            || (spec.spread && tasks_in_zone(true) > spec.task_count.div_ceil(2) as usize);
+        if not_allowed {
             let what = format!(
                 "wrong_place: {name} on {} in {}",
                 machine.name, machine.zone
@@ -67,13 +67,13 @@
         }
     }
 
-    /// What its user called off is gone from every machine in time, wherever that hangs.
+    /// Checks that tasks of cancelled jobs are gone from every machine in time, including hung machines.
     pub(super) fn check_cancelled(&mut self) {
         let cancel_ms = self.cancel_limit_ms();
         for w in &self.workers {
             for t in w.tasks.iter().filter(|t| t.ended.is_none()) {
                 let job = job_of(&t.task);
-                let cancelled = self.cancelled.get(job).copied();
+                let cancelled = self.cancelled_at.get(job).copied();
                 if let Some(at) = cancelled.or_else(|| self.predecessor_cancelled_at(job))
                     && self.now > at + cancel_ms
                 {
@@ -88,18 +88,19 @@
         }
     }
 
-    /// A job that waited is bindable only once all that it named is finally done.
+    /// Checks that a dependent job becomes bindable only when all of its predecessors are done.
     pub(super) fn check_predecessors(&mut self) {
-        for (job, named) in &self.awaits {
+        for (job, predecessors) in &self.predecessors {
             let bindable = self.store.value(&job_key(job)).is_some();
-            if let Some(early) = named.iter().find(|n| bindable && !self.is_done(n)) {
-                let what = format!("too_early: {job} may be bound, {early} is not done");
+            if let Some(unfinished) = predecessors.iter().find(|n| bindable && !self.is_done(n)) {
+                let what = format!("too_early: {job} is bindable, but {unfinished} is not done");
                 self.violations.push(what);
             }
         }
     }
 
-    pub(super) fn check(&mut self) {
+    /// Checks all invariants, the teams' quotas included.
+    pub(super) fn check_invariants(&mut self) {
         self.check_duplicate_executions();
         self.check_cancelled();
         self.check_predecessors();
@@ -119,7 +120,7 @@
         }
     }
 
-    /// The test's rules held and every start was counted once per attempt.
+    /// Asserts that no invariant was violated.
     pub fn assert_no_violations(&self) {
         assert!(self.violations.is_empty(), "{:?}", self.violations);
     }
--- a/tests/support/machines.rs
+++ b/tests/support/machines.rs
@@ -1,24 +1,25 @@
-//! The machines: their workers' reports, the commands they execute, and what goes wrong with them.
+//! Simulated machines: heartbeats of their workers, execution of commands, and faults.
 
 use super::{
     CloudMachine, Command, ExitReason, HeartbeatResponse, JobStatus, Rng, StoreFault, Task, Worker,
-    World, catalog, digest, job_of, position,
+    World, catalog, controller_index, digest, job_of,
 };
 
 impl World {
-    /// Tasks of a job that run now.
+    /// Number of tasks of a job that have been launched and have not ended.
     pub fn running_task_count_of(&self, job: &str) -> usize {
         let tasks = self.workers.iter().flat_map(|w| &w.tasks);
         let of_job = |t: &&Task| job_of(&t.task) == job;
         tasks.filter(of_job).filter(|t| t.ended.is_none()).count()
     }
 
-    /// How often tasks of a job were started.
+    /// Number of task starts of a job.
     pub fn start_count_of(&self, job: &str) -> usize {
         let of_job = |s: &&(u64, String, String)| job_of(&s.1) == job;
         self.starts.iter().filter(of_job).count()
     }
 
+    /// Adds a machine whose worker starts after `boot_ms`, and returns its name.
     pub(super) fn add_machine(
         &mut self,
         machine_type: &str,
@@ -26,8 +27,8 @@
         spot: bool,
         boot_ms: u64,
     ) -> String {
-        self.rented += 1;
-        let name = format!("m-{:06}", self.rented);
+        self.machine_count += 1;
+        let name = format!("m-{:06}", self.machine_count);
         let machine = CloudMachine {
             name: name.clone(),
             endpoint: String::new(),
@@ -44,8 +45,8 @@
             sequence: 0,
             token: 0,
             tasks: Vec::new(),
-            current_controller: self.rented as usize % self.controllers.len(),
-            next_heartbeat: self.now + boot_ms,
+            current_controller: self.machine_count as usize % self.controllers.len(),
+            next_heartbeat_at: self.now + boot_ms,
             silent_until: 0,
             last_acked_at: self.now + boot_ms,
             pending_ack: None,
@@ -59,7 +60,7 @@
         name
     }
 
-    /// A machine that is off for a moment: its worker starts again, and everything on it is gone.
+    /// Restarts a machine: its worker starts in epoch 1 again and all of its tasks are gone.
     pub fn restart_machine(&mut self, at: usize) {
         let w = &mut self.workers[at];
         tracing::debug!(now = self.now, machine = w.machine.name, "worker restarts");
@@ -67,15 +68,15 @@
         w.tasks.clear();
         w.pending_ack = None;
         w.last_acked_at = self.now;
-        w.next_heartbeat = self.now + 200;
+        w.next_heartbeat_at = self.now + 200;
     }
 
     #[expect(
         clippy::too_many_lines,
-        reason = "a worker's step as PROTOCOL lays it out, in its order"
+        reason = "a worker's step in the order of the protocol"
     )]
     pub(super) fn step_worker(&mut self, at: usize) {
-        // Its clock is as slow as it may be.
+        // The worker's clock is as slow as the settings allow, which makes its lease the longest.
         let workers = &self.settings.platform.settings.workers;
         let lease_s = workers.lease_s * 1.0005;
         let report_ms = (workers.heartbeat_s * 1000.0) as u64;
@@ -91,16 +92,16 @@
             w.last_acked_at = now;
         }
         if w.hung {
-            // Within its lease it may go on as if nothing had been.
+            // A worker that resumes within its lease continues its tasks.
             return;
         }
         let mut changed = false;
-        let mut begun: Vec<String> = Vec::new();
+        let mut started: Vec<String> = Vec::new();
         for t in w.tasks.iter_mut().filter(|t| t.ended.is_none()) {
             if t.fetch_ms > 0 {
                 t.fetch_ms = t.fetch_ms.saturating_sub(100);
                 if t.fetch_ms == 0 {
-                    begun.push(t.task.clone());
+                    started.push(t.task.clone());
                     changed = true;
                 }
                 continue;
@@ -116,11 +117,11 @@
             t.left_ms = t.left_ms.saturating_sub(100);
             if t.left_ms == 0 {
                 let job = job_of(&t.task);
-                let failure_streaks = w.fails_tasks || self.failing_jobs.contains(job);
-                if !failure_streaks {
+                let fails = w.fails_tasks || self.failing_jobs.contains(job);
+                if !fails {
                     self.completed.insert(t.task.clone());
                 }
-                t.ended = Some(if failure_streaks {
+                t.ended = Some(if fails {
                     ExitReason::Error
                 } else {
                     ExitReason::Done
@@ -128,12 +129,12 @@
                 changed = true;
             }
         }
-        for task in begun {
+        for task in started {
             self.record_start(at, task);
         }
         let w = &mut self.workers[at];
         if let Some((sent, until, node)) = w.pending_ack {
-            // One heartbeat at a time: it is still waiting for this answer.
+            // A worker has one heartbeat in flight at a time and still waits for this response.
             let (machine, number) = (w.machine.name.clone(), (w.worker_epoch, w.sequence));
             let (clock, origin) = (self.clock(node), self.origin(node));
             let reached = self.links[node].workers_reachable && !self.workers[at].disconnected;
@@ -162,10 +163,10 @@
             }
             return;
         }
-        if (now < w.next_heartbeat && !changed) || now < w.silent_until || w.disconnected {
+        if (now < w.next_heartbeat_at && !changed) || now < w.silent_until || w.disconnected {
             return;
         }
-        w.next_heartbeat = now + report_ms;
+        w.next_heartbeat_at = now + report_ms;
         w.sequence += 1;
         let heartbeat = w.heartbeat();
         let node = w.current_controller;
@@ -176,7 +177,7 @@
             token = heartbeat.token,
             worker_epoch = heartbeat.worker_epoch,
             sequence = heartbeat.sequence,
-            "sends a report"
+            "sends a heartbeat"
         );
         let reaches = w.reaches_only.is_none_or(|o| o == node);
         for &age in &self.heartbeat_copy_delays_ms {
@@ -191,36 +192,37 @@
             self.heartbeats_to_replay.push(heartbeat.clone());
         }
         if self.is_paused(node) {
-            // It finds the heartbeat when it goes on; nobody waits for the answer any more.
+            // The controller receives the heartbeat when it resumes, after the worker stopped waiting.
             self.delayed_heartbeats.push((now + 100, node, heartbeat));
             self.handle_missing_response(at, now);
             return;
         }
-        let _span = self.span(node).entered();
+        let _span = self.log_span(node).entered();
         let (clock, origin) = (self.clock(node), self.origin(node));
         let (machine, number) = (
             heartbeat.machine.clone(),
             (heartbeat.worker_epoch, heartbeat.sequence),
         );
-        let state_refuses = self.link(node).store_fault == StoreFault::RejectsRequests;
+        let store_refuses = self.link(node).store_fault == StoreFault::RejectsRequests;
         let reply = match (
             &mut self.controllers[node],
             self.links[node].workers_reachable && reaches,
         ) {
             (Some(n), true) => {
                 let reply = n.controller.on_heartbeat(heartbeat.clone(), clock);
-                // It is confirmed as the door does it, by a read of the state service.
+                // The HTTP handler confirms it by a read of the state service.
                 let current = n.controller.replica.revision >= self.store.revision;
                 let reply = match reply {
-                    HeartbeatResponse::Unconfirmed if current && !state_refuses => {
+                    HeartbeatResponse::Unconfirmed if current && !store_refuses => {
                         n.controller.on_confirmed_heartbeat(heartbeat, clock)
                     }
                     reply => reply,
                 };
-                let nothing =
+                let has_no_commands =
                     matches!(&reply, HeartbeatResponse::HeartbeatAck(o) if o.commands.is_empty());
-                let patience = nothing.then(|| n.controller.delay_ack(&machine, number, clock));
-                if let Some(ms) = patience.flatten()
+                let delay_ms =
+                    has_no_commands.then(|| n.controller.delay_ack(&machine, number, clock));
+                if let Some(ms) = delay_ms.flatten()
                     && !self.workers[at].loses_responses
                 {
                     self.workers[at].pending_ack = Some((now, now + ms, node));
@@ -238,16 +240,17 @@
         self.handle_response(at, reply, now);
     }
 
-    /// A worker that has no answer to what it sent gives up and goes on to the next controller.
+    /// Handles a heartbeat that got no response: the worker switches to the next controller.
     pub(super) fn handle_missing_response(&mut self, at: usize, sent: u64) {
         let controllers = self.controllers.len();
         let w = &mut self.workers[at];
         w.pending_ack = None;
         w.current_controller = (w.current_controller + 1) % controllers;
-        w.next_heartbeat = sent + 5000;
-        w.silent_until = w.next_heartbeat;
+        w.next_heartbeat_at = sent + 5000;
+        w.silent_until = w.next_heartbeat_at;
     }
 
+    /// Handles the response to the heartbeat that was sent at `sent`.
     pub(super) fn handle_response(&mut self, at: usize, reply: HeartbeatResponse, sent: u64) {
         let now = self.now;
         let w = &mut self.workers[at];
@@ -255,29 +258,29 @@
         match reply {
             HeartbeatResponse::HeartbeatAck(o) if o.token >= w.token => {
                 if o.token > w.token {
-                    w.next_heartbeat = now + 500;
+                    w.next_heartbeat_at = now + 500;
                 }
                 w.token = o.token;
                 w.last_acked_at = sent;
-                self.execute(at, o.commands);
+                self.execute_commands(at, o.commands);
             }
             HeartbeatResponse::HeartbeatAck(_) => {}
             HeartbeatResponse::Elsewhere(Some(to)) => {
-                w.current_controller = position(&to).unwrap_or(0);
-                w.next_heartbeat = now + 100;
+                w.current_controller = controller_index(&to).unwrap_or(0);
+                w.next_heartbeat_at = now + 100;
             }
             HeartbeatResponse::Elsewhere(None)
             | HeartbeatResponse::Unavailable
             | HeartbeatResponse::Unconfirmed => {
                 w.current_controller = (w.current_controller + 1) % self.controllers.len();
-                w.next_heartbeat = now + 1000;
+                w.next_heartbeat_at = now + 1000;
             }
         }
     }
 
-    pub(super) fn execute(&mut self, at: usize, orders: Vec<Command>) {
-        for order in orders {
-            match order {
+    pub(super) fn execute_commands(&mut self, at: usize, commands: Vec<Command>) {
+        for command in commands {
+            match command {
                 Command::Launch { task, attempt } => self.launch(at, task, attempt),
                 Command::Stop {
                     task,
@@ -299,14 +302,14 @@
         }
     }
 
-    /// A machine is told to start a task (PROTOCOL, orders).
+    /// Executes a launch command as the worker protocol specifies.
     pub(super) fn launch(&mut self, at: usize, task: String, attempt: u64) {
-        let held = |t: &Task| t.task == task;
+        let same_task = |t: &Task| t.task == task;
         let tasks = &self.workers[at].tasks;
-        if tasks.iter().any(|t| held(t) && t.attempt == attempt) {
+        if tasks.iter().any(|t| same_task(t) && t.attempt == attempt) {
             return;
         }
-        let refused = if tasks.iter().any(|t| held(t) && t.ended.is_none()) {
+        let refused = if tasks.iter().any(|t| same_task(t) && t.ended.is_none()) {
             Some(ExitReason::InUse)
         } else if !self.has_free_cpus(at, &task) {
             Some(ExitReason::Full)
@@ -336,7 +339,7 @@
         }
     }
 
-    /// Puts a task on a machine behind everybody's back, for tests of the checker itself.
+    /// Puts a task on a machine without the scheduler's knowledge, to test the invariant checks.
     pub fn insert_task(&mut self, at: usize, task: &str) {
         self.workers[at].tasks.push(Task {
             task: task.to_owned(),
@@ -348,7 +351,7 @@
         });
     }
 
-    /// Whether a machine has CPUs for one more task; those that fetch count.
+    /// Whether a machine has enough free CPUs for a task. Tasks that fetch their image count as running.
     pub(super) fn has_free_cpus(&self, at: usize, task: &str) -> bool {
         let w = &self.workers[at];
         let cpus = |task: &str| self.specs.get(job_of(task)).map_or(0.0, |s| s.cpus);
@@ -361,20 +364,21 @@
         machine_type.is_none_or(|f| used + cpus(task) <= f.cpus + 1e-6)
     }
 
-    /// A task has its image and starts.
+    /// Records the start of a task whose image is fetched, and checks the invariants of its start.
     pub(super) fn record_start(&mut self, at: usize, task: String) {
         let machine = self.workers[at].machine.name.clone();
         self.check_duplicate_execution_of(&task);
         let job = job_of(&task);
         self.check_placement(at, job);
-        let named = self.awaits.get(job).into_iter().flatten();
-        if let Some(early) = named.clone().find(|a| !self.is_done(a)) {
-            let what = format!("too_early: {task} starts before {early} is done");
+        let predecessors = self.predecessors.get(job).into_iter().flatten();
+        if let Some(unfinished) = predecessors.clone().find(|a| !self.is_done(a)) {
+            let what = format!("too_early: {task} starts before {unfinished} is done");
             self.violations.push(what);
         }
         self.starts.push((self.now, task, machine));
     }
 
+    /// Number of tasks that have been launched and have not ended.
     pub fn running_task_count(&self) -> usize {
         let tasks = self.workers.iter().flat_map(|w| &w.tasks);
         tasks.filter(|t| t.ended.is_none()).count()
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! In-memory fakes of the state service, the cloud, the workers and the network, and a small
-//! world that plays several controllers against them on a fake clock with seeded random numbers.
+//! Deterministic simulation of several controllers on a fake clock with seeded random numbers. The
+//! state service, the cloud, the workers and the network are in-memory fakes.
 #![allow(dead_code, reason = "each test program uses a part of this module")]
 
 use quillbend::clock::Timestamp;
@@ -33,35 +33,36 @@
 pub use store::FakeStore;
 pub use worker::{Task, Worker};
 
-/// How the state service treats the transactions of a controller.
+/// Fault of the state service as one controller sees it.
 #[derive(Clone, Copy, PartialEq)]
 pub enum StoreFault {
     None,
-    /// Carried out, but the answer is lost.
+    /// Transactions are committed, but the responses are lost.
     LosesResponses,
-    /// Not carried out now; applied after this many ms, without an answer.
+    /// Transactions are committed after this many ms, and get no response.
     DelaysCommits(u64),
-    /// 429 or 503.
+    /// Requests are rejected with 429 or 503 and not executed.
     RejectsRequests,
-    /// Any of these, at random.
+    /// Each transaction is committed, delayed, rejected or loses its response, at random.
     Intermittent,
-    /// Carried out, but some answers are lost, and the watch comes this many ms late.
+    /// Transactions are committed, some responses are lost, and watch events arrive this many ms late.
     Slow(u64),
 }
 
-pub struct Node {
+/// A running controller process.
+pub struct ControllerProcess {
     pub controller: Controller,
-    /// It is paused until then, while its clock runs on.
+    /// The process is paused until this time, while its clock continues.
     pub paused_until: u64,
-    next_watch: u64,
-    loaded: bool,
+    next_watch_at: u64,
+    replica_loaded: bool,
 }
 
-/// What happens between a controller and the others.
+/// Connections of a controller, with their faults.
 #[derive(Clone, Copy)]
 pub struct Link {
     pub store_fault: StoreFault,
-    /// The watch hangs although other requests are answered.
+    /// The watch receives no events although other requests are answered.
     pub watch_hangs: bool,
     pub peers_reachable: bool,
     pub workers_reachable: bool,
@@ -74,98 +75,106 @@
     workers_reachable: true,
 };
 
-/// Everything together.
+/// The simulated cell: controllers, workers, state service, cloud and users, and the state of all checks.
 pub struct World {
+    /// Simulated time, ms.
     pub now: u64,
     pub store: FakeStore,
-    pub controllers: Vec<Option<Node>>,
+    pub controllers: Vec<Option<ControllerProcess>>,
     pub links: Vec<Link>,
     pub workers: Vec<Worker>,
     pub cloud_up: bool,
     /// The cloud has no machines to rent.
     pub cloud_has_no_capacity: bool,
-    /// Which of several cells this is.
+    /// Index of this cell among several.
     pub cell: usize,
-    /// Writes that lend jobs are carried out this many ms late, and have no answer.
+    /// Writes that mark jobs as lent are committed this many ms late and get no response.
     pub loan_write_delay_ms: Option<u64>,
-    /// Requests to other cells, by controller, that are to be sent.
+    /// Requests to other cells that are not sent yet, with the index of the sending controller.
     pub outgoing_cell_requests: Vec<(usize, quillbend::spillover::CellCall)>,
+    /// Run time of tasks that are launched from now on.
     pub run_ms: u64,
-    /// How long an image takes to fetch.
+    /// Time to fetch a task's image.
     pub fetch_ms: u64,
-    /// How long a task takes to save when it is stopped; 0 if it does not.
+    /// Time that a stopped task takes to save its progress; 0 if tasks do not save.
     pub save_ms: u64,
-    /// The cloud's lists are as old as this, or up to twice as old.
+    /// The cloud's machine lists are out of date by half of this to twice this time; 0 if they are current.
     pub list_lag_ms: u64,
-    /// Lists as they were, with the time of each.
-    lists: VecDeque<(u64, Vec<CloudMachine>)>,
-    /// Specifications of all jobs.
+    /// Former machine lists of the cloud, each with its time.
+    cloud_list_history: VecDeque<(u64, Vec<CloudMachine>)>,
+    /// Specifications of all submitted jobs, by name.
     specs: HashMap<String, JobSpec>,
-    /// Tasks whose result is kept: started again they end as soon as they have their image.
+    /// Completed tasks. Their results are kept, so a repeated start ends once its image is fetched.
     completed: BTreeSet<String>,
-    /// Copies of heartbeats that are kept until another controller leads.
+    /// Whether copies of some heartbeats are kept and delivered after a change of the leader.
     pub replays_heartbeats_to_next_leader: bool,
     heartbeats_to_replay: Vec<Heartbeat>,
     last_leader: Option<usize>,
+    /// All starts of tasks: time, task, machine.
     pub starts: Vec<(u64, String, String)>,
+    /// Violated invariants.
     pub violations: Vec<String>,
+    /// Names of the machines that were returned to the cloud.
     pub returned: BTreeSet<String>,
     last_burst_job: u32,
-    /// Jobs submitted with a mistake: each of their tasks fails, wherever it runs.
+    /// Jobs whose tasks fail on every machine.
     pub failing_jobs: BTreeSet<String>,
-    /// Machines that are rented come up after so many ms, if not after the usual 5 s.
+    /// Boot time of rented machines, ms; None means 5 s.
     pub boot_delay_ms: Option<u64>,
-    /// When a job's user was told that it is cancelled.
-    cancelled: BTreeMap<String, u64>,
-    /// The newest final answer that a job's user was given.
+    /// When the user's cancellation of a job was acknowledged.
+    cancelled_at: BTreeMap<String, u64>,
+    /// Newest final state that was reported to a job's user.
     last_final_answer: BTreeMap<String, JobStatus>,
-    /// How much faster than true time each controller's steady clock runs.
+    /// Rate error of each controller's monotonic clock; 0.0005 means 0.05% fast.
     pub clock_drift: Vec<f64>,
     pub settings: Settings,
-    /// Settings of the version before, which does not read the limits to come.
+    /// Settings as the previous version reads them: without the announced limits.
     pub previous_settings: Settings,
-    /// Controllers that come up in the version before.
+    /// Whether each controller runs the previous version after its next start.
     pub runs_previous_version: Vec<bool>,
-    /// The format of stored values that this version reads.
+    /// Newest format of stored values that the previous version reads.
     pub previous_format: u32,
-    /// The jobs that each job named when it was submitted.
-    awaits: BTreeMap<String, Vec<String>>,
-    /// Of each heartbeat copies arrive this many ms later, at any controller.
+    /// Predecessors that each job named when it was submitted.
+    predecessors: BTreeMap<String, Vec<String>>,
+    /// Delays after which copies of each heartbeat arrive at random controllers, ms.
     pub heartbeat_copy_delays_ms: Vec<u64>,
-    /// Of each message between controllers copies arrive this many ms later.
+    /// Delays after which copies of each message between controllers arrive, ms.
     pub peer_message_copy_delays_ms: Vec<u64>,
     delayed_peer_messages: Vec<(u64, usize, PeerMessage)>,
-    /// Controllers on different sides do not reach each other.
+    /// Side of a network partition that each controller is on. Different sides cannot communicate.
     pub partition_group: Vec<u8>,
     delayed_heartbeats: Vec<(u64, usize, Heartbeat)>,
-    /// Machines whose waiting answers are due.
+    /// Machines whose delayed acks are due, because there are commands for them.
     machines_with_due_acks: BTreeSet<String>,
+    /// Machines rented by each rental request, so that a repeated request is idempotent.
     machines_by_request: HashMap<String, Vec<String>>,
     rng: SmallRng,
-    rented: u32,
+    /// Machines created so far; numbers the next one.
+    machine_count: u32,
 }
 
+/// The platform's settings that the tests use.
 pub const PLATFORM: &str = include_str!("platform.toml");
 
-/// What the settings say of limits to come.
+/// Limits of the state service that the settings announce for the time after an upgrade.
 pub const ANNOUNCED_LIMITS: &str =
     "[settings.state.next]\nvalue_kb = 1.5\ntxn_ops = 4\nwrite_rps = 18.0\n";
 
-/// When every test begins, ms.
+/// Simulated time at which every test starts, ms.
 const START_MS: u64 = 10_000_000;
 
 impl World {
-    /// A world of three controllers and some machines that run already.
+    /// Creates three controllers and this many running machines.
     pub fn new(seed: u64, machines: usize) -> World {
         World::with_size(seed, 3, machines)
     }
 
-    /// A world of so many controllers and machines.
+    /// Creates this many controllers and running machines.
     pub fn with_size(seed: u64, controllers: usize, machines: usize) -> World {
         World::build(seed, controllers, machines, PLATFORM, false)
     }
 
-    /// A world in production: its controllers run the version before, and the settings name the
+    /// Creates a cell in which all controllers run the previous version and the settings announce the
     /// limits that the state service will have after the upgrade.
     pub fn before_upgrade(seed: u64, controllers: usize, machines: usize) -> World {
         let platform = PLATFORM.replace(
@@ -175,7 +184,7 @@
         World::build(seed, controllers, machines, &platform, true)
     }
 
-    /// A world with other limits than the usual ones.
+    /// Creates a cell with these settings of the platform.
     pub fn with_platform(seed: u64, controllers: usize, machines: usize, platform: &str) -> World {
         World::build(seed, controllers, machines, platform, false)
     }
@@ -193,7 +202,8 @@
     ) -> World {
         let count = format!("count = {controllers}");
         let parse = |text: &str| {
-            let platform = Platform::parse(&text.replace("count = 3", &count)).expect("good");
+            let platform =
+                Platform::parse(&text.replace("count = 3", &count)).expect("valid settings");
             Settings::new(platform, Options::default())
         };
         let (settings, previous_settings) = (parse(platform), parse(PLATFORM));
@@ -212,7 +222,7 @@
             fetch_ms: 0,
             save_ms: 0,
             list_lag_ms: 0,
-            lists: VecDeque::new(),
+            cloud_list_history: VecDeque::new(),
             specs: HashMap::new(),
             completed: BTreeSet::new(),
             replays_heartbeats_to_next_leader: false,
@@ -224,14 +234,14 @@
             last_burst_job: 1000,
             failing_jobs: BTreeSet::new(),
             boot_delay_ms: None,
-            cancelled: BTreeMap::new(),
+            cancelled_at: BTreeMap::new(),
             last_final_answer: BTreeMap::new(),
             clock_drift: vec![0.0; controllers],
             settings,
             previous_settings,
             runs_previous_version: vec![previous_version; controllers],
             previous_format: 0,
-            awaits: BTreeMap::new(),
+            predecessors: BTreeMap::new(),
             heartbeat_copy_delays_ms: Vec::new(),
             peer_message_copy_delays_ms: Vec::new(),
             delayed_peer_messages: Vec::new(),
@@ -240,7 +250,7 @@
             machines_with_due_acks: BTreeSet::new(),
             machines_by_request: HashMap::new(),
             rng: SmallRng::seed_from_u64(seed),
-            rented: 0,
+            machine_count: 0,
         };
         for i in 0..machines {
             w.add_machine("small", ["north", "south"][i % 2], false, 0);
@@ -249,11 +259,11 @@
         w
     }
 
-    /// A world that has settled: somebody leads and every machine is held.
+    /// Creates a cell and runs it until there is a leader and every machine has a holder.
     pub fn settled(seed: u64, controllers: usize, machines: usize) -> World {
         let mut w = World::with_size(seed, controllers, machines);
-        w.run_until(5000, "a leader", |w| w.leader().is_some());
-        w.run_until(8000, "every machine is held", |w| {
+        w.run_until(5000, "there is a leader", |w| w.leader().is_some());
+        w.run_until(8000, "every machine has a holder", |w| {
             w.workers
                 .iter()
                 .all(|m| w.holder(&m.machine.name).is_some())
@@ -261,8 +271,8 @@
         w
     }
 
-    /// A world that has settled and in which all tasks of a job run, each for `run_ms`; what is
-    /// submitted later runs for 8 s a task.
+    /// Creates a settled cell in which all 12 tasks of a job run for `run_ms` each. Tasks that are
+    /// launched later run for 8 s.
     pub fn with_running_job(seed: u64, controllers: usize, run_ms: u64) -> (World, String) {
         let mut w = World::settled(seed, controllers, 8);
         w.run(3000);
@@ -271,7 +281,7 @@
         (w, job)
     }
 
-    /// Ends every fault and starts what is down.
+    /// Ends every fault and starts the controllers that are down.
     pub fn heal(&mut self) {
         self.links = vec![HEALTHY_LINK; self.controllers.len()];
         self.workers
@@ -285,14 +295,16 @@
         }
     }
 
-    /// Ends every fault; all jobs must be done in the end, with the rules kept.
+    /// Ends every fault, then asserts that all jobs finish and that no invariant was violated.
     pub fn assert_all_jobs_finish(&mut self, jobs: &[String]) {
         self.heal();
-        self.run_until(200_000, "done", |w| jobs.iter().all(|j| w.is_done(j)));
+        self.run_until(200_000, "all jobs are done", |w| {
+            jobs.iter().all(|j| w.is_done(j))
+        });
         self.assert_no_violations();
     }
 
-    /// Plays on for a while.
+    /// Advances the simulation by `ms`.
     pub fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
@@ -300,15 +312,16 @@
         }
     }
 
-    /// Plays until something holds; fails the test if it does not within the time.
+    /// Advances the simulation until the condition holds. Fails the test if that takes longer than `ms`.
     pub fn run_until(&mut self, ms: u64, what: &str, mut holds: impl FnMut(&World) -> bool) {
         let end = self.now + ms;
         while !holds(self) {
-            assert!(self.now < end, "never happened: {what}");
+            assert!(self.now < end, "condition not reached in time: {what}");
             self.step();
         }
     }
 
+    /// Advances the simulation by one step of 100 ms and checks the invariants.
     pub fn step(&mut self) {
         self.now += 100;
         self.store.advance_to(self.now);
@@ -332,7 +345,7 @@
             .collect();
         let due = self.delayed_heartbeats.extract_if(.., |r| due(r.0, r.1));
         for (_, node, heartbeat) in due.collect::<Vec<_>>() {
-            let _span = self.span(node).entered();
+            let _span = self.log_span(node).entered();
             let (clock, origin) = (self.clock(node), self.origin(node));
             if let Some(n) = self.controllers[node].as_mut() {
                 tracing::debug!(
@@ -340,9 +353,9 @@
                     token = heartbeat.token,
                     worker_epoch = heartbeat.worker_epoch,
                     sequence = heartbeat.sequence,
-                    "a copy arrives"
+                    "copy of a heartbeat arrives"
                 );
-                // Whatever is answered to a copy, nobody waits for it.
+                // The response to a copy is discarded.
                 let machine = heartbeat.machine.clone();
                 let reply = n.controller.on_heartbeat(heartbeat, clock);
                 digest::heartbeat_answer(origin, &machine, &reply);
@@ -356,10 +369,10 @@
             }
         }
         self.digest_user_answers();
-        self.check();
+        self.check_invariants();
     }
 
-    /// Copies of heartbeats that were kept for the next leader arrive there and at all others.
+    /// Delivers the kept copies of heartbeats to all controllers once the leader has changed.
     fn replay_heartbeats(&mut self) {
         if !self.replays_heartbeats_to_next_leader {
             return;
@@ -379,16 +392,17 @@
     }
 }
 
-/// The job of a task.
+/// Name of the job that a task belongs to.
 fn job_of(task: &str) -> &str {
-    task.rsplit_once('/').expect("a task").0
+    task.rsplit_once('/').expect("a task name").0
 }
 
-/// The number in a controller's name.
-fn position(name: &str) -> Option<usize> {
+/// Index of the controller with this name.
+fn controller_index(name: &str) -> Option<usize> {
     name.strip_prefix('n')?.parse().ok()
 }
 
+/// The cloud's catalog of machine types.
 pub fn catalog() -> Catalog {
-    serde_json::from_str(include_str!("catalog.json")).expect("good")
+    serde_json::from_str(include_str!("catalog.json")).expect("valid catalog")
 }
--- a/tests/support/occupancy.rs
+++ b/tests/support/occupancy.rs
@@ -1,19 +1,18 @@
-//! Which machine each task is on, judged from the machines alone.
-//!
-//! Nothing here knows of queues, tokens or attempts: it shares no code with the scheduler.
+//! Detects tasks that run on two machines, from the state of the machines alone. Shares no code with the
+//! scheduler and ignores queues, fencing tokens and attempts.
 
 use std::collections::HashMap;
 
-/// A task that is on two machines at once.
+/// A task that is on two machines at the same time.
 #[derive(Debug, PartialEq, Eq)]
 pub struct DuplicateExecution {
     pub task: String,
     pub machines: [String; 2],
 }
 
-/// Finds the first task that is on two machines. `present` lists the tasks that are on a machine now
-/// (from when their image is there until they exit, are killed or the machine is gone), each with the
-/// machine's name, whether or not anybody can reach that machine.
+/// Finds the first task that is on two machines. `present` lists each task that is on a machine now,
+/// with the machine's name, whether or not the machine is reachable. A task is on a machine from when
+/// its image is fetched until it exits, is killed or the machine is gone.
 pub fn find_duplicate_execution<'a>(
     present: impl Iterator<Item = (&'a str, &'a str)>,
 ) -> Option<DuplicateExecution> {
