--- a/tests/support/scenarios.rs
+++ b/tests/support/scenarios.rs
@@ -1,9 +1,9 @@
-//! Days of several controllers and many machines on which faults come at random and overlap.
+//! Scenarios of several controllers and many machines in which random faults overlap.
 
 use super::{PLATFORM, Priority, Rng, SeedableRng, SmallRng, StoreFault, World};
 
-/// Limits of a deployment.
-struct Limits {
+/// Size and limits of a deployment.
+struct Deployment {
     controllers: usize,
     report_s: f64,
     lease_s: f64,
@@ -12,9 +12,9 @@
     txn_ops: usize,
 }
 
-/// Deployments of several sizes and speeds.
-const LIMITS: [Limits; 4] = [
-    Limits {
+/// Deployments of different sizes, heartbeat periods and limits. The seed selects one.
+const DEPLOYMENTS: [Deployment; 4] = [
+    Deployment {
         controllers: 3,
         report_s: 2.0,
         lease_s: 12.0,
@@ -22,7 +22,7 @@
         value_kb: 4.0,
         txn_ops: 12,
     },
-    Limits {
+    Deployment {
         controllers: 3,
         report_s: 3.0,
         lease_s: 19.0,
@@ -30,7 +30,7 @@
         value_kb: 32.0,
         txn_ops: 24,
     },
-    Limits {
+    Deployment {
         controllers: 5,
         report_s: 5.0,
         lease_s: 26.5,
@@ -38,7 +38,7 @@
         value_kb: 4.0,
         txn_ops: 12,
     },
-    Limits {
+    Deployment {
         controllers: 3,
         report_s: 5.0,
         lease_s: 26.5,
@@ -48,83 +48,83 @@
     },
 ];
 
-/// What can go wrong.
+/// Faults that a scenario injects. `MachinesRecover` ends some of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     Crash,
     CrashAll,
     RestartAtOnce,
-    StateRefuses,
-    StateLate,
-    StateIntermittent,
-    StateSlow,
+    StoreRejectsRequests,
+    StoreDelaysCommits,
+    StoreIntermittent,
+    StoreSlow,
     WatchHangs,
-    Outage,
-    PeersCut,
-    WorkersCut,
+    StoreOutage,
+    PeersDisconnected,
+    WorkersDisconnected,
     Isolated,
     Paused,
-    MachinesCut,
-    MachinesUnreachable,
+    MachinesDisconnected,
+    MachinesLoseResponses,
     MachinesHang,
     MachinesRestart,
     MachinesFailTasks,
     MachinesDie,
     SpotNotice,
-    ZoneCut,
+    ZonePartitioned,
     CloudDown,
-    Recovery,
+    MachinesRecover,
 }
 
-const TROUBLES: [Fault; 23] = [
+const FAULTS: [Fault; 23] = [
     Fault::Crash,
     Fault::CrashAll,
     Fault::RestartAtOnce,
-    Fault::StateRefuses,
-    Fault::StateLate,
-    Fault::StateIntermittent,
-    Fault::StateSlow,
+    Fault::StoreRejectsRequests,
+    Fault::StoreDelaysCommits,
+    Fault::StoreIntermittent,
+    Fault::StoreSlow,
     Fault::WatchHangs,
-    Fault::Outage,
-    Fault::PeersCut,
-    Fault::WorkersCut,
+    Fault::StoreOutage,
+    Fault::PeersDisconnected,
+    Fault::WorkersDisconnected,
     Fault::Isolated,
     Fault::Paused,
-    Fault::MachinesCut,
-    Fault::MachinesUnreachable,
+    Fault::MachinesDisconnected,
+    Fault::MachinesLoseResponses,
     Fault::MachinesHang,
     Fault::MachinesRestart,
     Fault::MachinesFailTasks,
     Fault::MachinesDie,
     Fault::SpotNotice,
-    Fault::ZoneCut,
+    Fault::ZonePartitioned,
     Fault::CloudDown,
-    Fault::Recovery,
+    Fault::MachinesRecover,
 ];
 
-/// How a day is played.
+/// Parameters of a scenario.
 #[derive(Debug, Clone, Copy)]
 pub struct ScenarioPlan {
     pub seed: u64,
     pub machines: usize,
     /// Number of faults.
     pub faults: usize,
-    /// Whether the machines may restart under the same name.
+    /// Whether machines may restart under the same name.
     pub restarts: bool,
 }
 
-/// A day under way.
-struct Day {
+/// A scenario that is running.
+struct Scenario {
     world: World,
     rng: SmallRng,
     plan: ScenarioPlan,
-    open: Vec<String>,
+    unfinished_jobs: Vec<String>,
     submitted: u32,
-    /// What happened, for the test that a failing day is shortened to.
+    /// Injected events, from which a shorter test can be derived after a failure.
     log: Vec<(u64, String)>,
 }
 
-/// What a day came to: the same for every play of one plan.
+/// Result of a scenario, which is the same for every run of one plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScenarioResult {
     /// Revision of the state service at the end.
@@ -133,61 +133,64 @@
     pub starts: Vec<(u64, String, String)>,
 }
 
-/// Plays a day; the rules that were broken, with what had happened before.
-pub fn play(plan: ScenarioPlan) -> Result<ScenarioResult, Vec<String>> {
-    let mut day = Day::new(plan);
+/// Runs a scenario. On failure, returns the violated invariants and the events before them.
+pub fn run(plan: ScenarioPlan) -> Result<ScenarioResult, Vec<String>> {
+    let mut scenario = Scenario::new(plan);
     for _ in 0..plan.faults {
-        day.submit_some();
-        day.cancel_some();
-        day.inject_fault();
-        let pause = day.rng.random_range(100..6000);
-        day.world.run(pause);
-        if day.rng.random_bool(0.3) {
-            day.note("heal".into());
-            day.world.heal();
-            day.world.cloud_up = true;
+        scenario.submit_random_jobs();
+        scenario.maybe_cancel_job();
+        scenario.inject_fault();
+        let pause = scenario.rng.random_range(100..6000);
+        scenario.world.run(pause);
+        if scenario.rng.random_bool(0.3) {
+            scenario.log_event("heal".into());
+            scenario.world.heal();
+            scenario.world.cloud_up = true;
         }
-        if !day.world.violations.is_empty() {
-            return Err(day.heartbeat());
+        if !scenario.world.violations.is_empty() {
+            return Err(scenario.failure_report());
         }
     }
-    day.world.heal();
-    day.world.cloud_up = true;
-    day.world.run(30_000);
-    match day.world.violations.is_empty() {
+    scenario.world.heal();
+    scenario.world.cloud_up = true;
+    scenario.world.run(30_000);
+    match scenario.world.violations.is_empty() {
         true => Ok(ScenarioResult {
-            revision: day.world.store.revision(),
-            starts: std::mem::take(&mut day.world.starts),
+            revision: scenario.world.store.revision(),
+            starts: std::mem::take(&mut scenario.world.starts),
         }),
-        false => Err(day.heartbeat()),
+        false => Err(scenario.failure_report()),
     }
 }
 
-impl Day {
-    fn new(plan: ScenarioPlan) -> Day {
-        let limits = &LIMITS[plan.seed as usize % LIMITS.len()];
+impl Scenario {
+    fn new(plan: ScenarioPlan) -> Scenario {
+        let deployment = &DEPLOYMENTS[plan.seed as usize % DEPLOYMENTS.len()];
         let mut rng = SmallRng::seed_from_u64(plan.seed);
         let platform = PLATFORM
             .replace(
                 "report_s = 2.0",
-                &format!("report_s = {:?}", limits.report_s),
+                &format!("report_s = {:?}", deployment.report_s),
+            )
+            .replace(
+                "lease_s = 12.0",
+                &format!("lease_s = {:?}", deployment.lease_s),
             )
-            .replace("lease_s = 12.0", &format!("lease_s = {:?}", limits.lease_s))
             .replace(
                 "cancel_s = 37.0",
-                &format!("cancel_s = {:?}", limits.cancel_s),
+                &format!("cancel_s = {:?}", deployment.cancel_s),
             )
             .replace(
                 "value_kb = 4.0",
-                &format!("value_kb = {:?}", limits.value_kb),
+                &format!("value_kb = {:?}", deployment.value_kb),
             )
-            .replace("txn_ops = 12", &format!("txn_ops = {}", limits.txn_ops))
+            .replace("txn_ops = 12", &format!("txn_ops = {}", deployment.txn_ops))
             .replace(
                 "cpus_max = 16.0",
                 &format!("cpus_max = {}.0", plan.machines * 3),
             );
         let mut world =
-            World::with_platform(plan.seed, limits.controllers, plan.machines, &platform);
+            World::with_platform(plan.seed, deployment.controllers, plan.machines, &platform);
         world.run_ms = 12_000;
         world.fetch_ms = [0, 1500, 4000][rng.random_range(0..3)];
         world.save_ms = [0, 3000][rng.random_range(0..2)];
@@ -200,21 +203,21 @@
         world.clock_drift[0] = -0.0005;
         world.clock_drift[1] = 0.0005;
         world.run(12_000);
-        Day {
+        Scenario {
             world,
             rng,
             plan,
-            open: Vec::new(),
+            unfinished_jobs: Vec::new(),
             submitted: 0,
             log: Vec::new(),
         }
     }
 
-    fn note(&mut self, what: String) {
+    fn log_event(&mut self, what: String) {
         self.log.push((self.world.now, what));
     }
 
-    fn heartbeat(&self) -> Vec<String> {
+    fn failure_report(&self) -> Vec<String> {
         let mut lines = vec![format!("{:?}", self.plan)];
         lines.extend(self.world.violations.iter().take(3).cloned());
         let log = self.log.iter().map(|(at, what)| format!("{at} {what}"));
@@ -222,7 +225,7 @@
         lines
     }
 
-    fn submit_some(&mut self) {
+    fn submit_random_jobs(&mut self) {
         for _ in 0..self.rng.random_range(0..4) {
             self.submitted += 1;
             let mut spec = self.world.spec(self.rng.random_range(1..24));
@@ -243,32 +246,32 @@
             if self.rng.random_bool(0.05) {
                 self.world.failing_jobs.insert(job.clone());
             }
-            self.open.push(job);
+            self.unfinished_jobs.push(job);
         }
     }
 
-    fn cancel_some(&mut self) {
-        if self.open.is_empty() || !self.rng.random_bool(0.25) {
+    fn maybe_cancel_job(&mut self) {
+        if self.unfinished_jobs.is_empty() || !self.rng.random_bool(0.25) {
             return;
         }
         let job = self
-            .open
-            .swap_remove(self.rng.random_range(0..self.open.len()));
+            .unfinished_jobs
+            .swap_remove(self.rng.random_range(0..self.unfinished_jobs.len()));
         if self.world.is_unfinished(&job) && !self.world.store.unavailable {
-            self.note(format!("cancel {job}"));
+            self.log_event(format!("cancel {job}"));
             self.world.cancel(&job);
         }
     }
 
-    /// Positions of some machines.
-    fn some_machines(&mut self) -> Vec<usize> {
+    /// Indexes of a random share of the machines.
+    fn random_machines(&mut self) -> Vec<usize> {
         let all = self.world.workers.len();
         let share = [0.05, 0.2, 0.5][self.rng.random_range(0..3)];
         (0..all).filter(|_| self.rng.random_bool(share)).collect()
     }
 
     fn inject_fault(&mut self) {
-        let kind = TROUBLES[self.rng.random_range(0..TROUBLES.len())];
+        let kind = FAULTS[self.rng.random_range(0..FAULTS.len())];
         if kind == Fault::MachinesRestart && !self.plan.restarts {
             return;
         }
@@ -278,29 +281,29 @@
             _ => self.rng.random_range(0..controllers),
         };
         let ms = self.rng.random_range(500..30_000);
-        let machines = self.some_machines();
-        self.note(format!(
+        let machines = self.random_machines();
+        self.log_event(format!(
             "{kind:?} controller {i} {ms} ms machines {machines:?}"
         ));
         match kind {
-            Fault::MachinesCut
-            | Fault::MachinesUnreachable
+            Fault::MachinesDisconnected
+            | Fault::MachinesLoseResponses
             | Fault::MachinesHang
             | Fault::MachinesRestart
             | Fault::MachinesFailTasks
             | Fault::SpotNotice
-            | Fault::MachinesDie => self.trouble_machines(kind, &machines),
-            _ => self.trouble_controller(kind, i, ms),
+            | Fault::MachinesDie => self.inject_machine_fault(kind, &machines),
+            _ => self.inject_controller_fault(kind, i, ms),
         }
     }
 
-    fn trouble_machines(&mut self, kind: Fault, machines: &[usize]) {
+    fn inject_machine_fault(&mut self, kind: Fault, machines: &[usize]) {
         let world = &mut self.world;
         for &at in machines.iter().rev() {
             let worker = &mut world.workers[at];
             match kind {
-                Fault::MachinesCut => worker.disconnected = true,
-                Fault::MachinesUnreachable => worker.loses_responses = true,
+                Fault::MachinesDisconnected => worker.disconnected = true,
+                Fault::MachinesLoseResponses => worker.loses_responses = true,
                 Fault::MachinesHang => worker.hung = true,
                 Fault::MachinesFailTasks => worker.fails_tasks = true,
                 Fault::SpotNotice => worker.reclaim_s = Some(20.0),
@@ -312,7 +315,7 @@
         }
     }
 
-    fn trouble_controller(&mut self, kind: Fault, i: usize, ms: u64) {
+    fn inject_controller_fault(&mut self, kind: Fault, i: usize, ms: u64) {
         let world = &mut self.world;
         match kind {
             Fault::Crash => world.crash(i),
@@ -322,22 +325,22 @@
                 world.run(300);
                 world.start(i);
             }
-            Fault::StateRefuses => world.links[i].store_fault = StoreFault::RejectsRequests,
-            Fault::StateLate => {
+            Fault::StoreRejectsRequests => world.links[i].store_fault = StoreFault::RejectsRequests,
+            Fault::StoreDelaysCommits => {
                 world.links[i].store_fault = StoreFault::DelaysCommits(ms.min(12_000))
             }
-            Fault::StateIntermittent => world.links[i].store_fault = StoreFault::Intermittent,
-            Fault::StateSlow => world.links[i].store_fault = StoreFault::Slow(ms.min(3000)),
+            Fault::StoreIntermittent => world.links[i].store_fault = StoreFault::Intermittent,
+            Fault::StoreSlow => world.links[i].store_fault = StoreFault::Slow(ms.min(3000)),
             Fault::WatchHangs => world.links[i].watch_hangs = true,
-            Fault::Outage => world.set_store_outage(true),
-            Fault::PeersCut => world.links[i].peers_reachable = false,
-            Fault::WorkersCut => world.links[i].workers_reachable = false,
+            Fault::StoreOutage => world.set_store_outage(true),
+            Fault::PeersDisconnected => world.links[i].peers_reachable = false,
+            Fault::WorkersDisconnected => world.links[i].workers_reachable = false,
             Fault::Isolated => world.isolate(i),
             Fault::Paused => world.pause(i, ms),
-            Fault::ZoneCut => {
+            Fault::ZonePartitioned => {
                 let zone = ["north", "south"][i % 2];
-                let of_zone = world.workers.iter_mut().filter(|w| w.machine.zone == zone);
-                of_zone.for_each(|w| w.reaches_only = Some(i));
+                let in_zone = world.workers.iter_mut().filter(|w| w.machine.zone == zone);
+                in_zone.for_each(|w| w.reaches_only = Some(i));
                 world.links[i].peers_reachable = false;
                 world.links[i].store_fault = StoreFault::RejectsRequests;
                 world.links[i].watch_hangs = true;
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the state service.
+//! In-memory fake of the state service: a key-value store with revisions, leases and watches.
 
 use quillbend::controller::CommitOutcome;
 use quillbend::protocol::{Json, KeyValue, Mutation, Transaction, WatchEvent, WatchResponse};
@@ -10,29 +10,33 @@
     lease_id: Option<u64>,
 }
 
-/// The state service.
+/// The fake state service.
 #[derive(Default)]
 pub struct FakeStore {
     keys: BTreeMap<String, Key>,
     pub(super) revision: u64,
     pub(super) history: Vec<WatchEvent>,
+    /// Duration and end of each lease, ms.
     pub(super) leases: BTreeMap<u64, (u64, u64)>,
     pub(super) next_lease: u64,
+    /// Transactions to be committed later, each with its time.
     pub(super) delayed_commits: Vec<(u64, Transaction)>,
-    /// It answers nobody, and leases are paused.
+    /// The service is out of reach for all controllers, and leases do not expire.
     pub unavailable: bool,
-    /// Its revision at each moment.
+    /// Revision of the store at each time.
     pub(super) revision_history: Vec<(u64, u64)>,
+    /// Number of mutations committed.
     pub write_count: u64,
-    /// Largest value, bytes, and most changes of a transaction, once it has such limits.
+    /// Largest value in bytes and most mutations per transaction; None means no limits.
     pub size_limits: Option<(usize, usize)>,
-    /// Changes that it takes a second, and those that it takes now.
+    /// Mutations accepted per second, and the budget that is left now.
     pub write_budget: Option<(f64, f64)>,
-    /// Transactions that were too large for them.
+    /// Number of transactions rejected because they exceeded `size_limits`.
     pub too_large_count: u64,
 }
 
 impl FakeStore {
+    /// Commits a transaction if its size, the write budget, its leases and its preconditions allow.
     pub fn commit(&mut self, transaction: &Transaction) -> CommitOutcome {
         if let Some((value_bytes, txn_ops)) = self.size_limits
             && (transaction.mutations.len() > txn_ops
@@ -113,30 +117,30 @@
         }
     }
 
-    /// Its revision.
+    /// Current revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// How often keys with a prefix were written.
-    pub fn put_count(&self, starts: &str) -> usize {
-        let of = |n: &&WatchEvent| n.put.as_ref().is_some_and(|k| k.starts_with(starts));
+    /// Number of puts to keys with this prefix.
+    pub fn put_count(&self, prefix: &str) -> usize {
+        let of = |n: &&WatchEvent| n.put.as_ref().is_some_and(|k| k.starts_with(prefix));
         self.history.iter().filter(of).count()
     }
 
-    /// Forgets the changes that every watch has delivered.
+    /// Drops the history of changes. Every watch must have delivered them.
     pub fn clear_history(&mut self) {
         self.history = Vec::new();
         self.revision_history = Vec::new();
     }
 
-    /// Removes a key behind everybody's back.
+    /// Deletes a key without a request of any simulated process.
     pub fn delete_externally(&mut self, key: &str) {
         self.revision += 1;
         self.delete_key(key);
     }
 
-    /// Writes a key behind everybody's back; its lease stays.
+    /// Writes a key without a request of any simulated process. The key keeps its lease.
     pub fn overwrite(&mut self, key: &str, value: &serde_json::Value) {
         self.revision += 1;
         let lease_id = self.keys.get(key).and_then(|k| k.lease_id);
@@ -151,8 +155,8 @@
         self.keys.get(key).map_or(0, |k| k.mod_revision)
     }
 
-    pub fn list(&self, starts: &str) -> (Vec<KeyValue>, u64) {
-        let items = self.keys.iter().filter(|(k, _)| k.starts_with(starts));
+    pub fn list(&self, prefix: &str) -> (Vec<KeyValue>, u64) {
+        let items = self.keys.iter().filter(|(k, _)| k.starts_with(prefix));
         let items = items.map(|(k, key)| KeyValue {
             key: k.clone(),
             value: key.value.clone(),
@@ -161,13 +165,13 @@
         (items.collect(), self.revision)
     }
 
-    pub fn events(&self, starts: &str, after: u64) -> WatchResponse {
+    pub fn events(&self, prefix: &str, after: u64) -> WatchResponse {
         let of = |n: &&WatchEvent| {
             n.mod_revision > after
                 && n.put
                     .as_ref()
                     .or(n.drop.as_ref())
-                    .is_some_and(|k| k.starts_with(starts))
+                    .is_some_and(|k| k.starts_with(prefix))
         };
         WatchResponse {
             revision: self.revision,
@@ -175,13 +179,14 @@
         }
     }
 
-    pub fn grant_lease(&mut self, life: u64, now: u64) -> u64 {
+    pub fn grant_lease(&mut self, duration_ms: u64, now: u64) -> u64 {
         self.next_lease += 1;
-        self.leases.insert(self.next_lease, (life, now + life));
+        self.leases
+            .insert(self.next_lease, (duration_ms, now + duration_ms));
         self.next_lease
     }
 
-    /// Renews a lease, if it is not over.
+    /// Renews a lease; false if it has expired.
     pub fn renew_lease(&mut self, lease_id: u64, now: u64) -> bool {
         match self.leases.get_mut(&lease_id) {
             Some(l) => {
@@ -192,26 +197,27 @@
         }
     }
 
-    /// What had changed by a moment.
-    pub fn events_by(&self, starts: &str, after: u64, moment: u64) -> WatchResponse {
+    /// Changes after revision `after` that had been committed by this time.
+    pub fn events_by(&self, prefix: &str, after: u64, moment: u64) -> WatchResponse {
         let at = self.revision_history.partition_point(|m| m.0 <= moment);
         let revision = self.revision_history[..at]
             .last()
             .map_or(0, |m| m.1)
             .max(after);
-        let mut list = self.events(starts, after);
+        let mut list = self.events(prefix, after);
         list.events.retain(|n| n.mod_revision <= revision);
         list.revision = revision;
         list
     }
 
+    /// Advances the clock: commits due delayed transactions and expires leases.
     pub fn advance_to(&mut self, now: u64) {
         self.revision_history.push((now, self.revision));
         if let Some((rate, left)) = &mut self.write_budget {
             *left = (*left + *rate / 10.0).min(*rate);
         }
         if self.unavailable {
-            // Afterwards every lease has its full time again.
+            // After an outage every lease has its full duration again.
             self.leases.values_mut().for_each(|l| l.1 = now + l.0);
             return;
         }
@@ -223,13 +229,13 @@
         for transaction in due {
             self.commit(&transaction);
         }
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, l)| l.1 <= now)
             .map(|l| *l.0)
             .collect();
-        for lease_id in over {
+        for lease_id in expired {
             self.leases.remove(&lease_id);
             let keys: Vec<String> = self
                 .keys
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -1,4 +1,4 @@
-//! What users do, and what they are told.
+//! Simulated users: submissions, cancellations and status requests, with checks of the answers.
 
 use super::{
     Acceptance, BlockRecord, CommitOutcome, JobKind, JobRecord, JobSpec, JobStatus, Predecessor,
@@ -7,7 +7,7 @@
 };
 
 impl World {
-    /// Plays on while more urgent work comes, eight tasks a second, than a team may run.
+    /// Submits eight urgent tasks per second, more than a team's quota allows to run, for some seconds.
     pub fn submit_burst(&mut self, seconds: u32) {
         for _ in 0..seconds {
             self.last_burst_job += 1;
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Plays on while a user asks any controller for a job every second.
+    /// Advances the simulation by `ms` while users poll every controller for these jobs twice a second.
     pub fn run_polling(&mut self, ms: u64, jobs: &[String]) {
         let end = self.now + ms;
         while self.now < end {
@@ -31,16 +31,17 @@
         }
     }
 
-    /// Submits a job and plays until all of its tasks run, each for `run_ms`.
+    /// Submits a job whose tasks run for `run_ms`, and runs until all of them are launched.
     pub fn start_job(&mut self, run_ms: u64, tasks: u32) -> String {
         self.run_ms = run_ms;
         let job = self.submit(1, self.spec(tasks));
-        self.run_until(15_000, "all run", |w| {
+        self.run_until(15_000, "all tasks are launched", |w| {
             w.running_task_count() == tasks as usize
         });
         job
     }
 
+    /// Specification of an ordinary job with this many tasks.
     pub fn spec(&self, task_count: u32) -> JobSpec {
         JobSpec {
             class: "nightly".into(),
@@ -65,6 +66,7 @@
         }
     }
 
+    /// Submits a job without predecessors, and returns its name.
     pub fn submit(&mut self, n: u32, spec: JobSpec) -> String {
         let name = format!("wk-{n:06}");
         self.specs.insert(name.clone(), spec.clone());
@@ -72,19 +74,19 @@
         digest::transaction(self.origin(0), &transaction);
         assert!(
             matches!(self.store.commit(&transaction), CommitOutcome::Done(_)),
-            "accepted"
+            "submission was not accepted"
         );
         name
     }
 
-    /// A user submits a job that names others through a controller, as the door does; none if that
-    /// is not taken now.
+    /// Submits a job with predecessors through a controller, like its HTTP handler. None if the
+    /// controller does not accept it now.
     pub fn try_submit_dependent(
         &mut self,
         i: usize,
         n: u32,
         spec: JobSpec,
-        awaits: &[String],
+        predecessors: &[String],
     ) -> Option<String> {
         let name = format!("wk-{n:06}");
         let clock = self.clock(i);
@@ -94,7 +96,7 @@
         {
             return None;
         }
-        let named = awaits.iter().map(|a| {
+        let known_states = predecessors.iter().map(|a| {
             let shown = controller.replica.predecessor(a);
             let archived = || match self.job_record(a).map(|j| j.status) {
                 Some(JobStatus::Done) => Predecessor::Done,
@@ -107,10 +109,10 @@
             };
             (a.clone(), known)
         });
-        let kept = spec.clone();
+        let registered_spec = spec.clone();
         let record = jobs::new_record(spec, self.now);
         let accepted =
-            plan_acceptance(&name, record, named.collect(), &controller.settings).ok()?;
+            plan_acceptance(&name, record, known_states.collect(), &controller.settings).ok()?;
         if matches!(accepted, Acceptance::Waiting(_)) && !controller.accepts_waiting(clock) {
             return None;
         }
@@ -122,50 +124,52 @@
         if let Some(node) = &mut self.controllers[i] {
             node.controller.replica.apply_own(&transaction, revision);
         }
-        self.register_submission(&name, kept, awaits);
+        self.register_submission(&name, registered_spec, predecessors);
         Some(name)
     }
 
-    /// From now on the rules are checked for a job that names others.
-    pub fn register_submission(&mut self, name: &str, spec: JobSpec, awaits: &[String]) {
+    /// Includes a dependent job in the invariant checks.
+    pub fn register_submission(&mut self, name: &str, spec: JobSpec, predecessors: &[String]) {
         self.specs.insert(name.to_owned(), spec);
-        self.awaits.insert(name.to_owned(), awaits.to_vec());
+        self.predecessors
+            .insert(name.to_owned(), predecessors.to_vec());
     }
 
-    /// Submits a job that names others through any controller that takes it.
+    /// Submits a job with predecessors through the first controller that accepts it.
     #[expect(
         clippy::needless_pass_by_value,
-        reason = "takes the job as `submit` does"
+        reason = "takes the specification by value like `submit`"
     )]
-    pub fn submit_dependent(&mut self, n: u32, spec: JobSpec, awaits: &[&String]) -> String {
-        let awaits: Vec<String> = awaits.iter().map(|a| (*a).clone()).collect();
+    pub fn submit_dependent(&mut self, n: u32, spec: JobSpec, predecessors: &[&String]) -> String {
+        let predecessors: Vec<String> = predecessors.iter().map(|a| (*a).clone()).collect();
         let end = self.now + 20_000;
         while self.now < end {
             for i in 0..self.controllers.len() {
-                if let Some(name) = self.try_submit_dependent(i, n, spec.clone(), &awaits) {
+                if let Some(name) = self.try_submit_dependent(i, n, spec.clone(), &predecessors) {
                     return name;
                 }
             }
             self.step();
         }
-        panic!("never accepted: {n} after {awaits:?}");
+        panic!("job {n} was not accepted; its predecessors: {predecessors:?}");
     }
 
-    /// Whether a job that this one needs, directly or through others, was cancelled; since when.
+    /// Earliest time at which a direct or transitive predecessor of a job was cancelled.
     pub(super) fn predecessor_cancelled_at(&self, name: &str) -> Option<u64> {
-        let named = self.awaits.get(name)?;
-        let since = named.iter().filter_map(|a| {
-            let own = self.cancelled.get(a).copied();
+        let predecessors = self.predecessors.get(name)?;
+        let since = predecessors.iter().filter_map(|a| {
+            let own = self.cancelled_at.get(a).copied();
             own.or_else(|| self.predecessor_cancelled_at(a))
         });
         since.min()
     }
 
-    /// The value of a job that waits for others.
+    /// Stored value of a job that waits for its predecessors.
     pub fn waiting_record(&self, name: &str) -> Option<WaitingRecord> {
         serde_json::from_value(self.store.value(&waiting_key(name))?).ok()
     }
 
+    /// Cancels a job. Controllers learn of it from their watch.
     pub fn cancel(&mut self, name: &str) -> CommitOutcome {
         self.commit_cancellation(name).1
     }
@@ -177,7 +181,7 @@
                 chained::cancel_waiting(name, &record, mod_revision)
             }
             None => {
-                let record = self.job_record(name).expect("known");
+                let record = self.job_record(name).expect("known job");
                 let mod_revision = self.store.mod_revision(&job_key(name));
                 jobs::cancel(name, &record, mod_revision, self.settings.value_bytes())
             }
@@ -185,13 +189,13 @@
         digest::transaction(self.origin(0), &transaction);
         let outcome = self.store.commit(&transaction);
         if let CommitOutcome::Done(_) = outcome {
-            self.cancelled.insert(name.into(), self.now);
+            self.cancelled_at.insert(name.into(), self.now);
             self.check_status_answer(name, JobStatus::Cancelled);
         }
         (transaction, outcome)
     }
 
-    /// A user cancels through a controller that is to know at once, as the one that is asked does.
+    /// Cancels a job through a controller, which applies the commit to its replica at once.
     pub fn cancel_through(&mut self, i: usize, name: &str) -> CommitOutcome {
         let (transaction, outcome) = self.commit_cancellation(name);
         if let (CommitOutcome::Done(revision), Some(n)) = (outcome, &mut self.controllers[i]) {
@@ -200,8 +204,8 @@
         outcome
     }
 
-    /// A user asks a controller, which answers from its replica once that has reached the state
-    /// service's revision, as the door does; none if it has not yet.
+    /// Requests a job's state from a controller and checks the answer. The controller answers from its
+    /// replica, like its HTTP handler; None if the replica has not reached the store's revision.
     pub fn poll_status(&mut self, i: usize, name: &str) -> Option<JobStatus> {
         let replica = &self.controllers[i].as_ref()?.controller.replica;
         if replica.revision < self.store.revision() {
@@ -220,13 +224,16 @@
             .predecessor_cancelled_at(name)
             .filter(|_| status != JobStatus::Cancelled)
         {
-            let what = format!("orphaned: {name} is {status:?}, cancelled at {at}");
+            let what =
+                format!("orphaned: {name} is {status:?}, but a predecessor was cancelled at {at}");
             self.violations.push(what);
         }
         self.check_status_answer(name, status);
         Some(status)
     }
 
+    /// Checks that a reported final state never changes and that a job is reported as done only when all
+    /// of its tasks are.
     pub(super) fn check_status_answer(&mut self, name: &str, status: JobStatus) {
         if let Some(before) = self.last_final_answer.get(name).filter(|b| **b != status) {
             self.violations
@@ -242,6 +249,7 @@
         }
     }
 
+    /// Stored value of a job, archived or not.
     pub fn job_record(&self, name: &str) -> Option<JobRecord> {
         let v = self
             .store
@@ -250,14 +258,14 @@
         serde_json::from_value(v).ok()
     }
 
-    /// Tasks done, as the job's key and all blocks together show them.
+    /// Number of tasks that the job's value or any block records as done.
     pub fn done_task_count(&self, name: &str) -> u32 {
         let mut done = self
             .job_record(name)
             .map(|j| j.done.tasks)
             .unwrap_or_default();
         for item in self.store.list("qb/block/").0 {
-            let block: BlockRecord = item.value.read().expect("a block");
+            let block: BlockRecord = item.value.read().expect("a valid block record");
             for (job, tasks) in &block.done {
                 if block.jobs[*job] == name {
                     done.union(tasks);
@@ -267,13 +275,13 @@
         done.len()
     }
 
-    /// A block's value as the state service has it.
+    /// Stored value of a block.
     pub fn block_record(&self, key: &str) -> BlockRecord {
         let value = self.store.value(key).expect("a block");
-        serde_json::from_value(value).expect("a block's value")
+        serde_json::from_value(value).expect("a valid block record")
     }
 
-    /// Whether a job is not over; the door cancels no other.
+    /// Whether a job is neither done nor cancelled. Only such a job can be cancelled.
     pub fn is_unfinished(&self, name: &str) -> bool {
         let pending = |status| status == JobStatus::Pending;
         self.waiting_record(name).is_some_and(|w| pending(w.status))
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -1,28 +1,28 @@
-//! The stand-in of a worker.
+//! State of a simulated worker and its tasks.
 
 use quillbend::protocol::{CloudMachine, ExitReason, Heartbeat, TaskPhase, TaskStatus};
 
-/// A task on a worker.
+/// A task that was launched on a worker.
 pub struct Task {
     pub task: String,
     pub attempt: u64,
-    /// Until its image is there.
+    /// Time until the image is fetched, ms.
     pub fetch_ms: u64,
-    /// Until it is complete, from when its image is there.
+    /// Run time left after the image is fetched, ms.
     pub left_ms: u64,
-    /// Until its progress is saved, once it was told to stop.
+    /// Time until the progress is saved, ms; set when the task is stopped.
     pub save_ms: Option<u64>,
     pub ended: Option<ExitReason>,
 }
 
 impl Task {
-    /// Whether it is on its machine as the rules count it: from when its image is there until it
-    /// exits, saving included.
+    /// Whether the task is on its machine: from when its image is fetched until it exits, saving
+    /// included.
     pub fn is_on_machine(&self) -> bool {
         self.fetch_ms == 0 && self.ended.is_none()
     }
 
-    /// As its worker reports it.
+    /// Phase that the worker reports.
     fn status(&self) -> TaskPhase {
         match (self.ended, self.save_ms) {
             (Some(_), _) => TaskPhase::Ended,
@@ -32,13 +32,13 @@
         }
     }
 
-    /// Told to stop: one that has begun saves first if it is given the time that this takes.
-    pub fn stop(&mut self, save_ms: u64, leeway_ms: u64) {
-        if self.ended.is_some() || (self.save_ms.is_some() && leeway_ms > 0) {
+    /// Stops the task. If it has started and the grace period is long enough, it saves its progress first.
+    pub fn stop(&mut self, save_ms: u64, grace_ms: u64) {
+        if self.ended.is_some() || (self.save_ms.is_some() && grace_ms > 0) {
             return;
         }
         let saves = self.is_on_machine() && self.save_ms.is_none() && save_ms > 0;
-        if saves && leeway_ms >= save_ms {
+        if saves && grace_ms >= save_ms {
             self.save_ms = Some(save_ms);
         } else {
             self.ended = Some(ExitReason::Halted);
@@ -46,7 +46,7 @@
     }
 }
 
-/// A worker.
+/// A simulated machine with its worker.
 pub struct Worker {
     pub machine: CloudMachine,
     pub up_at: u64,
@@ -54,27 +54,31 @@
     pub sequence: u64,
     pub token: u64,
     pub tasks: Vec<Task>,
+    /// Controller to which the worker sends its heartbeats.
     pub current_controller: usize,
-    pub(super) next_heartbeat: u64,
-    /// A heartbeat is under way until then.
+    pub(super) next_heartbeat_at: u64,
+    /// No heartbeat is sent before this time, because the worker waits for a response.
     pub(super) silent_until: u64,
+    /// When the last acknowledged heartbeat was sent.
     pub(super) last_acked_at: u64,
-    /// Its heartbeat, sent then, was taken in by a controller, whose answer waits until then.
+    /// A delayed ack: when its heartbeat was sent, when the ack is due, and the controller that delays it.
     pub(super) pending_ack: Option<(u64, u64, usize)>,
-    /// No report leaves it and nothing reaches it.
+    /// The machine is disconnected in both directions.
     pub disconnected: bool,
-    /// Its reports arrive, but no answer reaches it.
+    /// Heartbeats arrive at the controllers, but no response reaches the worker.
     pub loses_responses: bool,
-    /// It is paused with all that runs on it, and may go on at any time.
+    /// The machine is suspended with all of its tasks and may resume at any time.
     pub hung: bool,
-    /// It reaches this controller alone.
+    /// The only controller that the worker can reach, if set.
     pub reaches_only: Option<usize>,
-    /// It fails whatever it starts.
+    /// All tasks that end on this machine fail.
     pub fails_tasks: bool,
+    /// Announced time until the cloud reclaims the machine, s.
     pub reclaim_s: Option<f64>,
 }
 
 impl Worker {
+    /// The heartbeat that the worker sends now.
     pub fn heartbeat(&self) -> Heartbeat {
         let task = |t: &Task| TaskStatus {
             task: t.task.clone(),
