--- a/benches/costs.rs
+++ b/benches/costs.rs
@@ -129,7 +129,7 @@
     }
     let mut submission = Cost::new("parse and validate a submission");
     let world = World::new(1, 3);
-    let mut body = serde_json::to_value(world.spec(100_000)).expect("plain data");
+    let mut body = serde_json::to_value(world.spec(100_000)).expect("serializable");
     body["ref"] = "wk-000412".into();
     let body = body.to_string();
     let controller = world.controller(0);
--- a/tests/duplicate_execution.rs
+++ b/tests/duplicate_execution.rs
@@ -100,7 +100,7 @@
         attempt,
     });
     for (key, record) in [(from_key, from), (to_key, to)] {
-        let value = serde_json::to_value(&record).expect("plain data");
+        let value = serde_json::to_value(&record).expect("serializable");
         w.store.overwrite(&key, &value);
     }
     format!("{name}/{task}")
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -384,7 +384,9 @@
     /// Handles a request of another cell like the HTTP handler of a controller.
     pub fn handle_cell_request(&mut self, node: usize, request: &CellRequest) -> CellAnswer {
         let now = self.clock(node);
-        let mut process = self.controllers[node].take().expect("alive");
+        let mut process = self.controllers[node]
+            .take()
+            .expect("the controller is running");
         let controller = &mut process.controller;
         let answer = match (controller.refuse_cell_request(request, None), &request.body) {
             (Some(refusal), _) => refusal,
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -67,7 +67,10 @@
     }
 
     pub fn controller(&self, i: usize) -> &Controller {
-        &self.controllers[i].as_ref().expect("alive").controller
+        &self.controllers[i]
+            .as_ref()
+            .expect("the controller is running")
+            .controller
     }
 
     /// Index of a controller that considers itself the leader.
@@ -370,7 +373,7 @@
             .max();
         let largest = largest.unwrap_or(0);
         let all = serde_json::to_string(transaction)
-            .expect("plain data")
+            .expect("serializable")
             .len();
         if largest as f64 > s.value_kb * 1024.0
             || transaction.mutations.len() > s.txn_ops
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -1,9 +1,9 @@
 //! Digest of all messages that the controllers send, byte by byte and in order.
 //!
 //! A refactoring that only renames or moves code leaves the digest of a seeded scenario unchanged. The
-//! simulation passes each message that it delivers to a thread-local recorder; outside [`record`] there
-//! is none, and nothing is serialised. Messages are recorded in their wire format and message kinds as
-//! numbers, so that a digest depends on no identifier of the sources.
+//! simulation passes each message to a thread-local recorder; outside [`record`] there is none, and
+//! nothing is serialised. Messages are recorded in their wire format and message kinds as numbers, so
+//! that a digest depends on no identifier of the sources.
 
 use super::{
     BTreeSet, Controller, Effect, HeartbeatResponse, MachineNames, PeerMessage, Transaction, World,
@@ -123,7 +123,7 @@
 pub fn record<Output>(scenario: &str, run: impl FnOnce() -> Output) -> (Summary, Output) {
     RECORDER.set(Some(Recorder::new(scenario)));
     let output = run();
-    let recorder = RECORDER.take().expect("set above");
+    let recorder = RECORDER.take().expect("the recorder was set above");
     (recorder.finish(), output)
 }
 
@@ -141,12 +141,12 @@
 }
 
 fn json(message: &impl Serialize) -> Vec<u8> {
-    serde_json::to_vec(message).expect("plain data")
+    serde_json::to_vec(message).expect("serializable")
 }
 
 /// An address followed by a message in the encoding between controllers and cells.
 fn addressed(address: &str, message: &impl Serialize) -> Vec<u8> {
-    let body = rmp_serde::to_vec_named(message).expect("plain data");
+    let body = rmp_serde::to_vec_named(message).expect("serializable");
     [address.as_bytes(), &[0], &body].concat()
 }
 
--- a/tests/support/scenarios.rs
+++ b/tests/support/scenarios.rs
@@ -118,7 +118,8 @@
     world: World,
     rng: SmallRng,
     plan: ScenarioPlan,
-    unfinished_jobs: Vec<String>,
+    /// Submitted jobs that have not been picked for cancellation.
+    cancellation_candidates: Vec<String>,
     submitted: u32,
     /// Injected events, from which a shorter test can be derived after a failure.
     log: Vec<(u64, String)>,
@@ -207,7 +208,7 @@
             world,
             rng,
             plan,
-            unfinished_jobs: Vec::new(),
+            cancellation_candidates: Vec::new(),
             submitted: 0,
             log: Vec::new(),
         }
@@ -246,17 +247,17 @@
             if self.rng.random_bool(0.05) {
                 self.world.failing_jobs.insert(job.clone());
             }
-            self.unfinished_jobs.push(job);
+            self.cancellation_candidates.push(job);
         }
     }
 
     fn maybe_cancel_job(&mut self) {
-        if self.unfinished_jobs.is_empty() || !self.rng.random_bool(0.25) {
+        if self.cancellation_candidates.is_empty() || !self.rng.random_bool(0.25) {
             return;
         }
         let job = self
-            .unfinished_jobs
-            .swap_remove(self.rng.random_range(0..self.unfinished_jobs.len()));
+            .cancellation_candidates
+            .swap_remove(self.rng.random_range(0..self.cancellation_candidates.len()));
         if self.world.is_unfinished(&job) && !self.world.store.unavailable {
             self.log_event(format!("cancel {job}"));
             self.world.cancel(&job);
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -181,7 +181,7 @@
                 chained::cancel_waiting(name, &record, mod_revision)
             }
             None => {
-                let record = self.job_record(name).expect("known job");
+                let record = self.job_record(name).expect("the job exists");
                 let mod_revision = self.store.mod_revision(&job_key(name));
                 jobs::cancel(name, &record, mod_revision, self.settings.value_bytes())
             }
@@ -277,7 +277,7 @@
 
     /// Stored value of a block.
     pub fn block_record(&self, key: &str) -> BlockRecord {
-        let value = self.store.value(key).expect("a block");
+        let value = self.store.value(key).expect("the block exists");
         serde_json::from_value(value).expect("a valid block record")
     }
 
