--- a/tests/behaviour_digest.rs
+++ b/tests/behaviour_digest.rs
@@ -1,10 +1,10 @@
-//! Digests of everything that leaves the controllers on seeded days, run by hand before and after a step
-//! of a refactoring that is to change no behaviour:
+//! Digests of all messages that controllers send in seeded scenarios, run manually before and after a
+//! refactoring that must not change behaviour:
 //!
 //! `cargo test --locked --test behaviour_digest -- --ignored --nocapture`
 //!
-//! `DIGEST_THREADS` says how many days are played at once, and `DIGEST_TRACE` names a directory into which
-//! every message is written, to compare the traces of a day whose digest differs.
+//! `DIGEST_THREADS` sets the number of scenarios that run at once. `DIGEST_TRACE` names a directory into
+//! which every message is written, to compare the traces of a scenario whose digest differs.
 
 mod support;
 
@@ -14,75 +14,76 @@
 use rand::{Rng, SeedableRng};
 use std::sync::Mutex;
 use support::cells::{CellLink, Cells};
-use support::days::{self, DayPlan};
 use support::digest::{self, Summary};
+use support::scenarios::{self, ScenarioPlan};
 use support::{StoreFault, World, search};
 
-/// Days that are played at once, if nothing else is said.
-const THREADS: u64 = 3;
+/// Number of scenarios that run at once unless `DIGEST_THREADS` is set.
+const DEFAULT_THREADS: u64 = 3;
 
-/// One kind of day.
-struct Kind {
+/// A kind of scenario.
+struct ScenarioKind {
     name: &'static str,
     seeds: std::ops::Range<u64>,
-    /// Plays the day of a seed; the rules that were broken.
-    play: fn(u64) -> Vec<String>,
+    /// Runs the scenario of a seed and returns the violated invariants.
+    run: fn(u64) -> Vec<String>,
 }
 
-const KINDS: [Kind; 4] = [
-    Kind {
+const KINDS: [ScenarioKind; 4] = [
+    ScenarioKind {
         name: "random-faults",
         seeds: 100..112,
-        play: random_faults,
+        run: random_faults,
     },
-    Kind {
+    ScenarioKind {
         name: "small-values",
         seeds: 200..204,
-        play: small_values,
+        run: small_values,
     },
-    Kind {
+    ScenarioKind {
         name: "mixed-formats",
         seeds: 300..306,
-        play: mixed_formats,
+        run: mixed_formats,
     },
-    Kind {
+    ScenarioKind {
         name: "spillover",
         seeds: 400..404,
-        play: spillover,
+        run: spillover,
     },
 ];
 
-/// What a day came to.
-struct DayReport {
-    day: usize,
+/// Result of one scenario.
+struct ScenarioReport {
+    /// Position in the printed list.
+    index: usize,
     line: String,
     violations: Vec<String>,
 }
 
 #[test]
-#[ignore = "run by hand before and after a step that is to change no behaviour"]
+#[ignore = "run manually before and after a refactoring"]
 fn behaviour_digests() {
     let all = KINDS.iter();
-    let days = all.flat_map(|kind| kind.seeds.clone().map(move |seed| (kind, seed)));
-    let days = Mutex::new(days.enumerate());
+    let scenarios = all.flat_map(|kind| kind.seeds.clone().map(move |seed| (kind, seed)));
+    let scenarios = Mutex::new(scenarios.enumerate());
     let results = Mutex::new(Vec::new());
-    let threads = search::number("DIGEST_THREADS").unwrap_or(THREADS);
+    let threads = search::number("DIGEST_THREADS").unwrap_or(DEFAULT_THREADS);
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| {
                 loop {
-                    let next = days.lock().expect("no panic").next();
-                    let Some((day, (kind, seed))) = next else {
+                    let next = scenarios.lock().expect("lock is not poisoned").next();
+                    let Some((index, (kind, seed))) = next else {
                         return;
                     };
-                    let result = play(day, kind, seed);
-                    results.lock().expect("no panic").push(result);
+                    let result = run_scenario(index, kind, seed);
+                    results.lock().expect("lock is not poisoned").push(result);
                 }
             });
         }
     });
-    let mut results = results.into_inner().expect("no panic");
-    results.sort_by_key(|result| result.day);
+    let mut results = results.into_inner().expect("lock is not poisoned");
+    results.sort_by_key(|result| result.index);
     results
         .iter()
         .for_each(|result| println!("{}", result.line));
@@ -93,16 +94,16 @@
     assert!(violations.is_empty(), "{violations:#?}");
 }
 
-fn play(day: usize, kind: &Kind, seed: u64) -> DayReport {
+fn run_scenario(index: usize, kind: &ScenarioKind, seed: u64) -> ScenarioReport {
     let name = format!("{}-{seed}", kind.name);
-    let (summary, violations) = digest::record(&name, || (kind.play)(seed));
+    let (summary, violations) = digest::record(&name, || (kind.run)(seed));
     let Summary {
         messages,
         bytes,
         digest,
     } = summary;
-    DayReport {
-        day,
+    ScenarioReport {
+        index,
         line: format!(
             "{} {seed} {messages} messages {bytes} bytes {digest}",
             kind.name
@@ -111,20 +112,20 @@
     }
 }
 
-/// Faults of every kind come at random and overlap.
+/// Random faults of all kinds overlap.
 fn random_faults(seed: u64) -> Vec<String> {
-    let plan = DayPlan {
+    let plan = ScenarioPlan {
         seed,
         machines: 12 + (seed % 4) as usize * 8,
         faults: 25,
         restarts: !seed.is_multiple_of(3),
     };
-    days::play(plan).err().unwrap_or_default()
+    scenarios::run(plan).err().unwrap_or_default()
 }
 
-/// The state service takes small values and small transactions only.
+/// The state service accepts only small values and small transactions.
 fn small_values(seed: u64) -> Vec<String> {
-    let mut world = World::in_production(seed, 3, 8);
+    let mut world = World::before_upgrade(seed, 3, 8);
     for controller in 0..world.controllers.len() {
         restart_as_new(&mut world, controller, 0);
     }
@@ -133,11 +134,11 @@
     submissions_and_faults(&mut world, seed, Vec::new())
 }
 
-/// Controllers of an earlier format of stored values are replaced one after another.
+/// Controllers that write an earlier format of stored values are upgraded one after another.
 fn mixed_formats(seed: u64) -> Vec<String> {
     let controllers = [3, 5][seed as usize % 2];
-    let mut world = World::in_production(seed, controllers, 10);
-    world.old_format = [0, DEPENDENCIES_FORMAT, DENSE_FORMAT][seed as usize % 3];
+    let mut world = World::before_upgrade(seed, controllers, 10);
+    world.previous_format = [0, DEPENDENCIES_FORMAT, DENSE_FORMAT][seed as usize % 3];
     for controller in 0..controllers {
         world.crash(controller);
         world.start(controller);
@@ -146,21 +147,21 @@
     submissions_and_faults(&mut world, seed, (0..controllers).collect())
 }
 
-/// The state service has the limits that the settings announced.
+/// Enforces the limits that the settings announced.
 fn lower_limits(world: &mut World) {
     let limits = &world.settings.platform.settings.state;
-    world.state.limits = Some(((limits.value_kb * 1024.0) as usize, limits.txn_ops));
+    world.store.size_limits = Some(((limits.value_kb * 1024.0) as usize, limits.txn_ops));
 }
 
 fn restart_as_new(world: &mut World, controller: usize, away_ms: u64) {
     world.crash(controller);
     world.run(away_ms);
-    world.old[controller] = false;
+    world.runs_previous_version[controller] = false;
     world.start(controller);
 }
 
-/// Jobs, chained ones among them, cancellations and faults; meanwhile these controllers are replaced by
-/// ones of this version, and then the state service lowers its limits.
+/// Submits jobs with and without predecessors, cancels some and injects faults. Meanwhile the controllers
+/// in `to_replace` are upgraded, and after the last one the state service lowers its limits.
 fn submissions_and_faults(world: &mut World, seed: u64, mut to_replace: Vec<usize>) -> Vec<String> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut jobs: Vec<String> = Vec::new();
@@ -180,19 +181,19 @@
         let controller = rng.random_range(0..world.controllers.len());
         match rng.random_range(0..10) {
             kind @ 0..=4 => world.inject_fault(controller, kind, &mut rng),
-            5 => world.links[controller].state = StoreFault::Intermittent,
+            5 => world.links[controller].store_fault = StoreFault::Intermittent,
             6 => world.pause(controller, rng.random_range(500..5000)),
             7 | 8 => world.heal(),
             _ => {}
         }
-        world.run_asking(rng.random_range(500..4000), &jobs);
+        world.run_polling(rng.random_range(500..4000), &jobs);
     }
     world.heal();
-    world.run_asking(60_000, &jobs);
+    world.run_polling(60_000, &jobs);
     std::mem::take(&mut world.violations)
 }
 
-/// Submits a job, sometimes one that waits for others.
+/// Submits a job, sometimes with predecessors.
 fn submit(world: &mut World, rng: &mut SmallRng, number: u32, jobs: &mut Vec<String>) {
     let mut spec = world.spec(rng.random_range(1..24));
     spec.team = ["blue", "red", "guest"][rng.random_range(0..3)].into();
@@ -200,35 +201,36 @@
         spec.priority = Priority::Urgent;
     }
     world.run_ms = rng.random_range(2000..20_000);
-    let named: Vec<String> = (0..rng.random_range(0..3))
+    let predecessors: Vec<String> = (0..rng.random_range(0..3))
         .filter_map(|_| jobs.get(rng.random_range(0..jobs.len().max(1))).cloned())
         .collect();
     let controller = rng.random_range(0..world.controllers.len());
-    let accepted = match named.is_empty() {
+    let accepted = match predecessors.is_empty() {
         true => Some(world.submit(number, spec)),
-        false => world.submit_after(controller, number, spec, &named),
+        false => world.try_submit_dependent(controller, number, spec, &predecessors),
     };
     jobs.extend(accepted);
 }
 
-/// Sometimes a user cancels a job.
+/// Cancels a random job with a probability of 15%.
 fn cancel(world: &mut World, rng: &mut SmallRng, jobs: &[String]) {
     if jobs.is_empty() || !rng.random_bool(0.15) {
         return;
     }
     let job = &jobs[rng.random_range(0..jobs.len())];
-    if world.is_open(job) {
+    if world.is_unfinished(job) {
         let controller = rng.random_range(0..world.controllers.len());
         world.cancel_through(controller, job);
     }
 }
 
-/// Three cells lend each other jobs while faults come at random in and between them.
+/// Three cells lend each other jobs during random faults in and between them.
 fn spillover(seed: u64) -> Vec<String> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut cells = Cells::new(seed, &[2, 5, 4]);
     if rng.random_bool(0.5) {
-        cells.request_copies = vec![rng.random_range(200..5000), rng.random_range(5000..60_000)];
+        cells.request_copy_delays_ms =
+            vec![rng.random_range(200..5000), rng.random_range(5000..60_000)];
     }
     let mut jobs: Vec<(usize, String)> = Vec::new();
     for _ in 0..12 {
@@ -241,7 +243,7 @@
         jobs.extend(submitted.into_iter().map(|job| (cell, job)));
         let (cell, job) = &jobs[rng.random_range(0..jobs.len())];
         let world = &mut cells.cells[*cell];
-        if rng.random_bool(0.3) && world.is_open(job) && !world.state.out {
+        if rng.random_bool(0.3) && world.is_unfinished(job) && !world.store.unavailable {
             world.cancel(job);
         }
         fault_between_cells(&mut cells, &mut rng);
@@ -253,8 +255,9 @@
     cells.heal();
     cells.run(60_000);
     let violations = cells.cells.iter().flat_map(|world| &world.violations);
-    // A start that was on its way when the job's end was recorded breaks no rule.
-    let violations = violations.filter(|rule| !rule.ends_with("is launched after its job is done"));
+    // A launch that was in flight when the end of its job was recorded is allowed.
+    let violations =
+        violations.filter(|violation| !violation.ends_with("is launched after its job is done"));
     violations.chain(&cells.violations).cloned().collect()
 }
 
@@ -265,15 +268,15 @@
     let ms = rng.random_range(500..20_000);
     match rng.random_range(0..10) {
         0 => cells.cells[cell].crash(controller),
-        1 => cells.cells[cell].outage(true),
+        1 => cells.cells[cell].set_store_outage(true),
         2 => cells.cells[cell].pause(controller, ms),
-        3 => cells.cells[cell].links[controller].state = StoreFault::Intermittent,
+        3 => cells.cells[cell].links[controller].store_fault = StoreFault::Intermittent,
         4 => cells.cells[cell].isolate(controller),
-        5 => cells.cut_off(cell),
-        6 => cells.cell_links[cell][other] = CellLink::LosesAnswers,
-        7 => cells.cell_links[cell][other] = CellLink::Late(ms),
+        5 => cells.disconnect(cell),
+        6 => cells.cell_links[cell][other] = CellLink::LosesResponses,
+        7 => cells.cell_links[cell][other] = CellLink::Delayed(ms),
         8 => {
-            cells.refusing.insert((cell, controller));
+            cells.unreachable_controllers.insert((cell, controller));
         }
         _ => {}
     }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -364,7 +364,7 @@
             w.cancel(&fourth);
         }
         for prefix in ["qb/", "past/"] {
-            for item in w.state.list(prefix).0 {
+            for item in w.store.list(prefix).0 {
                 let value: Value = item.value.decode().expect("json");
                 assert_readable_as_format_0(&item.key, &value);
                 // A waiting job is never under a key from which that version would bind it.
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -34,21 +34,24 @@
 /// Asserts that every controller reports these jobs as cancelled within the time limit of a cancellation,
 /// that none of their tasks runs then, and that they are archived as cancelled later.
 fn assert_all_cancelled(w: &mut World, jobs: &[String]) {
-    w.run(w.cancel_ms());
+    w.run(w.cancel_limit_ms());
     for job in jobs {
         let answers = polled_statuses(w, job);
         assert!(
             !answers.is_empty() && answers.iter().all(|a| *a == JobStatus::Cancelled),
             "{job}: {answers:?}"
         );
-        assert_eq!(w.running_of(job), 0, "{job}");
+        assert_eq!(w.running_task_count_of(job), 0, "{job}");
     }
-    let archived = |w: &World, j: &String| w.state.value(&archive_key(j)).is_some();
-    w.until(120_000, "all cancelled jobs are archived", |w| {
+    let archived = |w: &World, j: &String| w.store.value(&archive_key(j)).is_some();
+    w.run_until(120_000, "all cancelled jobs are archived", |w| {
         jobs.iter().all(|j| archived(w, j))
     });
     for job in jobs {
-        assert_eq!(w.job(job).map(|j| j.status), Some(JobStatus::Cancelled));
+        assert_eq!(
+            w.job_record(job).map(|j| j.status),
+            Some(JobStatus::Cancelled)
+        );
     }
 }
 
@@ -64,12 +67,12 @@
                 .iter()
                 .all(|a| *a == JobStatus::Pending)
         );
-        assert_eq!(w.starts_of(job), 0);
+        assert_eq!(w.start_count_of(job), 0);
     }
     for pair in chain.windows(2) {
-        w.until(30_000, "the predecessor is done", |w| w.is_done(&pair[0]));
-        w.until(3500, "the dependent job starts", |w| {
-            w.running_of(&pair[1]) > 0
+        w.run_until(30_000, "the predecessor is done", |w| w.is_done(&pair[0]));
+        w.run_until(3500, "the dependent job starts", |w| {
+            w.running_task_count_of(&pair[1]) > 0
         });
     }
     w.assert_all_jobs_finish(&chain);
@@ -80,9 +83,9 @@
     let mut w = World::settled(2, 3, 6);
     w.run_ms = 3000;
     let done = w.submit(1, w.spec(1));
-    w.until(20_000, "the job is done", |w| w.is_done(&done));
-    w.until(60_000, "the job is archived", |w| {
-        w.state.value(&job_key(&done)).is_none()
+    w.run_until(20_000, "the job is done", |w| w.is_done(&done));
+    w.run_until(60_000, "the job is archived", |w| {
+        w.store.value(&job_key(&done)).is_none()
     });
     let mut red = w.spec(2);
     red.team = "red".into();
@@ -90,27 +93,28 @@
     let slow = w.submit(3, w.spec(2));
     w.failing_jobs.insert(slow.clone());
     let last = w.submit_dependent(4, w.spec(2), &[&done, &other, &slow, &done]);
-    w.until(30_000, "the predecessor of the other team is done", |w| {
+    w.run_until(30_000, "the predecessor of the other team is done", |w| {
         w.is_done(&other)
     });
     w.run(20_000);
     assert_eq!(
-        w.starts_of(&last),
+        w.start_count_of(&last),
         0,
         "the job started although a predecessor is not done"
     );
     assert_eq!(
-        w.waiting(&last).map(|r| r.predecessors.names().len()),
+        w.waiting_record(&last)
+            .map(|r| r.predecessors.names().len()),
         Some(2)
     );
     w.failing_jobs.clear();
-    w.until(120_000, "the job is done", |w| w.is_done(&last));
+    w.run_until(120_000, "the job is done", |w| w.is_done(&last));
     let after = w.submit_dependent(5, w.spec(1), &[&done, &last]);
     assert!(
-        w.waiting(&after).is_none(),
+        w.waiting_record(&after).is_none(),
         "a job whose predecessors are done was stored as waiting"
     );
-    w.until(30_000, "the job is done", |w| w.is_done(&after));
+    w.run_until(30_000, "the job is done", |w| w.is_done(&after));
     w.assert_no_violations();
 }
 
@@ -121,12 +125,12 @@
     w.run(300);
     let never = "wk-000777".to_owned();
     assert_eq!(
-        w.submit_after(0, 2, w.spec(1), &[known.clone(), never]),
+        w.try_submit_dependent(0, 2, w.spec(1), &[known.clone(), never]),
         None
     );
     let itself = "wk-000002".to_owned();
-    assert_eq!(w.submit_after(0, 2, w.spec(1), &[itself]), None);
-    assert!(w.submit_after(0, 2, w.spec(1), &[known]).is_some());
+    assert_eq!(w.try_submit_dependent(0, 2, w.spec(1), &[itself]), None);
+    assert!(w.try_submit_dependent(0, 2, w.spec(1), &[known]).is_some());
 }
 
 #[test]
@@ -147,7 +151,7 @@
     );
     w.run_ms = 3000;
     let other = w.submit(30, w.spec(12));
-    w.until(15_000, "another job runs and is done", |w| {
+    w.run_until(15_000, "another job runs and is done", |w| {
         w.is_done(&other)
     });
     w.assert_no_violations();
@@ -174,7 +178,7 @@
     let mut last = spec(&w, priority);
     last.due_s = due_s;
     w.submit_dependent(43, last, &[&second]);
-    w.until(120_000, "one of the two jobs is done", |w| {
+    w.run_until(120_000, "one of the two jobs is done", |w| {
         w.is_done(&first) || w.is_done(&alone)
     });
     w.assert_no_violations();
@@ -233,7 +237,7 @@
         assert_all_cancelled(&mut w, &cancelled_jobs);
         if cancelled_at == 1 {
             let named = [right, aside];
-            w.until(200_000, "the jobs that do not depend on it are done", |w| {
+            w.run_until(200_000, "the jobs that do not depend on it are done", |w| {
                 named.iter().all(|j| w.is_done(j))
             });
         }
@@ -265,10 +269,12 @@
             w.run_ms = 4000;
             let first = w.submit(1, w.spec(2));
             let next = w.submit_dependent(2, w.spec(2), &[&first]);
-            w.until(15_000, "both tasks run", |w| w.running_of(&first) == 2);
+            w.run_until(15_000, "both tasks run", |w| {
+                w.running_task_count_of(&first) == 2
+            });
             if order {
-                w.until(15_000, "both tasks are recorded as done", |w| {
-                    w.done(&first) == 2
+                w.run_until(15_000, "both tasks are recorded as done", |w| {
+                    w.done_task_count(&first) == 2
                 });
             } else {
                 w.run(3900);
@@ -276,13 +282,13 @@
             let i = seed as usize % 3;
             match w.cancel_through(i, &first) {
                 CommitOutcome::Done(_)
-                    if w.job(&first)
+                    if w.job_record(&first)
                         .is_some_and(|j| j.status == JobStatus::Cancelled) =>
                 {
                     assert_all_cancelled(&mut w, &[first, next.clone()]);
-                    assert_eq!(w.starts_of(&next), 0);
+                    assert_eq!(w.start_count_of(&next), 0);
                 }
-                _ => w.until(60_000, "the dependent job is done", |w| w.is_done(&next)),
+                _ => w.run_until(60_000, "the dependent job is done", |w| w.is_done(&next)),
             }
             w.assert_no_violations();
         }
@@ -297,13 +303,13 @@
         let first = w.submit(1, w.spec(1));
         let next = w.submit_dependent(2, w.spec(2), &[&first]);
         let last = w.submit_dependent(3, w.spec(2), &[&next]);
-        w.until(30_000, "the predecessor is done", |w| w.is_done(&first));
+        w.run_until(30_000, "the predecessor is done", |w| w.is_done(&first));
         // By seed: the response is lost, the commit is delayed, or there is no fault.
         let leader = w.leader().expect("a leader");
-        w.links[leader].state = [
-            StoreFault::LosesAnswers,
-            StoreFault::Late(2500),
-            StoreFault::Good,
+        w.links[leader].store_fault = [
+            StoreFault::LosesResponses,
+            StoreFault::DelaysCommits(2500),
+            StoreFault::None,
         ][seed as usize % 3];
         w.run(100 * (seed % 4));
         let outcome = w.cancel_through((leader + 1) % 3, &next);
@@ -332,27 +338,27 @@
         if cancelled {
             w.cancel(&first);
         } else {
-            w.until(30_000, "the job is done", |w| w.is_done(&first));
+            w.run_until(30_000, "the job is done", |w| w.is_done(&first));
         }
         let transaction = planned
             .expect("the acceptance is planned")
             .transaction()
             .clone();
         assert!(matches!(
-            w.state.commit(&transaction),
+            w.store.commit(&transaction),
             CommitOutcome::Conflict(_)
         ));
-        w.until(90_000, "the first job is archived", |w| {
-            w.state.value(&archive_key(&first)).is_some()
+        w.run_until(90_000, "the first job is archived", |w| {
+            w.store.value(&archive_key(&first)).is_some()
         });
         assert!(matches!(
-            w.state.commit(&transaction),
+            w.store.commit(&transaction),
             CommitOutcome::Conflict(_)
         ));
         let second = w.submit_dependent(2, w.spec(1), &[&first]);
         match cancelled {
             true => assert_all_cancelled(&mut w, &[second]),
-            false => w.until(30_000, "the job is done", |w| w.is_done(&second)),
+            false => w.run_until(30_000, "the job is done", |w| w.is_done(&second)),
         }
         w.assert_no_violations();
     }
@@ -367,21 +373,21 @@
     w.run(300);
     // The repeats name the same predecessor, or are those of a job without predecessors.
     assert_eq!(
-        w.submit_after(1, 2, w.spec(1), std::slice::from_ref(&first)),
+        w.try_submit_dependent(1, 2, w.spec(1), std::slice::from_ref(&first)),
         None
     );
     let record = quillbend::jobs::new_record(w.spec(1), w.now);
     let ordinary = quillbend::jobs::accept_transaction(&second, &record);
     assert!(matches!(
-        w.state.commit(&ordinary),
+        w.store.commit(&ordinary),
         CommitOutcome::Conflict(_)
     ));
-    w.until(60_000, "the job is done", |w| w.is_done(&second));
+    w.run_until(60_000, "the job is done", |w| w.is_done(&second));
     assert!(matches!(
-        w.state.commit(&ordinary),
+        w.store.commit(&ordinary),
         CommitOutcome::Conflict(_)
     ));
-    assert_eq!(w.starts_of(&second), 1);
+    assert_eq!(w.start_count_of(&second), 1);
     w.assert_no_violations();
 }
 
@@ -398,9 +404,9 @@
     let slow = w.submit(2, w.spec(1));
     w.failing_jobs.insert(slow.clone());
     let last = w.submit_dependent(3, w.spec(2), &[&first, &slow]);
-    w.until(20_000, "the job is done", |w| w.is_done(&first));
+    w.run_until(20_000, "the job is done", |w| w.is_done(&first));
     w.run(90_000);
-    let archived = |w: &World, job: &str| w.state.value(&archive_key(job)).is_some();
+    let archived = |w: &World, job: &str| w.store.value(&archive_key(job)).is_some();
     assert!(
         archived(&w, &aside),
         "a finished job without dependents is not archived"
@@ -416,11 +422,11 @@
     w.run(500);
     (0..3).for_each(|i| w.start(i));
     w.run(20_000);
-    assert_eq!(w.starts_of(&last), 0);
+    assert_eq!(w.start_count_of(&last), 0);
     w.failing_jobs.clear();
-    w.until(120_000, "the job is done", |w| w.is_done(&last));
-    w.until(120_000, "the first job is archived", |w| {
-        w.state.value(&archive_key(&first)).is_some()
+    w.run_until(120_000, "the job is done", |w| w.is_done(&last));
+    w.run_until(120_000, "the first job is archived", |w| {
+        w.store.value(&archive_key(&first)).is_some()
     });
     w.assert_no_violations();
 }
@@ -434,13 +440,13 @@
         w.failing_jobs.insert(first.clone());
         let next = w.submit_dependent(2, w.spec(1), &[&first]);
         w.run(3000);
-        let mut record = w.job(&first).expect("the job is stored");
+        let mut record = w.job_record(&first).expect("the job is stored");
         record.status = status;
         let value = serde_json::to_value(&record).expect("serializable");
-        w.state.overwrite(&archive_key(&first), &value);
-        w.state.forget(&job_key(&first));
+        w.store.overwrite(&archive_key(&first), &value);
+        w.store.delete_externally(&job_key(&first));
         match status {
-            JobStatus::Done => w.until(30_000, "the job is done", |w| w.is_done(&next)),
+            JobStatus::Done => w.run_until(30_000, "the job is done", |w| w.is_done(&next)),
             _ => assert_all_cancelled(&mut w, &[next]),
         }
     }
@@ -461,18 +467,18 @@
             if let Some(leader) = leader {
                 w.crash(leader);
             }
-            w.outage(rng.random_bool(0.4));
+            w.set_store_outage(rng.random_bool(0.4));
             w.run(rng.random_range(500..6000));
             w.heal();
             w.run(rng.random_range(2000..8000));
         }
         let cancelled_job = all[5].clone();
-        let cancelled =
-            w.is_open(&cancelled_job) && matches!(w.cancel(&cancelled_job), CommitOutcome::Done(_));
+        let cancelled = w.is_unfinished(&cancelled_job)
+            && matches!(w.cancel(&cancelled_job), CommitOutcome::Done(_));
         let (cancelled_jobs, rest): (Vec<String>, Vec<String>) = all.into_iter().partition(|j| {
             cancelled && ["wk-000201", "wk-000202", "wk-000203"].contains(&j.as_str())
         });
-        w.run_asking(20_000, &cancelled_jobs);
+        w.run_polling(20_000, &cancelled_jobs);
         w.assert_all_jobs_finish(&rest);
         if cancelled {
             assert_all_cancelled(&mut w, &cancelled_jobs);
@@ -494,12 +500,12 @@
             w.cancel_through(at, &chain[0]),
             CommitOutcome::Done(_)
         ));
-        w.outage(true);
-        w.run_asking(3000, &chain);
+        w.set_store_outage(true);
+        w.run_polling(3000, &chain);
         w.crash(leader);
         w.run(3000);
         w.heal();
-        w.run_asking(15_000, &chain);
+        w.run_polling(15_000, &chain);
         assert_all_cancelled(&mut w, &chain);
         w.assert_no_violations();
     }
@@ -509,7 +515,7 @@
 /// shows the writes made so far.
 fn next_step(w: &World, name: &str, spec: &JobSpec, awaits: &[String]) -> AcceptanceStep {
     let replica = &w.controller(0).replica;
-    let archived = |name: &str| match w.job(name).map(|j| j.status) {
+    let archived = |name: &str| match w.job_record(name).map(|j| j.status) {
         Some(JobStatus::Done) => PredecessorState::Done,
         Some(JobStatus::Cancelled) => PredecessorState::Cancelled,
         _ => PredecessorState::NotInReplica,
@@ -537,13 +543,13 @@
     w.run_ms = 20_000;
     let awaits: Vec<String> = (1..=20).map(|n| w.submit(n, w.spec(1))).collect();
     w.run(3000);
-    w.note_submission("wk-000099", w.spec(1), &awaits);
+    w.register_submission("wk-000099", w.spec(1), &awaits);
     let step = next_step(&w, "wk-000099", &w.spec(1), &awaits);
     let AcceptanceStep::Incomplete(transaction) = &step else {
         panic!("{step:?}")
     };
     assert!(matches!(
-        w.state.commit(transaction),
+        w.store.commit(transaction),
         CommitOutcome::Done(_)
     ));
     w.run(1000);
@@ -563,14 +569,14 @@
     }
     // A predecessor that the job names already and one that it does not name yet are done, and a controller
     // restarts.
-    w.until(40_000, "the first and the last predecessor are done", |w| {
+    w.run_until(40_000, "the first and the last predecessor are done", |w| {
         w.is_done(&awaits[0]) && w.is_done(&awaits[19])
     });
     w.crash(1);
     w.run(500);
     w.start(1);
     w.run(8000);
-    assert_eq!(w.starts_of(&job), 0, "an incomplete job was started");
+    assert_eq!(w.start_count_of(&job), 0, "an incomplete job was started");
     let last = next_step(&w, &job, &w.spec(1), &awaits);
     let AcceptanceStep::Complete(transaction) = last else {
         panic!("{last:?}")
@@ -579,18 +585,18 @@
     let AcceptanceStep::Incomplete(first) = first else {
         panic!("{first:?}")
     };
-    assert!(matches!(w.state.commit(&first), CommitOutcome::Conflict(_)));
+    assert!(matches!(w.store.commit(&first), CommitOutcome::Conflict(_)));
     assert!(matches!(
-        w.state.commit(&transaction),
+        w.store.commit(&transaction),
         CommitOutcome::Done(_)
     ));
     w.run(500);
     assert_eq!(w.poll_status(0, &job), Some(JobStatus::Pending));
-    w.until(120_000, "all predecessors are done", |w| {
+    w.run_until(120_000, "all predecessors are done", |w| {
         awaits.iter().all(|a| w.is_done(a))
     });
-    w.until(60_000, "its task is recorded as done", |w| {
-        w.done(&job) == 1
+    w.run_until(60_000, "its task is recorded as done", |w| {
+        w.done_task_count(&job) == 1
     });
     w.assert_no_violations();
 }
@@ -598,23 +604,23 @@
 #[test]
 fn an_abandoned_incomplete_job_is_dropped_and_its_predecessors_are_archived() {
     let (mut w, awaits, first) = start_incremental_acceptance(33);
-    w.until(200_000, "all predecessors are done", |w| {
+    w.run_until(200_000, "all predecessors are done", |w| {
         awaits.iter().all(|a| w.is_done(a))
     });
     let key = waiting_key("wk-000099");
-    assert!(w.state.value(&key).is_some());
-    w.until(200_000, "the incomplete job is dropped", |w| {
-        w.state.value(&key).is_none()
+    assert!(w.store.value(&key).is_some());
+    w.run_until(200_000, "the incomplete job is dropped", |w| {
+        w.store.value(&key).is_none()
     });
-    let archived = |w: &World, j: &String| w.state.value(&archive_key(j)).is_some();
-    w.until(200_000, "its predecessors are archived", |w| {
+    let archived = |w: &World, j: &String| w.store.value(&archive_key(j)).is_some();
+    w.run_until(200_000, "its predecessors are archived", |w| {
         awaits.iter().all(|j| archived(w, j))
     });
     let AcceptanceStep::Incomplete(first) = first else {
         panic!("{first:?}")
     };
-    assert!(matches!(w.state.commit(&first), CommitOutcome::Conflict(_)));
-    assert_eq!(w.starts_of("wk-000099"), 0);
+    assert!(matches!(w.store.commit(&first), CommitOutcome::Conflict(_)));
+    assert_eq!(w.start_count_of("wk-000099"), 0);
     w.assert_no_violations();
 }
 
@@ -629,11 +635,14 @@
         panic!("{step:?}")
     };
     assert!(matches!(
-        w.state.commit(&transaction),
+        w.store.commit(&transaction),
         CommitOutcome::Done(_)
     ));
-    assert_eq!(w.job(&job).map(|j| j.status), Some(JobStatus::Cancelled));
-    assert!(w.state.value(&waiting_key(&job)).is_none());
+    assert_eq!(
+        w.job_record(&job).map(|j| j.status),
+        Some(JobStatus::Cancelled)
+    );
+    assert!(w.store.value(&waiting_key(&job)).is_none());
     w.run(5000);
-    assert_eq!(w.starts_of(&job), 0);
+    assert_eq!(w.start_count_of(&job), 0);
 }
--- a/tests/network_faults_and_restarts.rs
+++ b/tests/network_faults_and_restarts.rs
@@ -20,13 +20,13 @@
 /// The same with a job of 16 tasks, all of which run, each for `run_ms`.
 fn world_with_job(seed: u64, controllers: usize, run_ms: u64) -> (World, String) {
     let mut w = controllable_world(seed, controllers, 6);
-    let job = w.fill(run_ms, 16);
+    let job = w.start_job(run_ms, 16);
     (w, job)
 }
 
 /// Asserts that the job of [`world_with_job`] finishes with each task started once.
 fn assert_done_with_each_task_started_once(w: &mut World, job: &str) {
-    w.until(60_000, "the job is done", |w| w.is_done(job));
+    w.run_until(60_000, "the job is done", |w| w.is_done(job));
     w.assert_no_violations();
     assert_eq!(w.starts.len(), 16, "a running task was lost");
 }
@@ -70,7 +70,7 @@
     let mut red_job = w.spec(8);
     red_job.team = "red".into();
     let red_job = w.submit(30, red_job);
-    w.until(60_000, "the job of the other team is done", |w| {
+    w.run_until(60_000, "the job of the other team is done", |w| {
         w.is_done(&red_job)
     });
     w.assert_no_violations();
@@ -83,16 +83,16 @@
     let mut long = w.spec(60);
     long.estimate_s = 20.0;
     w.submit(1, long);
-    w.until(30_000, "machines are rented", |w| w.workers.len() > 2);
+    w.run_until(30_000, "machines are rented", |w| w.workers.len() > 2);
     let unreachable = w.workers.len() - 1;
-    w.workers[unreachable].unreachable = true;
+    w.workers[unreachable].loses_responses = true;
     let machine = w.workers[unreachable].machine.name.clone();
-    let grants = w.state.writes_to("qb/grant/");
-    w.until(150_000, "the machine is returned", |w| {
+    let grants = w.store.put_count("qb/grant/");
+    w.run_until(150_000, "the machine is returned", |w| {
         w.returned.contains(&machine)
     });
     assert!(w.starts.iter().all(|s| s.2 != machine));
-    let moved = w.state.writes_to("qb/grant/") - grants;
+    let moved = w.store.put_count("qb/grant/") - grants;
     assert!(
         moved <= 3,
         "its heartbeats to other controllers caused {moved} grants"
@@ -105,10 +105,10 @@
     for controllers in [3, 5] {
         let (mut w, job) = world_with_job(4, controllers, 30_000);
         let at = machines_with_tasks(&w)[0];
-        w.workers[at].unreachable = true;
+        w.workers[at].loses_responses = true;
         let since = w.now;
         let machine = w.workers[at].machine.name.clone();
-        w.until(150_000, "the job is done", |w| w.is_done(&job));
+        w.run_until(150_000, "the job is done", |w| w.is_done(&job));
         w.assert_no_violations();
         let again: Vec<_> = w.starts.iter().filter(|s| s.0 > since).collect();
         assert!(again.iter().all(|s| s.0 > since + 9000), "{again:?}");
@@ -123,12 +123,12 @@
 fn a_machine_that_is_reachable_again_is_used_again() {
     let mut w = controllable_world(5, 3, 1);
     w.cloud_up = false;
-    w.workers[0].unreachable = true;
+    w.workers[0].loses_responses = true;
     let job = w.submit(1, w.spec(8));
     w.run(40_000);
     assert_eq!(w.starts.len(), 0);
-    w.workers[0].unreachable = false;
-    w.until(90_000, "the job is done", |w| w.is_done(&job));
+    w.workers[0].loses_responses = false;
+    w.run_until(90_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
 }
 
@@ -141,14 +141,14 @@
         (9, vec![40_000, 60_000, 300]),
     ] {
         let mut w = controllable_world(seed, 3, 6);
-        w.heartbeat_copies = ages.clone();
+        w.heartbeat_copy_delays_ms = ages.clone();
         w.run_ms = 12_000;
         let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(16))).collect();
         w.run(10_000);
-        let grants = w.state.writes_to("qb/grant/");
+        let grants = w.store.put_count("qb/grant/");
         w.run(20_000);
         assert_eq!(
-            w.state.writes_to("qb/grant/"),
+            w.store.put_count("qb/grant/"),
             grants,
             "a copied heartbeat caused a new grant"
         );
@@ -160,7 +160,7 @@
         (0..3).for_each(|i| w.crash(i));
         w.run(300);
         (0..3).for_each(|i| w.start(i));
-        w.until(150_000, "all jobs are done", |w| {
+        w.run_until(150_000, "all jobs are done", |w| {
             jobs.iter().all(|j| w.is_done(j))
         });
         w.assert_no_violations();
@@ -175,7 +175,7 @@
 #[test]
 fn a_delayed_heartbeat_copy_does_not_readmit_a_machine_that_is_gone() {
     let (mut w, job) = world_with_job(10, 3, 20_000);
-    w.heartbeat_copies = vec![3000, 9000, 16_000, 30_000];
+    w.heartbeat_copy_delays_ms = vec![3000, 9000, 16_000, 30_000];
     w.run(4000);
     let at = machines_with_tasks(&w)[0];
     let gone = w.workers.remove(at).machine.name;
@@ -184,7 +184,7 @@
     w.crash(leader);
     w.run(2000);
     w.start(leader);
-    w.until(120_000, "the job is done", |w| w.is_done(&job));
+    w.run_until(120_000, "the job is done", |w| w.is_done(&job));
     w.run(45_000);
     w.assert_no_violations();
     for i in 0..3 {
@@ -248,7 +248,7 @@
                 "it keeps its authority longer than cancel_s"
             );
         }
-        w.until(40_000, "every machine has a holder", |w| {
+        w.run_until(40_000, "every machine has a holder", |w| {
             w.workers
                 .iter()
                 .all(|m| w.holder(&m.machine.name).is_some())
@@ -266,8 +266,11 @@
     w.cancel(&job);
     let cancel_s = w.settings.platform.settings.workers.cancel_s;
     w.run((cancel_s * 1000.0) as u64);
-    assert_eq!(w.running(), 0);
-    assert_eq!(w.job(&job).map(|j| j.status), Some(JobStatus::Cancelled));
+    assert_eq!(w.running_task_count(), 0);
+    assert_eq!(
+        w.job_record(&job).map(|j| j.status),
+        Some(JobStatus::Cancelled)
+    );
     w.assert_no_violations();
 }
 
@@ -276,7 +279,7 @@
     for (seed, controllers) in [(13, 3), (14, 5), (15, 5)] {
         let (mut w, job) = world_with_job(seed, controllers, 40_000);
         // Writes of the earlier incarnations are committed after the restarts.
-        (0..controllers).for_each(|i| w.links[i].state = StoreFault::Late(900));
+        (0..controllers).for_each(|i| w.links[i].store_fault = StoreFault::DelaysCommits(900));
         w.run(500);
         let leader = w.leader().expect("a leader");
         w.crash(leader);
@@ -287,7 +290,7 @@
             w.crash(i);
             w.run(100);
             w.start(i);
-            w.links[i].state = StoreFault::Good;
+            w.links[i].store_fault = StoreFault::None;
             w.run(200);
         }
         assert_done_with_each_task_started_once(&mut w, &job);
@@ -301,13 +304,13 @@
     let machine = w.workers[at].machine.name.clone();
     let presumed_dead = w.workers[at].tasks.len();
     w.restart_machine(at);
-    w.until(90_000, "the job is done", |w| w.is_done(&job));
+    w.run_until(90_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_eq!(w.starts.len(), 16 + presumed_dead);
     let again = w.submit(2, w.spec(40));
     w.cloud_up = false;
     let before = w.now;
-    w.until(120_000, "the job is done", |w| w.is_done(&again));
+    w.run_until(120_000, "the job is done", |w| w.is_done(&again));
     w.assert_no_violations();
     let used = w.starts.iter().any(|s| s.0 > before && s.2 == machine);
     assert!(
@@ -322,10 +325,10 @@
     for seed in 0..4 {
         let (mut w, _) = world_with_job(40 + seed, 3, 30_000);
         w.run(5000);
-        let before = w.state.writes_to("qb/grant/");
+        let before = w.store.put_count("qb/grant/");
         w.restart_machine(machines_with_tasks(&w)[0]);
         w.run(4000);
-        let grants = w.state.writes_to("qb/grant/") - before;
+        let grants = w.store.put_count("qb/grant/") - before;
         assert_eq!(grants, 1, "seed {seed}");
         w.assert_no_violations();
     }
@@ -335,13 +338,13 @@
 fn refused_connections_between_controllers_change_neither_leader_nor_holders() {
     for controllers in [3, 5] {
         let (mut w, job) = world_with_job(17, controllers, 30_000);
-        let (leader, grants) = (w.leader(), w.state.writes_to("qb/grant/"));
-        (0..controllers).for_each(|i| w.links[i].peers = false);
+        let (leader, grants) = (w.leader(), w.store.put_count("qb/grant/"));
+        (0..controllers).for_each(|i| w.links[i].peers_reachable = false);
         w.run(20_000);
         assert_eq!(w.leader(), leader);
-        assert_eq!(w.state.writes_to("qb/grant/"), grants);
+        assert_eq!(w.store.put_count("qb/grant/"), grants);
         w.heal();
-        w.until(60_000, "the job is done", |w| w.is_done(&job));
+        w.run_until(60_000, "the job is done", |w| w.is_done(&job));
         w.assert_no_violations();
         assert_eq!(w.starts.len(), 16);
     }
@@ -353,11 +356,11 @@
     let leader = w.leader().expect("a leader");
     // Two of five controllers reach only each other; all five reach the state store.
     let two = [(leader + 1) % 5, (leader + 2) % 5];
-    w.partition_side = (0..5).map(|i| u8::from(two.contains(&i))).collect();
-    let before = w.state.writes_to("qb/lead");
+    w.partition_group = (0..5).map(|i| u8::from(two.contains(&i))).collect();
+    let before = w.store.put_count("qb/lead");
     w.run(30_000);
     assert_eq!(
-        w.state.writes_to("qb/lead"),
+        w.store.put_count("qb/lead"),
         before,
         "another controller took the lead"
     );
@@ -371,11 +374,11 @@
         let mut rng = rand::rngs::SmallRng::seed_from_u64(500 + seed);
         let mut w = controllable_world(500 + seed, 5, 8);
         if seed % 2 == 0 {
-            w.heartbeat_copies = vec![1500, 14_000];
+            w.heartbeat_copy_delays_ms = vec![1500, 14_000];
         }
         if seed % 3 == 0 {
             // Some copies come from earlier incarnations of controllers.
-            w.peer_message_copies = vec![900, 8000, 30_000];
+            w.peer_message_copy_delays_ms = vec![900, 8000, 30_000];
         }
         let jobs: Vec<String> = (1..=4).map(|n| w.submit(n, w.spec(20))).collect();
         for _ in 0..12 {
@@ -388,8 +391,8 @@
                     if all > 0 {
                         let at = rng.random_range(0..all);
                         match n {
-                            6 => w.workers[at].cut = true,
-                            7 => w.workers[at].unreachable = true,
+                            6 => w.workers[at].disconnected = true,
+                            7 => w.workers[at].loses_responses = true,
                             _ => w.restart_machine(at),
                         }
                     }
@@ -408,7 +411,7 @@
 fn steal_requests_in_a_large_busy_fleet_end_after_a_few_hops() {
     // In a large deployment, steal requests that found nothing were once forwarded to all machines:
     // 357000 hops for 25 packs, which left no time for heartbeats.
-    let mut w = World::sized(19, 3, 120);
+    let mut w = World::with_size(19, 3, 120);
     w.settings.platform.settings.teams[0].cpus_max = 500.0;
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
@@ -441,12 +444,14 @@
     let mut w = controllable_world(20, 3, 10);
     w.run_ms = 30_000;
     let job = w.submit(1, w.spec(16));
-    w.until(20_000, "all tasks run", |w| w.running() == 16);
+    w.run_until(20_000, "all tasks run", |w| w.running_task_count() == 16);
     let south = |w: &World| -> Vec<usize> {
         let of = |&i: &usize| w.workers[i].machine.zone == "south";
         (0..w.workers.len()).filter(of).collect()
     };
-    south(&w).into_iter().for_each(|i| w.workers[i].cut = true);
+    south(&w)
+        .into_iter()
+        .for_each(|i| w.workers[i].disconnected = true);
     let there: Vec<String> = south(&w)
         .into_iter()
         .map(|i| w.workers[i].machine.name.clone())
@@ -458,7 +463,7 @@
         .filter(|machine| !w.returned.contains(*machine));
     assert_eq!(kept.count(), there.len(), "{:?}", w.returned);
     w.heal();
-    w.until(150_000, "the job is done", |w| w.is_done(&job));
+    w.run_until(150_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
 }
 
@@ -508,13 +513,13 @@
     // Once a write of bindings was committed but its response was lost. Its retry failed its preconditions, and
     // before the watch showed the reason, the same tasks were also bound in other blocks.
     for seed in 30..33 {
-        let mut w = World::sized(seed, 3, 40);
+        let mut w = World::with_size(seed, 3, 40);
         w.settings.platform.settings.teams[0].cpus_max = 500.0;
         (0..3).for_each(|i| w.crash(i));
         (0..3).for_each(|i| w.start(i));
         w.run(12_000);
         w.run_ms = 5000;
-        (0..3).for_each(|i| w.links[i].state = StoreFault::Slow(1500));
+        (0..3).for_each(|i| w.links[i].store_fault = StoreFault::Slow(1500));
         let jobs: Vec<String> = (1..=12)
             .map(|n| {
                 w.run(2000);
@@ -523,7 +528,7 @@
             .collect();
         w.run(10_000);
         w.heal();
-        w.until(120_000, "all jobs are done", |w| {
+        w.run_until(120_000, "all jobs are done", |w| {
             jobs.iter().all(|j| w.is_done(j))
         });
         w.assert_no_violations();
@@ -547,8 +552,8 @@
     controller.on_heartbeat(heartbeat.clone(), clock);
     assert!(controller.delay_ack(&machine, number, clock).is_some());
     let job = w.submit(1, w.spec(2));
-    w.workers[0].cut = true;
-    w.until(3000, "both tasks are bound", |w| {
+    w.workers[0].disconnected = true;
+    w.run_until(3000, "both tasks are bound", |w| {
         w.controller(i)
             .replica
             .machines
@@ -589,7 +594,7 @@
 #[test]
 fn no_write_exceeds_the_value_limit_when_blocks_are_full() {
     // Few blocks with many machines each, a low limit of the value size, and jobs whose tasks end out of order.
-    let mut w = World::sized(24, 3, 90);
+    let mut w = World::with_size(24, 3, 90);
     w.settings.platform.settings.teams[0].cpus_max = 5000.0;
     w.settings.platform.settings.state.write_rps = 6.0;
     w.settings.platform.settings.state.value_kb = 1.5;
@@ -608,7 +613,7 @@
         })
         .collect();
     let largest = |w: &World| {
-        let blocks = w.state.list("qb/block/").0;
+        let blocks = w.store.list("qb/block/").0;
         blocks.iter().map(|b| b.value.size()).max().unwrap_or(0)
     };
     let mut full = 0;
@@ -617,7 +622,7 @@
         full = full.max(largest(&w));
     }
     assert!(full > 1000, "the largest block had only {full} bytes");
-    w.until(400_000, "all jobs are done", |w| {
+    w.run_until(400_000, "all jobs are done", |w| {
         jobs.iter().all(|j| w.is_done(j))
     });
     w.assert_no_violations();
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -12,7 +12,7 @@
 
 /// The store rejects the requests of one controller only, and that controller's watch hangs.
 fn reject_store_requests(w: &mut World, i: usize) {
-    w.links[i].state = StoreFault::Refuses;
+    w.links[i].store_fault = StoreFault::RejectsRequests;
     w.links[i].watch_hangs = true;
 }
 
@@ -41,9 +41,9 @@
         (5, 3, false, false),
     ] {
         for pause in [0, 900, 2000] {
-            let (mut w, job) = World::busy(seed, controllers, 300_000);
-            w.drift[0] = -0.0005;
-            w.drift[1] = 0.0005;
+            let (mut w, job) = World::with_running_job(seed, controllers, 300_000);
+            w.clock_drift[0] = -0.0005;
+            w.clock_drift[1] = 0.0005;
             let leader = w.leader().expect("a leader");
             let old = if leads {
                 leader
@@ -51,7 +51,7 @@
                 (leader + 1) % controllers
             };
             reject_store_requests(&mut w, old);
-            w.links[old].peers = !without_peers;
+            w.links[old].peers_reachable = !without_peers;
             w.run(pause);
             let other = (old + 1) % controllers;
             assert!(matches!(
@@ -59,12 +59,16 @@
                 CommitOutcome::Done(_)
             ));
             w.run(100);
-            w.outage(true);
+            w.set_store_outage(true);
             w.run(64_000);
-            assert_eq!(w.running_of(&job), 0);
+            assert_eq!(w.running_task_count_of(&job), 0);
             w.heal();
             w.run(20_000);
-            assert_eq!(w.running_of(&job), 0, "the cancelled job runs again");
+            assert_eq!(
+                w.running_task_count_of(&job),
+                0,
+                "the cancelled job runs again"
+            );
             w.assert_no_violations();
         }
     }
@@ -74,11 +78,11 @@
 fn a_controller_without_the_store_learns_of_cancellations_from_peers_and_stops_only_those_tasks() {
     let mut w = World::settled(6, 3, 8);
     w.run(3000);
-    let kept = w.fill(300_000, 6);
+    let kept = w.start_job(300_000, 6);
     let mut spec = w.spec(6);
     spec.team = "red".into();
     let cancelled_job = w.submit(2, spec);
-    w.until(15_000, "all tasks run", |w| w.running() == 12);
+    w.run_until(15_000, "all tasks run", |w| w.running_task_count() == 12);
     let running_there = |w: &World, i: usize| {
         let held = w
             .workers
@@ -96,15 +100,15 @@
     let other = (old + 1) % 3;
     w.cancel_through(other, &cancelled_job);
     w.run(200);
-    w.outage(true);
+    w.set_store_outage(true);
     w.run(9000);
     assert_eq!(
-        w.running_of(&cancelled_job),
+        w.running_task_count_of(&cancelled_job),
         0,
         "the cancelled tasks run until their lease ends"
     );
     assert_eq!(
-        w.running_of(&kept),
+        w.running_task_count_of(&kept),
         6,
         "tasks of another job were stopped as well"
     );
@@ -114,9 +118,9 @@
 #[test]
 fn authority_counts_from_when_a_request_was_sent_not_from_its_response() {
     // A watch or lease renewal that was sent before an outage can receive its response after it.
-    let (mut w, _) = World::busy(7, 3, 300_000);
+    let (mut w, _) = World::with_running_job(7, 3, 300_000);
     let i = (w.leader().expect("a leader") + 1) % 3;
-    w.outage(true);
+    w.set_store_outage(true);
     let sent = w.clock(i);
     let until = w
         .controller(i)
@@ -124,7 +128,7 @@
         .expect("the controller has authority");
     assert!(until <= Timestamp(sent.0 + w.settings.block_lease_ms()));
     w.run(20_000);
-    let (now, revision) = (w.clock(i), w.state.revision());
+    let (now, revision) = (w.clock(i), w.store.revision());
     let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
     let empty = quillbend::protocol::WatchResponse {
         revision,
@@ -155,7 +159,7 @@
         (30.0, 60.0),
         (8.0, 14.0),
     ] {
-        let mut w = World::sized(8, 1, 0);
+        let mut w = World::with_size(8, 1, 0);
         let workers = &mut w.settings.platform.settings.workers;
         (workers.lease_s, workers.cancel_s) = (lease_s, cancel_s);
         let s = &w.settings;
@@ -174,7 +178,7 @@
 #[test]
 fn a_rolling_restart_followed_by_a_crash_of_all_controllers_loses_no_task() {
     for (seed, controllers) in [(10, 3), (11, 5)] {
-        let (mut w, job) = World::busy(seed, controllers, 40_000);
+        let (mut w, job) = World::with_running_job(seed, controllers, 40_000);
         for i in 0..controllers {
             w.crash(i);
             w.run(700);
@@ -192,13 +196,14 @@
 #[test]
 fn jobs_finish_when_a_leader_crashes_while_machines_cannot_reach_its_successor() {
     for (seed, unreachable) in [(12, true), (13, false)] {
-        let (mut w, job) = World::busy(seed, 3, 60_000);
+        let (mut w, job) = World::with_running_job(seed, 3, 60_000);
         let affected: Vec<usize> = machines_with_running_tasks(&w)
             .into_iter()
             .take(2)
             .collect();
         for &at in &affected {
-            (w.workers[at].unreachable, w.workers[at].cut) = (unreachable, !unreachable);
+            (w.workers[at].loses_responses, w.workers[at].disconnected) =
+                (unreachable, !unreachable);
         }
         let leader = w.leader().expect("a leader");
         w.crash(leader);
@@ -206,8 +211,8 @@
         w.start(leader);
         // Within their lease the machines run on, whatever was decided in the meantime.
         affected.iter().for_each(|&at| {
-            w.workers[at].unreachable = false;
-            w.workers[at].cut = false;
+            w.workers[at].loses_responses = false;
+            w.workers[at].disconnected = false;
         });
         w.run(30_000);
         w.assert_all_jobs_finish(&[job]);
@@ -224,9 +229,9 @@
             if let Some(leader) = w.leader() {
                 w.crash(leader);
                 if out && turn % 3 == 0 {
-                    w.outage(true);
+                    w.set_store_outage(true);
                     w.run(5000);
-                    w.outage(false);
+                    w.set_store_outage(false);
                 }
                 w.run(400 + turn * 300);
                 w.start(leader);
@@ -239,12 +244,12 @@
 
 #[test]
 fn tasks_run_again_once_after_all_controllers_were_down_for_longer_than_a_worker_lease() {
-    let (mut w, job) = World::busy(16, 3, 60_000);
+    let (mut w, job) = World::with_running_job(16, 3, 60_000);
     let also = w.submit(2, w.spec(8));
     (0..3).for_each(|i| w.crash(i));
     w.run(14_000);
     assert_eq!(
-        w.running(),
+        w.running_task_count(),
         0,
         "tasks run after the workers' leases expired"
     );
@@ -260,23 +265,23 @@
         // The first task ends soon, the others late.
         w.run_ms = 3000;
         let job = w.submit(n, w.spec(2 + n % 2));
-        w.until(15_000, "a task runs", |w| w.running_of(&job) > 0);
+        w.run_until(15_000, "a task runs", |w| w.running_task_count_of(&job) > 0);
         w.run_ms = 45_000;
         jobs.push(job);
     }
     for _ in 0..4 {
         let leader = w.leader().expect("a leader");
         w.crash(leader);
-        w.run_asking(6000, &jobs);
+        w.run_polling(6000, &jobs);
         w.start(leader);
-        w.run_asking(6000, &jobs);
+        w.run_polling(6000, &jobs);
     }
     let all: u32 = jobs
         .iter()
-        .map(|j| w.job(j).expect("the job is stored").spec.task_count)
+        .map(|j| w.job_record(j).expect("the job is stored").spec.task_count)
         .sum();
     assert_jobs_finish_with_starts(&mut w, &jobs, all as usize);
-    w.run_asking(15_000, &jobs);
+    w.run_polling(15_000, &jobs);
     w.assert_no_violations();
 }
 
@@ -294,7 +299,7 @@
         w.run(9000);
         w.run_ms = 12_000;
         let mut jobs = Vec::new();
-        (0..3).for_each(|i| w.links[i].state = StoreFault::Slow(1500));
+        (0..3).for_each(|i| w.links[i].store_fault = StoreFault::Slow(1500));
         for n in 1..=8 {
             let mut spec = w.spec(14);
             (spec.one_zone, spec.spread) = (n % 2 == 0, n % 2 == 1);
@@ -316,28 +321,28 @@
 #[test]
 fn jobs_finish_or_stay_cancelled_after_a_zone_was_partitioned_for_longer_than_a_lease() {
     for cancelled in [false, true] {
-        let (mut w, job) = World::busy(27, 3, 50_000);
+        let (mut w, job) = World::with_running_job(27, 3, 50_000);
         let inside = (w.leader().expect("a leader") + 1) % 3;
-        w.partition_side[inside] = 1;
+        w.partition_group[inside] = 1;
         w.isolate(inside);
         let presumed_dead: Vec<usize> = (0..w.workers.len())
             .filter(|&i| w.workers[i].machine.zone == "south")
             .collect();
         for &at in &presumed_dead {
             // These workers reach only the controller in their zone.
-            w.workers[at].only = Some(inside);
+            w.workers[at].reaches_only = Some(inside);
         }
         w.run(4000);
         if cancelled {
             w.cancel(&job);
         }
         w.run(33_000);
-        w.workers.iter_mut().for_each(|m| m.only = None);
-        w.partition_side = vec![0; 3];
+        w.workers.iter_mut().for_each(|m| m.reaches_only = None);
+        w.partition_group = vec![0; 3];
         w.heal();
         w.run(15_000);
         if cancelled {
-            assert_eq!(w.running_of(&job), 0);
+            assert_eq!(w.running_task_count_of(&job), 0);
             w.assert_no_violations();
         } else {
             w.assert_all_jobs_finish(&[job]);
@@ -353,21 +358,21 @@
         let mut w = World::settled(seed, 3, 6);
         w.run_ms = 20_000;
         let jobs: Vec<String> = (1..=4).map(|n| w.submit(n, w.spec(6))).collect();
-        w.until(20_000, "12 tasks run", |w| w.running() >= 12);
-        (0..3).for_each(|i| w.links[i].state = StoreFault::Slow(1200));
-        w.run_asking(4000, &jobs);
+        w.run_until(20_000, "12 tasks run", |w| w.running_task_count() >= 12);
+        (0..3).for_each(|i| w.links[i].store_fault = StoreFault::Slow(1200));
+        w.run_polling(4000, &jobs);
         let leader = w.leader().expect("a leader");
         reject_store_requests(&mut w, leader);
-        w.run_asking(1500, &jobs);
+        w.run_polling(1500, &jobs);
         w.cancel(&jobs[0]);
-        w.run_asking(600, &jobs);
-        w.outage(true);
-        w.run_asking(45_000, &jobs);
-        assert_eq!(w.running_of(&jobs[0]), 0);
+        w.run_polling(600, &jobs);
+        w.set_store_outage(true);
+        w.run_polling(45_000, &jobs);
+        assert_eq!(w.running_task_count_of(&jobs[0]), 0);
         w.heal();
-        w.run_asking(5000, &jobs);
+        w.run_polling(5000, &jobs);
         w.assert_all_jobs_finish(&jobs[1..]);
-        w.run_asking(9000, &jobs);
+        w.run_polling(9000, &jobs);
         w.assert_no_violations();
     }
 }
@@ -383,10 +388,10 @@
             for i in 0..3 {
                 let late = rng.random_bool(0.5);
                 let ms = rng.random_range(2000..12_000);
-                w.links[i].state = if late {
-                    StoreFault::Late(ms)
+                w.links[i].store_fault = if late {
+                    StoreFault::DelaysCommits(ms)
                 } else {
-                    StoreFault::Good
+                    StoreFault::None
                 };
             }
             w.run(rng.random_range(500..3000));
@@ -396,7 +401,7 @@
                 w.run(300);
                 w.start(i);
             }
-            (0..3).for_each(|i| w.links[i].state = StoreFault::Good);
+            (0..3).for_each(|i| w.links[i].store_fault = StoreFault::None);
             w.run(rng.random_range(500..4000));
         }
         w.assert_all_jobs_finish(&jobs);
@@ -406,16 +411,16 @@
 #[test]
 fn a_job_cancelled_through_a_new_leader_stops_while_the_old_leader_is_partitioned() {
     for (seed, controllers) in [(40, 3), (41, 5)] {
-        let (mut w, job) = World::busy(seed, controllers, 200_000);
+        let (mut w, job) = World::with_running_job(seed, controllers, 200_000);
         let old = w.leader().expect("a leader");
         w.isolate(old);
-        w.until(20_000, "another controller leads", |w| {
-            w.leader_but(old).is_some()
+        w.run_until(20_000, "another controller leads", |w| {
+            w.leader_except(old).is_some()
         });
-        let new = w.leader_but(old).expect("a leader");
+        let new = w.leader_except(old).expect("a leader");
         w.cancel_through(new, &job);
-        w.run(w.cancel_ms());
-        assert_eq!(w.running_of(&job), 0);
+        w.run(w.cancel_limit_ms());
+        assert_eq!(w.running_task_count_of(&job), 0);
         w.heal();
         w.run(10_000);
         w.assert_no_violations();
@@ -428,7 +433,7 @@
     // started before then.
     for (seed, controllers, leads) in [(42, 3, true), (43, 3, false), (44, 5, true), (45, 5, false)]
     {
-        let (mut w, job) = World::busy(seed, controllers, 60_000);
+        let (mut w, job) = World::with_running_job(seed, controllers, 60_000);
         let leader = w.leader().expect("a leader");
         let old = if leads {
             leader
@@ -436,15 +441,15 @@
             (leader + 1) % controllers
         };
         reject_store_requests(&mut w, old);
-        w.until(7000, "other controllers lead and hold every machine", |w| {
-            let held = |m: &support::Worker| w.holder_of_all_but(old, &m.machine.name);
-            w.leader_but(old).is_some() && w.workers.iter().all(held)
+        w.run_until(7000, "other controllers lead and hold every machine", |w| {
+            let held = |m: &support::Worker| w.is_held_by_other_than(old, &m.machine.name);
+            w.leader_except(old).is_some() && w.workers.iter().all(held)
         });
         let mut urgent = w.spec(4);
         (urgent.priority, urgent.team) = (Priority::Urgent, "red".into());
         let urgent = w.submit(2, urgent);
-        w.until(10_000, "the urgent job runs", |w| {
-            w.running_of(&urgent) == 4
+        w.run_until(10_000, "the urgent job runs", |w| {
+            w.running_task_count_of(&urgent) == 4
         });
         assert!(w.returned.is_empty(), "{:?}", w.returned);
         w.run(25_000);
@@ -458,23 +463,25 @@
     for ms in [14_000, 21_000, 22_500] {
         let mut w = World::settled(46, 3, 8);
         w.run(3000);
-        let job = w.fill(150_000, 16);
+        let job = w.start_job(150_000, 16);
         let mut red_job = w.spec(16);
         red_job.team = "red".into();
         w.submit(2, red_job);
-        w.until(15_000, "every machine is full", |w| w.running() == 32);
+        w.run_until(15_000, "every machine is full", |w| {
+            w.running_task_count() == 32
+        });
         w.run(45_000);
         let leader = w.leader().expect("a leader");
         // No other controller can take over during the pause.
         (0..3)
             .filter(|&i| i != leader)
-            .for_each(|i| w.links[i].state = StoreFault::Refuses);
+            .for_each(|i| w.links[i].store_fault = StoreFault::RejectsRequests);
         let others: Vec<usize> = (0..3).filter(|&i| i != leader).collect();
         w.pause(leader, ms);
         w.run(ms - 200);
         others
             .iter()
-            .for_each(|&i| w.links[i].state = StoreFault::Good);
+            .for_each(|&i| w.links[i].store_fault = StoreFault::None);
         w.run(30_000);
         assert!(
             w.returned.is_empty(),
@@ -482,7 +489,7 @@
             w.returned
         );
         assert_eq!(
-            w.running(),
+            w.running_task_count(),
             32,
             "tasks of {job} or of the other job do not run"
         );
@@ -495,13 +502,13 @@
 #[test]
 fn copies_of_heartbeats_from_earlier_epochs_and_attempts_do_no_harm_at_a_new_leader() {
     for seed in 50..54 {
-        let (mut w, job) = World::busy(seed, 3, 25_000);
-        w.heartbeat_copies = vec![2500, 13_000, 29_000];
+        let (mut w, job) = World::with_running_job(seed, 3, 25_000);
+        w.heartbeat_copy_delays_ms = vec![2500, 13_000, 29_000];
         let at = machines_with_running_tasks(&w)[0];
         // The worker's epoch ends; the next attempts run on this or another machine.
-        w.workers[at].cut = true;
+        w.workers[at].disconnected = true;
         w.run(14_000);
-        w.workers[at].cut = false;
+        w.workers[at].disconnected = false;
         let held: Vec<_> = w.workers.iter().map(|m| m.heartbeat()).collect();
         let leader = w.leader().expect("a leader");
         w.crash(leader);
@@ -527,7 +534,9 @@
         w.run(2000);
         w.run_ms = 60_000;
         let first = w.submit(1, w.spec(16));
-        w.until(15_000, "the team is at its limit", |w| w.running() == 16);
+        w.run_until(15_000, "the team is at its limit", |w| {
+            w.running_task_count() == 16
+        });
         let waiting = w.submit(2, w.spec(16));
         let out: Vec<usize> = machines_with_running_tasks(&w)
             .into_iter()
@@ -548,11 +557,15 @@
 
 #[test]
 fn workers_that_reach_no_controller_restart_their_tasks_once_and_are_used_again() {
-    let (mut w, job) = World::busy(60, 3, 20_000);
+    let (mut w, job) = World::with_running_job(60, 3, 20_000);
     let affected = machines_with_running_tasks(&w);
-    affected.iter().for_each(|&at| w.workers[at].cut = true);
+    affected
+        .iter()
+        .for_each(|&at| w.workers[at].disconnected = true);
     w.run(15_000);
-    affected.iter().for_each(|&at| w.workers[at].cut = false);
+    affected
+        .iter()
+        .for_each(|&at| w.workers[at].disconnected = false);
     w.assert_all_jobs_finish(&[job]);
     assert_eq!(w.starts.len(), 24);
 }
@@ -560,14 +573,16 @@
 #[test]
 fn a_job_cancelled_while_its_machines_hang_stops_soon_after_they_resume() {
     for hang_ms in [5000, 11_000, 20_000, 50_000] {
-        let (mut w, job) = World::busy(61, 3, 200_000);
+        let (mut w, job) = World::with_running_job(61, 3, 200_000);
         w.cancel(&job);
         for at in machines_with_running_tasks(&w) {
             w.workers[at].hung = true;
         }
         w.run(hang_ms);
         w.workers.iter_mut().for_each(|m| m.hung = false);
-        w.until(6000, "no task of the job runs", |w| w.running_of(&job) == 0);
+        w.run_until(6000, "no task of the job runs", |w| {
+            w.running_task_count_of(&job) == 0
+        });
         w.run(30_000);
         w.assert_no_violations();
     }
@@ -584,12 +599,12 @@
         for turn in 0..6 {
             let i = (w.leader().unwrap_or(0) + turn) % 3;
             // First responses are lost, then the workers cannot reach the controller.
-            w.workers.iter_mut().for_each(|m| m.unreachable = true);
+            w.workers.iter_mut().for_each(|m| m.loses_responses = true);
             w.run(900);
-            w.workers.iter_mut().for_each(|m| m.unreachable = false);
-            w.links[i].workers = false;
+            w.workers.iter_mut().for_each(|m| m.loses_responses = false);
+            w.links[i].workers_reachable = false;
             w.run(3500);
-            w.links[i].workers = true;
+            w.links[i].workers_reachable = true;
             w.run(3000);
         }
         w.assert_all_jobs_finish(&jobs);
@@ -605,9 +620,9 @@
         let mut w = World::settled(70, 3, 3);
         w.run_ms = 3000;
         let job = w.submit(1, w.spec(2));
-        w.until(15_000, "both tasks run", |w| w.running() == 2);
+        w.run_until(15_000, "both tasks run", |w| w.running_task_count() == 2);
         w.run(2000 + seed * 100);
-        let record = w.job(&job).expect("the job is stored");
+        let record = w.job_record(&job).expect("the job is stored");
         for i in 0..3 {
             w.poll_status(i, &job);
         }
@@ -624,7 +639,7 @@
         // The stored record makes a repeated submission fail, also after the job was archived.
         let again = quillbend::jobs::new_record(w.spec(2), w.now);
         let again = w
-            .state
+            .store
             .commit(&quillbend::jobs::accept_transaction(&job, &again));
         assert!(matches!(again, CommitOutcome::Conflict(_)));
         let last = w.poll_status(0, &job).expect("controller 0 answers");
@@ -661,7 +676,7 @@
         jobs.push(w.submit(n as u32, spec));
         w.run(700);
     }
-    (0..3).for_each(|i| w.links[i].state = StoreFault::Slow(800));
+    (0..3).for_each(|i| w.links[i].store_fault = StoreFault::Slow(800));
     w.run(15_000);
     w.assert_all_jobs_finish(&jobs);
 }
@@ -696,10 +711,10 @@
         let controllers = [3, 5][seed as usize % 2];
         let mut rng = SmallRng::seed_from_u64(900 + seed);
         let mut w = World::settled(900 + seed, controllers, 8);
-        w.drift[0] = -0.0005;
-        w.drift[1] = 0.0005;
+        w.clock_drift[0] = -0.0005;
+        w.clock_drift[1] = 0.0005;
         if seed % 3 == 0 {
-            w.heartbeat_copies = vec![2500, 14_000];
+            w.heartbeat_copy_delays_ms = vec![2500, 14_000];
         }
         let mut open: Vec<String> = Vec::new();
         let mut all: Vec<String> = Vec::new();
@@ -719,31 +734,36 @@
                 kind @ 0..=4 => w.inject_fault(i, kind, &mut rng),
                 5 => w.isolate(i),
                 6 => reject_store_requests(&mut w, i),
-                7 => w.outage(true),
+                7 => w.set_store_outage(true),
                 8 if rng.random_bool(0.3) => (0..controllers).for_each(|i| w.crash(i)),
-                8 => w.links[i].state = StoreFault::Late(rng.random_range(2000..12_000)),
+                8 => {
+                    w.links[i].store_fault =
+                        StoreFault::DelaysCommits(rng.random_range(2000..12_000))
+                }
                 kind if at < w.workers.len() => match kind {
-                    9 => w.workers[at].cut = true,
-                    10 => w.workers[at].unreachable = true,
+                    9 => w.workers[at].disconnected = true,
+                    10 => w.workers[at].loses_responses = true,
                     11 => w.workers[at].hung = true,
                     _ => w.restart_machine(at),
                 },
                 _ => {}
             }
-            w.run_asking(rng.random_range(100..6000), &all);
+            w.run_polling(rng.random_range(100..6000), &all);
             if rng.random_bool(0.2) && !open.is_empty() {
                 let job = open.swap_remove(rng.random_range(0..open.len()));
-                if w.job(&job).is_some_and(|j| j.status == JobStatus::Pending) {
+                if w.job_record(&job)
+                    .is_some_and(|j| j.status == JobStatus::Pending)
+                {
                     w.cancel(&job);
                 }
             }
-            w.run_asking(rng.random_range(100..6000), &all);
+            w.run_polling(rng.random_range(100..6000), &all);
             if rng.random_bool(0.5) {
                 w.heal();
             }
         }
         w.assert_all_jobs_finish(&open);
-        w.run_asking(10_000, &all);
+        w.run_polling(10_000, &all);
         w.assert_no_violations();
     }
 }
@@ -751,7 +771,7 @@
 #[test]
 fn after_a_restart_of_all_controllers_grants_are_written_before_batched_updates() {
     // With many blocks and few writes per second, completions and bindings would use up the write budget.
-    let mut w = World::sized(71, 3, 30);
+    let mut w = World::with_size(71, 3, 30);
     w.settings.options.block_machines = 1.0;
     let state = &mut w.settings.platform.settings.state;
     (state.write_rps, state.txn_ops) = (60.0, 4);
@@ -759,40 +779,42 @@
     w.run(12_000);
     w.cloud_up = false;
     assert!(
-        w.state.list("qb/block/").0.len() >= 25,
+        w.store.list("qb/block/").0.len() >= 25,
         "there are fewer than 25 blocks"
     );
     w.run_ms = 90_000;
     let mut long = w.spec(16);
     long.team = "red".into();
     let long = w.submit(1, long);
-    w.until(20_000, "all tasks run", |w| w.running_of(&long) == 16);
+    w.run_until(20_000, "all tasks run", |w| {
+        w.running_task_count_of(&long) == 16
+    });
     w.run_ms = 1500;
     let mut short = w.spec(4000);
     (short.team, short.cpus, short.memory_gb) = ("guest".into(), 0.25, 0.1);
     let short = w.submit(2, short);
     w.run(10_000);
     assert!(
-        w.running_of(&short) > 20,
+        w.running_task_count_of(&short) > 20,
         "the short job does not compete for the write budget"
     );
-    w.state.budget = Some((4.0, 4.0));
+    w.store.write_budget = Some((4.0, 4.0));
     (0..3).for_each(|i| w.crash(i));
     w.run(4500);
     (0..3).for_each(|i| w.start(i));
-    let grants = w.state.writes_to("qb/grant/");
-    w.until(10_000, "the first grants", |w| {
-        w.state.writes_to("qb/grant/") > grants
+    let grants = w.store.put_count("qb/grant/");
+    w.run_until(10_000, "the first grants", |w| {
+        w.store.put_count("qb/grant/") > grants
     });
-    let blocks = w.state.writes_to("qb/block/");
+    let blocks = w.store.put_count("qb/block/");
     w.run(3000);
-    let batched = w.state.writes_to("qb/block/") - blocks;
+    let batched = w.store.put_count("qb/block/") - blocks;
     assert_eq!(
         batched, 0,
         "batched updates used the write budget before the grants"
     );
     w.run(20_000);
-    w.state.budget = None;
-    w.until(200_000, "the job is done", |w| w.is_done(&long));
+    w.store.write_budget = None;
+    w.run_until(200_000, "the job is done", |w| w.is_done(&long));
     w.assert_no_violations();
 }
--- a/tests/overload_and_stalls.rs
+++ b/tests/overload_and_stalls.rs
@@ -9,7 +9,9 @@
 /// Waits up to `ms` until a task of the job runs; returns the simulated time that this took, in ms.
 fn time_to_first_task(w: &mut World, job: &str, ms: u64) -> u64 {
     let since = w.now;
-    w.until(ms, "a task of the job runs", |w| w.running_of(job) > 0);
+    w.run_until(ms, "a task of the job runs", |w| {
+        w.running_task_count_of(job) > 0
+    });
     w.now - since
 }
 
@@ -26,13 +28,13 @@
     assert_eq!(w.controller(0).unrunnable_reason(&guest_job), None);
     let guest_job = w.submit(1, guest_job);
     time_to_first_task(&mut w, &guest_job, 10_000);
-    w.until(10_000, "the guest team uses the whole fleet", |w| {
-        w.running_of(&guest_job) >= 60
+    w.run_until(10_000, "the guest team uses the whole fleet", |w| {
+        w.running_task_count_of(&guest_job) >= 60
     });
     let team_job = w.submit(2, w.spec(8));
     let waited_ms = time_to_first_task(&mut w, &team_job, 12_000);
-    w.until(20_000, "the other team has its guaranteed CPUs", |w| {
-        w.running_of(&team_job) == 8
+    w.run_until(20_000, "the other team has its guaranteed CPUs", |w| {
+        w.running_task_count_of(&team_job) == 8
     });
     assert!(waited_ms < 12_000);
     // The guest team still makes progress beside a stream of jobs that fills another team's guarantee.
@@ -40,7 +42,7 @@
         w.submit(n, w.spec(4));
         w.run(2000);
     }
-    let done = w.done(&guest_job);
+    let done = w.done_task_count(&guest_job);
     assert!(done > 200, "only {done} tasks of the guest team are done");
     w.assert_no_violations();
 }
@@ -51,7 +53,7 @@
     w.cloud_up = false;
     w.run_ms = 15_000;
     let mut small_jobs = Vec::new();
-    let writes_before = w.state.writes;
+    let writes_before = w.store.write_count;
     for n in 1..=300 {
         let mut small_job = w.spec(1);
         (small_job.team, small_job.cpus, small_job.memory_gb) = ("guest".into(), 0.25, 0.1);
@@ -64,17 +66,17 @@
         w.submit(1000, spec)
     };
     time_to_first_task(&mut w, &urgent, 15_000);
-    w.until(60_000, "all small jobs are done", |w| {
+    w.run_until(60_000, "all small jobs are done", |w| {
         small_jobs.iter().all(|j| w.is_done(j))
     });
     w.run(30_000);
-    let writes = (w.state.writes - writes_before) as f64 / 100.0;
+    let writes = (w.store.write_count - writes_before) as f64 / 100.0;
     let limit = w.settings.platform.settings.state.write_rps;
     assert!(
         writes < limit,
         "{writes} writes per second, the limit is {limit}"
     );
-    let left = w.state.list("qb/job/").0.len();
+    let left = w.store.list("qb/job/").0.len();
     assert!(
         left < 150,
         "{left} finished jobs are still in every replica"
@@ -99,7 +101,7 @@
     let mut small = w.spec(40);
     (small.team, small.estimate_s) = ("guest".into(), 3.0);
     let small = w.submit(2, small);
-    w.until(200_000, "both jobs are done", |w| {
+    w.run_until(200_000, "both jobs are done", |w| {
         w.is_done(&large) && w.is_done(&small)
     });
     w.assert_no_violations();
@@ -116,13 +118,13 @@
     let failing_job = w.submit(1, w.spec(12));
     w.failing_jobs.insert(failing_job.clone());
     w.run(40_000);
-    let before = w.starts_of(&failing_job);
+    let before = w.start_count_of(&failing_job);
     let good: Vec<String> = (2..=5).map(|n| w.submit(n, w.spec(10))).collect();
-    w.until(40_000, "the other jobs are done", |w| {
+    w.run_until(40_000, "the other jobs are done", |w| {
         good.iter().all(|j| w.is_done(j))
     });
     w.run(60_000);
-    let attempts = w.starts_of(&failing_job) - before;
+    let attempts = w.start_count_of(&failing_job) - before;
     assert!((1..=60).contains(&attempts), "{attempts} attempts");
     assert!(
         w.returned.is_empty(),
@@ -136,9 +138,9 @@
     );
     w.cancel(&failing_job);
     w.run(3000);
-    let attempts = w.starts_of(&failing_job);
+    let attempts = w.start_count_of(&failing_job);
     w.run(80_000);
-    assert_eq!(w.starts_of(&failing_job), attempts);
+    assert_eq!(w.start_count_of(&failing_job), attempts);
     w.assert_no_violations();
 }
 
@@ -149,7 +151,7 @@
     for (seed, controllers) in [(5, 3), (6, 5)] {
         for ms in [1500, 3000, 6000, 13_000, 24_000, 40_000] {
             for who in 0..3 {
-                let (mut w, job) = World::busy(seed, controllers, 30_000);
+                let (mut w, job) = World::with_running_job(seed, controllers, 30_000);
                 let leader = w.leader().expect("a leader");
                 let paused = match who {
                     0 => vec![leader],
@@ -157,9 +159,9 @@
                     _ => vec![leader, (leader + 1) % controllers],
                 };
                 paused.iter().for_each(|&i| w.pause(i, ms));
-                let grants = w.state.writes_to("qb/grant/");
+                let grants = w.store.put_count("qb/grant/");
                 w.run(ms + 300);
-                let moved = w.state.writes_to("qb/grant/") - grants;
+                let moved = w.store.put_count("qb/grant/") - grants;
                 w.run(12_000);
                 w.assert_all_jobs_finish(&[job]);
                 if ms <= 1500 {
@@ -181,14 +183,14 @@
 fn machines_that_boot_late_or_never_are_replaced_and_returned() {
     for never in [false, true] {
         let mut w = World::settled(7, 3, 0);
-        w.slow_boot = Some(if never { u64::MAX / 4 } else { 120_000 });
+        w.boot_delay_ms = Some(if never { u64::MAX / 4 } else { 120_000 });
         w.run_ms = 8000;
         let job = w.submit(1, w.spec(8));
-        w.until(30_000, "machines are rented", |w| !w.workers.is_empty());
+        w.run_until(30_000, "machines are rented", |w| !w.workers.is_empty());
         let first: Vec<String> = w.workers.iter().map(|m| m.machine.name.clone()).collect();
         w.run(5000);
-        w.slow_boot = None;
-        w.until(90_000, "the job is done on other machines", |w| {
+        w.boot_delay_ms = None;
+        w.run_until(90_000, "the job is done on other machines", |w| {
             w.is_done(&job)
         });
         w.run(200_000);
@@ -207,14 +209,14 @@
     let mut spec = w.spec(16);
     (spec.team, spec.estimate_s) = ("guest".into(), 60.0);
     let first = w.submit(1, spec.clone());
-    w.until(60_000, "boot times have been observed", |w| {
-        w.running_of(&first) == 16
+    w.run_until(60_000, "boot times have been observed", |w| {
+        w.running_task_count_of(&first) == 16
     });
-    w.slow_boot = Some(u64::MAX / 4);
+    w.boot_delay_ms = Some(u64::MAX / 4);
     spec.task_count = 40;
     let known: Vec<String> = w.workers.iter().map(|m| m.machine.name.clone()).collect();
     let second = w.submit(2, spec);
-    w.until(30_000, "more machines are rented", |w| {
+    w.run_until(30_000, "more machines are rented", |w| {
         w.workers.len() > known.len()
     });
     let mut rented = w.workers.iter().map(|m| m.machine.name.clone());
@@ -222,11 +224,11 @@
         .find(|m| !known.contains(m))
         .expect("a machine was rented");
     w.run(500);
-    w.slow_boot = None;
+    w.boot_delay_ms = None;
     // A machine that sends no heartbeat is kept for at least a worker's lease plus 8 s.
-    w.until(28_000, "the late machine is returned", |w| {
+    w.run_until(28_000, "the late machine is returned", |w| {
         w.returned.contains(&late)
     });
-    w.until(200_000, "the second job is done", |w| w.is_done(&second));
+    w.run_until(200_000, "the second job is done", |w| w.is_done(&second));
     w.assert_no_violations();
 }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -17,7 +17,7 @@
 /// The same with a job, all of whose tasks run, each for `run_ms`.
 fn world_with_job(seed: u64, machines: usize, run_ms: u64, tasks: u32) -> (World, String) {
     let mut w = settled_world(seed, machines);
-    let job = w.fill(run_ms, tasks);
+    let job = w.start_job(run_ms, tasks);
     (w, job)
 }
 
@@ -25,10 +25,10 @@
 fn a_job_runs_each_task_once_and_is_reported_done() {
     let mut w = settled_world(1, 3);
     let job = w.submit(1, w.spec(20));
-    w.until(60_000, "the job is done", |w| w.is_done(&job));
+    w.run_until(60_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_eq!(w.starts.len(), 20, "a task did not start exactly once");
-    assert_eq!(w.job(&job).map(|j| j.done.tasks.len()), Some(20));
+    assert_eq!(w.job_record(&job).map(|j| j.done.tasks.len()), Some(20));
     w.run(10_000);
     assert!(
         w.workers.iter().all(|m| m.tasks.is_empty()),
@@ -42,8 +42,8 @@
     // Team blue may use 16 CPUs at a time, and the machines have 24.
     let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(20))).collect();
     let mut most = 0;
-    w.until(90_000, "all jobs are done", |w| {
-        most = most.max(w.running());
+    w.run_until(90_000, "all jobs are done", |w| {
+        most = most.max(w.running_task_count());
         jobs.iter().all(|j| w.is_done(j))
     });
     w.assert_no_violations();
@@ -58,7 +58,7 @@
     let (mut w, job) = world_with_job(3, 6, 25_000, 16);
     let dead = (w.leader().expect("a leader") + 1) % 3;
     w.crash(dead);
-    w.until(60_000, "the job is done", |w| w.is_done(&job));
+    w.run_until(60_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_eq!(w.starts.len(), 16, "a running task was lost");
 }
@@ -69,7 +69,7 @@
     let leader = w.leader().expect("a leader");
     w.crash(leader);
     let job = w.submit(1, w.spec(10));
-    w.until(40_000, "the job is done", |w| w.is_done(&job));
+    w.run_until(40_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_ne!(w.leader(), Some(leader));
 }
@@ -80,7 +80,7 @@
     (0..3).for_each(|i| w.crash(i));
     w.run(6000);
     (0..3).for_each(|i| w.start(i));
-    w.until(60_000, "the job is done", |w| w.is_done(&job));
+    w.run_until(60_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_eq!(
         w.starts.len(),
@@ -93,7 +93,7 @@
 fn a_holder_without_the_store_loses_its_authority_in_time() {
     let mut w = settled_world(6, 3);
     let i = (w.leader().expect("a leader") + 1) % 3;
-    w.links[i].state = StoreFault::Refuses;
+    w.links[i].store_fault = StoreFault::RejectsRequests;
     let cut = w.now;
     while w.controller(i).has_authority(Timestamp(w.now)) {
         w.step();
@@ -124,21 +124,21 @@
 
 #[test]
 fn lost_responses_and_delayed_commits_start_no_task_twice() {
-    for fault in [StoreFault::LosesAnswers, StoreFault::Late(3000)] {
+    for fault in [StoreFault::LosesResponses, StoreFault::DelaysCommits(3000)] {
         let mut w = settled_world(8, 6);
         let leader = w.leader().expect("a leader");
         let jobs: Vec<String> = (1..=2).map(|n| w.submit(n, w.spec(20))).collect();
         for _ in 0..6 {
             for i in 0..3 {
-                w.links[i].state = fault;
+                w.links[i].store_fault = fault;
             }
             w.run(700);
             for i in 0..3 {
-                w.links[i].state = StoreFault::Good;
+                w.links[i].store_fault = StoreFault::None;
             }
             w.run(2500);
         }
-        w.until(90_000, "all jobs are done", |w| {
+        w.run_until(90_000, "all jobs are done", |w| {
             jobs.iter().all(|j| w.is_done(j))
         });
         w.assert_no_violations();
@@ -155,12 +155,12 @@
     // Its peers receive its messages, and its keys last for a whole lease, but its earlier incarnation ended.
     let (mut w, job) = world_with_job(24, 9, 40_000, 16);
     let leader = w.leader().expect("a leader");
-    w.links[leader].state = StoreFault::Refuses;
+    w.links[leader].store_fault = StoreFault::RejectsRequests;
     (0..3).for_each(|i| w.crash(i));
     w.run(3000);
     (0..3).for_each(|i| w.start(i));
-    w.until(6000, "another controller leads", |w| w.leader().is_some());
-    w.until(60_000, "the job is done", |w| w.is_done(&job));
+    w.run_until(6000, "another controller leads", |w| w.leader().is_some());
+    w.run_until(60_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_eq!(w.starts.len(), 16, "a running task was lost");
 }
@@ -170,13 +170,13 @@
     let mut w = settled_world(9, 6);
     let old = w.leader().expect("a leader");
     // Its writes are committed 20 s late; in the meantime it loses the connection to its peers and is replaced.
-    w.links[old].state = StoreFault::Late(20_000);
-    w.links[old].peers = false;
+    w.links[old].store_fault = StoreFault::DelaysCommits(20_000);
+    w.links[old].peers_reachable = false;
     let job = w.submit(1, w.spec(16));
-    w.until(60_000, "the job is done under another leader", |w| {
+    w.run_until(60_000, "the job is done under another leader", |w| {
         w.is_done(&job)
     });
-    w.links[old].state = StoreFault::Good;
+    w.links[old].store_fault = StoreFault::None;
     w.run(30_000);
     w.assert_no_violations();
     assert_eq!(w.starts.len(), 16);
@@ -187,7 +187,7 @@
     let mut w = settled_world(10, 3);
     let leader = w.leader().expect("a leader");
     let without_peers = (leader + 1) % 3;
-    w.links[without_peers].peers = false;
+    w.links[without_peers].peers_reachable = false;
     for _ in 0..200 {
         w.step();
         assert_ne!(w.leader(), Some(without_peers));
@@ -198,8 +198,8 @@
 fn machines_that_cannot_reach_their_holder_are_granted_to_another() {
     let (mut w, job) = world_with_job(11, 6, 30_000, 16);
     let cut = (w.leader().expect("a leader") + 1) % 3;
-    w.links[cut].workers = false;
-    w.until(80_000, "the job is done", |w| w.is_done(&job));
+    w.links[cut].workers_reachable = false;
+    w.run_until(80_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     assert_eq!(
         w.starts.len(),
@@ -216,10 +216,10 @@
         .iter()
         .position(|m| !m.tasks.is_empty())
         .expect("a machine has tasks");
-    w.workers[at].cut = true;
+    w.workers[at].disconnected = true;
     let since = w.now;
     let presumed_dead = w.workers[at].tasks.len();
-    w.until(120_000, "the job is done", |w| w.is_done(&job));
+    w.run_until(120_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     let again: Vec<_> = w.starts.iter().filter(|s| s.0 > since).collect();
     assert!(again.len() >= presumed_dead);
@@ -231,17 +231,20 @@
     let mut w = settled_world(13, 6);
     w.run_ms = 60_000;
     let job = w.submit(1, w.spec(40));
-    w.until(15_000, "10 tasks run", |w| w.running() >= 10);
+    w.run_until(15_000, "10 tasks run", |w| w.running_task_count() >= 10);
     assert!(matches!(w.cancel(&job), CommitOutcome::Done(_)));
     let at = w.now;
     w.run(8000);
-    assert_eq!(w.running(), 0);
+    assert_eq!(w.running_task_count(), 0);
     w.run(20_000);
     assert!(
         w.starts.iter().all(|s| s.0 <= at + 300),
         "a task started after the cancellation"
     );
-    assert_eq!(w.job(&job).map(|j| j.status), Some(JobStatus::Cancelled));
+    assert_eq!(
+        w.job_record(&job).map(|j| j.status),
+        Some(JobStatus::Cancelled)
+    );
     w.assert_no_violations();
 }
 
@@ -249,10 +252,10 @@
 fn a_cancellation_based_on_a_stale_record_conflicts_with_the_last_completion() {
     let mut w = settled_world(14, 3);
     let job = w.submit(1, w.spec(1));
-    w.until(30_000, "the job is done", |w| w.is_done(&job));
-    let record = w.job(&job).expect("the job is stored");
+    w.run_until(30_000, "the job is done", |w| w.is_done(&job));
+    let record = w.job_record(&job).expect("the job is stored");
     let stale = quillbend::jobs::cancel_transaction(&job, &record, 1, w.settings.max_value_bytes());
-    assert!(matches!(w.state.commit(&stale), CommitOutcome::Conflict(_)));
+    assert!(matches!(w.store.commit(&stale), CommitOutcome::Conflict(_)));
     w.run(10_000);
     assert!(w.is_done(&job), "the archived job is no longer done");
 }
@@ -266,7 +269,7 @@
     (0..3).for_each(|i| w.crash(i));
     w.run(1000);
     // The store does not have the catalog either.
-    w.state.forget("qb/catalog");
+    w.store.delete_externally("qb/catalog");
     (0..3).for_each(|i| w.start(i));
     w.run(8000);
     assert!((0..3).all(|i| !w.controller(i).catalog_known()));
@@ -295,7 +298,7 @@
     for (m, at) in w.workers.iter_mut().zip(held) {
         m.up_at = at;
     }
-    w.until(120_000, "the job is done", |w| w.is_done(&job));
+    w.run_until(120_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
 }
 
@@ -335,12 +338,14 @@
     w.settings.options.queue_max_wait_s = 600.0;
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
-    w.until(20_000, "there is a leader", |w| w.leader().is_some());
+    w.run_until(20_000, "there is a leader", |w| w.leader().is_some());
     w.cloud_up = false;
     let job = w.submit(1, w.spec(16));
-    w.until(15_000, "both machines are full", |w| w.running() == 8);
+    w.run_until(15_000, "both machines are full", |w| {
+        w.running_task_count() == 8
+    });
     w.cloud_up = true;
-    w.until(90_000, "the job is done", |w| w.is_done(&job));
+    w.run_until(90_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
     let moved: u64 = (0..3).map(|i| w.controller(i).counters.stolen_tasks).sum();
     assert!(moved > 0, "machines that were rented later stole nothing");
@@ -353,31 +358,37 @@
     w.settings.options.queue_max_wait_s = 600.0;
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
-    w.until(20_000, "there is a leader", |w| w.leader().is_some());
+    w.run_until(20_000, "there is a leader", |w| w.leader().is_some());
     w.cloud_up = false;
     w.run_ms = 60_000;
     w.submit(1, w.spec(8));
     let machine = w.workers[0].machine.name.clone();
-    let queue = |w: &World| w.block("qb/block/0000").machines[&machine].queue.clone();
-    w.until(20_000, "the machine is full", |w| w.running() == 4);
+    let queue = |w: &World| {
+        w.block_record("qb/block/0000").machines[&machine]
+            .queue
+            .clone()
+    };
+    w.run_until(20_000, "the machine is full", |w| {
+        w.running_task_count() == 4
+    });
     w.run(3000);
     let holder = w.holder(&machine).expect("a holder");
     let before = queue(&w);
     // On notice of the reclaim, the holder decides to unbind the unstarted tasks but cannot write that.
-    w.links[holder].state = StoreFault::Refuses;
+    w.links[holder].store_fault = StoreFault::RejectsRequests;
     w.workers[0].reclaim_s = Some(30.0);
     w.run(2500);
     w.workers[0].reclaim_s = None;
-    w.workers[0].cut = true;
+    w.workers[0].disconnected = true;
     // The block is granted to another controller, which may start the tasks, and then granted back.
     let mine = w
-        .state
+        .store
         .value("qb/grant/0000")
         .expect("the block is granted");
     let theirs = serde_json::json!({ "h": "other", "b": 1 });
-    w.state.overwrite("qb/grant/0000", &theirs);
-    w.state.overwrite("qb/grant/0000", &mine);
-    w.links[holder].state = StoreFault::Good;
+    w.store.overwrite("qb/grant/0000", &theirs);
+    w.store.overwrite("qb/grant/0000", &mine);
+    w.links[holder].store_fault = StoreFault::None;
     w.run(2000);
     assert_eq!(queue(&w), before);
 }
@@ -390,17 +401,17 @@
         let mut w = settled_world(100 + seed, 6);
         w.run_ms = 15_000;
         let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(16))).collect();
-        w.until(15_000, "14 tasks run", |w| w.running() >= 14);
+        w.run_until(15_000, "14 tasks run", |w| w.running_task_count() >= 14);
         for _ in 0..4 {
             let i = (w.leader().unwrap_or(0) + 1) % 3;
-            w.links[i].state = StoreFault::Refuses;
-            w.links[i].peers = false;
+            w.links[i].store_fault = StoreFault::RejectsRequests;
+            w.links[i].peers_reachable = false;
             w.run(5000 + seed * 700);
-            w.links[i].state = StoreFault::Good;
-            w.links[i].peers = true;
+            w.links[i].store_fault = StoreFault::None;
+            w.links[i].peers_reachable = true;
             w.run(4000);
         }
-        w.until(150_000, "all jobs are done", |w| {
+        w.run_until(150_000, "all jobs are done", |w| {
             jobs.iter().all(|j| w.is_done(j))
         });
         w.assert_no_violations();
@@ -427,7 +438,7 @@
         let listed = known(i).is_some_and(|m| w.controller(i).replica.machines.contains_key(&m));
         assert!(!listed, "the machine that is gone is still in a replica");
     }
-    w.until(100_000, "the job is done", |w| w.is_done(&job));
+    w.run_until(100_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
 }
 
@@ -440,12 +451,12 @@
     two.iter().for_each(|&i| w.crash(i));
     w.run(6000);
     // One machine loses its connection just as the controllers restart.
-    w.workers[0].cut = true;
+    w.workers[0].disconnected = true;
     two.iter().for_each(|&i| w.start(i));
     w.run(1500);
-    let before = w.state.writes_to("qb/grant/");
+    let before = w.store.put_count("qb/grant/");
     w.run(4500);
-    let moved = w.state.writes_to("qb/grant/") - before;
+    let moved = w.store.put_count("qb/grant/") - before;
     assert!(moved <= 3, "{moved} grants in 4.5 s");
 }
 
@@ -462,7 +473,7 @@
     w.run(20_000);
     let busy = w.workers.iter().filter(|m| !m.tasks.is_empty()).count();
     assert!(busy > 0);
-    assert_eq!(w.running(), 16, "returned: {:?}", w.returned);
+    assert_eq!(w.running_task_count(), 16, "returned: {:?}", w.returned);
     assert_eq!(w.starts.len(), 16);
 }
 
@@ -470,11 +481,11 @@
 fn a_machine_that_fails_every_task_is_quarantined_and_replaced() {
     let mut w = settled_world(18, 6);
     let first = w.submit(1, w.spec(16));
-    w.until(60_000, "the job is done", |w| w.is_done(&first));
+    w.run_until(60_000, "the job is done", |w| w.is_done(&first));
     let fails_tasks = w.workers[0].machine.name.clone();
     w.workers[0].fails_tasks = true;
     let jobs: Vec<String> = (2..=3).map(|n| w.submit(n, w.spec(30))).collect();
-    w.until(150_000, "all jobs are done", |w| {
+    w.run_until(150_000, "all jobs are done", |w| {
         jobs.iter().all(|j| w.is_done(j))
     });
     w.run(15_000);
@@ -500,7 +511,7 @@
 fn idle_machines_are_returned_and_request_ids_are_never_reused() {
     let mut w = settled_world(20, 3);
     let job = w.submit(1, w.spec(60));
-    w.until(150_000, "the job is done", |w| w.is_done(&job));
+    w.run_until(150_000, "the job is done", |w| w.is_done(&job));
     w.run(120_000);
     assert!(
         w.workers.is_empty(),
@@ -512,7 +523,7 @@
     w.run(8000);
     w.start(leader);
     let again = w.submit(2, w.spec(8));
-    w.until(90_000, "the job is done", |w| w.is_done(&again));
+    w.run_until(90_000, "the job is done", |w| w.is_done(&again));
     w.assert_no_violations();
 }
 
@@ -531,7 +542,7 @@
                 _ => {
                     let n = w.workers.len();
                     if n > 0 {
-                        w.workers[rng.random_range(0..n)].cut = true;
+                        w.workers[rng.random_range(0..n)].disconnected = true;
                     }
                 }
             }
@@ -548,19 +559,19 @@
 fn an_intermittent_store_and_clocks_at_their_drift_limit_violate_no_invariant() {
     for seed in 0..4 {
         let mut w = settled_world(300 + seed, 6);
-        w.drift = vec![0.0005, 0.0, -0.0005];
+        w.clock_drift = vec![0.0005, 0.0, -0.0005];
         let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(20))).collect();
         for i in 0..3 {
-            w.links[i].state = StoreFault::Intermittent;
+            w.links[i].store_fault = StoreFault::Intermittent;
         }
         w.run(30_000);
         let busy = w.workers.iter().position(|m| !m.tasks.is_empty());
         if let Some(at) = busy {
-            w.workers[at].cut = true;
+            w.workers[at].disconnected = true;
         }
         w.run(30_000);
         w.heal();
-        w.until(120_000, "all jobs are done", |w| {
+        w.run_until(120_000, "all jobs are done", |w| {
             jobs.iter().all(|j| w.is_done(j))
         });
         w.assert_no_violations();
@@ -577,11 +588,11 @@
     w.run(10_000);
     w.run_ms = 6000;
     let jobs: Vec<String> = (1..=4).map(|n| w.submit(n, w.spec(6))).collect();
-    let ended = |w: &World| w.starts.len() == 24 && w.running() == 0;
-    w.until(60_000, "all tasks have ended", ended);
+    let ended = |w: &World| w.starts.len() == 24 && w.running_task_count() == 0;
+    w.run_until(60_000, "all tasks have ended", ended);
     w.run(2500);
     let recorded: u32 = {
-        let blocks = w.state.list("qb/block/").0.into_iter();
+        let blocks = w.store.list("qb/block/").0.into_iter();
         let blocks = blocks.map(|b| b.value.decode::<BlockRecord>().expect("a block record"));
         let queued = blocks.flat_map(|b| b.machines.into_values().flat_map(|m| m.queue));
         queued.map(|binding| binding.tasks.len()).sum()
@@ -605,8 +616,8 @@
         (spec.team, spec.cpus, spec.memory_gb) = ("guest".into(), 0.25, 0.1);
         spec.one_zone = one_zone;
         w.submit(1, spec);
-        w.until(30_000, "more tasks run than one job's share", |w| {
-            w.running() > 320
+        w.run_until(30_000, "more tasks run than one job's share", |w| {
+            w.running_task_count() > 320
         });
         w.assert_no_violations();
     }
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -1,34 +1,35 @@
-//! The controllers: their lives, and what they ask of the state service, of each other and of the cloud.
+//! Simulated controllers: their starts, crashes, pauses and faults, and the execution of their effects.
 
 use super::{
-    BEGIN, CommitOutcome, Controller, Effect, JobRecord, Link, Mutation, Node, Rng, SmallRng,
-    StoreFault, Timestamp, Transaction, World, WriteKind, archive_key, catalog, cells, digest,
-    position,
+    CommitOutcome, Controller, ControllerProcess, Effect, JobRecord, Link, Mutation, Rng, START_MS,
+    SmallRng, StoreFault, Timestamp, Transaction, World, WriteKind, archive_key, catalog, cells,
+    controller_index, digest,
 };
 use quillbend::leadership::RentalOutcome;
 
 impl World {
-    /// One of six faults of a controller.
+    /// Injects one of six faults into a controller.
     pub fn inject_fault(&mut self, i: usize, kind: u32, rng: &mut SmallRng) {
         match kind {
             0 => self.crash(i),
-            1 => self.links[i].state = StoreFault::Refuses,
-            2 if rng.random_bool(0.5) => self.links[i].state = StoreFault::Slow(1500),
-            2 => self.links[i].state = StoreFault::Late(rng.random_range(200..8000)),
-            3 => self.links[i].peers = false,
-            _ => self.links[i].workers = false,
+            1 => self.links[i].store_fault = StoreFault::RejectsRequests,
+            2 if rng.random_bool(0.5) => self.links[i].store_fault = StoreFault::Slow(1500),
+            2 => self.links[i].store_fault = StoreFault::DelaysCommits(rng.random_range(200..8000)),
+            3 => self.links[i].peers_reachable = false,
+            _ => self.links[i].workers_reachable = false,
         }
     }
 
-    /// A controller's steady clock. It drifts, but does not jump when a test sets its drift.
+    /// Time of a controller's monotonic clock, which drifts.
     pub fn clock(&self, i: usize) -> Timestamp {
-        let passed = (self.now - BEGIN) as f64 * (1.0 + self.drift[i]);
-        Timestamp(BEGIN + passed as u64)
+        let passed = (self.now - START_MS) as f64 * (1.0 + self.clock_drift[i]);
+        Timestamp(START_MS + passed as u64)
     }
 
+    /// Starts a controller process with an empty replica and a new incarnation.
     pub fn start(&mut self, i: usize) {
-        let mut s = match self.old[i] {
-            true => self.old_settings.clone(),
+        let mut s = match self.runs_previous_version[i] {
+            true => self.previous_settings.clone(),
             false => self.settings.clone(),
         };
         let names: Vec<String> = (0..self.controllers.len())
@@ -41,36 +42,44 @@
             .map(|n| quillbend::settings::PeerAddress {
                 host_name: (*n).clone(),
                 zone: String::new(),
-                endpoint: cells::address(self.cell, position(n).expect("a place")),
+                endpoint: cells::address(
+                    self.cell,
+                    controller_index(n).expect("a controller's name"),
+                ),
             })
             .collect();
         let mut controller = Controller::new(s, self.rng.random());
-        if self.old[i] {
-            controller.run_as_format(self.old_format);
+        if self.runs_previous_version[i] {
+            controller.run_as_format(self.previous_format);
         }
-        let node = Node {
+        let node = ControllerProcess {
             controller,
             paused_until: 0,
-            next_watch: 0,
-            loaded: false,
+            next_watch_at: 0,
+            replica_loaded: false,
         };
         self.controllers[i] = Some(node);
     }
 
+    /// Ends a controller process at once.
     pub fn crash(&mut self, i: usize) {
         self.controllers[i] = None;
     }
 
     pub fn controller(&self, i: usize) -> &Controller {
-        &self.controllers[i].as_ref().expect("alive").controller
+        &self.controllers[i]
+            .as_ref()
+            .expect("the controller is running")
+            .controller
     }
 
+    /// Index of a controller that considers itself the leader.
     pub fn leader(&self) -> Option<usize> {
         self.leader_among(0..self.controllers.len())
     }
 
-    /// The controller that leads, one that does not know better aside.
-    pub fn leader_but(&self, old: usize) -> Option<usize> {
+    /// The leader, without regard to a former leader that has not noticed its replacement.
+    pub fn leader_except(&self, old: usize) -> Option<usize> {
         self.leader_among((0..self.controllers.len()).filter(|&i| i != old))
     }
 
@@ -85,13 +94,13 @@
         })
     }
 
-    /// Whether a controller other than `old` holds a machine.
-    pub fn holder_of_all_but(&self, old: usize, machine: &str) -> bool {
+    /// Whether a controller other than `old` holds this machine.
+    pub fn is_held_by_other_than(&self, old: usize, machine: &str) -> bool {
         let others = (0..self.controllers.len()).filter(|&i| i != old);
         self.holder_among(others, machine).is_some()
     }
 
-    /// The controller that holds a machine.
+    /// The controller that holds a machine and has authority over it.
     pub fn holder(&self, machine: &str) -> Option<usize> {
         self.holder_among(0..self.controllers.len(), machine)
     }
@@ -115,28 +124,28 @@
         })
     }
 
-    /// The state service is out for everybody, or is back.
-    pub fn outage(&mut self, out: bool) {
-        self.state.out = out;
+    /// Starts or ends an outage of the state service for all controllers.
+    pub fn set_store_outage(&mut self, out: bool) {
+        self.store.unavailable = out;
     }
 
-    /// A controller is paused for a while; what is asked of it then has no answer.
+    /// Pauses a controller for `ms`. Requests to it get no response meanwhile.
     pub fn pause(&mut self, i: usize, ms: u64) {
         if let Some(n) = &mut self.controllers[i] {
             n.paused_until = self.now + ms;
         }
     }
 
-    pub(super) fn paused(&self, i: usize) -> bool {
+    pub(super) fn is_paused(&self, i: usize) -> bool {
         let node = self.controllers[i].as_ref();
         node.is_some_and(|n| self.now < n.paused_until)
     }
 
-    /// How a controller reaches the others now.
+    /// Connections of a controller, an outage of the state service included.
     pub(super) fn link(&self, i: usize) -> Link {
-        match self.state.out {
+        match self.store.unavailable {
             true => Link {
-                state: StoreFault::Refuses,
+                store_fault: StoreFault::RejectsRequests,
                 watch_hangs: true,
                 ..self.links[i]
             },
@@ -144,54 +153,54 @@
         }
     }
 
-    /// Cuts a controller from the state service and from the others, but not from its workers.
+    /// Disconnects a controller from the state service and its peers, but not from its workers.
     pub fn isolate(&mut self, i: usize) {
-        self.links[i].state = StoreFault::Refuses;
+        self.links[i].store_fault = StoreFault::RejectsRequests;
         self.links[i].watch_hangs = true;
-        self.links[i].peers = false;
+        self.links[i].peers_reachable = false;
     }
 
-    /// Names the controller and the time in what a traced test logs.
-    pub(super) fn span(&self, i: usize) -> tracing::Span {
+    /// Log span with the controller and the simulated time.
+    pub(super) fn log_span(&self, i: usize) -> tracing::Span {
         tracing::debug_span!("controller", i, now = self.now)
     }
 
-    pub(super) fn play_node(&mut self, i: usize) {
+    pub(super) fn step_controller(&mut self, i: usize) {
         let Some(mut node) = self.controllers[i].take() else {
             return;
         };
-        let _span = self.span(i).entered();
+        let _span = self.log_span(i).entered();
         let now = self.clock(i);
         let link = self.link(i);
-        let late = match link.state {
-            StoreFault::Good | StoreFault::Intermittent => Some(0),
+        let late = match link.store_fault {
+            StoreFault::None | StoreFault::Intermittent => Some(0),
             StoreFault::Slow(ms) => Some(ms),
             _ => None,
         };
-        // After it was paused its timers fire before the first answers are in.
+        // After a pause, timers fire before the first responses arrive.
         let waking = node.paused_until > 0 && self.now < node.paused_until + 400;
-        let due = self.now >= node.next_watch && !link.watch_hangs && !waking;
+        let due = self.now >= node.next_watch_at && !link.watch_hangs && !waking;
         if let Some(late) = late.filter(|_| due) {
-            if node.loaded {
+            if node.replica_loaded {
                 let after = node.controller.replica.revision;
                 let list = match late {
-                    0 => self.state.events("qb/", after),
-                    late => self.state.messages_by("qb/", after, self.now - late),
+                    0 => self.store.events("qb/", after),
+                    late => self.store.events_by("qb/", after, self.now - late),
                 };
-                // What a late answer shows was current when the watch was opened.
+                // A late response shows the state at the time when the watch was opened.
                 let sent = Timestamp(now.0.saturating_sub(late));
                 node.controller.on_watch_response(list, sent, now);
             } else {
-                let (items, revision) = self.state.list("qb/");
+                let (items, revision) = self.store.list("qb/");
                 node.controller
                     .on_replica_read(items, revision, revision, now, now);
-                node.loaded = true;
+                node.replica_loaded = true;
             }
         }
         let mut todo = node.controller.tick(now, self.now);
         let mut rounds = 0;
         while let Some(effect) = todo.pop() {
-            let done = self.carry_out(i, &mut node.controller, effect);
+            let done = self.execute_effect(i, &mut node.controller, effect);
             rounds += 1;
             if done && rounds < 20 {
                 todo.extend(node.controller.tick(now, self.now));
@@ -204,21 +213,21 @@
         clippy::too_many_lines,
         reason = "one match with an arm for each effect"
     )]
-    pub(super) fn carry_out(
+    pub(super) fn execute_effect(
         &mut self,
         i: usize,
         controller: &mut Controller,
         effect: Effect,
     ) -> bool {
         digest::request(self.origin(i), controller, &effect);
-        let (now, fault) = (self.clock(i), self.link(i).state);
-        let reachable = fault != StoreFault::Refuses;
+        let (now, fault) = (self.clock(i), self.link(i).store_fault);
+        let reachable = fault != StoreFault::RejectsRequests;
         match effect {
             Effect::RequestLease { lease_ms } if reachable => {
-                controller.on_lease_granted(self.state.lease(lease_ms, self.now), now);
+                controller.on_lease_granted(self.store.grant_lease(lease_ms, self.now), now);
             }
             Effect::RenewLease { lease_id } if reachable => {
-                match self.state.leases.get_mut(&lease_id) {
+                match self.store.leases.get_mut(&lease_id) {
                     Some(l) => {
                         l.1 = self.now + l.0;
                         controller.on_lease_renewed(lease_id, now);
@@ -235,15 +244,20 @@
             } => return self.commit(i, controller, write_kind, transaction, fault),
             Effect::SendPeerMessage { host, message } => {
                 let name = controller.replica.names.controllers.name(host).to_owned();
-                let Some(j) = position(&name).filter(|j| *j < self.controllers.len()) else {
+                let Some(j) = controller_index(&name).filter(|j| *j < self.controllers.len())
+                else {
                     return false;
                 };
-                let apart = self.partition_side[i] != self.partition_side[j];
-                if apart || self.paused(j) || !self.links[i].peers || !self.links[j].peers {
+                let apart = self.partition_group[i] != self.partition_group[j];
+                if apart
+                    || self.is_paused(j)
+                    || !self.links[i].peers_reachable
+                    || !self.links[j].peers_reachable
+                {
                     return false;
                 }
-                for &age in &self.peer_message_copies {
-                    self.late_messages
+                for &age in &self.peer_message_copy_delays_ms {
+                    self.delayed_peer_messages
                         .push((self.now + age, j, (*message).clone()));
                 }
                 let (theirs, origin) = (self.clock(j), self.origin(j));
@@ -256,19 +270,19 @@
             Effect::ReadCatalog if self.cloud_up => controller.on_catalog(catalog()),
             Effect::ReadCatalog => {}
             Effect::ListMachines => {
-                let list = self.cloud_list();
+                let list = self.lagging_cloud_list();
                 controller.on_list(self.cloud_up.then_some(list), now);
             }
             Effect::ReadArchive(jobs) => {
                 for job in jobs.iter().filter(|_| reachable) {
-                    let record = self.state.value(&archive_key(job));
+                    let record = self.store.value(&archive_key(job));
                     let record = record.and_then(|v| serde_json::from_value::<JobRecord>(v).ok());
                     if let Some(record) = record {
                         controller.on_archived(job, record.status);
                     }
                 }
             }
-            Effect::CallCell(call) => self.cell_calls.push((i, *call)),
+            Effect::CallCell(call) => self.outgoing_cell_requests.push((i, *call)),
             Effect::RentMachines(r) => {
                 if self.cloud_up && self.cloud_has_no_capacity {
                     controller.on_rented(&r, RentalOutcome::Refused, now);
@@ -278,16 +292,16 @@
                     controller.on_rented(&r, RentalOutcome::Unknown, now);
                     return false;
                 }
-                let names = match self.request_counter.get(&r.request_id) {
+                let names = match self.machines_by_request.get(&r.request_id) {
                     Some(names) => names.clone(),
                     None => (0..r.number.min(4))
                         .map(|_| {
-                            let boot_ms = self.slow_boot.unwrap_or(5000);
-                            self.machine(&r.machine_type, &r.zone, r.spot, boot_ms)
+                            let boot_ms = self.boot_delay_ms.unwrap_or(5000);
+                            self.add_machine(&r.machine_type, &r.zone, r.spot, boot_ms)
                         })
                         .collect(),
                 };
-                self.request_counter
+                self.machines_by_request
                     .insert(r.request_id.clone(), names.clone());
                 controller.on_rented(&r, RentalOutcome::Rented(names), now);
             }
@@ -311,30 +325,37 @@
         fault: StoreFault,
     ) -> bool {
         let fault = match (fault, self.rng.random_range(0..6)) {
-            (StoreFault::Intermittent, 0) => StoreFault::LosesAnswers,
-            (StoreFault::Intermittent, 1) => StoreFault::Late(self.rng.random_range(100..5000)),
-            (StoreFault::Intermittent, 2 | 3) => StoreFault::Refuses,
-            (StoreFault::Intermittent, _) => StoreFault::Good,
-            (StoreFault::Slow(_), 0 | 1) => StoreFault::LosesAnswers,
-            (StoreFault::Slow(_), _) => StoreFault::Good,
+            (StoreFault::Intermittent, 0) => StoreFault::LosesResponses,
+            (StoreFault::Intermittent, 1) => {
+                StoreFault::DelaysCommits(self.rng.random_range(100..5000))
+            }
+            (StoreFault::Intermittent, 2 | 3) => StoreFault::RejectsRequests,
+            (StoreFault::Intermittent, _) => StoreFault::None,
+            (StoreFault::Slow(_), 0 | 1) => StoreFault::LosesResponses,
+            (StoreFault::Slow(_), _) => StoreFault::None,
             (fault, _) => fault,
         };
-        self.check_size(i, &transaction);
-        let fault = match self.late_lending.filter(|_| cells::lends(&transaction)) {
-            Some(ms) => StoreFault::Late(ms),
+        self.check_transaction_size(i, &transaction);
+        let fault = match self
+            .loan_write_delay_ms
+            .filter(|_| cells::marks_job_lent(&transaction))
+        {
+            Some(ms) => StoreFault::DelaysCommits(ms),
             None => fault,
         };
         let outcome = match fault {
-            StoreFault::Good => self.state.commit(&transaction),
-            StoreFault::LosesAnswers => {
-                self.state.commit(&transaction);
+            StoreFault::None => self.store.commit(&transaction),
+            StoreFault::LosesResponses => {
+                self.store.commit(&transaction);
                 CommitOutcome::Unknown
             }
-            StoreFault::Late(ms) => {
-                self.state.late.push((self.now + ms, transaction));
+            StoreFault::DelaysCommits(ms) => {
+                self.store
+                    .delayed_commits
+                    .push((self.now + ms, transaction));
                 CommitOutcome::Unknown
             }
-            StoreFault::Refuses | StoreFault::Intermittent | StoreFault::Slow(_) => {
+            StoreFault::RejectsRequests | StoreFault::Intermittent | StoreFault::Slow(_) => {
                 CommitOutcome::Refused
             }
         };
@@ -342,10 +363,11 @@
         matches!(outcome, CommitOutcome::Done(_))
     }
 
-    /// What the service would call malformed would be sent again and again.
-    pub(super) fn check_size(&mut self, i: usize, transaction: &Transaction) {
-        let settings = match self.old[i] {
-            true => &self.old_settings,
+    /// Checks that a transaction is within the limits of the service, which would reject it as malformed
+    /// on every retry.
+    pub(super) fn check_transaction_size(&mut self, i: usize, transaction: &Transaction) {
+        let settings = match self.runs_previous_version[i] {
+            true => &self.previous_settings,
             false => &self.settings,
         };
         let s = &settings.platform.settings.state;
@@ -356,17 +378,17 @@
             .max();
         let largest = largest.unwrap_or(0);
         let all = serde_json::to_string(transaction)
-            .expect("plain data")
+            .expect("serializable")
             .len();
         if largest as f64 > s.value_kb * 1024.0
             || transaction.mutations.len() > s.txn_ops
             || transaction.preconditions.len() > s.txn_ops * 4
             || all > 64 * 1024
         {
-            let (in_flight, preconditions) =
+            let (mutations, preconditions) =
                 (transaction.mutations.len(), transaction.preconditions.len());
             let what = format!(
-                "commit: {largest} of {all} bytes, {in_flight} changes, {preconditions} conditions"
+                "commit: {largest} of {all} bytes, {mutations} mutations, {preconditions} preconditions"
             );
             self.violations.push(what);
         }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -16,21 +16,21 @@
 fn upgrade(w: &mut World, i: usize, away_ms: u64) {
     w.crash(i);
     w.run(away_ms);
-    w.old[i] = false;
+    w.runs_previous_version[i] = false;
     w.start(i);
 }
 
 /// Makes the store enforce the lower limits that the settings announce.
 fn enforce_announced_limits(w: &mut World) {
     let limits = &w.settings.platform.settings.state;
-    w.state.limits = Some(((limits.value_kb * 1024.0) as usize, limits.txn_ops));
+    w.store.size_limits = Some(((limits.value_kb * 1024.0) as usize, limits.txn_ops));
 }
 
 /// A world of controllers in the old version with a leader, in which every machine has a holder.
 fn settled_before_upgrade(seed: u64, controllers: usize, machines: usize) -> World {
-    let mut w = World::in_production(seed, controllers, machines);
-    w.until(5000, "there is a leader", |w| w.leader().is_some());
-    w.until(8000, "every machine is held", |w| {
+    let mut w = World::before_upgrade(seed, controllers, machines);
+    w.run_until(5000, "there is a leader", |w| w.leader().is_some());
+    w.run_until(8000, "every machine is held", |w| {
         w.workers
             .iter()
             .all(|m| w.holder(&m.machine.name).is_some())
@@ -46,24 +46,24 @@
     w.run(500);
     for i in 0..3 {
         assert_eq!(
-            w.submit_after(i, 2, w.spec(1), std::slice::from_ref(&first)),
+            w.try_submit_dependent(i, 2, w.spec(1), std::slice::from_ref(&first)),
             None
         );
         upgrade(&mut w, i, 1500);
         w.run(3000);
     }
-    w.until(8000, "the format is recorded", |w| {
-        w.state.value(FORMAT_KEY).is_some()
+    w.run_until(8000, "the format is recorded", |w| {
+        w.store.value(FORMAT_KEY).is_some()
     });
     w.run(300);
     let second = w.submit_dependent(2, w.spec(1), &[&first]);
     // A controller that runs the old version again for a while does not revert the recorded format.
     w.crash(1);
-    w.old[1] = true;
+    w.runs_previous_version[1] = true;
     w.start(1);
     w.run(4000);
     assert!(
-        w.submit_after(0, 3, w.spec(1), std::slice::from_ref(&second))
+        w.try_submit_dependent(0, 3, w.spec(1), std::slice::from_ref(&second))
             .is_some()
     );
     upgrade(&mut w, 1, 500);
@@ -88,20 +88,20 @@
     let first = w.submit(1, w.spec(1));
     w.run(300);
     assert_eq!(
-        w.submit_after(0, 2, w.spec(1), &[first]),
+        w.try_submit_dependent(0, 2, w.spec(1), &[first]),
         None,
         "the missing controller may restart in the old version"
     );
-    w.until(120_000, "the format is recorded", |w| {
-        w.state.value(FORMAT_KEY).is_some()
+    w.run_until(120_000, "the format is recorded", |w| {
+        w.store.value(FORMAT_KEY).is_some()
     });
     w.assert_no_violations();
 }
 
 #[test]
 fn waiting_jobs_are_kept_during_a_return_to_the_old_version_and_start_after_it() {
-    let mut w = World::in_production(4, 3, 6);
-    w.old = vec![false; 3];
+    let mut w = World::before_upgrade(4, 3, 6);
+    w.runs_previous_version = vec![false; 3];
     (0..3).for_each(|i| w.start(i));
     w.run(8000);
     w.run_ms = 3000;
@@ -110,16 +110,16 @@
     // All controllers run the old version again, which does not read the waiting job.
     for i in 0..3 {
         w.crash(i);
-        w.old[i] = true;
+        w.runs_previous_version[i] = true;
         w.start(i);
     }
-    w.until(60_000, "the first job is done", |w| w.is_done(&first));
+    w.run_until(60_000, "the first job is done", |w| w.is_done(&first));
     w.run(20_000);
-    assert_eq!(w.starts_of(&second), 0);
+    assert_eq!(w.start_count_of(&second), 0);
     for i in 0..3 {
         upgrade(&mut w, i, 500);
     }
-    w.until(60_000, "the second job is done", |w| w.is_done(&second));
+    w.run_until(60_000, "the second job is done", |w| w.is_done(&second));
     w.assert_no_violations();
 }
 
@@ -129,7 +129,7 @@
         let controllers = [3, 5][seed as usize % 2];
         let mut w = settled_before_upgrade(seed, controllers, 8);
         w.run(2000);
-        let long = w.fill(60_000, 10);
+        let long = w.start_job(60_000, 10);
         w.run_ms = 6000;
         let mut jobs = vec![long];
         for i in 0..controllers {
@@ -146,7 +146,7 @@
             10 + 5 * controllers,
             "a task was lost or started twice"
         );
-        assert_eq!(w.state.too_large, 0);
+        assert_eq!(w.store.too_large_count, 0);
     }
 }
 
@@ -163,10 +163,12 @@
             ("guest".into(), 0.25, 0.1, 120.0);
         jobs.push(w.submit(n, spec));
     }
-    w.until(60_000, "all 460 tasks run", |w| w.running() == 460);
+    w.run_until(60_000, "all 460 tasks run", |w| {
+        w.running_task_count() == 460
+    });
     let most = w.settings.max_value_bytes();
     let largest = |w: &World| {
-        let blocks = w.state.list("qb/block/").0;
+        let blocks = w.store.list("qb/block/").0;
         blocks.iter().map(|b| b.value.size()).max().unwrap_or(0)
     };
     assert!(
@@ -174,7 +176,7 @@
         "the largest block has {} bytes: no block exceeds the limit",
         largest(&w)
     );
-    let running = w.running();
+    let running = w.running_task_count();
     // At first only the holders run the new version, and an old leader grants the blocks that they split.
     let leader = w.leader().expect("a leader");
     for i in (0..3).filter(|i| *i != leader) {
@@ -182,41 +184,41 @@
     }
     w.run(4000);
     upgrade(&mut w, leader, 800);
-    w.until(15_000, "all blocks fit", |w| largest(w) <= most);
+    w.run_until(15_000, "all blocks fit", |w| largest(w) <= most);
     enforce_announced_limits(&mut w);
     assert!(
-        w.running() + 60 > running,
+        w.running_task_count() + 60 > running,
         "only {} of {running} tasks run on",
-        w.running()
+        w.running_task_count()
     );
     let starts = w.starts.len();
     let cancelled_job = jobs.remove(0);
-    if w.is_open(&cancelled_job) {
+    if w.is_unfinished(&cancelled_job) {
         w.cancel(&cancelled_job);
     }
-    w.until(300_000, "all done", |w| jobs.iter().all(|j| w.is_done(j)));
+    w.run_until(300_000, "all done", |w| jobs.iter().all(|j| w.is_done(j)));
     assert!(
         w.starts.len() <= 60 * 9,
         "{starts} starts before the end, {} after: tasks were started twice",
         w.starts.len()
     );
-    assert_eq!(w.state.too_large, 0);
+    assert_eq!(w.store.too_large_count, 0);
     w.assert_no_violations();
 }
 
 /// A world of two controllers of this version, one of which leads, and one controller that reads no format
 /// after format 2; with a job of 900 small tasks and machines for half of them.
 fn large_job_with_an_older_controller(max_written_format: f64) -> (World, String) {
-    let mut w = World::in_production(9, 3, 30);
+    let mut w = World::before_upgrade(9, 3, 30);
     w.settings.options.max_written_format = max_written_format;
-    w.old_format = DEPENDENCIES_FORMAT;
-    w.old = vec![false, false, true];
+    w.previous_format = DEPENDENCIES_FORMAT;
+    w.runs_previous_version = vec![false, false, true];
     w.crash(2);
     (0..2).for_each(|i| w.start(i));
-    w.until(20_000, "there is a leader", |w| w.leader().is_some());
+    w.run_until(20_000, "there is a leader", |w| w.leader().is_some());
     w.start(2);
-    w.until(20_000, "the format with dependent jobs is recorded", |w| {
-        w.state.value(FORMAT_KEY).is_some()
+    w.run_until(20_000, "the format with dependent jobs is recorded", |w| {
+        w.store.value(FORMAT_KEY).is_some()
     });
     w.cloud_up = false;
     w.run_ms = 20_000;
@@ -229,8 +231,8 @@
 
 /// The number of blocks that have machines.
 fn used_block_count(w: &World) -> usize {
-    let blocks = w.state.list("qb/block/").0;
-    let machines = |b: &KeyValue| w.block(&b.key).machines.len();
+    let blocks = w.store.list("qb/block/").0;
+    let machines = |b: &KeyValue| w.block_record(&b.key).machines.len();
     blocks.iter().filter(|b| machines(b) > 0).count()
 }
 
@@ -244,24 +246,24 @@
     let mut spec = w.spec(200);
     spec.team = "guest".into();
     let job = w.submit(1, spec);
-    w.until(30_000, "all tasks run", |w| w.running() == 200);
+    w.run_until(30_000, "all tasks run", |w| w.running_task_count() == 200);
     let before = used_block_count(&w);
     assert!(before > 9, "only {before} blocks have machines");
     for i in 0..3 {
         upgrade(&mut w, i, 500);
         w.run(2000);
     }
-    w.until(40_000, "blocks are merged", |w| used_block_count(w) <= 6);
-    assert_eq!(w.running(), 200, "a running task was lost");
+    w.run_until(40_000, "blocks are merged", |w| used_block_count(w) <= 6);
+    assert_eq!(w.running_task_count(), 200, "a running task was lost");
     // The machines accept the tokens of the blocks that they are now in.
     w.run(5000);
     let late = w.submit(2, w.spec(16));
-    w.until(30_000, "the tasks of a new job start", |w| {
-        w.starts_of(&late) == 16
+    w.run_until(30_000, "the tasks of a new job start", |w| {
+        w.start_count_of(&late) == 16
     });
     w.assert_all_jobs_finish(&[job, late]);
     assert_eq!(w.starts.len(), 216, "a task was started twice");
-    assert_eq!(w.state.too_large, 0);
+    assert_eq!(w.store.too_large_count, 0);
 }
 
 #[test]
@@ -273,7 +275,7 @@
     let mut spec = w.spec(200);
     spec.team = "guest".into();
     let job = w.submit(1, spec);
-    w.until(30_000, "all tasks run", |w| w.running() == 200);
+    w.run_until(30_000, "all tasks run", |w| w.running_task_count() == 200);
     for i in 0..2 {
         upgrade(&mut w, i, 500);
         w.run(2000);
@@ -288,10 +290,10 @@
         before,
         "blocks were merged although the old version may be back"
     );
-    w.until(90_000, "blocks are merged", |w| used_block_count(w) <= 6);
+    w.run_until(90_000, "blocks are merged", |w| used_block_count(w) <= 6);
     // This is longer than a worker's lease: if workers ignored acknowledgements, their tasks would have ended.
     w.run(20_000);
-    assert_eq!(w.running(), 200, "a running task was lost");
+    assert_eq!(w.running_task_count(), 200, "a running task was lost");
     assert_eq!(w.starts.len(), 200, "a task was started twice");
     // Completions are accepted only under the tokens of the blocks that the machines are now in.
     w.assert_all_jobs_finish(&[job]);
@@ -303,14 +305,14 @@
     let mut most = 0;
     for _ in 0..200 {
         w.run(100);
-        most = most.max(w.running());
+        most = most.max(w.running_task_count());
     }
     most
 }
 
 /// Whether a job's done tasks are stored as a bitmap.
 fn is_bitmap(w: &World, job: &str) -> bool {
-    let value = w.state.value(&job_key(job));
+    let value = w.store.value(&job_key(job));
     value.is_some_and(|v| v["d"].as_str().is_some_and(|d| d.starts_with('b')))
 }
 
@@ -323,15 +325,15 @@
     assert!(!is_bitmap(&w, &job));
     upgrade(&mut w, 2, 500);
     enforce_announced_limits(&mut w);
-    w.until(20_000, "the format with bitmaps is recorded", |w| {
-        w.state
+    w.run_until(20_000, "the format with bitmaps is recorded", |w| {
+        w.store
             .value(FORMAT_KEY)
             .is_some_and(|f| f["v"] == DENSE_FORMAT)
     });
     let many = max_running_tasks(&mut w);
     assert!(many > 2 * few, "{many}");
-    w.until(200_000, "the job is done", |w| w.is_done(&job));
-    assert_eq!(w.state.too_large, 0);
+    w.run_until(200_000, "the job is done", |w| w.is_done(&job));
+    assert_eq!(w.store.too_large_count, 0);
     w.assert_no_violations();
 }
 
@@ -342,13 +344,13 @@
     let few = max_running_tasks(&mut w);
     assert!((100..160).contains(&few), "{few}");
     assert!(
-        w.state
+        w.store
             .value(FORMAT_KEY)
             .is_some_and(|f| f["v"] == DEPENDENCIES_FORMAT)
     );
     for i in 0..3 {
         w.crash(i);
-        w.old[i] = true;
+        w.runs_previous_version[i] = true;
         w.start(i);
         w.run(3000);
         assert!(!is_bitmap(&w, &job));
@@ -366,7 +368,7 @@
         spec.machine_types = Some(machine_types.chain(["small".to_owned()]).collect());
         let job = w.submit(1, spec);
         assert!(
-            w.state
+            w.store
                 .value(&job_key(&job))
                 .expect("the job is stored")
                 .to_string()
@@ -382,13 +384,13 @@
             assert!(matches!(w.cancel(&job), CommitOutcome::Done(_)));
         }
         let final_status = [JobStatus::Done, JobStatus::Cancelled][usize::from(cancelled)];
-        w.until(60_000, "the job has its final state", |w| {
-            w.job(&job).is_some_and(|j| j.status == final_status)
+        w.run_until(60_000, "the job has its final state", |w| {
+            w.job_record(&job).is_some_and(|j| j.status == final_status)
         });
         // Blocks list the tasks done on their machines until they are written again, at the latest when their
         // idle machines are returned.
-        let archived = |w: &World| w.state.value(&archive_key(&job)).is_some();
-        w.until(120_000, "the job is archived", archived);
+        let archived = |w: &World| w.store.value(&archive_key(&job)).is_some();
+        w.run_until(120_000, "the job is archived", archived);
         w.run(100);
         assert_eq!(w.poll_status(0, &job), Some(final_status));
         w.assert_no_violations();
@@ -399,8 +401,8 @@
 fn no_transaction_exceeds_the_announced_limits_under_random_faults() {
     // The limits are enforced from the start; random faults cause many kinds of transactions.
     for seed in 11..15 {
-        let mut w = World::in_production(seed, 3, 10);
-        w.old = vec![false; 3];
+        let mut w = World::before_upgrade(seed, 3, 10);
+        w.runs_previous_version = vec![false; 3];
         (0..3).for_each(|i| w.start(i));
         enforce_announced_limits(&mut w);
         w.run(5000);
@@ -424,7 +426,7 @@
             let at = rng.random_range(0..3);
             match rng.random_range(0..8) {
                 0 => w.crash(at),
-                1 => w.links[at].state = StoreFault::Intermittent,
+                1 => w.links[at].store_fault = StoreFault::Intermittent,
                 2 => w.heal(),
                 _ => {}
             }
@@ -432,7 +434,7 @@
         }
         w.assert_all_jobs_finish(&jobs);
         assert_eq!(
-            w.state.too_large, 0,
+            w.store.too_large_count, 0,
             "the store rejected transactions above its limits"
         );
     }
@@ -446,7 +448,7 @@
         let mut w = settled_before_upgrade(seed, controllers, 10);
         if seed % 4 < 2 {
             // The older version is the one that already supports dependent jobs.
-            w.old_format = DEPENDENCIES_FORMAT;
+            w.previous_format = DEPENDENCIES_FORMAT;
             (0..controllers).for_each(|i| w.start(i));
             w.run(3000);
         }
@@ -475,14 +477,14 @@
             let at = rng.random_range(0..controllers);
             let accepted = match named.is_empty() {
                 true => Some(w.submit(n + 1, spec)),
-                false => w.submit_after(at, n + 1, spec, &named),
+                false => w.try_submit_dependent(at, n + 1, spec, &named),
             };
             if let Some(job) = accepted {
                 jobs.push(job);
             }
             if rng.random_bool(0.15)
                 && let Some(job) = jobs.get(rng.random_range(0..jobs.len())).cloned()
-                && w.is_open(&job)
+                && w.is_unfinished(&job)
             {
                 w.cancel(&job);
                 cancelled_jobs.push(job);
@@ -491,28 +493,30 @@
             match rng.random_range(0..10) {
                 // A controller that crashes before its upgrade restarts in the old version.
                 0 => w.crash(at),
-                1 => w.links[at].state = StoreFault::Intermittent,
-                2 => w.links[at].peers = false,
+                1 => w.links[at].store_fault = StoreFault::Intermittent,
+                2 => w.links[at].peers_reachable = false,
                 3 => w.pause(at, rng.random_range(500..5000)),
                 4 | 5 => w.heal(),
                 _ => {}
             }
             let polled_jobs = jobs.clone();
-            w.run_asking(rng.random_range(500..2500), &polled_jobs);
+            w.run_polling(rng.random_range(500..2500), &polled_jobs);
         }
         w.heal();
         for i in to_upgrade {
             upgrade(&mut w, i, 500);
         }
         enforce_announced_limits(&mut w);
-        let ended =
-            |w: &World, j: &String| w.job(j).is_some_and(|r| r.status != JobStatus::Pending);
-        w.until(300_000, "all jobs have their final state", |w| {
+        let ended = |w: &World, j: &String| {
+            w.job_record(j)
+                .is_some_and(|r| r.status != JobStatus::Pending)
+        };
+        w.run_until(300_000, "all jobs have their final state", |w| {
             jobs.iter().all(|j| ended(w, j))
         });
         let polled_jobs = jobs.clone();
-        w.run_asking(5000, &polled_jobs);
-        assert_eq!(w.state.too_large, 0);
+        w.run_polling(5000, &polled_jobs);
+        assert_eq!(w.store.too_large_count, 0);
         w.assert_no_violations();
     }
 }
@@ -522,16 +526,16 @@
     let mut w = World::settled(13, 3, 4);
     w.run_ms = 3000;
     let before = w.submit(1, w.spec(2));
-    w.until(20_000, "the job is done", |w| w.is_done(&before));
+    w.run_until(20_000, "the job is done", |w| w.is_done(&before));
     let newer = serde_json::json!({ "v": NEWEST_FORMAT + 1 });
-    w.state.overwrite(FORMAT_KEY, &newer);
+    w.store.overwrite(FORMAT_KEY, &newer);
     w.run(500);
-    let writes = w.state.writes;
+    let writes = w.store.write_count;
     let job = w.submit(2, w.spec(2));
     w.run(30_000);
-    assert_eq!(w.starts_of(&job), 0);
+    assert_eq!(w.start_count_of(&job), 0);
     assert_eq!(
-        w.state.writes,
+        w.store.write_count,
         writes + 1,
         "an outdated controller wrote to the store"
     );
@@ -540,7 +544,7 @@
         assert!(!w.controller(i).ready(now) && !w.controller(i).has_authority(now));
         assert_eq!(w.controller(i).status_page(now)["outdated"], true);
     }
-    assert_eq!(w.state.value(FORMAT_KEY), Some(newer));
+    assert_eq!(w.store.value(FORMAT_KEY), Some(newer));
 }
 
 #[test]
@@ -551,11 +555,11 @@
     let other = w.submit(2, w.spec(2));
     let unknown = serde_json::json!({ "s": "of a later version", "st": "pending" });
     // The tasks of the unreadable job end. Recording that must not keep other completions from being recorded.
-    w.until(20_000, "all tasks run", |w| w.running() == 4);
-    w.state.overwrite(&job_key(&unreadable_job), &unknown);
-    w.until(20_000, "the other job is done", |w| w.is_done(&other));
+    w.run_until(20_000, "all tasks run", |w| w.running_task_count() == 4);
+    w.store.overwrite(&job_key(&unreadable_job), &unknown);
+    w.run_until(20_000, "the other job is done", |w| w.is_done(&other));
     w.run(60_000);
-    assert_eq!(w.state.value(&job_key(&unreadable_job)), Some(unknown));
+    assert_eq!(w.store.value(&job_key(&unreadable_job)), Some(unknown));
     let controller = w.controller(0);
     assert!(
         controller.replica.is_unreadable(&unreadable_job)
