--- a/benches/costs.rs
+++ b/benches/costs.rs
@@ -119,10 +119,8 @@
             ))
         });
     }
-    println!(
-        "{machines} machines, {} tasks running",
-        world.running_task_count()
-    );
+    let running = world.running_task_count();
+    println!("{machines} machines, {running} tasks running");
     for cost in [&heartbeat, &tick, &long, &short, &poll, &replica_update] {
         cost.show();
     }
