--- a/src/controller/blocks/merging.rs
+++ b/src/controller/blocks/merging.rs
@@ -68,13 +68,13 @@
     /// Workers reject tokens lower than one that they have seen, so the reverse would make them
     /// ignore every answer (PROTOCOL, tokens).
     fn select_merge(&self, now: Timestamp) -> Option<(BlockId, BlockId)> {
-        let room = (self.settings.max_value_bytes() as f64 * MAX_EXPECTED_FILL) as usize;
-        let mut small = self.small_blocks(room, now);
+        let max_bytes = (self.settings.max_value_bytes() as f64 * MAX_EXPECTED_FILL) as usize;
+        let mut small = self.small_blocks(max_bytes, now);
         small.sort_by_key(|block| (block.expected_bytes, block.id));
         let [first, second, ..] = small.as_slice() else {
             return None;
         };
-        if first.expected_bytes + second.expected_bytes > room {
+        if first.expected_bytes + second.expected_bytes > max_bytes {
             return None;
         }
         match first.fencing_token > second.fencing_token {
@@ -83,8 +83,9 @@
         }
     }
 
-    /// Blocks held here that have machines and free room and that no write in flight changes.
-    fn small_blocks(&self, room: usize, now: Timestamp) -> Vec<SmallBlock> {
+    /// Blocks held here that have machines, of less than `max_bytes` expected bytes, and that no
+    /// write in flight changes.
+    fn small_blocks(&self, max_bytes: usize, now: Timestamp) -> Vec<SmallBlock> {
         let mut small = Vec::new();
         for (&id, block) in &self.replica.blocks {
             let grant = self.replica.grants.get(&id);
@@ -95,7 +96,7 @@
                 && !self.writes.writes_block(id)
                 && !self.block_upkeep.is_oversized(id);
             let expected_bytes = self.expected_block_bytes(block);
-            if is_idle && !block.machines.is_empty() && expected_bytes < room {
+            if is_idle && !block.machines.is_empty() && expected_bytes < max_bytes {
                 small.push(SmallBlock {
                     id,
                     fencing_token: grant.mod_revision,
--- a/src/controller/blocks/upkeep.rs
+++ b/src/controller/blocks/upkeep.rs
@@ -23,8 +23,8 @@
     oversized: BTreeSet<BlockId>,
     /// Since when many blocks have had no valid grant.
     ungranted_since: Option<Timestamp>,
-    /// Version of the replica at which ungranted blocks were last counted.
-    ungranted_checked_version: u64,
+    /// Change counter of the replica when ungranted blocks were last counted.
+    ungranted_checked_at_change: u64,
     /// Earliest time of the next merge.
     next_merge: Timestamp,
 }
@@ -67,9 +67,11 @@
     /// fail at once: granting fifty blocks then took six seconds, and together with the restart
     /// time the workers' leases expired.
     fn observe_ungranted(&mut self, replica: &Replica, now: Timestamp) {
-        let last_version =
-            std::mem::replace(&mut self.ungranted_checked_version, replica.change_counter);
-        if last_version == replica.change_counter {
+        let last_change = std::mem::replace(
+            &mut self.ungranted_checked_at_change,
+            replica.change_counter,
+        );
+        if last_change == replica.change_counter {
             return;
         }
         if count_ungranted(replica) < MANY_UNGRANTED_BLOCKS {
--- a/src/controller/candidacy.rs
+++ b/src/controller/candidacy.rs
@@ -49,14 +49,14 @@
 }
 
 impl PeerLeader {
-    /// Whether it no longer leads or is about to lose the leadership.
-    fn is_gone(self) -> bool {
+    /// Whether it no longer leads, or will soon lose the leadership.
+    fn has_failed(self) -> bool {
         self.replaced || self.silent || self.without_store
     }
 
     /// Whether this controller may have to replace it.
     fn is_suspect(self) -> bool {
-        self.is_gone() || self.restarted
+        self.has_failed() || self.restarted
     }
 }
 
@@ -76,7 +76,7 @@
         // No other controller is affected.
         LeaderStatus::EarlierIncarnation => true,
         LeaderStatus::Peer(leader) => {
-            let grace_ms = if leader.is_gone() {
+            let grace_ms = if leader.has_failed() {
                 0
             } else {
                 RESTARTED_LEADER_GRACE_MS
@@ -103,7 +103,9 @@
         }
         let leader = self.leader_status(now);
         let suspect_ms = match leader {
-            LeaderStatus::Peer(peer) => self.leadership.leader_gone_for_ms(peer.is_suspect(), now),
+            LeaderStatus::Peer(peer) => self
+                .leadership
+                .leader_suspect_for_ms(peer.is_suspect(), now),
             _ => None,
         };
         if candidacy(leader, suspect_ms) == Candidacy::Campaign {
@@ -121,21 +123,21 @@
     }
 
     fn assess_peer_leader(&self, leader: Holder, now: Timestamp) -> PeerLeader {
-        let host = leader.controller;
-        let key = self.replica.live_controllers.get(&host);
+        let controller_id = leader.controller;
+        let key = self.replica.live_controllers.get(&controller_id);
         let precedes_this = |&&other: &&ControllerId| {
             let name = self.replica.names.controllers.name(other);
-            other != host && self.peers.is_reachable(other, now) && name < self.own_name()
+            other != controller_id && self.peers.is_reachable(other, now) && name < self.own_name()
         };
         PeerLeader {
             replaced: key.is_none_or(|shown| shown.incarnation != leader.incarnation),
-            silent: !self.peers.is_reachable(host, now)
+            silent: !self.peers.is_reachable(controller_id, now)
                 && self.peer_silence_is_conclusive(now)
-                && self.peers.is_silence_corroborated(host, now),
-            without_store: self.is_peer_without_store(host, now),
+                && self.peers.is_silence_corroborated(controller_id, now),
+            without_store: self.is_peer_without_store(controller_id, now),
             restarted: self
                 .peers
-                .has_restarted_since(host, leader.incarnation, now),
+                .has_restarted_since(controller_id, leader.incarnation, now),
             rank: self.peers.others().iter().filter(precedes_this).count() as u64,
         }
     }
@@ -150,11 +152,11 @@
             preconditions: vec![self.precondition(LEADER_KEY)],
             mutations: vec![put(LEADER_KEY, &record, self.membership.lease_id())],
         };
-        let hosts = &self.replica.names.controllers;
+        let names = &self.replica.names.controllers;
         let previous_leader = self
             .replica
             .leader
-            .map(|l| hosts.name(l.controller).to_owned());
+            .map(|leader| names.name(leader.controller).to_owned());
         info!(?previous_leader, "campaigning for the leadership");
         self.writes.submit(
             WriteKind::TakeLeadership,
--- a/src/controller/candidacy/tests.rs
+++ b/src/controller/candidacy/tests.rs
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn a_leader_that_is_gone_is_replaced_by_the_candidates_in_order_of_rank() {
-    for gone in [
+fn a_failed_leader_is_replaced_by_the_candidates_in_order_of_rank() {
+    for failed in [
         PeerLeader {
             replaced: true,
             ..HEALTHY
@@ -47,10 +47,10 @@
             ..HEALTHY
         },
     ] {
-        assert!(gone.is_suspect());
-        let first = LeaderStatus::Peer(gone);
+        assert!(failed.is_suspect());
+        let first = LeaderStatus::Peer(failed);
         assert_eq!(candidacy(first, Some(0)), Candidacy::Campaign);
-        let third = LeaderStatus::Peer(PeerLeader { rank: 2, ..gone });
+        let third = LeaderStatus::Peer(PeerLeader { rank: 2, ..failed });
         assert_eq!(candidacy(third, Some(1199)), Candidacy::Wait);
         assert_eq!(candidacy(third, Some(1200)), Candidacy::Campaign);
     }
--- a/src/controller/completions/pending.rs
+++ b/src/controller/completions/pending.rs
@@ -1,7 +1,7 @@
 //! Completions and moves that are not recorded yet.
 //!
 //! Owns both until a commit shows them. A binding that takes part in a move stays reserved until that move is
-//! settled, so that it is neither started nor moved again meanwhile.
+//! resolved, so that it is neither started nor moved again meanwhile.
 
 use crate::collections::{HashMap, HashSet};
 use crate::controller::{Move, TaskOutcome};
@@ -36,7 +36,7 @@
     pending: HashMap<MachineId, Vec<Completion>>,
     /// Moves to be written together with the victim's block.
     planned_moves: Vec<Move>,
-    /// Bindings that take part in an unsettled move and must not be started.
+    /// Bindings that take part in an unresolved move and must not be started.
     reserved: HashSet<Binding>,
 }
 
@@ -125,7 +125,7 @@
         self.pending.keys().copied().chain(victims)
     }
 
-    /// Plans a move and reserves its bindings until the move is settled.
+    /// Plans a move and reserves its bindings until the move is resolved.
     pub(crate) fn plan_move(&mut self, task_move: Move) {
         self.reserved.extend(&task_move.bindings);
         self.planned_moves.push(task_move);
@@ -149,12 +149,12 @@
         self.planned_moves = moves;
     }
 
-    /// Whether a binding takes part in an unsettled move.
+    /// Whether a binding takes part in an unresolved move.
     pub(crate) fn is_reserved(&self, binding: &Binding) -> bool {
         self.reserved.contains(binding)
     }
 
-    /// Releases the bindings of settled moves, whether carried out or not, so that they may be started or
+    /// Releases the bindings of resolved moves, whether carried out or not, so that they may be started or
     /// moved again.
     pub(crate) fn release<'a>(&mut self, moves: impl IntoIterator<Item = &'a Move>) {
         for binding in moves.into_iter().flat_map(|task_move| &task_move.bindings) {
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -33,8 +33,8 @@
     },
     /// Send a message to another controller.
     SendPeerMessage {
-        /// Recipient.
-        host: ControllerId,
+        /// Controller that receives it.
+        to: ControllerId,
         /// Message to send.
         message: Box<PeerMessage>,
     },
--- a/src/controller/formats.rs
+++ b/src/controller/formats.rs
@@ -67,20 +67,21 @@
     }
 
     /// Records the format that a controller reads.
-    pub(super) fn observe(&mut self, host: ControllerId, format: u32, now: Timestamp) {
+    pub(super) fn observe(&mut self, controller_id: ControllerId, format: u32, now: Timestamp) {
         if format < self.own_format {
             let seen = now;
-            self.older.insert(host, OlderVersion { format, seen });
+            self.older
+                .insert(controller_id, OlderVersion { format, seen });
         } else {
-            self.older.remove(&host);
+            self.older.remove(&controller_id);
         }
     }
 
     /// Records the formats stated in the controllers' keys.
     pub(super) fn observe_keys(&mut self, replica: &Replica, now: Timestamp) {
-        for (&host, controller) in &replica.live_controllers {
-            if host != self.own_id {
-                self.observe(host, controller.format, now);
+        for (&controller_id, controller) in &replica.live_controllers {
+            if controller_id != self.own_id {
+                self.observe(controller_id, controller.format, now);
             }
         }
     }
@@ -117,7 +118,7 @@
         let keys = replica
             .live_controllers
             .iter()
-            .filter(|(host, _)| **host != self.own_id);
+            .filter(|(controller_id, _)| **controller_id != self.own_id);
         recent
             .map(|older| older.format)
             .chain(keys.map(|(_, controller)| controller.format))
--- a/src/controller/heartbeat/admission.rs
+++ b/src/controller/heartbeat/admission.rs
@@ -61,7 +61,7 @@
     fn redirect_to_leader(&mut self, heartbeat: &Heartbeat, now: Timestamp) -> HeartbeatResponse {
         self.held.unowned.record_heartbeat(heartbeat, 0, now);
         let leader = self.replica.leader.map(|leader| leader.controller);
-        match leader.filter(|&host| self.is_reachable_peer(host, now)) {
+        match leader.filter(|&controller_id| self.is_reachable_peer(controller_id, now)) {
             Some(leader) => self.redirect(Some(leader)),
             None => {
                 self.counters.redirects += 1;
@@ -80,17 +80,24 @@
             .unowned
             .record_heartbeat(heartbeat, grant.mod_revision, now);
         // An unreachable holder is not named, because the worker would wait for it in vain.
-        let holder = Some(grant.controller).filter(|&host| self.is_reachable_peer(host, now));
+        let holder = Some(grant.controller)
+            .filter(|&controller_id| self.is_reachable_peer(controller_id, now));
         self.redirect(holder)
     }
 
-    fn is_reachable_peer(&self, host: ControllerId, now: Timestamp) -> bool {
-        host != self.own_id && self.peers.is_reachable(host, now)
+    fn is_reachable_peer(&self, controller_id: ControllerId, now: Timestamp) -> bool {
+        controller_id != self.own_id && self.peers.is_reachable(controller_id, now)
     }
 
     fn redirect(&mut self, to: Option<ControllerId>) -> HeartbeatResponse {
         self.counters.redirects += 1;
-        let name = to.map(|host| self.replica.names.controllers.name(host).to_owned());
+        let name = to.map(|controller_id| {
+            self.replica
+                .names
+                .controllers
+                .name(controller_id)
+                .to_owned()
+        });
         HeartbeatResponse::Redirect(name)
     }
 }
--- a/src/controller/machine_status.rs
+++ b/src/controller/machine_status.rs
@@ -28,9 +28,11 @@
             });
         }
         let (summary, received_at) = self.peers.reported_machine(grant.controller, machine_id)?;
-        let message_age = now.since(received_at);
+        let since_message_ms = now.since(received_at);
         Some(MachineHealth {
-            since_last_heartbeat_ms: summary.since_last_heartbeat_ms.map(|age| age + message_age),
+            since_last_heartbeat_ms: summary
+                .since_last_heartbeat_ms
+                .map(|since_ms| since_ms + since_message_ms),
             is_controllable: summary.is_controllable,
             being_reclaimed: summary.reclaim_announced,
             quarantined: summary.quarantined,
@@ -59,11 +61,11 @@
     /// Whether a machine should be replaced: it is quarantined, or no ack has reached it for a whole worker
     /// lease.
     pub(crate) fn needs_replacement(&self, runtime: &MachineRuntime, now: Timestamp) -> bool {
-        let lease = self.settings.worker_expiry_ms();
+        let lease_ms = self.settings.worker_expiry_ms();
         runtime.quarantined
             || runtime
                 .unreachable_since
-                .is_some_and(|since| now.since(since) > lease)
+                .is_some_and(|since| now.since(since) > lease_ms)
     }
 
     /// Number of running tasks of a job that this controller knows of, for display.
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -198,13 +198,13 @@
     /// Returns whether the expired lease was the current one.
     fn on_lease_expired(&mut self, lease_id: u64, now: Timestamp) -> bool {
         self.renewal_in_flight = false;
-        let present = self.lease_id == Some(lease_id);
-        if present {
+        let is_current = self.lease_id == Some(lease_id);
+        if is_current {
             self.joined = false;
             self.renewed_at = None;
             self.next_renewal = now;
         }
-        present
+        is_current
     }
 
     fn on_request_failed(&mut self, now: Timestamp, rng: &mut SmallRng) {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -39,7 +39,7 @@
 pub(crate) use pauses::PauseDetector;
 pub use peers::MessageLength;
 pub(crate) use peers::Peers;
-pub(crate) use queue_load::needs_of;
+pub(crate) use queue_load::task_needs;
 pub(crate) use writes::WritePipeline;
 
 use crate::clock::Timestamp;
@@ -92,8 +92,8 @@
     pub(crate) leadership: LeaderState,
     /// This controller's state in work stealing.
     pub(crate) work_stealing: WorkStealing,
-    /// Milliseconds since the start of the day, by the wall clock.
-    pub(crate) day_ms: u64,
+    /// Wall-clock time of the last tick, milliseconds since the Unix epoch.
+    pub(crate) unix_time_ms: u64,
     /// Jobs lent to and borrowed from other cells.
     pub(crate) spillover: Spillover,
 }
@@ -127,7 +127,7 @@
             .peers
             .iter()
             .map(|peer| replica.names.controllers.intern(&peer.host_name))
-            .filter(|&host| host != own_id)
+            .filter(|&controller_id| controller_id != own_id)
             .collect();
         for team in &platform.settings.teams {
             replica.names.teams.intern(&team.name);
@@ -157,7 +157,7 @@
             machine_types: HashMap::default(),
             leadership: LeaderState::default(),
             work_stealing: WorkStealing::default(),
-            day_ms: 0,
+            unix_time_ms: 0,
             spillover,
         }
     }
@@ -178,9 +178,9 @@
     }
 
     /// Performs all work that is due and returns the resulting effects.
-    pub fn tick(&mut self, now: Timestamp, day_ms: u64) -> Vec<Effect> {
+    pub fn tick(&mut self, now: Timestamp, unix_time_ms: u64) -> Vec<Effect> {
         let mut out = Vec::new();
-        self.day_ms = day_ms;
+        self.unix_time_ms = unix_time_ms;
         self.pauses.on_tick(now, self.peers.silent_ms());
         if self.is_outdated() {
             self.formats.log_outdated(self.replica.format);
--- a/src/controller/peers/messages.rs
+++ b/src/controller/peers/messages.rs
@@ -32,20 +32,20 @@
         let leader = self.replica.leader.map(|leader| leader.controller);
         let urgent_to = leader.filter(|_| due.urgent);
         let mut outbox = self.work_stealing.take_outgoing();
-        for host in self.peers.others.clone() {
-            let steal_messages = take_messages_to(host, &mut outbox);
+        for to in self.peers.others.clone() {
+            let steal_messages = take_messages_to(to, &mut outbox);
             let regular =
-                (due.periodic && self.initiates_contact_with(host, now)) || urgent_to == Some(host);
+                (due.periodic && self.initiates_contact_with(to, now)) || urgent_to == Some(to);
             if regular || !steal_messages.is_empty() {
                 let length = match regular {
-                    true => self.message_length_for(host),
+                    true => self.message_length_for(to),
                     false => MessageLength::Short,
                 };
                 let mut message = self.peer_message(length, now);
                 message.steal_messages = steal_messages;
-                self.add_facts_for_peer_without_store(host, &mut message, now);
+                self.add_facts_for_peer_without_store(to, &mut message, now);
                 out.push(Effect::SendPeerMessage {
-                    host,
+                    to,
                     message: Box::new(message),
                 });
             }
@@ -55,34 +55,34 @@
 
     /// Handles a peer's message and returns the response.
     pub fn respond_to_peer(&mut self, message: PeerMessage, now: Timestamp) -> PeerMessage {
-        let host = self.replica.names.controllers.get(&message.sender);
+        let controller_id = self.replica.names.controllers.get(&message.sender);
         let only_stealing = !message.steal_messages.is_empty();
         self.on_peer_message(message, now);
-        let length = match host {
-            Some(host) if !only_stealing => self.message_length_for(host),
+        let length = match controller_id {
+            Some(controller_id) if !only_stealing => self.message_length_for(controller_id),
             _ => MessageLength::Short,
         };
-        let mut answer = self.peer_message(length, now);
-        if let Some(host) = host {
-            self.add_facts_for_peer_without_store(host, &mut answer, now);
+        let mut response = self.peer_message(length, now);
+        if let Some(controller_id) = controller_id {
+            self.add_facts_for_peer_without_store(controller_id, &mut response, now);
         }
-        answer
+        response
     }
 
     /// Whether this controller sends requests to a peer, rather than the peer to it. A response
     /// contains the same as a request, so one direction suffices unless the peer is overdue.
-    fn initiates_contact_with(&self, host: ControllerId, now: Timestamp) -> bool {
-        self.own_name() < self.replica.names.controllers.name(host)
-            || self.peers.is_overdue(host, now)
+    fn initiates_contact_with(&self, controller_id: ControllerId, now: Timestamp) -> bool {
+        self.own_name() < self.replica.names.controllers.name(controller_id)
+            || self.peers.is_overdue(controller_id, now)
     }
 
     /// Returns the level of detail for a peer: the leader needs the current state of all machines,
     /// the others only an approximate one.
-    fn message_length_for(&self, host: ControllerId) -> MessageLength {
+    fn message_length_for(&self, controller_id: ControllerId) -> MessageLength {
         let leads = self
             .replica
             .leader
-            .is_some_and(|leader| leader.controller == host);
+            .is_some_and(|leader| leader.controller == controller_id);
         if leads || self.peers.message_count.is_multiple_of(LONG_MESSAGE_PERIOD) {
             MessageLength::Long
         } else {
@@ -105,9 +105,9 @@
                 .writes
                 .user_refused_within(USERS_REFUSED_REPORT_MS, now),
             since_last_messages_ms: peers
-                .filter_map(|(&host, peer)| {
+                .filter_map(|(&controller_id, peer)| {
                     Some((
-                        names.controllers.name(host).to_owned(),
+                        names.controllers.name(controller_id).to_owned(),
                         age_ms(peer.last_message_at?),
                     ))
                 })
@@ -167,24 +167,24 @@
     /// holder before its own authority ends.
     fn add_facts_for_peer_without_store(
         &mut self,
-        host: ControllerId,
+        controller_id: ControllerId,
         message: &mut PeerMessage,
         now: Timestamp,
     ) {
         // Own writes show in the replica before the next watch response is handled.
         let newly_cancelled = std::mem::take(&mut self.replica.changes.cancelled);
         self.record_cancelled(newly_cancelled, now);
-        let peer = self.peers.states.get(&host);
+        let peer = self.peers.states.get(&controller_id);
         if peer.is_none_or(|peer| peer.store_reachable) {
             return;
         }
         let cancellations = self.peers.recent_cancellations.iter();
         message.cancelled = cancellations.map(|(_, name)| name.clone()).collect();
-        let hosts = &self.replica.names.controllers;
+        let names = &self.replica.names.controllers;
         let grants = self.replica.grants.iter();
         message.grants = grants
             .map(|(block, grant)| {
-                let holder = hosts.name(grant.controller).to_owned();
+                let holder = names.name(grant.controller).to_owned();
                 (block.0, grant.mod_revision, holder)
             })
             .collect();
@@ -195,16 +195,16 @@
 impl Controller {
     /// Handles a peer's message, whether it is a request or a response.
     pub fn on_peer_message(&mut self, mut message: PeerMessage, now: Timestamp) {
-        let Some(host) = self.replica.names.controllers.get(&message.sender) else {
+        let Some(controller_id) = self.replica.names.controllers.get(&message.sender) else {
             return;
         };
-        if !self.peers.others.contains(&host) {
+        if !self.peers.others.contains(&controller_id) {
             return;
         }
-        self.formats.observe(host, message.format, now);
+        self.formats.observe(controller_id, message.format, now);
         let own_store_reachable = self.is_store_reachable(now);
         let names = &self.replica.names;
-        let peer = self.peers.states.entry(host).or_default();
+        let peer = self.peers.states.entry(controller_id).or_default();
         peer.update(&mut message, names, own_store_reachable, now);
         self.record_reported_cancellations(&message.cancelled);
         self.record_reported_grants(message.grants);
@@ -274,11 +274,11 @@
 
 /// Removes the messages to one peer from the outbox and returns them in order.
 fn take_messages_to(
-    host: ControllerId,
+    controller_id: ControllerId,
     outbox: &mut Vec<(ControllerId, StealMessage)>,
 ) -> Vec<StealMessage> {
     outbox
-        .extract_if(.., |(to, _)| *to == host)
+        .extract_if(.., |(to, _)| *to == controller_id)
         .map(|(_, message)| message)
         .collect()
 }
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -29,8 +29,7 @@
 const STORE_REFUSAL_PATIENCE_MS: u64 = 2000;
 /// Tolerance for the message ages that peers report, which may be too low by this much, ms.
 const REPORTED_AGE_TOLERANCE_MS: u64 = 300;
-/// Maximum age of the peer messages that decide whether a controller without the store is cut off,
-/// ms.
+/// Maximum age of the messages that show whether the peers reach the store either, ms.
 const READINESS_MESSAGE_AGE_MS: u64 = 3000;
 /// One in this many periodic messages lists all machines to all peers.
 const LONG_MESSAGE_PERIOD: u32 = 4;
@@ -44,9 +43,8 @@
     overdue_ms: u64,
     /// Silence after which a peer is unreachable, ms.
     silent_ms: u64,
-    /// Time for which a new controller waits for messages before it considers others unreachable,
-    /// ms.
-    settling_ms: u64,
+    /// Time after the start before a controller considers others unreachable, ms.
+    startup_grace_ms: u64,
     /// Interval at which controllers publish their queue totals, ms.
     load_period_ms: u64,
     /// Time after which a cancelled task has stopped, ms.
@@ -61,7 +59,7 @@
             period_ms: period_ms as u64,
             overdue_ms: (period_ms * 1.5) as u64,
             silent_ms: (options.peers_silent_s * 1000.0) as u64,
-            settling_ms: (2.0 * period_ms) as u64 + 100,
+            startup_grace_ms: (2.0 * period_ms) as u64 + 100,
             load_period_ms: (options.balance_period_s * 1000.0) as u64,
             cancel_ms: (settings.platform.settings.workers.cancel_s * 1000.0) as u64,
         }
@@ -71,9 +69,7 @@
 /// Last state reported by each other controller, and the schedule of peer messages.
 #[derive(Debug)]
 pub(crate) struct Peers {
-    /// Id of this controller.
     own_id: ControllerId,
-    /// Ids of the other controllers.
     others: Vec<ControllerId>,
     timing: Timing,
     /// Last reported state of each peer.
@@ -103,7 +99,6 @@
     holder: ControllerId,
 }
 
-/// The messages that are due.
 #[derive(Debug, Clone, Copy)]
 struct DueMessages {
     /// Whether the periodic messages to all peers are due.
@@ -145,27 +140,26 @@
         self.timing.silent_ms
     }
 
-    /// Time for which a new controller waits for messages before it considers others unreachable,
-    /// ms. It is short because after a restart of all controllers most of the workers' lease is
-    /// already used up, and wrongly suspecting a controller that starts later costs only a change
-    /// of holders.
-    pub(crate) fn settling_ms(&self) -> u64 {
-        self.timing.settling_ms
+    /// Time after the start before this controller considers others unreachable, ms. Short, because
+    /// after a restart of all controllers most of the workers' lease is used up, and suspecting one
+    /// that starts later costs only a change of holders.
+    pub(crate) fn startup_grace_ms(&self) -> u64 {
+        self.timing.startup_grace_ms
     }
 
-    /// Whether a message from `host` arrived recently; always true for this controller itself.
-    pub(crate) fn is_reachable(&self, host: ControllerId, now: Timestamp) -> bool {
-        host == self.own_id
+    /// Whether a message from a controller arrived recently; always true for this one itself.
+    pub(crate) fn is_reachable(&self, controller_id: ControllerId, now: Timestamp) -> bool {
+        controller_id == self.own_id
             || self
                 .states
-                .get(&host)
+                .get(&controller_id)
                 .and_then(|peer| peer.last_message_at)
                 .is_some_and(|at| now.since(at) <= self.timing.silent_ms)
     }
 
-    /// Whether any message from `host` has ever arrived.
-    pub(crate) fn has_ever_sent_message(&self, host: ControllerId) -> bool {
-        self.states.contains_key(&host)
+    /// Whether any message from a peer has ever arrived.
+    pub(crate) fn has_ever_sent_message(&self, peer_id: ControllerId) -> bool {
+        self.states.contains_key(&peer_id)
     }
 
     /// Whether a reachable controller reports another incarnation than the given one. The earlier
@@ -173,37 +167,37 @@
     /// access to the store cannot announce this otherwise.
     pub(crate) fn has_restarted_since(
         &self,
-        host: ControllerId,
+        peer_id: ControllerId,
         incarnation: Incarnation,
         now: Timestamp,
     ) -> bool {
-        host != self.own_id
-            && self.is_reachable(host, now)
+        peer_id != self.own_id
+            && self.is_reachable(peer_id, now)
             && self
                 .states
-                .get(&host)
+                .get(&peer_id)
                 .and_then(|peer| peer.incarnation)
                 .is_some_and(|reported| reported != incarnation)
     }
 
-    /// Whether at least half of the other reachable controllers, and at least one, do not reach
-    /// `host` either.
+    /// Whether at least half of the other reachable controllers, and at least one, do not reach a
+    /// peer either.
     ///
     /// Prevents a controller that is cut off from its peers but reaches the store from taking over
-    /// everything from healthy peers. If the controllers that miss `host` are no majority of all,
+    /// everything from healthy peers. If the controllers that miss the peer are no majority of all,
     /// the others may be with it on the other side of a partition; then its queue totals must be
     /// missing from the store as well.
-    pub(crate) fn is_silence_corroborated(&self, host: ControllerId, now: Timestamp) -> bool {
+    pub(crate) fn is_silence_corroborated(&self, peer_id: ControllerId, now: Timestamp) -> bool {
         let silent_ms = self.timing.silent_ms;
         let reachable = || {
             self.others
                 .iter()
-                .filter(|&&other| other != host && self.is_reachable(other, now))
+                .filter(|&&other| other != peer_id && self.is_reachable(other, now))
         };
         let misses = |other: &&ControllerId| {
             self.states.get(*other).is_some_and(|peer| {
                 peer.reported_message_ages_ms
-                    .get(&host)
+                    .get(&peer_id)
                     .is_none_or(|&age| age + REPORTED_AGE_TOLERANCE_MS > silent_ms)
             })
         };
@@ -213,37 +207,36 @@
         }
         let published = self
             .last_load_seen
-            .get(&host)
+            .get(&peer_id)
             .is_some_and(|&at| now.since(at) < self.timing.load_period_ms + silent_ms);
         (missing + 1) * 2 > self.others.len() + 1 || !published
     }
 
     /// Whether some other reachable controller can reach the store.
     pub(super) fn any_reachable_peer_has_store(&self, now: Timestamp) -> bool {
-        self.others.iter().any(|&host| {
-            let peer = self.states.get(&host);
-            self.is_reachable(host, now) && peer.is_some_and(|peer| peer.store_reachable)
+        self.others.iter().any(|&peer_id| {
+            let peer = self.states.get(&peer_id);
+            self.is_reachable(peer_id, now) && peer.is_some_and(|peer| peer.store_reachable)
         })
     }
 
-    /// Whether a reachable peer has reported for a while that it cannot reach the store, while this
-    /// controller could.
-    pub(super) fn is_refused_by_store(&self, host: ControllerId, now: Timestamp) -> bool {
-        self.is_reachable(host, now)
+    /// Whether a reachable peer has reported for a while that only it cannot reach the store.
+    pub(super) fn is_refused_by_store(&self, peer_id: ControllerId, now: Timestamp) -> bool {
+        self.is_reachable(peer_id, now)
             && self
                 .states
-                .get(&host)
+                .get(&peer_id)
                 .and_then(|peer| peer.store_unreachable_since)
                 .is_some_and(|since| now.since(since) >= STORE_REFUSAL_PATIENCE_MS)
     }
 
     /// Whether the peers report that none of them can reach the store either. A controller that
-    /// hears from no peer is itself cut off, and the others may be healthy.
+    /// receives no peer messages is itself cut off, and the others may be healthy.
     pub(super) fn is_store_outage_reported(&self, now: Timestamp) -> bool {
         let mut recent = self
             .others
             .iter()
-            .filter_map(|host| self.states.get(host))
+            .filter_map(|peer_id| self.states.get(peer_id))
             .filter(|peer| {
                 peer.last_message_at
                     .is_some_and(|at| now.since(at) < READINESS_MESSAGE_AGE_MS)
@@ -284,9 +277,9 @@
 
     /// Machines that send heartbeats to a peer that does not hold them, with that peer.
     pub(crate) fn unowned_machines(&self) -> impl Iterator<Item = (ControllerId, &UnownedMachine)> {
-        self.states.iter().flat_map(|(&host, peer)| {
+        self.states.iter().flat_map(|(&peer_id, peer)| {
             let machines = peer.unowned_machines.iter();
-            machines.map(move |machine| (host, machine))
+            machines.map(move |machine| (peer_id, machine))
         })
     }
 
@@ -314,8 +307,8 @@
     }
 
     /// Records that queue totals of a controller were seen in the store.
-    pub(super) fn record_load_published(&mut self, host: ControllerId, now: Timestamp) {
-        self.last_load_seen.insert(host, now);
+    pub(super) fn record_load_published(&mut self, controller_id: ControllerId, now: Timestamp) {
+        self.last_load_seen.insert(controller_id, now);
     }
 
     /// Drops reported grants that the replica shows in the meantime.
@@ -380,8 +373,11 @@
     }
 
     /// Whether a peer's periodic message is overdue.
-    fn is_overdue(&self, host: ControllerId, now: Timestamp) -> bool {
-        let last_message_at = self.states.get(&host).and_then(|peer| peer.last_message_at);
+    fn is_overdue(&self, peer_id: ControllerId, now: Timestamp) -> bool {
+        let last_message_at = self
+            .states
+            .get(&peer_id)
+            .and_then(|peer| peer.last_message_at);
         last_message_at.is_none_or(|at| now.since(at) > self.timing.overdue_ms)
     }
 }
@@ -397,7 +393,7 @@
     ///
     /// While such a peer leads, nothing is bound until its lease expires; completions of its
     /// machines are not recorded, and tasks bound to them are not started.
-    pub(crate) fn is_peer_without_store(&self, host: ControllerId, now: Timestamp) -> bool {
-        self.is_store_reachable(now) && self.peers.is_refused_by_store(host, now)
+    pub(crate) fn is_peer_without_store(&self, peer_id: ControllerId, now: Timestamp) -> bool {
+        self.is_store_reachable(now) && self.peers.is_refused_by_store(peer_id, now)
     }
 }
--- a/src/controller/peers/state.rs
+++ b/src/controller/peers/state.rs
@@ -72,7 +72,9 @@
         self.reported_message_ages_ms = message
             .since_last_messages_ms
             .iter()
-            .filter_map(|(host, age_ms)| Some((names.controllers.get(host)?, *age_ms)))
+            .filter_map(|(controller_id, age_ms)| {
+                Some((names.controllers.get(controller_id)?, *age_ms))
+            })
             .collect();
         self.unowned_machines = std::mem::take(&mut message.unowned_machines);
         self.failure_streaks = message
--- a/src/controller/queue_load.rs
+++ b/src/controller/queue_load.rs
@@ -26,7 +26,7 @@
 impl Controller {
     /// Resources and placement constraints of one task of a job.
     pub fn needs(&self, job: &Job) -> Needs {
-        needs_of(job)
+        task_needs(job)
     }
 
     /// Capacity of a machine; `None` while its type is unknown.
@@ -64,7 +64,7 @@
     }
 
     /// Queue load of a machine, as its holder reports it; 0 if unknown.
-    pub(crate) fn known_load(&self, machine_id: MachineId, now: Timestamp) -> f64 {
+    pub(crate) fn reported_load(&self, machine_id: MachineId, now: Timestamp) -> f64 {
         match self.replica.block_and_holder(machine_id) {
             Some((_, grant)) if grant.controller == self.own_id => self.queue_load(machine_id, now),
             Some((_, grant)) => {
@@ -155,7 +155,7 @@
 }
 
 /// Resources and placement constraints of one task of a job.
-pub(crate) fn needs_of(job: &Job) -> Needs {
+pub(crate) fn task_needs(job: &Job) -> Needs {
     let spec = &job.spec;
     Needs {
         resources: job.task_resources(),
--- a/src/controller/replica_changes.rs
+++ b/src/controller/replica_changes.rs
@@ -57,8 +57,8 @@
         let changes = std::mem::take(&mut self.replica.changes);
         self.record_cancelled(changes.cancelled, now);
         self.peers.drop_confirmed_grants(&self.replica.grants);
-        for host in changes.loads {
-            self.peers.record_load_published(host, now);
+        for controller_id in changes.loads {
+            self.peers.record_load_published(controller_id, now);
         }
         self.drop_machines_without_block(changes.removed_machines);
         let early_grants = self.update_blocks(changes.blocks, now);
--- a/src/controller/status_page.rs
+++ b/src/controller/status_page.rs
@@ -57,7 +57,7 @@
             "fenced": runtime.fenced,
             "lost": runtime.presumed_dead,
             "sick": runtime.quarantined,
-            "silentMs": runtime.last_heartbeat_at.map(|heard| now.since(heard)),
+            "silentMs": runtime.last_heartbeat_at.map(|at| now.since(at)),
             "tasks": runtime.task_count(),
             "queue": machine.map_or(0, |machine| machine.queue.len()),
             "load": self.queue_load(machine_id, now),
@@ -70,18 +70,19 @@
         let waiting = self.replica.waiting.jobs.keys();
         waiting
             .map(|&job| {
-                let open = self.replica.open_predecessors(job);
-                let open = open.map(|predecessor| names.name(predecessor));
-                (names.name(job), open.collect())
+                let unfinished = self.replica.open_predecessors(job);
+                let unfinished = unfinished.map(|predecessor| names.name(predecessor));
+                (names.name(job), unfinished.collect())
             })
             .collect()
     }
 
     /// Format that each controller was last seen to write.
     fn versions(&self) -> BTreeMap<&str, u32> {
-        let hosts = &self.replica.names.controllers;
+        let names = &self.replica.names.controllers;
         let controllers = self.replica.live_controllers.iter();
-        let shown = controllers.map(|(&host, controller)| (hosts.name(host), controller.format));
+        let shown = controllers
+            .map(|(&controller_id, controller)| (names.name(controller_id), controller.format));
         let own = (self.own_name(), self.formats.own_format());
         shown.chain([own]).collect()
     }
--- a/src/controller/writes/commits.rs
+++ b/src/controller/writes/commits.rs
@@ -174,7 +174,7 @@
 impl super::WritePipeline {
     /// Marks an unanswered write as in doubt and schedules its resend.
     ///
-    /// Each transaction has a precondition on a key that it changes, so resending it settles the
+    /// Each transaction has a precondition on a key that it changes, so resending it reveals the
     /// outcome: either it is applied now, or a precondition fails because it was applied before or
     /// can never be applied.
     fn record_unanswered(&mut self, write_kind: WriteKind, resend_at: Timestamp) {
--- a/src/controller/writes/pacing.rs
+++ b/src/controller/writes/pacing.rs
@@ -194,7 +194,7 @@
     }
 
     /// Handles the rejection of a user's write because the write budget was exhausted.
-    pub fn on_user_refused(&mut self, now: Timestamp) {
+    pub fn on_user_write_refused(&mut self, now: Timestamp) {
         self.writes.user_refused_at = Some(now);
     }
 
--- a/src/http/submission.rs
+++ b/src/http/submission.rs
@@ -123,7 +123,7 @@
             return outcome;
         }
         let now = self.shared.now();
-        self.shared.controller.lock().on_user_refused(now);
+        self.shared.controller.lock().on_user_write_refused(now);
         actix_web::rt::time::sleep(RETRY_PAUSE).await;
         self.store.commit(transaction, WRITE_TIMEOUT).await
     }
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -11,7 +11,7 @@
 use super::preemption::Preemptions;
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
-use crate::controller::{Controller, needs_of};
+use crate::controller::{Controller, task_needs};
 use crate::names::JobId;
 use crate::placement::{self, CandidateJob, CandidateMachine, PlannedBinding};
 use crate::ranges::RangeSet;
@@ -111,9 +111,9 @@
     ) -> Vec<CandidateMachine> {
         let jobs = &bindable_jobs.in_order;
         let scope = CandidateMachineScope {
-            include_cordoned: jobs.iter().any(|bindable_job| bindable_job.overdue),
-            include_early: jobs.iter().any(|bindable_job| {
-                self.may_bind_early(bindable_job.job, &self.replica.jobs[&bindable_job.job])
+            include_cordoned: jobs.iter().any(|bindable| bindable.overdue),
+            include_early: jobs.iter().any(|bindable| {
+                self.may_bind_early(bindable.job, &self.replica.jobs[&bindable.job])
             }),
         };
         self.candidate_machines(scope, now)
@@ -130,29 +130,25 @@
         let mut bound_by_zone = None;
         let mut candidate_jobs: Vec<CandidateJob> = Vec::new();
         let mut beyond_share: Vec<CandidateJob> = Vec::new();
-        for bindable_job in bindable_jobs.in_order.iter().take(MAX_JOBS_PER_PLAN) {
-            let job = &self.replica.jobs[&bindable_job.job];
+        for bindable in bindable_jobs.in_order.iter().take(MAX_JOBS_PER_PLAN) {
+            let job = &self.replica.jobs[&bindable.job];
             let mut taken = job.done.clone();
-            let in_flight = in_flight
-                .get(&bindable_job.job)
-                .into_iter()
-                .flatten()
-                .copied();
-            for number in self.replica.bound_tasks(bindable_job.job).chain(in_flight) {
+            let in_flight = in_flight.get(&bindable.job).into_iter().flatten().copied();
+            for number in self.replica.bound_tasks(bindable.job).chain(in_flight) {
                 taken.insert(number);
             }
-            let max_tasks = match Some(bindable_job.job) == bindable_jobs.starved {
+            let max_tasks = match Some(bindable.job) == bindable_jobs.starved {
                 // Enough to start the job without delaying the others for long.
                 true => (job.spec.task_count as usize / STARVED_TASKS_DIVISOR)
                     .clamp(1, MAX_STARVED_TASKS),
                 false => MAX_TASKS_PER_JOB,
             };
-            let mut candidate_job = self.candidate_job(bindable_job, job, &taken, max_tasks);
+            let mut candidate_job = self.candidate_job(bindable, job, &taken, max_tasks);
             if candidate_job.needs.depends_on_other_tasks() {
                 // Zones are counted for only one candidate per job, so such jobs are not split by
                 // share.
                 let all = bound_by_zone.get_or_insert_with(|| self.bound_tasks_by_zone());
-                candidate_job.bound_by_zone = all.remove(&bindable_job.job).unwrap_or_default();
+                candidate_job.bound_by_zone = all.remove(&bindable.job).unwrap_or_default();
             } else {
                 let bound_tasks = (taken.len() - job.done.len()) as usize;
                 let share_left = self
@@ -178,24 +174,24 @@
     /// tasks are left empty.
     fn candidate_job(
         &self,
-        bindable_job: &BindableJob,
+        bindable: &BindableJob,
         job: &Job,
         taken: &RangeSet,
         max_tasks: usize,
     ) -> CandidateJob {
         let value_bytes = self.settings.max_value_bytes();
-        let bindable = job.bindable(taken, value_bytes, self.replica.encoding());
+        let tasks = job.bindable(taken, value_bytes, self.replica.encoding());
         CandidateJob {
-            job: bindable_job.job,
+            job: bindable.job,
             team: job.team,
             image: job.image,
             image_gb: job.spec.image_gb,
-            needs: needs_of(job),
+            needs: task_needs(job),
             run_s: self.expected_run_s(job),
-            tasks: bindable.take(max_tasks).collect(),
+            tasks: tasks.take(max_tasks).collect(),
             bound_by_zone: HashMap::default(),
-            overdue: bindable_job.overdue,
-            ahead_of_schedule: self.may_bind_early(bindable_job.job, job),
+            overdue: bindable.overdue,
+            ahead_of_schedule: self.may_bind_early(bindable.job, job),
             beyond_share: false,
         }
     }
@@ -204,8 +200,9 @@
     /// to a dependency chain, whose last result a user is waiting for, and is small enough that
     /// this costs few writes.
     fn may_bind_early(&self, job_id: JobId, job: &Job) -> bool {
-        let chained = job.ready_ms.is_some() || self.replica.dependencies.has_dependents(job_id);
-        chained && job.spec.task_count <= MAX_TASKS_FOR_EARLY_BINDING
+        let has_dependencies =
+            job.ready_ms.is_some() || self.replica.dependencies.has_dependents(job_id);
+        has_dependencies && job.spec.task_count <= MAX_TASKS_FOR_EARLY_BINDING
     }
 }
 
@@ -213,6 +210,6 @@
 fn free_cpus(candidate_machines: &[CandidateMachine]) -> f64 {
     candidate_machines
         .iter()
-        .map(|slot| slot.size.cpus - slot.used.cpus)
+        .map(|machine| machine.size.cpus - machine.used.cpus)
         .sum()
 }
--- a/src/leadership/binding/bindable_jobs.rs
+++ b/src/leadership/binding/bindable_jobs.rs
@@ -70,7 +70,9 @@
     /// Sorts the jobs into serving order and moves the starved job to the front.
     fn sorted(mut jobs: Vec<BindableJob>, starved: Option<JobId>) -> Self {
         jobs.sort_by(BindableJob::compare);
-        let first = jobs.iter().position(|open| Some(open.job) == starved);
+        let first = jobs
+            .iter()
+            .position(|bindable| Some(bindable.job) == starved);
         if let Some(first) = first {
             jobs[..=first].rotate_right(1);
         }
@@ -90,12 +92,13 @@
         now: Timestamp,
     ) -> BindableJobs {
         let guarantees = self.guaranteed_cpus_left();
-        let lending = self.writes.jobs_being_lent();
+        let being_lent = self.writes.jobs_being_lent();
         let mut jobs = Vec::new();
         let mut starved: Option<StarvedJob> = None;
         for (&job_id, job) in &self.replica.jobs {
             let in_flight = in_flight.get(&job_id).map_or(0, Vec::len) as u32;
-            if lending.contains(&job_id) || !self.has_bindable_tasks(job_id, job, in_flight, now) {
+            if being_lent.contains(&job_id) || !self.has_bindable_tasks(job_id, job, in_flight, now)
+            {
                 continue;
             }
             // A job that is blocked by its team's limit would not benefit from more machines.
@@ -163,7 +166,7 @@
     /// Seconds since a task of the job was last bound, or since the job became ready if none was.
     /// For a job that was started in an earlier term, counts from the start of this term.
     fn waited_s(&self, job_id: JobId, job: &Job, now: Timestamp) -> f64 {
-        let age_s = self.day_ms.saturating_sub(job.ready_since_ms()) as f64 / 1000.0;
+        let age_s = self.unix_time_ms.saturating_sub(job.ready_since_ms()) as f64 / 1000.0;
         match self.leadership.binding_schedule.last_bound_at(job_id) {
             Some(at) => now.since(at) as f64 / 1000.0,
             None if job.done.is_empty() && self.replica.bound_task_count(job_id) == 0 => age_s,
--- a/src/leadership/binding/limits.rs
+++ b/src/leadership/binding/limits.rs
@@ -21,7 +21,7 @@
     pub(super) fn plan_limits(&self, machines: usize, now: Timestamp) -> PlanLimits {
         let options = &self.settings.options;
         PlanLimits {
-            max_wait_s: self.ahead_s(now),
+            max_wait_s: self.max_wait_s(now),
             sample_size: options.queue_sample_size as usize,
             max_bindings: machines.max(MIN_BINDINGS_LIMIT),
             max_run_on_expensive_s: self.backlog_s() + options.fleet_horizon_s / 1.5,
@@ -36,16 +36,16 @@
     /// between block writes, because the next tasks must be queued before the next write. It
     /// shrinks with the share of machines that are still booting: a task queued behind other tasks
     /// on a rough estimate would wait there while new machines come up idle.
-    fn ahead_s(&self, now: Timestamp) -> f64 {
-        let ahead_s = self.settings.options.queue_max_wait_s
+    fn max_wait_s(&self, now: Timestamp) -> f64 {
+        let max_wait_s = self.settings.options.queue_max_wait_s
             + (self.block_write_intervals_s() - 1.0).max(0.0);
         let machines = self.replica.machines.len().max(1);
         let known = self.replica.machines.keys();
-        let infos = known.filter_map(|&machine_id| self.machine_health(machine_id, now));
-        let booting = infos
-            .filter(|info| info.since_last_heartbeat_ms.is_none())
+        let health = known.filter_map(|&machine_id| self.machine_health(machine_id, now));
+        let booting = health
+            .filter(|health| health.since_last_heartbeat_ms.is_none())
             .count();
-        ahead_s * (machines - booting) as f64 / machines as f64
+        max_wait_s * (machines - booting) as f64 / machines as f64
     }
 
     /// CPUs of all machines whose type is known.
@@ -79,6 +79,7 @@
         let mut waiting = self.replica.waiting.jobs.values();
         pending.any(|job| !job.spec.spot) || waiting.any(|job| !job.record.spec.spot)
     }
+
     /// Maximum number of a job's tasks that are bound and not done at its place in the serving
     /// order; its other tasks come after all other jobs.
     ///
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -89,8 +89,8 @@
         all.filter(|&id| self.is_writable_early(id, now)).collect()
     }
 
-    /// Plans and submits block writes: removes returned machines, marks leaving ones, places new
-    /// ones and binds tasks.
+    /// Plans and submits block writes: removes returned machines, cordons those that are drained,
+    /// places new ones and binds tasks.
     pub(super) fn plan_edits(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         if self.block_upkeep.grants_have_priority(now) {
             return;
@@ -98,7 +98,7 @@
         let mut edits = PlannedEdits::default();
         self.record_unplaced_machines(now);
         self.remove_returned_machines(&mut edits, now);
-        self.mark_leaving_machines(&mut edits, now);
+        self.cordon_draining_machines(&mut edits, now);
         self.place_machines(&mut edits, now);
         let plan = self.plan_bindings(now);
         for (id, planned) in edits.0 {
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Marks machines that will be returned, so that they get no new tasks.
-    fn mark_leaving_machines(&self, edits: &mut PlannedEdits, now: Timestamp) {
+    /// Cordons the machines that are drained, so that they get no new tasks before their return.
+    fn cordon_draining_machines(&self, edits: &mut PlannedEdits, now: Timestamp) {
         for machine_id in self.leadership.scale_in.to_drain() {
             let Some(machine) = self.replica.machines.get(machine_id) else {
                 continue;
@@ -173,10 +173,10 @@
                 continue;
             }
             let planned = edits.get_or_create(machine.block, &self.replica);
-            if let Some(leaving) = planned.edit.machines.get_mut(machine_id) {
+            if let Some(edited) = planned.edit.machines.get_mut(machine_id) {
                 let machine = self.replica.names.machines.name(*machine_id);
                 info!(machine, "draining machine before its return");
-                leaving.cordoned = true;
+                edited.cordoned = true;
             }
         }
     }
--- a/src/leadership/block_sizes/tests.rs
+++ b/src/leadership/block_sizes/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn beyond_enough_blocks_a_new_one_is_made_only_for_lack_of_room() {
+fn at_the_target_number_a_new_block_is_created_only_if_the_values_are_full() {
     assert_eq!(choose(&[(4, 40), (4, 50)], &[0, 1]), Some(2));
     assert_eq!(
         choose(&[(4, 90), (5, 80), (6, 95)], &[0, 1, 2]),
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_block_that_is_only_being_made_is_not_made_twice() {
+fn a_block_whose_creation_is_in_flight_is_not_created_again() {
     let mut sizes = blocks(&[(1, 10)]);
     sizes.insert_in_flight(BlockId(1));
     assert_eq!(sizes.choose_block(10, |_| false), None);
--- a/src/leadership/candidate_machines.rs
+++ b/src/leadership/candidate_machines.rs
@@ -64,11 +64,11 @@
         machine.is_some_and(|machine| !machine.cordoned)
             && !leadership.inventory.returned().contains(&machine_id)
             && !leadership.scale_in.is_draining(machine_id)
-            && self.machine_health(machine_id, now).is_some_and(|info| {
-                let recent = info
+            && self.machine_health(machine_id, now).is_some_and(|health| {
+                let recent = health
                     .since_last_heartbeat_ms
-                    .is_some_and(|age_ms| age_ms < recent_ms);
-                info.is_controllable && recent && !info.being_reclaimed && !info.quarantined
+                    .is_some_and(|since_ms| since_ms < recent_ms);
+                health.is_controllable && recent && !health.being_reclaimed && !health.quarantined
             })
     }
 
@@ -109,7 +109,7 @@
         candidates
     }
 
-    /// Describes a machine for placement, counting bindings in flight as present; none if its type
+    /// Describes a machine for placement, counting bindings in flight as present; `None` if its type
     /// is unknown.
     fn candidate_machine(
         &self,
@@ -129,7 +129,7 @@
             spot: machine.spot,
             size,
             used: self.used_resources(machine.queue.iter().chain(pending)),
-            load_s: self.known_load(machine_id, now),
+            load_s: self.reported_load(machine_id, now),
             fetch_gb_per_s: machine_type.fetch_gb_per_s,
             cached_images: images.iter().copied().collect(),
             expensive: cheapest.is_expensive(machine_type, machine.spot),
--- a/src/leadership/capacity.rs
+++ b/src/leadership/capacity.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Timestamp;
 use crate::collections::HashMap;
-use crate::controller::{Controller, needs_of};
+use crate::controller::{Controller, task_needs};
 use crate::names::{Index, JobId, MachineId, TeamId, ZoneId};
 use crate::placement::Resources;
 use crate::protocol::JobStatus;
@@ -40,7 +40,7 @@
             let tasks = tasks_left.min((*cpus_left / cpus).floor().max(0.0));
             *cpus_left -= tasks * cpus;
             demand.push(Demand {
-                needs: needs_of(job),
+                needs: task_needs(job),
                 tasks,
                 work: tasks_left * cpus * self.expected_run_s(job),
             });
@@ -48,8 +48,8 @@
         demand
     }
 
-    /// The machines that serve demand, excluding those that are leaving, partitioned off or
-    /// presumed dead.
+    /// The machines that serve demand, excluding those that are cordoned, drained, being
+    /// reclaimed, quarantined, partitioned off or presumed dead.
     pub(crate) fn fleet(&self, now: Timestamp) -> Vec<RentedMachine> {
         let machines = self.replica.machines_sorted().into_iter();
         let rented = machines.filter_map(|machine_id| {
@@ -66,10 +66,10 @@
     ) -> Option<RentedMachine> {
         let size = self.machine_capacity(machine)?;
         let machine_type = self.machine_types.get(&machine.machine_type)?;
-        let info = self.machine_health(machine_id, now);
-        let unusable = info
+        let health = self.machine_health(machine_id, now);
+        let unusable = health
             .as_ref()
-            .is_some_and(|info| info.being_reclaimed || info.quarantined);
+            .is_some_and(|health| health.being_reclaimed || health.quarantined);
         if machine.cordoned
             || unusable
             || self.leadership.scale_in.is_draining(machine_id)
@@ -78,7 +78,7 @@
         {
             return None;
         }
-        let up = info.is_some_and(|info| info.since_last_heartbeat_ms.is_some());
+        let up = health.is_some_and(|health| health.since_last_heartbeat_ms.is_some());
         let idle_ms = self.leadership.machines.idle_for_ms(machine_id, now);
         Some(RentedMachine {
             machine: machine_id,
@@ -162,7 +162,7 @@
         offers
     }
 
-    /// Boot time in seconds of the fastest-booting machine type that can be rented now; none while
+    /// Boot time in seconds of the fastest-booting machine type that can be rented now; `None` while
     /// the cloud refuses all types.
     pub(crate) fn rentable_start_s(&self, now: Timestamp) -> Option<f64> {
         let offers = self.offers().into_iter();
--- a/src/leadership/cloud_inventory.rs
+++ b/src/leadership/cloud_inventory.rs
@@ -61,7 +61,7 @@
 }
 
 impl CloudInventory {
-    /// A machine's entry in the last list that showed it; none if no list did.
+    /// A machine's entry in the last list that showed it; `None` if no list did.
     pub(super) fn listed(&self, machine_id: MachineId) -> Option<ListedMachine> {
         self.listed.get(&machine_id).copied()
     }
--- a/src/leadership/grant_observations.rs
+++ b/src/leadership/grant_observations.rs
@@ -54,7 +54,7 @@
         seen.map_or(0, |grant| now.since(grant.since))
     }
 
-    /// Milliseconds for which the grant with this fencing token has been known; none if it has not
+    /// Milliseconds for which the grant with this fencing token has been known; `None` if it has not
     /// been observed yet.
     pub(super) fn known_for_ms(
         &self,
@@ -70,9 +70,9 @@
     /// Removes avoided controllers from `holders`, unless that would leave none.
     pub(super) fn exclude_avoided(&mut self, holders: &mut Vec<ControllerId>, now: Timestamp) {
         self.avoid_until.retain(|_, until| now < *until);
-        let avoided = |host: &ControllerId| self.avoid_until.contains_key(host);
+        let avoided = |controller_id: &ControllerId| self.avoid_until.contains_key(controller_id);
         if !holders.iter().all(avoided) {
-            holders.retain(|host| !avoided(host));
+            holders.retain(|controller_id| !avoided(controller_id));
         }
     }
 
@@ -89,14 +89,14 @@
         now: Timestamp,
     ) -> HashSet<ControllerId> {
         let since = &mut self.restarted_since;
-        since.retain(|host, _| restarted.contains(host));
-        for &host in restarted {
-            since.entry(host).or_insert(now);
+        since.retain(|controller_id, _| restarted.contains(controller_id));
+        for &controller_id in restarted {
+            since.entry(controller_id).or_insert(now);
         }
         let confirmed = since
             .iter()
             .filter(|(_, at)| now.since(**at) >= RESTART_CONFIRMED_MS);
-        confirmed.map(|(&host, _)| host).collect()
+        confirmed.map(|(&controller_id, _)| controller_id).collect()
     }
 
     /// Whether a rebalancing grant is due.
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -70,40 +70,40 @@
 /// The controllers that may hold blocks, and the load of each holder.
 struct HolderLoads {
     /// Sorted by index.
-    usable: Vec<ControllerId>,
+    eligible: Vec<ControllerId>,
     /// Load by holder, as the sum of [`block_weight`] over its blocks.
     loads: HashMap<ControllerId, usize>,
 }
 
 impl HolderLoads {
-    fn new(usable: Vec<ControllerId>, replica: &Replica) -> Self {
+    fn new(eligible: Vec<ControllerId>, replica: &Replica) -> Self {
         let mut loads: HashMap<ControllerId, usize> = HashMap::default();
         for (id, grant) in &replica.grants {
             if let Some(block) = replica.blocks.get(id) {
                 *loads.entry(grant.controller).or_default() += block_weight(block.machines.len());
             }
         }
-        Self { usable, loads }
+        Self { eligible, loads }
     }
 
-    fn load_of(&self, host: ControllerId) -> usize {
-        self.loads.get(&host).copied().unwrap_or(0)
+    fn load_of(&self, controller_id: ControllerId) -> usize {
+        self.loads.get(&controller_id).copied().unwrap_or(0)
     }
 
-    fn add_load(&mut self, host: ControllerId, weight: usize) {
-        *self.loads.entry(host).or_default() += weight;
+    fn add_load(&mut self, controller_id: ControllerId, weight: usize) {
+        *self.loads.entry(controller_id).or_default() += weight;
     }
 
-    /// The usable controller with the lowest load, excluding `except`.
+    /// The eligible controller with the lowest load, excluding `except`.
     fn least_loaded_except(&self, except: Option<ControllerId>) -> Option<ControllerId> {
-        let usable = self.usable.iter().copied();
-        let others = usable.filter(|&host| Some(host) != except);
-        others.min_by_key(|&host| self.load_of(host))
+        let eligible = self.eligible.iter().copied();
+        let others = eligible.filter(|&controller_id| Some(controller_id) != except);
+        others.min_by_key(|&controller_id| self.load_of(controller_id))
     }
 
     fn most_loaded(&self) -> Option<ControllerId> {
-        let usable = self.usable.iter().copied();
-        usable.max_by_key(|&host| self.load_of(host))
+        let eligible = self.eligible.iter().copied();
+        eligible.max_by_key(|&controller_id| self.load_of(controller_id))
     }
 }
 
@@ -125,7 +125,7 @@
     /// Whether this controller has listened long enough to call a peer silent. Controllers listen
     /// whether or not they lead, so a new leader that has been running for a while need not wait.
     pub(crate) fn peer_silence_is_conclusive(&self, now: Timestamp) -> bool {
-        now.since(self.pauses.started_at(now)) > self.peers.settling_ms()
+        now.since(self.pauses.started_at(now)) > self.peers.startup_grace_ms()
     }
 
     /// Whether this leader's term has lasted long enough that missing messages mean failures.
@@ -134,30 +134,31 @@
     }
 
     /// Whether a controller may be granted blocks.
-    pub(super) fn is_eligible_holder(&self, host: ControllerId, now: Timestamp) -> bool {
-        let Some(controller) = self.replica.live_controllers.get(&host) else {
+    pub(super) fn is_eligible_holder(&self, controller_id: ControllerId, now: Timestamp) -> bool {
+        let Some(controller) = self.replica.live_controllers.get(&controller_id) else {
             return false;
         };
-        if host == self.own_id {
+        if controller_id == self.own_id {
             return controller.incarnation == self.membership.incarnation();
         }
-        if self.is_peer_without_store(host, now) {
+        if self.is_peer_without_store(controller_id, now) {
             return false;
         }
         let restarted = self
             .peers
-            .has_restarted_since(host, controller.incarnation, now);
-        (self.peers.is_reachable(host, now) && !restarted)
-            || (!self.peer_silence_is_conclusive(now) && !self.peers.has_ever_sent_message(host))
+            .has_restarted_since(controller_id, controller.incarnation, now);
+        (self.peers.is_reachable(controller_id, now) && !restarted)
+            || (!self.peer_silence_is_conclusive(now)
+                && !self.peers.has_ever_sent_message(controller_id))
     }
 
     /// Plans grants for blocks without a working holder, or one grant that rebalances the load.
     pub(super) fn plan_grants(&mut self, now: Timestamp) -> Option<Transaction> {
-        let usable = self.usable_controllers(now);
-        if usable.is_empty() {
+        let eligible = self.eligible_holders(now);
+        if eligible.is_empty() {
             return None;
         }
-        let mut holders = HolderLoads::new(usable, &self.replica);
+        let mut holders = HolderLoads::new(eligible, &self.replica);
         let faults = self.holder_faults(now);
         let mut grants = self.grants_due(&mut holders, &faults, now);
         if grants.is_empty() {
@@ -177,15 +178,15 @@
     }
 
     /// Controllers that may be granted blocks, sorted by index.
-    fn usable_controllers(&mut self, now: Timestamp) -> Vec<ControllerId> {
+    fn eligible_holders(&mut self, now: Timestamp) -> Vec<ControllerId> {
         let live = self.replica.live_controllers.keys().copied();
-        let usable = live.filter(|&host| self.is_eligible_holder(host, now));
-        let mut usable: Vec<ControllerId> = usable.collect();
-        usable.sort();
-        if !usable.is_empty() {
-            self.leadership.grants.exclude_avoided(&mut usable, now);
+        let eligible = live.filter(|&controller_id| self.is_eligible_holder(controller_id, now));
+        let mut eligible: Vec<ControllerId> = eligible.collect();
+        eligible.sort();
+        if !eligible.is_empty() {
+            self.leadership.grants.exclude_avoided(&mut eligible, now);
         }
-        usable
+        eligible
     }
 
     fn holder_faults(&mut self, now: Timestamp) -> HolderFaults {
@@ -217,7 +218,9 @@
                 continue;
             };
             let holder = grant.map(|grant| grant.controller);
-            let same = holder.filter(|host| reason.keeps_holder() && holders.usable.contains(host));
+            let same = holder.filter(|controller_id| {
+                reason.keeps_holder() && holders.eligible.contains(controller_id)
+            });
             let reachable_by_workers = faults.unreachable.get(&id).copied();
             let to = same
                 .or(reachable_by_workers)
@@ -233,7 +236,7 @@
         grants
     }
 
-    /// Why a block must be granted; none if its current grant is valid.
+    /// Why a block must be granted; `None` if its current grant is valid.
     fn grant_reason(
         &self,
         block: BlockId,
@@ -244,23 +247,25 @@
         let Some(grant) = grant else {
             return Some(GrantReason::Unheld);
         };
-        let host = grant.controller;
-        let controller = self.replica.live_controllers.get(&host);
+        let controller_id = grant.controller;
+        let controller = self.replica.live_controllers.get(&controller_id);
         if controller.is_none_or(|controller| controller.incarnation != grant.incarnation) {
             return Some(GrantReason::HolderReplaced);
         }
-        if host != self.own_id
-            && !self.peers.is_reachable(host, now)
+        if controller_id != self.own_id
+            && !self.peers.is_reachable(controller_id, now)
             && self.peer_silence_is_conclusive(now)
-            && self.peers.is_silence_corroborated(host, now)
+            && self.peers.is_silence_corroborated(controller_id, now)
         {
             return Some(GrantReason::HolderSilent);
         }
-        if self.is_peer_without_store(host, now) {
+        if self.is_peer_without_store(controller_id, now) {
             return Some(GrantReason::HolderCannotReachStore);
         }
-        if faults.restarted.contains(&host)
-            && self.peers.has_restarted_since(host, grant.incarnation, now)
+        if faults.restarted.contains(&controller_id)
+            && self
+                .peers
+                .has_restarted_since(controller_id, grant.incarnation, now)
         {
             return Some(GrantReason::HolderRestarted);
         }
@@ -282,12 +287,12 @@
         if known_ms.is_none_or(|known_ms| known_ms <= MIN_REGRANT_AGE_MS) {
             return false;
         }
-        let restarted = |&machine_id: &MachineId| {
-            let info = self.machine_health(machine_id, now);
-            info.is_some_and(|info| info.worker_restarted)
+        let worker_restarted = |&machine_id: &MachineId| {
+            let health = self.machine_health(machine_id, now);
+            health.is_some_and(|health| health.worker_restarted)
         };
         let block = self.replica.blocks.get(&block);
-        block.is_some_and(|block| block.machines.iter().any(restarted))
+        block.is_some_and(|block| block.machines.iter().any(worker_restarted))
     }
 
     /// A grant that moves a block from the most to the least loaded controller: the block whose
@@ -301,8 +306,8 @@
         let least_loaded = holders.least_loaded_except(None)?;
         let gap = holders.load_of(most_loaded) - holders.load_of(least_loaded);
         let grants = self.replica.grants.iter();
-        let of_heaviest = grants.filter(|(_, grant)| grant.controller == most_loaded);
-        let weights = of_heaviest.filter_map(|(&id, _)| {
+        let of_most_loaded = grants.filter(|(_, grant)| grant.controller == most_loaded);
+        let weights = of_most_loaded.filter_map(|(&id, _)| {
             let block = self.replica.blocks.get(&id)?;
             Some((id, block_weight(block.machines.len())))
         });
--- a/src/leadership/job_dependencies.rs
+++ b/src/leadership/job_dependencies.rs
@@ -1,4 +1,4 @@
-//! Plans the next step of jobs that wait for predecessors: ready jobs become ordinary jobs,
+//! Plans the next step of jobs that wait for predecessors: ready jobs become pending jobs,
 //! cancelled ones are archived.
 //!
 //! Only plans transactions. The replica decides whether a job is ready or cancelled.
@@ -16,7 +16,7 @@
 /// (PROTOCOL, submissions).
 const ABANDONED_AFTER_MS: u64 = 180_000;
 
-/// The ordinary or archived job that a waiting job becomes.
+/// The record of the pending or archived job that a waiting job becomes.
 fn job_record(waiting: &WaitingRecord, status: JobStatus, ready_ms: Option<u64>) -> JobRecord {
     JobRecord {
         spec: waiting.spec.clone(),
@@ -29,7 +29,7 @@
 }
 
 impl Controller {
-    /// Turns waiting jobs whose predecessors have all reached the final state done into ordinary
+    /// Turns waiting jobs whose predecessors have all reached the final state done into pending
     /// jobs, highest priority first.
     ///
     /// The final state of a predecessor never changes, so the transaction needs no precondition on
@@ -39,12 +39,12 @@
             return None;
         }
         // No job becomes ready without a change of the replica.
-        if self.leadership.none_ready_at_version == Some(self.replica.change_counter) {
+        if self.leadership.none_ready_at_change == Some(self.replica.change_counter) {
             return None;
         }
         let mut ready = self.ready_jobs();
         if ready.is_empty() {
-            self.leadership.none_ready_at_version = Some(self.replica.change_counter);
+            self.leadership.none_ready_at_change = Some(self.replica.change_counter);
             return None;
         }
         ready.sort_by_key(|&job| (self.waiting_priority(job), job));
@@ -54,7 +54,7 @@
         for job in ready.into_iter().take(max_jobs) {
             let waiting = self.replica.waiting.jobs[&job].record.clone();
             let name = self.replica.names.jobs.name(job);
-            let record = job_record(&waiting, JobStatus::Pending, Some(self.day_ms));
+            let record = job_record(&waiting, JobStatus::Pending, Some(self.unix_time_ms));
             let (from, to) = (waiting_key(name), job_key(name));
             let mutation = put(&to, &record, None);
             bytes += mutation.value_bytes();
@@ -83,7 +83,9 @@
     pub(super) fn plan_abandoned_jobs(&self) -> Option<Transaction> {
         let waiting = self.replica.waiting.jobs.iter();
         let mut abandoned = waiting.filter(|(_, waiting)| {
-            let age_ms = self.day_ms.saturating_sub(waiting.record.submitted_ms);
+            let age_ms = self
+                .unix_time_ms
+                .saturating_sub(waiting.record.submitted_ms);
             waiting.record.incomplete && age_ms > ABANDONED_AFTER_MS
         });
         let (&job, _) = abandoned.next()?;
@@ -99,7 +101,7 @@
         let own = self.replica.waiting.jobs.get(&job);
         let own = own.map_or(Priority::BestEffort, |waiting| waiting.record.spec.priority);
         let inherited = self.replica.dependencies.inherited_urgency(job);
-        inherited.map_or(own, |importance| importance.priority.min(own))
+        inherited.map_or(own, |inherited| inherited.priority.min(own))
     }
 
     /// Cancelled waiting jobs that no other job depends on, with the values to archive. Dependents
--- a/src/leadership/job_order.rs
+++ b/src/leadership/job_order.rs
@@ -58,7 +58,7 @@
     replica: &'a Replica,
     settings: &'a DeploymentParams,
     /// Wall-clock time, milliseconds since the Unix epoch.
-    day_ms: u64,
+    unix_time_ms: u64,
 }
 
 impl JobOrder<'_> {
@@ -103,7 +103,7 @@
     fn dependents_due_in_s(&self, job_id: JobId) -> Option<f64> {
         let inherited = self.replica.dependencies.inherited_urgency(job_id)?;
         let start_by_ms = inherited.start_by_ms?;
-        Some((start_by_ms - self.day_ms as i64) as f64 / 1000.0)
+        Some((start_by_ms - self.unix_time_ms as i64) as f64 / 1000.0)
     }
 
     /// Seconds within which jobs of the same class should be done.
@@ -116,7 +116,7 @@
 
     /// Seconds since a wall-clock time.
     fn age_s(&self, since_ms: u64) -> f64 {
-        self.day_ms.saturating_sub(since_ms) as f64 / 1000.0
+        self.unix_time_ms.saturating_sub(since_ms) as f64 / 1000.0
     }
 
     /// CPUs that a job's team may use at once, at least those of one task. A team without a limit
@@ -133,8 +133,8 @@
     /// A job's priority: the highest of its own and those of its dependents.
     pub(crate) fn priority(&self, job_id: JobId, job: &Job) -> Priority {
         let inherited = self.replica.dependencies.inherited_urgency(job_id);
-        inherited.map_or(job.spec.priority, |importance| {
-            importance.priority.min(job.spec.priority)
+        inherited.map_or(job.spec.priority, |inherited| {
+            inherited.priority.min(job.spec.priority)
         })
     }
 
@@ -180,7 +180,7 @@
         JobOrder {
             replica: &self.replica,
             settings: &self.settings.platform.settings,
-            day_ms: self.day_ms,
+            unix_time_ms: self.unix_time_ms,
         }
     }
 
--- a/src/leadership/job_order/tests.rs
+++ b/src/leadership/job_order/tests.rs
@@ -13,7 +13,7 @@
 /// then and became ready 100 s later.
 fn controller_and_job_at(seconds: u64, due_s: Option<f64>) -> (Controller, Job) {
     let ParsedSubmission::Valid(submission) = parse_submission(VALID_SUBMISSION.as_bytes()) else {
-        panic!("good")
+        panic!("the submission is valid")
     };
     let mut spec = submission.spec;
     spec.due_s = due_s;
@@ -22,7 +22,7 @@
     job.submitted_ms = SUBMITTED_MS;
     job.ready_ms = Some(SUBMITTED_MS + 100_000);
     let mut controller = Controller::new(small_settings(), 1);
-    controller.day_ms = SUBMITTED_MS + seconds * 1000;
+    controller.unix_time_ms = SUBMITTED_MS + seconds * 1000;
     (controller, job)
 }
 
--- a/src/leadership/machines.rs
+++ b/src/leadership/machines.rs
@@ -54,10 +54,10 @@
     fn last_heartbeats(&self, now: Timestamp) -> Vec<LastHeartbeat> {
         let machines = self.replica.machines.keys();
         let last_heartbeats = machines.filter_map(|&machine_id| {
-            let age_ms = self
+            let since_ms = self
                 .machine_health(machine_id, now)?
                 .since_last_heartbeat_ms?;
-            let at = Timestamp(now.0.saturating_sub(age_ms));
+            let at = Timestamp(now.0.saturating_sub(since_ms));
             Some(LastHeartbeat { machine_id, at })
         });
         last_heartbeats.collect()
@@ -204,8 +204,8 @@
     pub(super) fn drain_quarantined(&mut self, now: Timestamp) {
         let machines = self.replica.machines.keys().copied();
         let quarantined = machines.filter(|&machine_id| {
-            let info = self.machine_health(machine_id, now);
-            info.is_some_and(|info| info.quarantined)
+            let health = self.machine_health(machine_id, now);
+            health.is_some_and(|health| health.quarantined)
         });
         let quarantined: Vec<MachineId> = quarantined.collect();
         for machine_id in quarantined {
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -54,16 +54,16 @@
     term: Option<Term>,
     /// When this controller became leader.
     term_started_at: Timestamp,
-    /// Since when the current leader has appeared to be gone.
-    leader_gone_since: Option<Timestamp>,
+    /// Since when the current leader has been suspected of having failed.
+    leader_suspect_since: Option<Timestamp>,
     machines: MachineObservations,
     grants: GrantObservations,
     inventory: CloudInventory,
     rental_requests: RentalRequests,
     scale_in: ScaleIn,
     binding_schedule: BindingSchedule,
-    /// Version of the replica at which no waiting job was ready.
-    none_ready_at_version: Option<u64>,
+    /// Change counter of the replica when no waiting job was ready.
+    none_ready_at_change: Option<u64>,
     next_observation: Timestamp,
     next_archive: Timestamp,
 }
@@ -83,14 +83,17 @@
         self.binding_schedule.forget_jobs(released);
     }
 
-    /// Milliseconds for which the leader has been `gone` without interruption; none if it is not
-    /// gone.
-    pub(crate) fn leader_gone_for_ms(&mut self, gone: bool, now: Timestamp) -> Option<u64> {
-        if !gone {
-            self.leader_gone_since = None;
+    /// Milliseconds for which the leader has been continuously suspect; `None` if it is not.
+    pub(crate) fn leader_suspect_for_ms(
+        &mut self,
+        is_suspect: bool,
+        now: Timestamp,
+    ) -> Option<u64> {
+        if !is_suspect {
+            self.leader_suspect_since = None;
             return None;
         }
-        Some(now.since(*self.leader_gone_since.get_or_insert(now)))
+        Some(now.since(*self.leader_suspect_since.get_or_insert(now)))
     }
 }
 
--- a/src/leadership/observations.rs
+++ b/src/leadership/observations.rs
@@ -56,7 +56,7 @@
         self.last_heartbeat_at.contains_key(&machine_id)
     }
 
-    /// Milliseconds since any holder last received a heartbeat from a machine; none if there was
+    /// Milliseconds since any holder last received a heartbeat from a machine; `None` if there was
     /// none in this term.
     pub(super) fn since_last_heartbeat_ms(
         &self,
@@ -78,7 +78,7 @@
         first_seen.map_or(0, |&at| now.since(at))
     }
 
-    /// Milliseconds for which no task has been bound to a machine; none while one is.
+    /// Milliseconds for which no task has been bound to a machine; `None` while one is.
     pub(super) fn idle_for_ms(&self, machine_id: MachineId, now: Timestamp) -> Option<u64> {
         let idle_since = self.idle_since.get(&machine_id);
         idle_since.map(|&at| now.since(at))
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -255,7 +255,7 @@
         victims
     }
 
-    /// A bound task as a victim; none if tasks of its job must not be preempted.
+    /// A bound task as a victim; `None` if tasks of its job must not be preempted.
     fn victim(&self, machine: MachineId, binding: Binding) -> Option<Victim> {
         let job_id = binding.task.job;
         let job = self.replica.jobs.get(&job_id)?;
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -79,7 +79,7 @@
         self.drain_quarantined(now);
         let demand = self.demand(now);
         let fleet = self.fleet(now);
-        let rules = ScalingParams {
+        let params = ScalingParams {
             horizon_s: self.settings.options.fleet_horizon_s,
             idle_s: self.settings.options.fleet_idle_s,
             max_machines: self.settings.options.fleet_max_machines as usize,
@@ -87,14 +87,14 @@
         };
         // The replica must show all bindings before an empty queue means that a machine is idle.
         if self.grace_period_over(now) {
-            self.cordon_machines(&demand, &fleet, &rules, now);
-            for machine_id in scaling::machines_to_return(&demand, &fleet, &rules) {
+            self.cordon_machines(&demand, &fleet, &params, now);
+            for machine_id in scaling::machines_to_return(&demand, &fleet, &params) {
                 self.leadership.scale_in.drain(machine_id);
             }
         }
-        let orders = self.plan_rentals(&demand, fleet, &rules, now);
-        for order in orders.into_iter().take(MAX_RENTALS_PER_REVIEW) {
-            self.send_rental(order, term, now, out);
+        let rentals = self.plan_rentals(&demand, fleet, &params, now);
+        for planned in rentals.into_iter().take(MAX_RENTALS_PER_REVIEW) {
+            self.send_rental(planned, term, now, out);
         }
         self.return_machines(now, out);
     }
@@ -104,7 +104,7 @@
         &self,
         demand: &[Demand],
         fleet: Vec<RentedMachine>,
-        rules: &ScalingParams,
+        params: &ScalingParams,
         now: Timestamp,
     ) -> Vec<PlannedRental> {
         let offers = self.offers();
@@ -115,14 +115,14 @@
             .pending()
             .filter_map(|request| self.pool_of(request))
             .collect();
-        scaling::plan_rentals(demand, &fleet, &offers, rules, |pool| {
+        scaling::plan_rentals(demand, &fleet, &offers, params, |pool| {
             leadership.rental_requests.may_request(pool, now)
                 && !pending.contains(&pool)
                 && !leadership.machines.is_zone_partitioned(pool.zone)
         })
     }
 
-    /// The pool that a rental requests; none if its names are not known here.
+    /// The pool that a rental requests; `None` if its names are not known here.
     fn pool_of(&self, request: &RentalRequest) -> Option<CapacityPool> {
         let names = &self.replica.names;
         Some(CapacityPool {
@@ -134,7 +134,7 @@
 
     fn send_rental(
         &mut self,
-        order: PlannedRental,
+        planned: PlannedRental,
         term: Term,
         now: Timestamp,
         out: &mut Vec<Effect>,
@@ -142,10 +142,13 @@
         let names = &self.replica.names;
         let request = RentalRequest {
             request_id: self.leadership.rental_requests.next_request_id(term),
-            machine_type: names.machine_types.name(order.pool.machine_type).to_owned(),
-            zone: names.zones.name(order.pool.zone).to_owned(),
-            spot: order.pool.spot,
-            number: order.number.min(MAX_MACHINES_PER_REQUEST),
+            machine_type: names
+                .machine_types
+                .name(planned.pool.machine_type)
+                .to_owned(),
+            zone: names.zones.name(planned.pool.zone).to_owned(),
+            spot: planned.pool.spot,
+            number: planned.number.min(MAX_MACHINES_PER_REQUEST),
         };
         info!(
             request_id = request.request_id,
@@ -190,18 +193,18 @@
         &mut self,
         demand: &[Demand],
         fleet: &[RentedMachine],
-        rules: &ScalingParams,
+        params: &ScalingParams,
         now: Timestamp,
     ) {
         let available = fleet
             .iter()
             .filter(|rented| self.can_take_tasks(rented.machine, now));
-        let busy = available.map(|rented| MachineUsage {
+        let usages = available.map(|rented| MachineUsage {
             machine: rented.clone(),
             used_cpus: self.used_on(rented.machine).cpus,
         });
-        let machines: Vec<MachineUsage> = busy.collect();
-        let cordoned = scaling::machines_to_cordon(demand, &machines, rules);
+        let machines: Vec<MachineUsage> = usages.collect();
+        let cordoned = scaling::machines_to_cordon(demand, &machines, params);
         self.leadership.scale_in.set_cordoned(cordoned);
         if !self.leadership.scale_in.consolidation_due(now) {
             return;
@@ -220,27 +223,27 @@
         let scale_in = &self.leadership.scale_in;
         let open = machines
             .iter()
-            .filter(|busy| !scale_in.is_cordoned(busy.machine.machine));
+            .filter(|usage| !scale_in.is_cordoned(usage.machine.machine));
         let free: f64 = open
-            .map(|busy| (busy.machine.size.cpus - busy.used_cpus).max(0.0))
+            .map(|usage| (usage.machine.size.cpus - usage.used_cpus).max(0.0))
             .sum();
-        let consolidable = machines.iter().filter(|busy| {
-            scale_in.is_cordoned(busy.machine.machine) && self.may_consolidate(busy, free, now)
+        let consolidable = machines.iter().filter(|usage| {
+            scale_in.is_cordoned(usage.machine.machine) && self.may_consolidate(usage, free, now)
         });
         let most_expensive =
             consolidable.max_by(|a, b| a.machine.price.total_cmp(&b.machine.price));
-        most_expensive.map(|busy| busy.machine.machine)
+        most_expensive.map(|usage| usage.machine.machine)
     }
 
     /// Whether draining a machine is worthwhile: its tasks use little of it, fit into the free CPUs
     /// of the others, have enough run time left, and all save checkpoints.
-    fn may_consolidate(&self, busy: &MachineUsage, free_cpus: f64, now: Timestamp) -> bool {
-        let used = busy.used_cpus;
-        let cpus = busy.machine.size.cpus;
-        let Some(machine) = self.replica.machines.get(&busy.machine.machine) else {
+    fn may_consolidate(&self, usage: &MachineUsage, free_cpus: f64, now: Timestamp) -> bool {
+        let used = usage.used_cpus;
+        let cpus = usage.machine.size.cpus;
+        let Some(machine) = self.replica.machines.get(&usage.machine.machine) else {
             return false;
         };
-        let load = self.known_load(busy.machine.machine, now);
+        let load = self.reported_load(usage.machine.machine, now);
         let left_s = load * cpus / used.max(MIN_USED_CPUS);
         let mut jobs = machine
             .queue
--- a/src/leadership/scale_in.rs
+++ b/src/leadership/scale_in.rs
@@ -12,7 +12,7 @@
 /// The leader's decisions on scaling in.
 #[derive(Debug, Default)]
 pub(super) struct ScaleIn {
-    /// Machines to be marked as leaving in their blocks.
+    /// Machines that are drained; they are cordoned in their blocks, then returned.
     to_drain: BTreeSet<MachineId>,
     /// Machines that take no new tasks because the others suffice.
     cordoned: HashSet<MachineId>,
@@ -20,7 +20,7 @@
 }
 
 impl ScaleIn {
-    /// Machines to be marked as leaving in their blocks.
+    /// Machines that are drained; they are cordoned in their blocks, then returned.
     pub(super) fn to_drain(&self) -> &BTreeSet<MachineId> {
         &self.to_drain
     }
--- a/src/leadership/unreachable_holders.rs
+++ b/src/leadership/unreachable_holders.rs
@@ -20,9 +20,10 @@
 /// Machines of one block that send heartbeats to controllers that do not hold it.
 struct UnansweredMachines {
     total: usize,
-    /// The highest number of them at one controller, and that controller.
-    max_machines: usize,
-    max_received_by: ControllerId,
+    /// The highest number of them that send heartbeats to the same controller.
+    max_at_one_controller: usize,
+    /// That controller.
+    main_receiver: ControllerId,
 }
 
 impl Controller {
@@ -44,7 +45,7 @@
             let machines = block_record.map_or(0, |block| block.machines.len());
             let share = machines.div_ceil(UNANSWERED_FRACTION_DIVISOR);
             if unanswered.total >= share.max(MIN_UNANSWERED_MACHINES).min(machines) {
-                blocks.insert(block, unanswered.max_received_by);
+                blocks.insert(block, unanswered.main_receiver);
             }
         }
         blocks
@@ -55,47 +56,51 @@
         let own = self.held.unowned.to_report(now);
         let own = own.iter().map(|machine| (self.own_id, machine));
         let of_peers = self.peers.unowned_machines();
-        let of_peers = of_peers.filter(|&(host, _)| self.peers.is_reachable(host, now));
-        for (host, machine) in own.chain(of_peers) {
-            if let Some((block, machine_id)) = self.unanswered(host, machine, now) {
+        let of_peers =
+            of_peers.filter(|&(controller_id, _)| self.peers.is_reachable(controller_id, now));
+        for (controller_id, machine) in own.chain(of_peers) {
+            if let Some((block, machine_id)) = self.unanswered(controller_id, machine, now) {
                 received
-                    .entry((block, host))
+                    .entry((block, controller_id))
                     .or_default()
                     .insert(machine_id);
             }
         }
         let mut by_block: BTreeMap<BlockId, UnansweredMachines> = BTreeMap::new();
-        for ((block, host), machines) in received {
+        for ((block, controller_id), machines) in received {
             let unanswered = by_block.entry(block).or_insert(UnansweredMachines {
                 total: 0,
-                max_machines: 0,
-                max_received_by: host,
+                max_at_one_controller: 0,
+                main_receiver: controller_id,
             });
             unanswered.total += machines.len();
-            if machines.len() > unanswered.max_machines {
-                unanswered.max_machines = machines.len();
-                unanswered.max_received_by = host;
+            if machines.len() > unanswered.max_at_one_controller {
+                unanswered.max_at_one_controller = machines.len();
+                unanswered.main_receiver = controller_id;
             }
         }
         by_block
     }
 
-    /// The block of a machine that has long sent heartbeats to `host` while its holder received
-    /// none.
+    /// The block of a machine that has long sent heartbeats to `controller_id` while its holder
+    /// received none.
     fn unanswered(
         &self,
-        host: ControllerId,
+        controller_id: ControllerId,
         machine: &UnownedMachine,
         now: Timestamp,
     ) -> Option<(BlockId, MachineId)> {
-        if machine.unowned_for_ms < MIN_UNANSWERED_MS || !self.is_eligible_holder(host, now) {
+        if machine.unowned_for_ms < MIN_UNANSWERED_MS
+            || !self.is_eligible_holder(controller_id, now)
+        {
             return None;
         }
         let machine_id = self.replica.names.machines.get(&machine.machine)?;
         let (block, grant) = self.replica.block_and_holder(machine_id)?;
-        let info = self.machine_health(machine_id, now);
-        let since_last_heartbeat_ms = info.and_then(|info| info.since_last_heartbeat_ms);
-        let not_received = since_last_heartbeat_ms.is_none_or(|age_ms| age_ms > MIN_UNANSWERED_MS);
-        (grant.controller != host && not_received).then_some((block, machine_id))
+        let health = self.machine_health(machine_id, now);
+        let since_last_heartbeat_ms = health.and_then(|health| health.since_last_heartbeat_ms);
+        let not_received =
+            since_last_heartbeat_ms.is_none_or(|since_ms| since_ms > MIN_UNANSWERED_MS);
+        (grant.controller != controller_id && not_received).then_some((block, machine_id))
     }
 }
--- a/src/runtime/controller_actor.rs
+++ b/src/runtime/controller_actor.rs
@@ -62,8 +62,8 @@
 
     /// Ticks the controller and starts the effects that it returns.
     pub(super) fn tick(&mut self, ctx: &mut Context<Self>) {
-        let (now, day_ms) = (self.now(), self.shared.clock.unix_time_ms());
-        let effects = self.shared.controller.lock().tick(now, day_ms);
+        let (now, unix_time_ms) = (self.now(), self.shared.clock.unix_time_ms());
+        let effects = self.shared.controller.lock().tick(now, unix_time_ms);
         for effect in effects {
             self.run_effect(effect, ctx);
         }
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -33,7 +33,7 @@
                 write_kind,
                 transaction,
             } => self.commit(write_kind, transaction, ctx),
-            Effect::SendPeerMessage { host, message } => self.send_to_peer(host, &message, ctx),
+            Effect::SendPeerMessage { to, message } => self.send_to_peer(to, &message, ctx),
             Effect::ReadCatalog => self.read_catalog(ctx),
             Effect::ListMachines => self.list_machines(ctx),
             Effect::ReadArchive(jobs) => self.read_final_states(jobs, ctx),
--- a/src/spillover/borrowers.rs
+++ b/src/spillover/borrowers.rs
@@ -49,7 +49,7 @@
     /// Offers for the loans to a cell on which it has not decided yet.
     fn unconfirmed_offers(&self, cell_index: usize) -> Vec<Offer<JobSpec>> {
         let cell_name = &self.spillover.settings.cells[cell_index].name;
-        let age_ms = |since_ms: u64| self.day_ms.saturating_sub(since_ms);
+        let age_ms = |since_ms: u64| self.unix_time_ms.saturating_sub(since_ms);
         let offers = self.replica.transferred_jobs().filter_map(|(job_id, job)| {
             let mark = job.lent_to()?;
             let name = self.replica.names.jobs.name(job_id);
--- a/src/spillover/load.rs
+++ b/src/spillover/load.rs
@@ -128,7 +128,7 @@
             let used = self.used_on(rented.machine).cpus;
             load.fleet_cpus += rented.size.cpus;
             load.free_cpus += (rented.size.cpus - used).max(0.0);
-            load.bound_s += self.known_load(rented.machine, now) * rented.size.cpus;
+            load.bound_s += self.reported_load(rented.machine, now) * rented.size.cpus;
         }
         let mut bound_s: HashMap<_, f64> = HashMap::default();
         let queues = self.replica.machines.values().map(|machine| &machine.queue);
--- a/src/spillover/offers.rs
+++ b/src/spillover/offers.rs
@@ -227,7 +227,7 @@
         offer: &Offer<JobSpec>,
         decision: OfferDecision,
     ) -> JobRecord {
-        let since = |age_ms: u64| self.day_ms.saturating_sub(age_ms);
+        let since = |age_ms: u64| self.unix_time_ms.saturating_sub(age_ms);
         let mark = BorrowedFrom {
             cell: from.to_owned(),
             token: offer.loan.token,
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -5,7 +5,7 @@
 
 use super::pack_steal::Pack;
 use crate::clock::Timestamp;
-use crate::controller::{Controller, Move, needs_of};
+use crate::controller::{Controller, Move, task_needs};
 use crate::names::MachineId;
 use crate::replica::{Binding, Machine};
 
@@ -135,7 +135,7 @@
         let Some(job) = self.replica.jobs.get(&binding.task.job) else {
             return false;
         };
-        let needs = needs_of(job);
+        let needs = task_needs(job);
         needs.suits(to.machine_type, to.zone, to.spot, &size)
             && (!needs.depends_on_other_tasks() || from.zone == to.zone)
     }
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -233,8 +233,8 @@
                 write_kind,
                 transaction,
             } => return self.commit(i, controller, write_kind, transaction, fault),
-            Effect::SendPeerMessage { host, message } => {
-                let name = controller.replica.names.controllers.name(host).to_owned();
+            Effect::SendPeerMessage { to, message } => {
+                let name = controller.replica.names.controllers.name(to).to_owned();
                 let Some(j) = position(&name).filter(|j| *j < self.controllers.len()) else {
                     return false;
                 };
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -158,8 +158,8 @@
         Effect::RequestLease { lease_ms } => (Kind::LeaseRequest, json(lease_ms)),
         Effect::RenewLease { lease_id } => (Kind::LeaseRenewal, json(lease_id)),
         Effect::Commit { transaction, .. } => (Kind::Transaction, json(transaction)),
-        Effect::SendPeerMessage { host, message } => {
-            let name = controller.replica.names.controllers.name(*host);
+        Effect::SendPeerMessage { to, message } => {
+            let name = controller.replica.names.controllers.name(*to);
             (Kind::PeerMessage, addressed(name, message))
         }
         Effect::ReadCatalog => (Kind::CatalogRequest, Vec::new()),
