--- a/src/controller/blocks/merging.rs
+++ b/src/controller/blocks/merging.rs
@@ -18,8 +18,8 @@
 const MAX_EXPECTED_FILL: f64 = 0.55;
 /// Fraction of the largest value that a merged block may fill initially.
 const MAX_INITIAL_FILL: f64 = 0.6;
-/// Number of blocks per change per second of the write budget that are not worth merging. With
-/// fewer blocks, writes of the holder and of the leader conflict more often, and one of the two
+/// Number of blocks, per change per second of the write budget, up to which merging has no benefit.
+/// With fewer blocks, writes of the holder and of the leader conflict more often, and one of the two
 /// fails.
 const MERGE_THRESHOLD_PER_WRITE_RPS: f64 = 0.75;
 
--- a/src/controller/heartbeat/delayed.rs
+++ b/src/controller/heartbeat/delayed.rs
@@ -1,8 +1,8 @@
 //! Acks that are delayed until a task is bound to an idle machine.
 //!
 //! An idle machine sends its next heartbeat only after a whole interval, and a task bound just after a
-//! heartbeat would wait for the next one. Its ack is therefore delayed for part of the interval, which the
-//! protocol allows (workers wait 4 s). It is a full ack all the same; the worker's lease counts from when it
+//! heartbeat would wait for the next one. Its ack is therefore delayed for part of the interval (PROTOCOL:
+//! workers wait 4 s). It is a full ack all the same; the worker's lease counts from when it
 //! sent the heartbeat.
 
 use super::launch::QueueMode;
--- a/src/controller/status_page.rs
+++ b/src/controller/status_page.rs
@@ -77,7 +77,7 @@
             .collect()
     }
 
-    /// Format that each controller was last seen to write.
+    /// Newest format that each controller reads and writes, by its name.
     fn versions(&self) -> BTreeMap<&str, u32> {
         let names = &self.replica.names.controllers;
         let controllers = self.replica.live_controllers.iter();
--- a/src/leadership/block_sizes.rs
+++ b/src/leadership/block_sizes.rs
@@ -71,7 +71,7 @@
     }
 
     /// The block for a machine with `expected_bytes`: the smallest that may be written now, or a
-    /// new one. None if all suitable blocks have a write in flight.
+    /// new one. `None` if all suitable blocks have a write in flight.
     pub(super) fn choose_block(
         &self,
         expected_bytes: usize,
--- a/src/leadership/candidate_machines.rs
+++ b/src/leadership/candidate_machines.rs
@@ -109,8 +109,8 @@
         candidates
     }
 
-    /// Describes a machine for placement, counting bindings in flight as present; `None` if its type
-    /// is unknown.
+    /// Describes a machine for placement, counting bindings in flight as present; `None` if its
+    /// type is unknown.
     fn candidate_machine(
         &self,
         machine_id: MachineId,
--- a/src/leadership/capacity.rs
+++ b/src/leadership/capacity.rs
@@ -162,8 +162,8 @@
         offers
     }
 
-    /// Boot time in seconds of the fastest-booting machine type that can be rented now; `None` while
-    /// the cloud refuses all types.
+    /// Boot time in seconds of the fastest-booting machine type that can be rented now; `None`
+    /// while the cloud refuses all types.
     pub(crate) fn rentable_start_s(&self, now: Timestamp) -> Option<f64> {
         let offers = self.offers().into_iter();
         let rentable = offers.filter(|offer| {
--- a/src/leadership/grant_observations.rs
+++ b/src/leadership/grant_observations.rs
@@ -54,8 +54,8 @@
         seen.map_or(0, |grant| now.since(grant.since))
     }
 
-    /// Milliseconds for which the grant with this fencing token has been known; `None` if it has not
-    /// been observed yet.
+    /// Milliseconds for which the grant with this fencing token has been known; `None` if it has
+    /// not been observed yet.
     pub(super) fn known_for_ms(
         &self,
         block: BlockId,
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -256,7 +256,7 @@
             && jobs.all(|job| job.is_some_and(|job| job.spec.checkpoint_s > 0.0))
     }
 
-    /// Handles the response to a list request; `list` is none if the request failed.
+    /// Handles the response to a list request; `list` is `None` if the request failed.
     pub fn on_list(&mut self, list: Option<Vec<CloudMachine>>, now: Timestamp) {
         let leads = self.leads().is_some();
         let inventory = &mut self.leadership.inventory;
