--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -159,8 +159,8 @@
         Effect::RequestLease { lease_ms } => (MessageKind::LeaseRequest, json(lease_ms)),
         Effect::RenewLease { lease_id } => (MessageKind::LeaseRenewal, json(lease_id)),
         Effect::Commit { transaction, .. } => (MessageKind::Transaction, json(transaction)),
-        Effect::SendPeerMessage { host, message } => {
-            let name = controller.replica.names.controllers.name(*host);
+        Effect::SendPeerMessage { to, message } => {
+            let name = controller.replica.names.controllers.name(*to);
             (MessageKind::PeerMessage, addressed(name, message))
         }
         Effect::ReadCatalog => (MessageKind::CatalogRequest, Vec::new()),
