--- a/crates/spillover/src/confirmation.rs
+++ b/crates/spillover/src/confirmation.rs
@@ -1,7 +1,7 @@
 //! What a controller of a borrowing cell may do with loans, and until when.
 //!
 //! Owns the lender's latest confirmations. Invariant: tasks of a loan may run for at most one lease after a time at
-//! which the lender's state service showed the loan as active. A confirmation is therefore dated back to when
+//! which the lender's key-value store showed the loan as active. A confirmation is therefore dated back to when
 //! the request was *sent*, minus the age of the information in the response. Without a valid confirmation no task
 //! of the loan is started, and running tasks are stopped.
 
--- a/crates/spillover/src/terms.rs
+++ b/crates/spillover/src/terms.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum relative drift between two monotonic clocks: twice the protocol's bound, which is for one clock.
-const MAX_RELATIVE_CLOCK_DRIFT: f64 = 0.001;
+const MAX_CLOCK_DRIFT_RATIO: f64 = 0.001;
 /// Allowance for the delivery of the last ack to a worker and for timers that fire late, ms.
 const DELIVERY_MARGIN_MS: u64 = 2000;
 
@@ -25,6 +25,6 @@
     /// when their own leases expire.
     pub fn tasks_stopped_after_ms(&self) -> u64 {
         let sum = (self.lease_ms + self.worker_lease_ms) as f64;
-        (sum * (1.0 + MAX_RELATIVE_CLOCK_DRIFT)).ceil() as u64 + DELIVERY_MARGIN_MS
+        (sum * (1.0 + MAX_CLOCK_DRIFT_RATIO)).ceil() as u64 + DELIVERY_MARGIN_MS
     }
 }
--- a/src/controller/completions/done_lists.rs
+++ b/src/controller/completions/done_lists.rs
@@ -102,7 +102,7 @@
             status => status,
         };
         let mut record = job.to_record(self.replica.done_tasks(done), status);
-        record.shorten(self.settings.max_value_bytes());
+        record.shrink_if_final(self.settings.max_value_bytes());
         let write = put(&job_key(name), &record, None);
         (write.value_bytes() <= self.settings.max_value_bytes()).then_some(write)
     }
--- a/src/controller/status_page.rs
+++ b/src/controller/status_page.rs
@@ -70,7 +70,7 @@
         let waiting = self.replica.waiting.jobs.keys();
         waiting
             .map(|&job| {
-                let open = self.replica.open_predecessors(job);
+                let open = self.replica.remaining_predecessors(job);
                 let open = open.map(|predecessor| names.name(predecessor));
                 (names.name(job), open.collect())
             })
--- a/src/http/cancellation.rs
+++ b/src/http/cancellation.rs
@@ -1,7 +1,7 @@
 //! Cancellation of jobs.
 //!
-//! A cancellation is a compare-and-swap on the job's key, which completions also write, and so does the
-//! promotion of a waiting job to an ordinary one. It must never be confirmed before it is committed.
+//! A cancellation is a compare-and-swap on the job's key, which is also written by completions and by
+//! the transaction that makes a waiting job ready. It must never be confirmed before it is committed.
 
 use super::lookup::UnfinishedJob;
 use super::responses::{
--- a/src/http/cells.rs
+++ b/src/http/cells.rs
@@ -16,7 +16,7 @@
     CellResponse, LoanReport, Offer, OfferDecision, OfferResponse, RejectionReason, RequestBody,
 };
 
-/// Maximum attempts at deciding an offer: a second one after the archive was read.
+/// Maximum attempts at deciding an offer; the second one follows a read of the archive.
 const MAX_OFFER_ATTEMPTS: usize = 2;
 
 /// `POST /cell`: handles a request from another cell, or one relayed by a controller of this cell.
@@ -38,26 +38,26 @@
         .controller
         .lock()
         .refuse_cell_request(&message, source);
-    let answer = match refused {
+    let response = match refused {
         Some(refusal) => refusal,
-        None => api_state.answer_cell(&message).await,
+        None => api_state.handle_request(&message).await,
     };
-    message_pack(&answer)
+    message_pack(&response)
 }
 
 impl ApiState {
     /// Handles a request that passed `refuse_cell_request`.
-    async fn answer_cell(&self, request: &CellRequest) -> CellResponse {
+    async fn handle_request(&self, request: &CellRequest) -> CellResponse {
         match &request.body {
             RequestBody::Offer(offers) if self.is_acting_leader() => {
-                let mut answers = Vec::new();
+                let mut responses = Vec::new();
                 for offer in offers {
-                    answers.push(OfferResponse {
+                    responses.push(OfferResponse {
                         loan: offer.loan.clone(),
                         decision: self.decide_offer(&request.from, offer).await,
                     });
                 }
-                return CellResponse::Offers(answers);
+                return CellResponse::Offers(responses);
             }
             RequestBody::Confirm { loans, .. } => self.record_loan_ends(&request.from, loans).await,
             RequestBody::Offer(_) | RequestBody::Status => {}
--- a/src/http/dependent_submission.rs
+++ b/src/http/dependent_submission.rs
@@ -47,7 +47,7 @@
     fn from(acceptance: Acceptance) -> Self {
         match acceptance {
             Acceptance::Waiting(transaction) => Self::AcceptWaiting(transaction),
-            Acceptance::Ordinary(transaction) => Self::Accept(transaction, JobStatus::Pending),
+            Acceptance::Ready(transaction) => Self::Accept(transaction, JobStatus::Pending),
             Acceptance::Cancelled(transaction) => Self::Accept(transaction, JobStatus::Cancelled),
         }
     }
--- a/src/http/lookup.rs
+++ b/src/http/lookup.rs
@@ -27,7 +27,7 @@
 /// The stored value of an unfinished job, with the revision of its key.
 pub(super) enum UnfinishedJob {
     /// A job without unfinished predecessors.
-    Ordinary(Box<JobRecord>, u64),
+    Ready(Box<JobRecord>, u64),
     /// A job that waits for its predecessors.
     Waiting(Arc<WaitingRecord>, u64),
 }
@@ -36,7 +36,7 @@
     /// The transaction that cancels the job; `value_bytes` limits the size of its value.
     pub(super) fn cancel_transaction(&self, name: &str, value_bytes: usize) -> Transaction {
         match self {
-            UnfinishedJob::Ordinary(record, mod_revision) => {
+            UnfinishedJob::Ready(record, mod_revision) => {
                 jobs::cancel_transaction(name, record, *mod_revision, value_bytes)
             }
             UnfinishedJob::Waiting(record, mod_revision) => {
@@ -55,7 +55,7 @@
         }
         let unfinished = || {
             let record = job.to_record(replica.done_tasks(job.stored_done.clone()), job.status);
-            UnfinishedJob::Ordinary(Box::new(record), job.mod_revision)
+            UnfinishedJob::Ready(Box::new(record), job.mod_revision)
         };
         return Some(FoundJob {
             status: job.status,
--- a/src/http/submission.rs
+++ b/src/http/submission.rs
@@ -53,7 +53,7 @@
             return store_unreachable();
         }
         if job.predecessors.is_empty() {
-            self.submit_ordinary(job).await
+            self.submit_independent(job).await
         } else {
             self.submit_dependent(job).await
         }
@@ -101,7 +101,7 @@
     }
 
     /// Accepts a job without predecessors.
-    async fn submit_ordinary(&self, job: NewJob) -> HttpResponse {
+    async fn submit_independent(&self, job: NewJob) -> HttpResponse {
         let transaction = jobs::accept_transaction(&job.name, &job.record);
         match self.commit_with_retry(&transaction).await {
             CommitOutcome::Done(revision) => {
--- a/src/jobs/dependent.rs
+++ b/src/jobs/dependent.rs
@@ -30,8 +30,8 @@
 /// How a job with predecessors is accepted.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Acceptance {
-    /// All predecessors are done: it becomes an ordinary job.
-    Ordinary(Transaction),
+    /// All predecessors are done: it does not wait.
+    Ready(Transaction),
     /// It waits for unfinished predecessors.
     Waiting(Transaction),
     /// A predecessor is cancelled, so the job is cancelled too.
@@ -42,7 +42,7 @@
     /// The transaction that accepts the job.
     pub fn transaction(&self) -> &Transaction {
         match self {
-            Self::Ordinary(transaction)
+            Self::Ready(transaction)
             | Self::Waiting(transaction)
             | Self::Cancelled(transaction) => transaction,
         }
@@ -52,7 +52,7 @@
     pub fn status(&self) -> JobStatus {
         match self {
             Self::Cancelled(_) => JobStatus::Cancelled,
-            Self::Ordinary(_) | Self::Waiting(_) => JobStatus::Pending,
+            Self::Ready(_) | Self::Waiting(_) => JobStatus::Pending,
         }
     }
 }
@@ -141,7 +141,7 @@
         }
     }
     if predecessors.is_empty() {
-        return Ok(Acceptance::Ordinary(accept_transaction(name, &record)));
+        return Ok(Acceptance::Ready(accept_transaction(name, &record)));
     }
     let (found, most) = (predecessors.len(), max_unfinished_predecessors(settings));
     let waiting = new_waiting_record(record, NameList::from_iter(predecessors));
@@ -194,8 +194,8 @@
     }
 }
 
-/// The transaction that cancels a waiting job which was read at `mod_revision`. Its promotion to an ordinary
-/// job writes the same key, so only one of the two can succeed.
+/// The transaction that cancels a waiting job which was read at `mod_revision`. The write that makes
+/// it ready changes the same key, so only one of the two can succeed.
 pub fn cancel_waiting_transaction(
     name: &str,
     record: &WaitingRecord,
@@ -229,15 +229,15 @@
             JobStatus::Done => PredecessorState::Done,
             JobStatus::Cancelled => PredecessorState::Cancelled,
             JobStatus::Pending | JobStatus::Running => {
-                let (ordinary, waiting) = (job_key(name), waiting_key(name));
-                let mod_revision = self.mod_revision(&ordinary);
+                let (ready, waiting) = (job_key(name), waiting_key(name));
+                let mod_revision = self.mod_revision(&ready);
                 PredecessorState::Unfinished(match mod_revision {
                     0 => Precondition {
                         mod_revision: self.mod_revision(&waiting),
                         key: waiting,
                     },
                     mod_revision => Precondition {
-                        key: ordinary,
+                        key: ready,
                         mod_revision,
                     },
                 })
--- a/src/jobs/dependent/tests.rs
+++ b/src/jobs/dependent/tests.rs
@@ -68,10 +68,10 @@
     let settings = small_settings();
     let plan = |named| plan_acceptance("wk-000412", record(), named, &settings).expect("planned");
     let done = |n: u64| (unfinished(n).0, PredecessorState::Done);
-    let ordinary = plan(vec![done(1), done(2)]);
-    assert!(matches!(&ordinary, Acceptance::Ordinary(_)));
+    let ready = plan(vec![done(1), done(2)]);
+    assert!(matches!(&ready, Acceptance::Ready(_)));
     assert_eq!(
-        ordinary.transaction().preconditions.len(),
+        ready.transaction().preconditions.len(),
         3,
         "one precondition for each of its absent keys"
     );
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -20,13 +20,13 @@
 /// The revision that a precondition gives for a missing key (PROTOCOL, state service).
 const ABSENT_REVISION: u64 = 0;
 
-/// The record of a new job, submitted at `day_ms` (wall clock, milliseconds since the epoch).
-pub fn new_record(spec: JobSpec, day_ms: u64) -> JobRecord {
+/// The record of a new job, submitted at `unix_time_ms` (wall clock).
+pub fn new_record(spec: JobSpec, unix_time_ms: u64) -> JobRecord {
     JobRecord {
         spec,
         status: JobStatus::Pending,
         done: Default::default(),
-        submitted_ms: day_ms,
+        submitted_ms: unix_time_ms,
         ready_ms: None,
         transfer: None,
     }
@@ -58,7 +58,7 @@
 ) -> Transaction {
     let mut record = record.clone();
     record.status = JobStatus::Cancelled;
-    record.shorten(value_bytes);
+    record.shrink_if_final(value_bytes);
     Transaction {
         preconditions: vec![Precondition {
             key: job_key(name),
@@ -74,8 +74,8 @@
 
 /// The response for a job with this stored status and these numbers of done and running tasks.
 pub fn job_answer(name: &str, status: JobStatus, done: u32, running: u32) -> JobAnswer {
-    let is_over = status != JobStatus::Pending;
-    let running = if is_over { 0 } else { running };
+    let is_final = status != JobStatus::Pending;
+    let running = if is_final { 0 } else { running };
     JobAnswer {
         name: name.to_owned(),
         status: match status {
--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -139,7 +139,7 @@
         let mut transaction = Transaction::default();
         let mut bytes = 0;
         for mut archivable in jobs.into_iter().take(max_jobs.min(MAX_ARCHIVED_AT_ONCE)) {
-            archivable.record.shorten(value_bytes);
+            archivable.record.shrink_if_final(value_bytes);
             let name = self.replica.names.jobs.name(archivable.job);
             let mutation = put(&archive_key(name), &archivable.record, None);
             if mutation.value_bytes() > value_bytes {
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -195,7 +195,7 @@
             tasks: bindable.take(max_tasks).collect(),
             bound_by_zone: HashMap::default(),
             overdue: bindable_job.overdue,
-            ahead_of_schedule: self.may_bind_early(bindable_job.job, job),
+            may_bind_early: self.may_bind_early(bindable_job.job, job),
             beyond_share: false,
         }
     }
--- a/src/leadership/candidate_machines.rs
+++ b/src/leadership/candidate_machines.rs
@@ -102,7 +102,7 @@
             let candidate = self.candidate_machine(machine_id, machine, pending, cheapest, now);
             candidates.extend(candidate.map(|candidate| CandidateMachine {
                 cordoned,
-                ahead_of_schedule: !regular,
+                early: !regular,
                 ..candidate
             }));
         }
@@ -134,7 +134,7 @@
             cached_images: images.iter().copied().collect(),
             expensive: cheapest.is_expensive(machine_type, machine.spot),
             cordoned: false,
-            ahead_of_schedule: false,
+            early: false,
         })
     }
 
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -26,13 +26,13 @@
     pub fetch_gb_per_s: f64,
     /// Images known to be on the machine.
     pub cached_images: HashSet<ImageId>,
-    /// Whether a CPU here costs far more than on cheap machines, which are most of the fleet.
+    /// Whether its price per CPU is far above that of the cheap machines, which are most of the fleet.
     pub expensive: bool,
     /// Whether it accepts only tasks of overdue jobs.
     pub cordoned: bool,
-    /// Whether it accepts only tasks of jobs with [`CandidateJob::ahead_of_schedule`], because its
-    /// block's next scheduled write is not due yet.
-    pub ahead_of_schedule: bool,
+    /// Whether its block's next scheduled write is not due yet. Such a machine accepts only tasks of
+    /// jobs with [`CandidateJob::may_bind_early`].
+    pub early: bool,
 }
 
 impl CandidateMachine {
@@ -78,7 +78,7 @@
             && needs.allows_zone(self.zone, &job.bound_by_zone)
             && !(self.expensive && job.avoids_expensive(limits))
             && (job.overdue || !self.cordoned)
-            && (job.ahead_of_schedule || !self.ahead_of_schedule)
+            && (job.may_bind_early || !self.early)
     }
 
     /// Counts one more task of a job as bound here, with its image cached.
@@ -113,7 +113,7 @@
     pub overdue: bool,
     /// Whether its tasks may go to blocks whose next scheduled write is not due yet, because the job is
     /// part of a dependency chain.
-    pub ahead_of_schedule: bool,
+    pub may_bind_early: bool,
     /// Whether its tasks exceed the job's share of the fleet. Such tasks only use resources that no
     /// other job wants, so no machine is reserved for them.
     pub beyond_share: bool,
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -81,17 +81,17 @@
 /// The conditions of a search that found no machine.
 struct FailedSearch {
     overdue: bool,
-    ahead_of_schedule: bool,
+    may_bind_early: bool,
     needs: Needs,
 }
 
 impl FailedSearch {
-    /// Whether this failure implies that a job's tasks find no machine either. Overdue and
-    /// ahead-of-schedule jobs may use more machines, so their failures apply to other jobs, but not
-    /// the reverse.
+    /// Whether this failure implies that a job's tasks find no machine either. Jobs
+    /// that are overdue or may bind early can use more machines, so their failures apply to other
+    /// jobs, but not the reverse.
     fn rules_out(&self, job: &CandidateJob) -> bool {
         (self.overdue || !job.overdue)
-            && (self.ahead_of_schedule || !job.ahead_of_schedule)
+            && (self.may_bind_early || !job.may_bind_early)
             && self.needs.is_no_stricter_than(&job.needs)
     }
 }
@@ -125,9 +125,9 @@
     ) -> Self {
         let with_capacity = (0..machines.len())
             .filter(|&index| machines[index].expected_wait_s(&smallest) <= limits.max_wait_s);
-        let (ahead_of_schedule, regular): (Vec<usize>, Vec<usize>) =
-            with_capacity.partition(|&index| machines[index].ahead_of_schedule);
-        let all = regular.iter().chain(&ahead_of_schedule).copied().collect();
+        let (early, regular): (Vec<usize>, Vec<usize>) =
+            with_capacity.partition(|&index| machines[index].early);
+        let all = regular.iter().chain(&early).copied().collect();
         let reserved = vec![false; machines.len()];
         Self {
             machines,
@@ -144,7 +144,7 @@
 
     /// Binds a job's tasks in order, up to the first that finds no machine.
     fn bind_tasks(&mut self, job: &mut CandidateJob, team_quota: &mut Resources) {
-        let open_machines = match job.ahead_of_schedule {
+        let open_machines = match job.may_bind_early {
             true => &self.all,
             false => &self.regular,
         };
@@ -197,7 +197,7 @@
         if !job.needs.depends_on_other_tasks() && !job.avoids_expensive(self.limits) {
             self.failed.push(FailedSearch {
                 overdue: job.overdue,
-                ahead_of_schedule: job.ahead_of_schedule,
+                may_bind_early: job.may_bind_early,
                 needs: job.needs.clone(),
             });
         }
@@ -251,16 +251,16 @@
                 picks.into_iter().map(|pick| from[pick]).collect()
             };
             let picks = [sample(with_image), sample(open_machines)].concat();
-            if let Some(index) = self.cheapest(&picks) {
+            if let Some(index) = self.lowest_cost(&picks) {
                 return Some(index);
             }
         }
-        self.cheapest(open_machines)
+        self.lowest_cost(open_machines)
     }
 
     /// The machine with the lowest cost that is not reserved.
-    fn cheapest(&self, positions: &[usize]) -> Option<usize> {
-        let free = positions.iter().filter(|index| !self.reserved[**index]);
+    fn lowest_cost(&self, indices: &[usize]) -> Option<usize> {
+        let free = indices.iter().filter(|index| !self.reserved[**index]);
         free.filter_map(|&index| Some((self.cost(&self.machines[index])?, index)))
             .min_by(|a, b| a.0.partial_cmp(&b.0).unwrap_or(Ordering::Equal))
             .map(|(_, index)| index)
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -23,7 +23,7 @@
         cached_images: HashSet::default(),
         expensive: false,
         cordoned: false,
-        ahead_of_schedule: false,
+        early: false,
     }
 }
 
@@ -53,7 +53,7 @@
         tasks: (0..n).collect(),
         bound_by_zone: HashMap::default(),
         overdue: false,
-        ahead_of_schedule: false,
+        may_bind_early: false,
         beyond_share: false,
     }
 }
@@ -134,7 +134,7 @@
 #[test]
 fn long_tasks_avoid_expensive_machines_when_the_backlog_is_short() {
     // Guards against a large expensive machine that stays rented until the end of the day
-    // for the longest of its tasks.
+    // because of its longest task.
     let mut machines = [machine(0, 0, 2.0), machine(1, 0, 8.0)];
     machines[1].expensive = true;
     let mut teams = HashMap::from_iter([(TeamId::from_raw(0), Resources::from_cpus(99.0))]);
@@ -207,12 +207,12 @@
 }
 
 #[test]
-fn a_machine_ahead_of_schedule_accepts_only_jobs_with_dependents() {
+fn an_early_machine_accepts_only_jobs_that_may_bind_early() {
     let mut machines = [machine(0, 0, 4.0), machine(1, 0, 4.0)];
-    machines[0].ahead_of_schedule = true;
-    let ordinary = job(8, needs());
-    let mut chained = job(2, needs());
-    (chained.job, chained.ahead_of_schedule) = (JobId::from_raw(1), true);
+    machines[0].early = true;
+    let regular = job(8, needs());
+    let mut early = job(2, needs());
+    (early.job, early.may_bind_early) = (JobId::from_raw(1), true);
     let limits = PlanLimits {
         max_wait_s: 0.0,
         ..LIMITS
@@ -221,7 +221,7 @@
     let mut rng = SmallRng::seed_from_u64(1);
     let bound = plan(
         &mut machines,
-        &mut [ordinary, chained],
+        &mut [regular, early],
         &mut teams,
         limits,
         &mut rng,
@@ -233,9 +233,13 @@
     assert_eq!(
         (on(0, 0), on(1, 0)),
         (0, 4),
-        "tasks of the ordinary job on machines 0 and 1"
+        "tasks of the regular job on machines 0 and 1"
+    );
+    assert_eq!(
+        on(0, 1),
+        2,
+        "tasks of the job that may bind early on machine 0"
     );
-    assert_eq!(on(0, 1), 2, "tasks of the job with dependents on machine 0");
 }
 
 #[test]
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -16,7 +16,7 @@
     /// Milliseconds since its latest heartbeat; `None` if this holder has received none.
     #[serde(rename = "age_ms")]
     pub since_last_heartbeat_ms: Option<u64>,
-    /// Whether its worker has seen the holder's fencing token and receives the holder's answers.
+    /// Whether its worker has seen the holder's fencing token and receives the holder's acks.
     #[serde(rename = "obeys")]
     pub is_controllable: bool,
     /// Whether the cloud has announced that it will reclaim the spot machine.
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -79,7 +79,7 @@
     Critical,
     /// Before normal work.
     Urgent,
-    /// Ordinary work.
+    /// Before best-effort work.
     Normal,
     /// Only when no other work needs the capacity.
     BestEffort,
@@ -115,7 +115,7 @@
     Cancelled,
 }
 
-/// Answer to a submission, a query (`GET /api/jobs/{id}`) or a cancellation.
+/// Response to a submission, a query (`GET /api/jobs/{id}`) or a cancellation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobAnswer {
     /// The job's name.
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -132,11 +132,11 @@
     },
 }
 
-/// Answer to a heartbeat.
+/// Response to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatAck {
-    /// The sender's fencing token. A worker ignores an answer whose token is lower than the highest one that
-    /// it has seen; such an answer does not renew its lease either.
+    /// The sender's fencing token. A worker ignores an ack whose token is lower than the highest one that
+    /// it has seen; such an ack does not renew its lease either.
     #[serde(rename = "baton")]
     pub token: u64,
     /// Commands in execution order.
--- a/src/records/job.rs
+++ b/src/records/job.rs
@@ -1,4 +1,4 @@
-//! Values of ordinary jobs and of jobs that wait for predecessors.
+//! Values of jobs, waiting for predecessors or not.
 
 use super::{Encoding, NameList, Transfer};
 use crate::protocol::{JobSpec, JobStatus, Json};
@@ -56,12 +56,12 @@
 }
 
 impl JobRecord {
-    /// Shortens the value of a job in a final state to `max_bytes`, as far as possible.
+    /// Reduces the value of a job in a final state to `max_bytes`, as far as possible.
     ///
-    /// The limit may have been higher when the job was accepted. Without shortening, the store would refuse to
+    /// The limit may have been higher when the job was accepted. Without this, the store would refuse to
     /// cancel, complete or archive a job with a larger value. The placement constraints of such a job are no
     /// longer needed, and its done tasks are only displayed.
-    pub fn shorten(&mut self, max_bytes: usize) {
+    pub fn shrink_if_final(&mut self, max_bytes: usize) {
         let is_final = self.status != JobStatus::Pending;
         let too_large = |record: &Self| Json::encode(record).size() > max_bytes;
         if !is_final || !too_large(self) {
@@ -77,7 +77,7 @@
 }
 
 /// The value of a job that waits until its predecessors are done. It is stored under a separate prefix, which
-/// versions before format 2 do not read, and is replaced by an ordinary [`JobRecord`] once the job is ready.
+/// versions before format 2 do not read, and is replaced by a [`JobRecord`] once the job is ready.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WaitingRecord {
     /// Specification as submitted.
--- a/src/records/names.rs
+++ b/src/records/names.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
 
 /// Maximum length of the prefix shared with the previous name, bytes: the largest digit in base 36.
-const MAX_SHARED_CHARACTERS: usize = 35;
+const MAX_SHARED_BYTES: usize = 35;
 /// Maximum number of characters of a malformed text that an error shows.
 const MAX_SHOWN_CHARACTERS: usize = 60;
 
@@ -63,7 +63,7 @@
     pub(super) fn write(&mut self, name: &'a str, out: &mut String) {
         let pairs = self.previous.bytes().zip(name.bytes());
         let common = pairs.take_while(|(previous, next)| previous == next);
-        let mut shared = common.count().min(MAX_SHARED_CHARACTERS);
+        let mut shared = common.count().min(MAX_SHARED_BYTES);
         while !name.is_char_boundary(shared) {
             shared -= 1;
         }
--- a/src/records/tests.rs
+++ b/src/records/tests.rs
@@ -24,10 +24,10 @@
         first_attempt: 4000,
         ..BlockRecord::default()
     };
-    let mut leaving = machine(0, &[(0, "0-3,9", 0), (2, "99999", 40)]);
-    leaving.cordoned = true;
-    leaving.preempted = leaving.queue[..1].to_vec();
-    block.machines.insert("m-000231".into(), leaving);
+    let mut cordoned_machine = machine(0, &[(0, "0-3,9", 0), (2, "99999", 40)]);
+    cordoned_machine.cordoned = true;
+    cordoned_machine.preempted = cordoned_machine.queue[..1].to_vec();
+    block.machines.insert("m-000231".into(), cordoned_machine);
     block.machines.insert("m-000240".into(), machine(11, &[]));
     for unusual_name in ["m 1;x%20 ", "m-é1", "m-è2", ""] {
         block
--- a/src/records/transfer.rs
+++ b/src/records/transfer.rs
@@ -68,14 +68,14 @@
         })));
     }
 
-    /// Turns a lent job into an ordinary one with these done tasks. A borrowed job only loses its transfer; a
-    /// job without a transfer does not change.
+    /// Ends the loan of a lent job, with these done tasks. A borrowed job only loses its transfer; a job
+    /// without a transfer does not change.
     pub fn return_loan(&mut self, done: DoneTasks) {
         let Some(transfer) = self.transfer.take() else {
             return;
         };
-        if let Transfer::Lent(mark) = *transfer {
-            self.spec.machine_types = mark.machine_types;
+        if let Transfer::Lent(lent_to) = *transfer {
+            self.spec.machine_types = lent_to.machine_types;
             self.done = done;
         }
     }
@@ -83,7 +83,7 @@
     /// The loan from another cell, if the job is borrowed.
     pub fn borrowed_from(&self) -> Option<&BorrowedFrom> {
         match self.transfer.as_deref() {
-            Some(Transfer::Borrowed(mark)) => Some(mark),
+            Some(Transfer::Borrowed(borrowed_from)) => Some(borrowed_from),
             _ => None,
         }
     }
--- a/src/replica/apply.rs
+++ b/src/replica/apply.rs
@@ -38,11 +38,11 @@
 
     /// The keys whose revisions the replica keeps.
     fn held_keys(&self) -> Vec<String> {
-        let (hosts, jobs) = (&self.names.controllers, &self.names.jobs);
+        let (controllers, jobs) = (&self.names.controllers, &self.names.jobs);
         let mut held: Vec<String> = Vec::new();
         held.extend(self.leader.iter().map(|_| LEADER_KEY.to_owned()));
         let live = self.live_controllers.keys();
-        held.extend(live.map(|&host| controller_key(hosts.name(host))));
+        held.extend(live.map(|&controller| controller_key(controllers.name(controller))));
         held.extend(self.grants.keys().map(|&block| grant_key(block)));
         held.extend(self.blocks.keys().map(|&block| block_key(block)));
         held.extend(self.jobs.keys().map(|&job| job_key(jobs.name(job))));
@@ -99,8 +99,8 @@
         let revision = match WatchedKey::parse(key) {
             WatchedKey::Leader => self.leader.map(|leader| leader.mod_revision),
             WatchedKey::Controller(name) => {
-                let host = self.names.controllers.get(name);
-                let live = host.and_then(|host| self.live_controllers.get(&host));
+                let controller = self.names.controllers.get(name);
+                let live = controller.and_then(|controller| self.live_controllers.get(&controller));
                 live.map(|live| live.mod_revision)
             }
             WatchedKey::Grant(block) => self.grants.get(&block).map(|grant| grant.mod_revision),
@@ -194,12 +194,12 @@
             mod_revision,
             format: record.format,
         };
-        let host = self.names.controllers.intern(name);
-        self.live_controllers.insert(host, live);
+        let controller = self.names.controllers.intern(name);
+        self.live_controllers.insert(controller, live);
     }
 
     fn put_loads(&mut self, name: &str, record: &LoadRecord) {
-        let host = self.names.controllers.intern(name);
+        let controller = self.names.controllers.intern(name);
         let listed = record.machines.iter();
         let machines = listed
             .filter_map(|(machine, load)| Some((self.names.machines.get(machine)?, *load)))
@@ -209,8 +209,8 @@
             sum: record.sum,
             machines,
         };
-        self.loads.insert(host, loads);
-        self.changes.loads.push(host);
+        self.loads.insert(controller, loads);
+        self.changes.loads.push(controller);
     }
 
     /// Applies the deletion of a key.
@@ -220,8 +220,8 @@
         match WatchedKey::parse(key) {
             WatchedKey::Leader => self.leader = None,
             WatchedKey::Controller(name) => {
-                if let Some(host) = self.names.controllers.get(name) {
-                    self.live_controllers.remove(&host);
+                if let Some(controller) = self.names.controllers.get(name) {
+                    self.live_controllers.remove(&controller);
                 }
             }
             WatchedKey::Grant(block) => {
--- a/src/replica/block_values.rs
+++ b/src/replica/block_values.rs
@@ -38,12 +38,12 @@
         }
     }
 
-    pub(super) fn job(&self, place: usize) -> Option<JobId> {
-        self.jobs.get(place).copied()
+    pub(super) fn job(&self, index: usize) -> Option<JobId> {
+        self.jobs.get(index).copied()
     }
 
-    pub(super) fn kind(&self, place: usize) -> Option<Kind> {
-        self.kinds.get(place).copied()
+    pub(super) fn kind(&self, index: usize) -> Option<Kind> {
+        self.kinds.get(index).copied()
     }
 
     /// Expands the runs that [`group_bindings`] made. Runs of jobs missing from the table are skipped.
@@ -80,13 +80,13 @@
             ..BlockRecord::default()
         };
         for (&machine_id, machine) in &edit.machines {
-            let mut evicted = machine.preempted.clone();
-            evicted.retain(|binding| machine.queue.contains(binding));
+            let mut preempted = machine.preempted.clone();
+            preempted.retain(|binding| machine.queue.contains(binding));
             let stored = MachineRecord {
                 kind: kinds.index_of((machine.machine_type, machine.zone, machine.spot)),
                 cordoned: machine.cordoned,
                 queue: group_bindings(&machine.queue, first_attempt, &mut jobs),
-                preempted: group_bindings(&evicted, first_attempt, &mut jobs),
+                preempted: group_bindings(&preempted, first_attempt, &mut jobs),
             };
             let name = self.names.machines.name(machine_id).to_owned();
             record.machines.insert(name, stored);
@@ -157,7 +157,7 @@
         })
     }
 
-    /// The names of all keys, by index.
+    /// The keys in the order of their indices, each converted by `name`.
     fn keys<T>(&self, name: impl Fn(&K) -> T) -> Vec<T> {
         self.keys.iter().map(name).collect()
     }
--- a/src/replica/job.rs
+++ b/src/replica/job.rs
@@ -131,7 +131,7 @@
     /// The loan to another cell; while it lasts, no task of the job may be bound in this cell.
     pub fn lent_to(&self) -> Option<&LentTo> {
         match self.transfer.as_deref() {
-            Some(Transfer::Lent(mark)) => Some(mark),
+            Some(Transfer::Lent(lent_to)) => Some(lent_to),
             _ => None,
         }
     }
@@ -139,7 +139,7 @@
     /// The loan from another cell, if the job is borrowed.
     pub fn borrowed_from(&self) -> Option<&BorrowedFrom> {
         match self.transfer.as_deref() {
-            Some(Transfer::Borrowed(mark)) => Some(mark),
+            Some(Transfer::Borrowed(borrowed_from)) => Some(borrowed_from),
             _ => None,
         }
     }
--- a/src/replica/job_index.rs
+++ b/src/replica/job_index.rs
@@ -120,7 +120,7 @@
         self.deleted.push(job);
     }
 
-    /// Records that a job has no watched key left, neither as an ordinary nor as a waiting job. Idempotent.
+    /// Records that a job has no watched key left, as a waiting job or otherwise. Idempotent.
     pub(super) fn record_deleted(&mut self, job: JobId) {
         if !self.deleted.contains(&job) {
             self.deleted.push(job);
@@ -132,13 +132,13 @@
         self.deleted.retain(|&deleted| deleted != job);
     }
 
-    /// Removes and returns the deleted jobs that no block lists and no job needs. The caller releases their
+    /// Removes and returns the deleted jobs that no block lists and no job depends on. The caller releases their
     /// indices.
-    pub(super) fn take_releasable(&mut self, is_needed: impl Fn(JobId) -> bool) -> Vec<JobId> {
+    pub(super) fn take_releasable(&mut self, has_dependents: impl Fn(JobId) -> bool) -> Vec<JobId> {
         let deleted = std::mem::take(&mut self.deleted);
         let (kept, released): (Vec<_>, Vec<_>) = deleted
             .into_iter()
-            .partition(|&job| self.is_in_blocks(job) || is_needed(job));
+            .partition(|&job| self.is_in_blocks(job) || has_dependents(job));
         self.deleted = kept;
         for job in &released {
             self.recorded_done.remove(job);
--- a/src/replica/jobs.rs
+++ b/src/replica/jobs.rs
@@ -13,7 +13,7 @@
         let job_id = self.names.jobs.intern(name);
         if record.status == JobStatus::Cancelled {
             self.changes.cancelled.push(job_id);
-            self.cancel_descendants(job_id);
+            self.cancel_dependents(job_id);
         }
         let transferred = record.transfer.is_some();
         self.job_index.set_transferred(job_id, transferred);
--- a/src/replica/waiting.rs
+++ b/src/replica/waiting.rs
@@ -1,7 +1,8 @@
 //! Jobs of the replica that wait for predecessors.
 //!
-//! They are stored under a separate prefix. Scheduling considers ordinary jobs only, so a waiting job uses
-//! no capacity, has no position in the job order and counts towards no limit, whatever version the leader runs.
+//! They are stored under a separate prefix, which scheduling ignores in every version. A waiting job therefore
+//! uses no capacity, has no position in the job order and counts towards no limit, whatever version the leader
+//! runs.
 
 use super::Replica;
 use crate::collections::HashMap;
@@ -42,7 +43,7 @@
     pub archived_statuses: HashMap<JobId, JobStatus>,
 }
 
-fn own_demand(spec: &JobSpec, submitted_ms: u64) -> OwnUrgency {
+fn own_urgency(spec: &JobSpec, submitted_ms: u64) -> OwnUrgency {
     let ms = |seconds: f64| (seconds * 1000.0) as i64;
     OwnUrgency {
         priority: spec.priority,
@@ -56,7 +57,7 @@
     pub(super) fn put_waiting(&mut self, name: &str, record: WaitingRecord, mod_revision: u64) {
         let job = self.names.jobs.intern(name);
         self.job_index.record_present(job);
-        let own = own_demand(&record.spec, record.submitted_ms);
+        let own = own_urgency(&record.spec, record.submitted_ms);
         let names = record.predecessors.names().iter();
         let predecessors: Vec<JobId> = names.map(|name| self.names.jobs.intern(name)).collect();
         let cancelled_by_user = record.status == JobStatus::Cancelled;
@@ -79,7 +80,7 @@
         };
         self.waiting.jobs.insert(job, waiting);
         if cancelled {
-            self.cancel_descendants(job);
+            self.cancel_dependents(job);
         }
     }
 
@@ -106,26 +107,26 @@
 
     /// Whether a job, or one that it depends on, was cancelled.
     fn is_cancelled(&self, job: JobId) -> bool {
-        let ordinary = self.jobs.get(&job).map(|job| job.status);
+        let status = self.jobs.get(&job).map(|job| job.status);
         let archived = || self.waiting.archived_statuses.get(&job).copied();
-        let waits = self.waiting.jobs.get(&job);
-        waits.is_some_and(|waiting| waiting.cancelled)
-            || ordinary.or_else(archived) == Some(JobStatus::Cancelled)
+        let waiting = self.waiting.jobs.get(&job);
+        waiting.is_some_and(|waiting| waiting.cancelled)
+            || status.or_else(archived) == Some(JobStatus::Cancelled)
     }
 
     /// Whether a job is recorded as done in its own key, which is final. It is not enough that all of its
     /// tasks are done, because a cancellation may still be written to that key first.
     fn is_recorded_done(&self, job: JobId) -> bool {
-        let ordinary = self.jobs.get(&job).map(|job| job.status);
+        let status = self.jobs.get(&job).map(|job| job.status);
         let archived = || self.waiting.archived_statuses.get(&job).copied();
-        ordinary.or_else(archived) == Some(JobStatus::Done)
+        status.or_else(archived) == Some(JobStatus::Done)
     }
 
     /// Marks all direct and indirect dependents of a cancelled job as cancelled. This takes effect before it
     /// is written to the store: every replica derives it from the cancellation itself.
-    pub(super) fn cancel_descendants(&mut self, job: JobId) {
-        for descendant in self.dependencies.transitive_dependents(job) {
-            if let Some(waiting) = self.waiting.jobs.get_mut(&descendant) {
+    pub(super) fn cancel_dependents(&mut self, job: JobId) {
+        for dependent in self.dependencies.transitive_dependents(job) {
+            if let Some(waiting) = self.waiting.jobs.get_mut(&dependent) {
                 waiting.cancelled = true;
             }
         }
@@ -133,13 +134,13 @@
 
     /// Whether a waiting job was accepted, is not cancelled, and all of its predecessors are recorded as done.
     pub fn is_ready(&self, job: JobId) -> bool {
-        let waits = self.waiting.jobs.get(&job);
-        waits.is_some_and(|waiting| !waiting.cancelled && !waiting.record.incomplete)
-            && self.open_predecessors(job).next().is_none()
+        let waiting = self.waiting.jobs.get(&job);
+        waiting.is_some_and(|waiting| !waiting.cancelled && !waiting.record.incomplete)
+            && self.remaining_predecessors(job).next().is_none()
     }
 
     /// The predecessors of a waiting job that are not recorded as done.
-    pub fn open_predecessors(&self, job: JobId) -> impl Iterator<Item = JobId> + '_ {
+    pub fn remaining_predecessors(&self, job: JobId) -> impl Iterator<Item = JobId> + '_ {
         let predecessors = self.dependencies.predecessors(job).iter().copied();
         predecessors.filter(|&job| !self.is_recorded_done(job))
     }
@@ -170,19 +171,19 @@
         self.change_counter += 1;
         self.waiting.archived_statuses.insert(job, status);
         if status == JobStatus::Cancelled {
-            self.cancel_descendants(job);
+            self.cancel_dependents(job);
         }
     }
 
     /// A job's state as users see it; `None` if it has no watched key, is borrowed, or is incomplete.
     pub fn job_status(&self, job: JobId) -> Option<JobStatus> {
         // Borrowed jobs were not submitted by users of this cell.
-        let ordinary = self
+        let own_job = self
             .jobs
             .get(&job)
             .filter(|job| job.borrowed_from().is_none());
-        let ordinary = ordinary.map(|job| job.status);
-        ordinary.or_else(|| self.accepted_waiting(job).map(WaitingJob::status))
+        let status = own_job.map(|job| job.status);
+        status.or_else(|| self.accepted_waiting(job).map(WaitingJob::status))
     }
 
     /// The waiting job, if it was accepted.
--- a/src/runtime/controller_actor.rs
+++ b/src/runtime/controller_actor.rs
@@ -62,8 +62,8 @@
 
     /// Ticks the controller and starts the effects that it returns.
     pub(super) fn tick(&mut self, ctx: &mut Context<Self>) {
-        let (now, day_ms) = (self.now(), self.shared.clock.unix_time_ms());
-        let effects = self.shared.controller.lock().tick(now, day_ms);
+        let (now, unix_time_ms) = (self.now(), self.shared.clock.unix_time_ms());
+        let effects = self.shared.controller.lock().tick(now, unix_time_ms);
         for effect in effects {
             self.run_effect(effect, ctx);
         }
@@ -98,16 +98,16 @@
 
 impl PeerCallsInFlight {
     /// Counts one more call to a peer, or returns `None` if the limit is reached.
-    pub(super) fn try_start(&self, host: &str) -> Option<PeerCallGuard> {
+    pub(super) fn try_start(&self, host_name: &str) -> Option<PeerCallGuard> {
         let mut in_flight = self.0.borrow_mut();
-        let calls = in_flight.entry(host.to_owned()).or_default();
+        let calls = in_flight.entry(host_name.to_owned()).or_default();
         if *calls >= MAX_CALLS_PER_PEER {
             return None;
         }
         *calls += 1;
         Some(PeerCallGuard {
             calls: self.clone(),
-            host: host.to_owned(),
+            host_name: host_name.to_owned(),
         })
     }
 }
@@ -116,12 +116,12 @@
 #[derive(Debug)]
 pub(super) struct PeerCallGuard {
     calls: PeerCallsInFlight,
-    host: String,
+    host_name: String,
 }
 
 impl Drop for PeerCallGuard {
     fn drop(&mut self) {
-        if let Some(calls) = self.calls.0.borrow_mut().get_mut(&self.host) {
+        if let Some(calls) = self.calls.0.borrow_mut().get_mut(&self.host_name) {
             *calls = calls.saturating_sub(1);
         }
     }
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -95,15 +95,15 @@
 
     /// Sends a message to a peer. The message is dropped if the peer's address is unknown or too many calls
     /// to the peer are in flight; the next message supersedes it.
-    fn send_to_peer(&self, host: ControllerId, message: &PeerMessage, ctx: &mut Context<Self>) {
-        let host = {
+    fn send_to_peer(&self, peer: ControllerId, message: &PeerMessage, ctx: &mut Context<Self>) {
+        let host_name = {
             let controller = self.shared.controller.lock();
-            controller.replica.names.controllers.name(host).to_owned()
+            controller.replica.names.controllers.name(peer).to_owned()
         };
-        let Some(addr) = self.peers.get(&host) else {
+        let Some(addr) = self.peers.get(&host_name) else {
             return;
         };
-        let Some(call_guard) = self.peer_calls_in_flight.try_start(&host) else {
+        let Some(call_guard) = self.peer_calls_in_flight.try_start(&host_name) else {
             return;
         };
         let Ok(body) = rmp_serde::to_vec_named(message) else {
--- a/src/scaling/scale_in.rs
+++ b/src/scaling/scale_in.rs
@@ -89,13 +89,13 @@
     fleet: &[RentedMachine],
     returned: &[MachineId],
 ) -> bool {
-    let stays = |other: &&RentedMachine| {
+    let remains = |other: &&RentedMachine| {
         other.machine != machine.machine && !returned.contains(&other.machine)
     };
     demand.iter().any(|job| {
         job.tasks > 0.0
             && machine.can_run(job)
-            && !fleet.iter().filter(stays).any(|other| other.can_run(job))
+            && !fleet.iter().filter(remains).any(|other| other.can_run(job))
     })
 }
 
@@ -118,7 +118,7 @@
     let wanted = runnable_cpus(demand) * SPARE_FACTOR + SPARE_CPUS;
     let wanted_of_expensive = useful_cpus(demand, params.horizon_s);
     let mut on_demand_wanted = runnable_cpus(&on_demand_only(demand));
-    let prices = fleet.iter().map(|busy| busy.machine.price_per_cpu());
+    let prices = fleet.iter().map(|usage| usage.machine.price_per_cpu());
     let cheapest = prices.fold(f64::INFINITY, f64::min);
     let mut present = 0.0;
     let mut kept: Vec<&RentedMachine> = Vec::new();
--- a/src/scaling/scale_out.rs
+++ b/src/scaling/scale_out.rs
@@ -9,7 +9,7 @@
 
 /// Expensive machines are rented only if there is work for this many horizons.
 const EXPENSIVE_HORIZONS: f64 = 2.5;
-/// A machine is ordered only if at least this fraction of it would be used; smaller types serve less.
+/// A machine is rented only if at least this fraction of it would be used; smaller types serve less.
 const MIN_FILL: f64 = 0.5;
 
 /// Machines of one pool to request from the cloud.
@@ -69,7 +69,7 @@
         demand,
         fleet,
         params,
-        orders: Vec::new(),
+        rentals: Vec::new(),
     };
     // Markets are tried from the cheapest CPU on. Demand of jobs that cannot use a market remains for
     // the next ones.
@@ -87,7 +87,7 @@
             .filter(|&zone| can_request(market.pool(zone)))
             .collect();
         for (index, &zone) in zones.iter().enumerate() {
-            plan.order(
+            plan.add_rental(
                 market.pool(zone),
                 market.offer.size,
                 horizon_s,
@@ -95,18 +95,18 @@
             );
         }
     }
-    if plan.orders.is_empty() {
-        let order = plan.rental_for_unserved_job(offers, can_request);
-        plan.orders.extend(order);
+    if plan.rentals.is_empty() {
+        let rental = plan.rental_for_unserved_job(offers, can_request);
+        plan.rentals.extend(rental);
     }
-    plan.orders
+    plan.rentals
 }
 
 /// Demand that a pool can serve, and the capacity for it.
 struct PoolDemand {
     /// CPUs worth renting for the demand.
     wanted: f64,
-    /// CPUs, rented or ordered, that serve the same demand.
+    /// CPUs, rented or planned, that serve the same demand.
     present: f64,
 }
 
@@ -115,13 +115,19 @@
     demand: &'a [Demand],
     fleet: &'a [RentedMachine],
     params: &'a ScalingParams,
-    orders: Vec<PlannedRental>,
+    rentals: Vec<PlannedRental>,
 }
 
 impl RentalPlan<'_> {
-    /// Orders the missing machines of a pool. `zones_left` is the number of zones of the same market
+    /// Adds the rental of a pool's missing machines. `zones_left` is the number of zones of the same market
     /// not processed yet, including this one.
-    fn order(&mut self, pool: CapacityPool, size: Resources, horizon_s: f64, zones_left: usize) {
+    fn add_rental(
+        &mut self,
+        pool: CapacityPool,
+        size: Resources,
+        horizon_s: f64,
+        zones_left: usize,
+    ) {
         let demand = self.pool_demand(pool, &size, horizon_s);
         // Spread over the zones that may be requested, because the cloud does not publish capacity
         // and the loss of a zone should take only its share of the machines.
@@ -136,14 +142,14 @@
             .min(MAX_MACHINES_PER_REQUEST)
             .min(self.machines_left());
         if number > 0 {
-            self.orders.push(PlannedRental { pool, size, number });
+            self.rentals.push(PlannedRental { pool, size, number });
         }
     }
 
-    /// Number of machines that may still be ordered without exceeding the fleet limit.
+    /// Number of machines that may still be rented without exceeding the fleet limit.
     fn machines_left(&self) -> u32 {
-        let ordered = self.orders.iter().map(|order| order.number as usize);
-        let machines = self.fleet.len() + ordered.sum::<usize>();
+        let planned = self.rentals.iter().map(|rental| rental.number as usize);
+        let machines = self.fleet.len() + planned.sum::<usize>();
         self.params.max_machines.saturating_sub(machines) as u32
     }
 
@@ -165,7 +171,7 @@
         }
     }
 
-    /// CPUs of machines, rented or ordered, on which at least one of these jobs may run.
+    /// CPUs of machines, rented or planned, on which at least one of these jobs may run.
     fn serving_cpus(&self, served: &[Demand]) -> f64 {
         let serves = |pool: CapacityPool, size: &Resources| {
             let mut jobs = served.iter();
@@ -173,18 +179,18 @@
         };
         let rented = self.fleet.iter();
         let rented = rented.filter(|machine| serves(machine.pool(), &machine.size));
-        let ordered = self.orders.iter();
-        let ordered = ordered.filter(|order| serves(order.pool, &order.size));
+        let planned = self.rentals.iter();
+        let planned = planned.filter(|rental| serves(rental.pool, &rental.size));
         rented.map(|machine| machine.size.cpus).sum::<f64>()
-            + ordered.map(PlannedRental::cpus).sum::<f64>()
+            + planned.map(PlannedRental::cpus).sum::<f64>()
     }
 
-    /// CPUs of on-demand machines, rented or ordered.
+    /// CPUs of on-demand machines, rented or planned.
     fn on_demand_cpus(&self) -> f64 {
         let rented = self.fleet.iter().filter(|machine| !machine.spot);
-        let ordered = self.orders.iter().filter(|order| !order.pool.spot);
+        let planned = self.rentals.iter().filter(|rental| !rental.pool.spot);
         rented.map(|machine| machine.size.cpus).sum::<f64>()
-            + ordered.map(PlannedRental::cpus).sum::<f64>()
+            + planned.map(PlannedRental::cpus).sum::<f64>()
     }
 
     /// The cheapest machine for the first waiting job that can run on no machine. Its demand may be
--- a/src/scaling/tests.rs
+++ b/src/scaling/tests.rs
@@ -51,34 +51,43 @@
     }
 }
 
-fn busy(machine: RentedMachine, used_cpus: f64) -> MachineUsage {
+fn usage(machine: RentedMachine, used_cpus: f64) -> MachineUsage {
     MachineUsage { machine, used_cpus }
 }
 
 #[test]
 fn the_cheapest_pool_is_requested_first_and_unavailable_pools_are_skipped() {
     let offers = [offer(0, 4.0, 1.0), offer(1, 64.0, 20.0)];
-    let orders = plan_rentals(&[demand(16.0, 4000.0)], &[], &offers, &PARAMS, |_| true);
-    let asked: Vec<_> = orders
+    let rentals = plan_rentals(&[demand(16.0, 4000.0)], &[], &offers, &PARAMS, |_| true);
+    let requested: Vec<_> = rentals
         .iter()
-        .map(|order| (order.pool.machine_type.raw(), order.pool.spot, order.number))
+        .map(|rental| {
+            (
+                rental.pool.machine_type.raw(),
+                rental.pool.spot,
+                rental.number,
+            )
+        })
         .collect();
     assert_eq!(
-        asked,
+        requested,
         [(0, true, 2), (0, true, 2)],
         "spread over both zones"
     );
-    let orders = plan_rentals(&[demand(16.0, 9000.0)], &[], &offers, &PARAMS, |pool| {
+    let rentals = plan_rentals(&[demand(16.0, 9000.0)], &[], &offers, &PARAMS, |pool| {
         !pool.spot && pool.zone.raw() == 1
     });
-    assert_eq!((orders[0].pool.zone.raw(), orders[0].pool.spot), (1, false));
+    assert_eq!(
+        (rentals[0].pool.zone.raw(), rentals[0].pool.spot),
+        (1, false)
+    );
 }
 
 #[test]
 fn little_work_is_not_worth_many_machines() {
     let offers = [offer(0, 4.0, 1.0)];
-    let orders = plan_rentals(&[demand(100.0, 600.0)], &[], &offers, &PARAMS, |_| true);
-    assert_eq!(orders.iter().map(|order| order.number).sum::<u32>(), 3);
+    let rentals = plan_rentals(&[demand(100.0, 600.0)], &[], &offers, &PARAMS, |_| true);
+    assert_eq!(rentals.iter().map(|rental| rental.number).sum::<u32>(), 3);
     assert!(plan_rentals(&[], &[], &offers, &PARAMS, |_| true).is_empty());
 }
 
@@ -87,7 +96,7 @@
     let offers = [offer(0, 4.0, 1.0), offer(1, 64.0, 20.0)];
     let mut job = demand(1.0, 10.0);
     job.needs.machine_types = Some(vec![MachineTypeId::from_raw(1)]);
-    let orders = plan_rentals(
+    let rentals = plan_rentals(
         &[job],
         &[rented(0, 4.0, None, 0.0)],
         &offers,
@@ -95,7 +104,7 @@
         |_| true,
     );
     assert_eq!(
-        (orders[0].pool.machine_type.raw(), orders[0].number),
+        (rentals[0].pool.machine_type.raw(), rentals[0].number),
         (1, 1)
     );
 }
@@ -118,9 +127,9 @@
     let mut expensive = rented(0, 4.0, None, 100.0);
     expensive.price = 3.0;
     let fleet = [
-        busy(expensive, 2.0),
-        busy(rented(1, 4.0, None, 100.0), 0.0),
-        busy(rented(2, 4.0, None, 100.0), 3.0),
+        usage(expensive, 2.0),
+        usage(rented(1, 4.0, None, 100.0), 0.0),
+        usage(rented(2, 4.0, None, 100.0), 3.0),
     ];
     let cordoned = machines_to_cordon(&[demand(1.0, 50.0)], &fleet, &PARAMS);
     assert_eq!(cordoned, [1, 0].map(MachineId::from_raw));
@@ -153,7 +162,7 @@
     // Each kind of machine is cordoned only as far as its own demand allows.
     let fleet: Vec<MachineUsage> = mixed_fleet(10, 10)
         .into_iter()
-        .map(|m| busy(m, 0.0))
+        .map(|m| usage(m, 0.0))
         .collect();
     let cordoned = machines_to_cordon(&work, &fleet, &PARAMS);
     let on_demand_cordoned = cordoned.iter().filter(|m| m.raw() >= 10).count();
@@ -171,13 +180,13 @@
     assert_eq!(none.len(), 10);
     // On-demand machines are rented although spot machines are idle.
     let offers = [offer(0, 4.0, 1.0)];
-    let orders = plan_rentals(&work, &mixed_fleet(20, 0), &offers, &PARAMS, |_| true);
-    let asked: u32 = orders
+    let rentals = plan_rentals(&work, &mixed_fleet(20, 0), &offers, &PARAMS, |_| true);
+    let requested: u32 = rentals
         .iter()
-        .filter(|order| !order.pool.spot)
-        .map(|order| order.number)
+        .filter(|rental| !rental.pool.spot)
+        .map(|rental| rental.number)
         .sum();
-    assert!((2..=4).contains(&asked), "{orders:?}");
-    let orders = plan_rentals(&work, &mixed_fleet(20, 4), &offers, &PARAMS, |_| true);
-    assert!(orders.iter().all(|order| order.pool.spot), "{orders:?}");
+    assert!((2..=4).contains(&requested), "{rentals:?}");
+    let rentals = plan_rentals(&work, &mixed_fleet(20, 4), &offers, &PARAMS, |_| true);
+    assert!(rentals.iter().all(|rental| rental.pool.spot), "{rentals:?}");
 }
--- a/src/spillover/borrowers.rs
+++ b/src/spillover/borrowers.rs
@@ -51,20 +51,20 @@
         let cell_name = &self.spillover.settings.cells[cell_index].name;
         let age_ms = |since_ms: u64| self.day_ms.saturating_sub(since_ms);
         let offers = self.replica.transferred_jobs().filter_map(|(job_id, job)| {
-            let mark = job.lent_to()?;
+            let transfer = job.lent_to()?;
             let name = self.replica.names.jobs.name(job_id);
             let loan = self.spillover.lent.get(name)?;
             let is_unconfirmed = job.status == JobStatus::Pending
-                && !mark.recalled
+                && !transfer.recalled
                 && !(loan.accepted || loan.refused || loan.declined);
             let mut spec = (*job.spec).clone();
-            spec.machine_types = mark.machine_types.clone();
-            (is_unconfirmed && mark.cell == *cell_name).then(|| Offer {
+            spec.machine_types = transfer.machine_types.clone();
+            (is_unconfirmed && transfer.cell == *cell_name).then(|| Offer {
                 loan: loan.id.clone(),
                 spec,
                 age_ms: age_ms(job.submitted_ms),
                 ready_age_ms: job.ready_ms.map(age_ms),
-                terms: mark.terms,
+                terms: transfer.terms,
             })
         });
         offers.take(MAX_OFFERS_PER_REQUEST).collect()
--- a/src/spillover/borrowing.rs
+++ b/src/spillover/borrowing.rs
@@ -23,16 +23,16 @@
     /// Records the loans that the replica shows as borrowed and removes all others.
     pub(super) fn record_borrowed_loans(&mut self, now: Timestamp) {
         for (job_id, job) in self.replica.transferred_jobs() {
-            let Some(mark) = job.borrowed_from() else {
+            let Some(transfer) = job.borrowed_from() else {
                 continue;
             };
             let loan = LoanId {
                 job: self.replica.names.jobs.name(job_id).to_owned(),
-                token: mark.token,
+                token: transfer.token,
             };
             self.spillover
                 .confirmations
-                .record_loan(&loan, mark.lease_ms, now.0);
+                .record_loan(&loan, transfer.lease_ms, now.0);
         }
         let replica = &self.replica;
         let is_borrowed = |name: &str| {
@@ -84,12 +84,14 @@
     /// Reports on all loans from a lender.
     fn loan_reports(&self, lender: &str, now: Timestamp) -> Vec<LoanReport> {
         let loans = self.replica.transferred_jobs().filter_map(|(job_id, job)| {
-            let mark = job.borrowed_from().filter(|mark| mark.cell == lender)?;
+            let transfer = job
+                .borrowed_from()
+                .filter(|transfer| transfer.cell == lender)?;
             let name = self.replica.names.jobs.name(job_id);
             Some(LoanReport {
                 loan: LoanId {
                     job: name.to_owned(),
-                    token: mark.token,
+                    token: transfer.token,
                 },
                 confirmed: self.spillover.permission(job, name, now) == Permission::Run,
                 progress: self.loan_progress(job_id, job),
@@ -123,16 +125,16 @@
         let mut batch = self.transfer_batch();
         for (job_id, job) in self.replica.transferred_jobs() {
             let name = self.replica.names.jobs.name(job_id);
-            let ended = job.borrowed_from().is_some_and(|mark| {
+            let ended = job.borrowed_from().is_some_and(|transfer| {
                 let confirmations = &self.spillover.confirmations;
-                confirmations.has_ended(name, mark.token)
+                confirmations.has_ended(name, transfer.token)
             });
             if !ended || job.status != JobStatus::Pending {
                 continue;
             }
             let done = self.replica.done_tasks(job.done.clone());
             let mut record = job.to_record(done, JobStatus::Cancelled);
-            record.shorten(self.settings.max_value_bytes());
+            record.shrink_if_final(self.settings.max_value_bytes());
             let key = job_key(name);
             if !batch.add(self.precondition(&key), put(&key, &record, None)) {
                 break;
@@ -145,9 +147,9 @@
     /// borrowed job must have recorded its end first.
     pub(crate) fn may_archive(&self, job_id: JobId, job: &Job) -> bool {
         let name = self.replica.names.jobs.name(job_id);
-        job.borrowed_from().is_none_or(|mark| {
+        job.borrowed_from().is_none_or(|transfer| {
             let confirmations = &self.spillover.confirmations;
-            confirmations.is_end_acknowledged(name, mark.token)
+            confirmations.is_end_acknowledged(name, transfer.token)
         })
     }
 
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -36,13 +36,15 @@
     pub(super) fn record_lent_loans(&mut self, now: Timestamp) {
         let mut lent_jobs = BTreeSet::new();
         for (job_id, job) in self.replica.transferred_jobs() {
-            let Some(mark) = job.lent_to() else { continue };
+            let Some(transfer) = job.lent_to() else {
+                continue;
+            };
             if job.status != JobStatus::Pending {
                 continue;
             }
             let id = LoanId {
                 job: self.replica.names.jobs.name(job_id).to_owned(),
-                token: mark.token,
+                token: transfer.token,
             };
             lent_jobs.insert(id.job.clone());
             let new_loan = LentLoan::new(id.clone(), now);
@@ -54,7 +56,7 @@
             if loan.id.token != id.token {
                 *loan = new_loan;
             }
-            if mark.recalled {
+            if transfer.recalled {
                 loan.recalled_at.get_or_insert(now);
             }
         }
@@ -107,16 +109,16 @@
 
     /// The return of a lent job, or None if it must not be taken back yet.
     fn due_return(&self, job_id: JobId, job: &Job, now: Timestamp) -> Option<DueReturn> {
-        let mark = job.lent_to()?;
+        let transfer = job.lent_to()?;
         let name = self.replica.names.jobs.name(job_id);
         let loan = self.spillover.lent.get(name)?;
         let expired = loan
             .recalled_at
-            .is_some_and(|at| now.since(at) > mark.terms.tasks_stopped_after_ms());
+            .is_some_and(|at| now.since(at) > transfer.terms.tasks_stopped_after_ms());
         let due = job.status == JobStatus::Pending && (loan.refused || expired);
         due.then(|| DueReturn {
             job_id,
-            cell: mark.cell.clone(),
+            cell: transfer.cell.clone(),
             expired,
         })
     }
@@ -126,8 +128,8 @@
         Batch::new(self.settings.platform.settings.state.txn_ops)
     }
 
-    /// The mutation that ends a loan and makes the job an ordinary one again. `done_elsewhere` are the tasks
-    /// that the borrower has done. None if the job is unknown or its value would be too large.
+    /// The mutation that ends a loan, after which this cell runs the job again. `done_elsewhere` are the
+    /// tasks that the borrower has done. None if the job is unknown or its value would be too large.
     pub(super) fn return_mutation(
         &self,
         job_id: JobId,
@@ -154,7 +156,7 @@
         };
         let mut batch = self.transfer_batch();
         for (job_id, job) in self.replica.transferred_jobs() {
-            let Some(mark) = job.lent_to().filter(|mark| !mark.recalled) else {
+            let Some(transfer) = job.lent_to().filter(|transfer| !transfer.recalled) else {
                 continue;
             };
             let name = self.replica.names.jobs.name(job_id);
@@ -177,14 +179,14 @@
             }
             let done = self.replica.done_tasks(job.stored_done.clone());
             let mut record = job.to_record(done, JobStatus::Pending);
-            if let Some(Transfer::Lent(mark)) = record.transfer.as_deref_mut() {
-                mark.recalled = true;
+            if let Some(Transfer::Lent(transfer)) = record.transfer.as_deref_mut() {
+                transfer.recalled = true;
             }
             let key = job_key(name);
             if !batch.add(self.precondition(&key), put(&key, &record, None)) {
                 break;
             }
-            info!(job = name, cell = mark.cell, ?reason, "recalling loan");
+            info!(job = name, cell = transfer.cell, ?reason, "recalling loan");
             free_cpus -= cpus;
         }
         let transaction = batch.finish();
@@ -234,7 +236,7 @@
         self.lend_chosen_jobs(&forecast, &policy, now)
     }
 
-    /// Plans the write that lends the jobs that gain most from it.
+    /// Plans the write that lends the chosen jobs, those with the longest predicted wait first.
     fn lend_chosen_jobs(
         &mut self,
         forecast: &WaitForecast,
--- a/src/spillover/mod.rs
+++ b/src/spillover/mod.rs
@@ -228,7 +228,7 @@
             return Permission::Run;
         }
         match job.borrowed_from() {
-            Some(mark) => self.confirmations.permission(name, mark.token, now.0),
+            Some(transfer) => self.confirmations.permission(name, transfer.token, now.0),
             None => Permission::Stop,
         }
     }
--- a/src/spillover/offers.rs
+++ b/src/spillover/offers.rs
@@ -146,12 +146,12 @@
             return Some(OfferDecision::Deferred(RejectionReason::StoreUnavailable));
         }
         if let Some((_, job)) = replica.job_by_name(name) {
-            let mark = job.borrowed_from().filter(|mark| mark.cell == from);
-            return Some(match mark {
-                Some(mark) if mark.token == offer.loan.token => {
+            let transfer = job.borrowed_from().filter(|transfer| transfer.cell == from);
+            return Some(match transfer {
+                Some(transfer) if transfer.token == offer.loan.token => {
                     self.decision_on_repeated_offer(name, job)
                 }
-                Some(mark) if mark.token > offer.loan.token => {
+                Some(transfer) if transfer.token > offer.loan.token => {
                     OfferDecision::Deferred(RejectionReason::TransferEnded)
                 }
                 Some(_) if self.ended_loan_revision(name).is_some() => return None,
@@ -165,11 +165,13 @@
             return Some(OfferDecision::Deferred(RejectionReason::NameTaken));
         }
         let record = &archived?.record;
-        let mark = record.borrowed_from().filter(|mark| mark.cell == from);
-        match mark {
-            Some(mark) if mark.token < offer.loan.token => None,
-            Some(mark)
-                if mark.token == offer.loan.token && record.status == JobStatus::Cancelled =>
+        let transfer = record
+            .borrowed_from()
+            .filter(|transfer| transfer.cell == from);
+        match transfer {
+            Some(transfer) if transfer.token < offer.loan.token => None,
+            Some(transfer)
+                if transfer.token == offer.loan.token && record.status == JobStatus::Cancelled =>
             {
                 Some(OfferDecision::Refused(RejectionReason::TransferEnded))
             }
@@ -228,7 +230,7 @@
         decision: OfferDecision,
     ) -> JobRecord {
         let since = |age_ms: u64| self.day_ms.saturating_sub(age_ms);
-        let mark = BorrowedFrom {
+        let transfer = BorrowedFrom {
             cell: from.to_owned(),
             token: offer.loan.token,
             lease_ms: offer.terms.lease_ms,
@@ -242,7 +244,7 @@
             done: Default::default(),
             submitted_ms: since(offer.age_ms),
             ready_ms: offer.ready_age_ms.map(since),
-            transfer: Some(Box::new(Transfer::Borrowed(mark))),
+            transfer: Some(Box::new(Transfer::Borrowed(transfer))),
         }
     }
 
--- a/src/spillover/serving.rs
+++ b/src/spillover/serving.rs
@@ -104,7 +104,7 @@
             self.replica
                 .done_tasks(RangeSet::below(job.spec.task_count)),
         );
-        record.shorten(self.settings.max_value_bytes());
+        record.shrink_if_final(self.settings.max_value_bytes());
         let key = job_key(self.replica.names.jobs.name(job_id));
         Some(put(&key, &record, None))
     }
@@ -112,8 +112,8 @@
     /// The job of a loan from this cell that has not ended, whether or not it was recalled.
     fn lent_job(&self, borrower: &str, loan: &LoanId) -> Option<JobId> {
         let (job_id, job) = self.replica.job_by_name(&loan.job)?;
-        let mark = job.lent_to()?;
-        let same = mark.cell == borrower && mark.token == loan.token;
+        let transfer = job.lent_to()?;
+        let same = transfer.cell == borrower && transfer.token == loan.token;
         (same && job.status == JobStatus::Pending).then_some(job_id)
     }
 
@@ -173,8 +173,8 @@
             return LoanStatus::Unknown;
         }
         match job.lent_to() {
-            Some(mark) if mark.token == loan.token && mark.cell == borrower => {
-                let is_active = !mark.recalled && !self.is_job_final(job_id, job);
+            Some(transfer) if transfer.token == loan.token && transfer.cell == borrower => {
+                let is_active = !transfer.recalled && !self.is_job_final(job_id, job);
                 match is_active {
                     true => LoanStatus::Active,
                     false => LoanStatus::Ended,
--- a/src/spillover/status_page.rs
+++ b/src/spillover/status_page.rs
@@ -26,19 +26,19 @@
         let (mut lent, mut borrowed) = (BTreeMap::new(), BTreeMap::new());
         for (job_id, job) in self.replica.transferred_jobs() {
             let name = self.replica.names.jobs.name(job_id);
-            if let Some(mark) = job.lent_to() {
+            if let Some(transfer) = job.lent_to() {
                 let known = self.spillover.lent.get(name);
                 let since = |at| now.since(at);
                 let page = json!({
-                    "cell": mark.cell, "token": mark.token, "recalled": mark.recalled,
+                    "cell": transfer.cell, "token": transfer.token, "recalled": transfer.recalled,
                     "silentMs": known.and_then(|loan| loan.last_report_at).map(since),
                     "idleMs": known.and_then(|loan| loan.last_bound_at).map(since),
                 });
                 lent.insert(name, page);
-            } else if let Some(mark) = job.borrowed_from() {
+            } else if let Some(transfer) = job.borrowed_from() {
                 let permission = format!("{:?}", self.spillover.permission(job, name, now));
                 let page = json!({
-                    "cell": mark.cell, "token": mark.token, "permission": permission,
+                    "cell": transfer.cell, "token": transfer.token, "permission": permission,
                 });
                 borrowed.insert(name, page);
             }
--- a/src/stealing/messages.rs
+++ b/src/stealing/messages.rs
@@ -1,6 +1,6 @@
 //! Delivery of hints and steal requests between machines, within this controller and to peers.
 //!
-//! Messages may be lost, delayed or repeated without harm: the next round asks again.
+//! Messages may be lost, delayed or repeated without harm: the next round sends new ones.
 
 use super::pack_steal::{Selection, choose_target};
 use crate::clock::Timestamp;
@@ -10,7 +10,8 @@
 use std::collections::VecDeque;
 
 /// Messages that one delivery handles within this controller, per machine. Messages to other
-/// controllers are limited to one per machine. The rest are dropped: the next round asks again.
+/// controllers are limited to one per machine. Messages beyond these limits are dropped; the next round
+/// sends new ones.
 const MESSAGES_PER_MACHINE: usize = 4;
 /// Smallest number of machines that the message limits are computed for.
 const MIN_MESSAGE_CAPACITY: usize = 500;
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -31,7 +31,7 @@
         ) else {
             return Vec::new();
         };
-        // Only a machine that is known to accept no token but ours cannot start what left its queue.
+        // A machine that may accept the token of an earlier holder could start a task that left its queue.
         let Some(size) = self
             .machine_capacity(machine)
             .filter(|_| runtime.is_fenced_and_alive())
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -149,7 +149,7 @@
         parse(&answer.body)
     }
 
-    /// Sends a transaction. It is never retried, because it may have been applied without an answer.
+    /// Sends a transaction. It is never retried, because it may have been applied although no response arrived.
     pub async fn commit(&self, transaction: &Transaction, timeout: Duration) -> CommitOutcome {
         let Some(answer) = self.post("/commit", transaction, timeout).await else {
             return CommitOutcome::Unknown;
--- a/src/store/read_index.rs
+++ b/src/store/read_index.rs
@@ -90,10 +90,10 @@
         let mut state = self.0.lock();
         state.applied = state.applied.max(revision);
         let applied = state.applied;
-        let settled = state
+        let released = state
             .batches
             .extract_if(.., |batch| batch.revision <= applied);
-        for waiter in settled.flat_map(|batch| batch.waiters) {
+        for waiter in released.flat_map(|batch| batch.waiters) {
             // The caller may no longer be waiting.
             let _ = waiter.send(Ok(()));
         }
