--- a/crates/spillover/src/policy.rs
+++ b/crates/spillover/src/policy.rs
@@ -260,8 +260,8 @@
 ) -> Option<f64> {
     let status = &borrower.status;
     let team = status.teams.iter().find(|team| team.name == job.team)?;
-    let within = |most: Option<f64>, needed: f64| {
-        most.is_none_or(|most| needed <= most + ROUNDING_TOLERANCE)
+    let within = |limit: Option<f64>, needed: f64| {
+        limit.is_none_or(|limit| needed <= limit + ROUNDING_TOLERANCE)
     };
     let allowed = within(team.cpus, job.task.cpus) && within(team.gpus, job.task.gpus);
     // Capacity for one task is enough: the other tasks start as more capacity becomes free.
--- a/crates/spillover/src/settings.rs
+++ b/crates/spillover/src/settings.rs
@@ -290,8 +290,8 @@
             if cell.controllers.is_empty() {
                 return Err(SpilloverError::NoController(cell.name.clone()));
             }
-            let wrong = |address: &&String| address.parse::<SocketAddr>().is_err();
-            if let Some(address) = cell.controllers.iter().find(wrong) {
+            let invalid = |address: &&String| address.parse::<SocketAddr>().is_err();
+            if let Some(address) = cell.controllers.iter().find(invalid) {
                 return Err(SpilloverError::Address {
                     cell: cell.name.clone(),
                     address: address.clone(),
--- a/src/http/status.rs
+++ b/src/http/status.rs
@@ -31,7 +31,7 @@
     HttpResponse::Ok().json(page)
 }
 
-/// Records the latency of a request, from its head to the head of the response.
+/// Records the time from receiving the head of a request to producing the head of its response.
 pub(super) async fn measure_latency(
     request: ServiceRequest,
     next: Next<impl MessageBody>,
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -227,7 +227,7 @@
         };
         let size = self.machine_capacity(machine);
         size.is_some_and(|size| {
-            needs.suits(machine.machine_type, machine.zone, machine.spot, &size)
+            needs.allows_machine(machine.machine_type, machine.zone, machine.spot, &size)
         })
     }
 
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -74,7 +74,7 @@
     /// Whether a job's tasks may be bound here, regardless of what is free now.
     pub(super) fn admits(&self, job: &CandidateJob, limits: PlanLimits) -> bool {
         let needs = &job.needs;
-        needs.suits(self.machine_type, self.zone, self.spot, &self.size)
+        needs.allows_machine(self.machine_type, self.zone, self.spot, &self.size)
             && needs.allows_zone(self.zone, &job.bound_by_zone)
             && !(self.expensive && job.avoids_expensive(limits))
             && (job.overdue || !self.cordoned)
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -11,7 +11,7 @@
 
 /// Machines reserved for one job that found no machine with free resources.
 const RESERVED_PER_JOB: usize = 4;
-/// Most machines reserved in all. Bounds the cost on large fleets: each waiting job scans all
+/// Maximum number of machines reserved in all. Bounds the cost on large fleets: each waiting job scans all
 /// machines.
 const MAX_RESERVED: usize = 40;
 
@@ -33,7 +33,7 @@
     pub max_wait_s: f64,
     /// Number of machines sampled for one task if there are more than this.
     pub sample_size: usize,
-    /// Most bindings in the plan.
+    /// Maximum number of bindings in the plan.
     pub max_bindings: usize,
     /// Longest task that expensive machines accept, seconds. A task that outlives the backlog would
     /// keep a whole expensive machine for itself.
--- a/src/placement/resources.rs
+++ b/src/placement/resources.rs
@@ -85,14 +85,14 @@
     pub spot: bool,
     /// Whether all tasks must run in the same zone, which may be any.
     pub one_zone: bool,
-    /// Most tasks in one zone, for a job to be spread over zones; None sets no limit.
+    /// Maximum number of tasks in one zone, for a job to be spread over zones; None sets no limit.
     pub max_per_zone: Option<u32>,
 }
 
 impl Needs {
     /// Whether a task may run on a machine of this type, zone, market and size, regardless of the
     /// job's other tasks.
-    pub fn suits(
+    pub fn allows_machine(
         &self,
         machine_type: MachineTypeId,
         zone: ZoneId,
--- a/src/ranges/bitmap.rs
+++ b/src/ranges/bitmap.rs
@@ -10,7 +10,7 @@
 
 /// First character of a bitmap's text; no list of ranges starts with it.
 const MARK: char = 'b';
-/// Most bytes before the bits: the mark, a 32-bit number and the separator.
+/// Maximum number of bytes before the bits: the mark, a 32-bit number and the separator.
 const MAX_PREFIX_BYTES: usize = 12;
 /// Tasks in a group of three bytes, which base64 encodes as four characters.
 const TASKS_PER_GROUP: usize = 24;
@@ -42,7 +42,7 @@
 
 /// Parses the text that [`write()`] produces.
 pub(super) fn read(text: &str) -> Result<RangeSet, MalformedRanges> {
-    let malformed = || MalformedRanges::of(text);
+    let malformed = || MalformedRanges::new(text);
     let (first, bits) = text
         .strip_prefix(MARK)
         .and_then(|rest| rest.split_once(':'))
--- a/src/ranges/text.rs
+++ b/src/ranges/text.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Most characters of a malformed text that an error message contains.
+/// Maximum number of characters of a malformed text that an error message contains.
 const MAX_SHOWN_CHARACTERS: usize = 40;
 
 /// The error for text that is neither a list of ranges nor a bitmap.
@@ -14,7 +14,8 @@
 pub struct MalformedRanges(String);
 
 impl MalformedRanges {
-    pub(super) fn of(text: &str) -> Self {
+    /// The error for this text, which is truncated.
+    pub(super) fn new(text: &str) -> Self {
         Self(text.chars().take(MAX_SHOWN_CHARACTERS).collect())
     }
 }
@@ -70,7 +71,7 @@
 
     /// Parses ranges with numbers in the given base, at most 36.
     pub(crate) fn read(text: &str, base: u32) -> Result<Self, MalformedRanges> {
-        let malformed = || MalformedRanges::of(text);
+        let malformed = || MalformedRanges::new(text);
         let mut set = RangeSet::new();
         for part in text.split(',').filter(|part| !part.is_empty()) {
             let (lo, hi) = part.split_once('-').unwrap_or((part, part));
--- a/src/runtime/cloud_client.rs
+++ b/src/runtime/cloud_client.rs
@@ -93,17 +93,17 @@
     /// Returns machines to the cloud. The result is whether the cloud confirmed it.
     pub(super) async fn return_machines(self, machines: Vec<String>) -> bool {
         let url = format!("{}/machines/return", self.base_url);
-        let answer = self.post(url, &MachineNames { machines }).await;
-        answer.is_some_and(|(status, _)| status == StatusCode::OK)
+        let response = self.post(url, &MachineNames { machines }).await;
+        response.is_some_and(|(status, _)| status == StatusCode::OK)
     }
 
     async fn get<T: serde::de::DeserializeOwned>(&self, url: &str) -> Option<T> {
         let request = self.client.get(url).timeout(CLOUD_TIMEOUT).send();
-        let mut answer = request.await.ok()?.timeout(CLOUD_TIMEOUT);
-        if answer.status() != StatusCode::OK {
+        let mut response = request.await.ok()?.timeout(CLOUD_TIMEOUT);
+        if response.status() != StatusCode::OK {
             return None;
         }
-        let body = answer.body().limit(MAX_READ_BODY_BYTES).await.ok()?;
+        let body = response.body().limit(MAX_READ_BODY_BYTES).await.ok()?;
         serde_json::from_slice(&body).ok()
     }
 
@@ -118,8 +118,8 @@
             .content_type("application/json")
             .timeout(CLOUD_TIMEOUT)
             .send_body(serde_json::to_vec(body).ok()?);
-        let mut answer = request.await.ok()?;
-        let body = answer.body().limit(MAX_WRITE_BODY_BYTES).await.ok()?;
-        Some((answer.status(), body.to_vec()))
+        let mut response = request.await.ok()?;
+        let body = response.body().limit(MAX_WRITE_BODY_BYTES).await.ok()?;
+        Some((response.status(), body.to_vec()))
     }
 }
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -47,11 +47,11 @@
     fn request_lease(&self, length_ms: u64, ctx: &mut Context<Self>) {
         let (store, sent_at) = (self.store.clone(), self.now());
         let request = async move { store.lease(length_ms).await };
-        ctx.spawn(request.into_actor(self).map(move |answer, actor, ctx| {
+        ctx.spawn(request.into_actor(self).map(move |response, actor, ctx| {
             let now = actor.now();
             {
                 let mut controller = actor.shared.controller.lock();
-                match answer {
+                match response {
                     LeaseOutcome::Held(lease_id) => controller.on_lease_granted(lease_id, sent_at),
                     LeaseOutcome::Expired | LeaseOutcome::Failed => controller.on_lease_failed(now),
                 }
@@ -64,10 +64,10 @@
     fn renew_lease(&self, lease_id: u64, ctx: &mut Context<Self>) {
         let (store, sent_at) = (self.store.clone(), self.now());
         let request = async move { store.renew(lease_id).await };
-        ctx.spawn(request.into_actor(self).map(move |answer, actor, _| {
+        ctx.spawn(request.into_actor(self).map(move |response, actor, _| {
             let now = actor.now();
             let mut controller = actor.shared.controller.lock();
-            match answer {
+            match response {
                 LeaseOutcome::Held(_) => controller.on_lease_renewed(lease_id, sent_at),
                 LeaseOutcome::Expired => controller.on_lease_expired(lease_id, now),
                 LeaseOutcome::Failed => controller.on_lease_failed(now),
@@ -115,13 +115,13 @@
             .timeout(PEER_TIMEOUT)
             .send_body(body);
         let call = async move {
-            let mut answer = request.await.ok()?;
-            let body = answer.body().limit(MAX_PEER_BODY_BYTES).await.ok()?;
+            let mut response = request.await.ok()?;
+            let body = response.body().limit(MAX_PEER_BODY_BYTES).await.ok()?;
             rmp_serde::from_slice::<PeerMessage>(&body).ok()
         };
-        ctx.spawn(call.into_actor(self).map(move |answer, actor, _| {
+        ctx.spawn(call.into_actor(self).map(move |response, actor, _| {
             drop(call_guard);
-            if let Some(message) = answer {
+            if let Some(message) = response {
                 let now = actor.now();
                 actor.shared.controller.lock().on_peer_message(message, now);
             }
@@ -131,8 +131,8 @@
     /// Reads the cloud's catalog of machine types.
     fn read_catalog(&self, ctx: &mut Context<Self>) {
         let request = self.cloud.clone().catalog();
-        ctx.spawn(request.into_actor(self).map(|answer, actor, _| {
-            if let Some(catalog) = answer {
+        ctx.spawn(request.into_actor(self).map(|response, actor, _| {
+            if let Some(catalog) = response {
                 actor.shared.controller.lock().on_catalog(catalog);
             }
         }));
@@ -141,9 +141,9 @@
     /// Reads the cloud's list of machines.
     fn list_machines(&self, ctx: &mut Context<Self>) {
         let request = self.cloud.clone().list_machines();
-        ctx.spawn(request.into_actor(self).map(|answer, actor, _| {
+        ctx.spawn(request.into_actor(self).map(|response, actor, _| {
             let now = actor.now();
-            actor.shared.controller.lock().on_list(answer, now);
+            actor.shared.controller.lock().on_list(response, now);
         }));
     }
 
@@ -201,14 +201,14 @@
             request.send_body(body)
         });
         let call = async move {
-            let mut answer = request.ok()?.await.ok()?;
-            let body = answer.body().limit(MAX_CELL_BODY_BYTES).await.ok()?;
+            let mut response = request.ok()?.await.ok()?;
+            let body = response.body().limit(MAX_CELL_BODY_BYTES).await.ok()?;
             rmp_serde::from_slice(&body).ok()
         };
-        ctx.spawn(call.into_actor(self).map(move |answer, actor, _| {
+        ctx.spawn(call.into_actor(self).map(move |response, actor, _| {
             let now = actor.now();
             let mut controller = actor.shared.controller.lock();
-            controller.on_cell_response(&cell_call, answer, sent_at, now);
+            controller.on_cell_response(&cell_call, response, sent_at, now);
         }));
     }
 }
--- a/src/scaling.rs
+++ b/src/scaling.rs
@@ -12,7 +12,7 @@
 use crate::names::{MachineId, MachineTypeId, ZoneId};
 use crate::placement::{Needs, Resources};
 
-/// Most machines in one rental request (PROTOCOL).
+/// Maximum number of machines in one rental request (PROTOCOL).
 pub(crate) const MAX_MACHINES_PER_REQUEST: u32 = 50;
 /// A CPU is expensive if its price exceeds this multiple of the cheapest CPU's price.
 pub(crate) const EXPENSIVE_CPU_FACTOR: f64 = 1.8;
@@ -65,7 +65,7 @@
     /// Whether its tasks may run on machines of a pool with the given size.
     fn can_run_on(&self, pool: CapacityPool, size: &Resources) -> bool {
         self.needs
-            .suits(pool.machine_type, pool.zone, pool.spot, size)
+            .allows_machine(pool.machine_type, pool.zone, pool.spot, size)
     }
 }
 
@@ -118,7 +118,7 @@
     pub horizon_s: f64,
     /// Idle time before a machine is returned, seconds.
     pub idle_s: f64,
-    /// Most machines in the fleet.
+    /// Maximum number of machines in the fleet.
     pub max_machines: usize,
     /// Shortest time that the cloud charges for a machine, seconds.
     pub min_charge_s: f64,
--- a/src/scaling/scale_in.rs
+++ b/src/scaling/scale_in.rs
@@ -7,9 +7,9 @@
 use crate::names::{Index, MachineId};
 
 /// Weight of the price of a machine without tasks.
-const IDLE_WEIGHT: f64 = 1.2;
+const IDLE_PRICE_WEIGHT: f64 = 1.2;
 /// Reduction of this weight for a fully used machine.
-const BUSY_DISCOUNT: f64 = 0.2;
+const BUSY_PRICE_DISCOUNT: f64 = 0.2;
 /// Capacity to keep uncordoned, relative to what could run at once.
 const SPARE_FACTOR: f64 = 1.1;
 /// CPUs to keep uncordoned in addition.
@@ -31,7 +31,7 @@
     /// preferred to an idle one even if it costs up to a fifth more.
     fn weighted_price(&self) -> f64 {
         let used = self.used_cpus / self.machine.size.cpus.max(MIN_CPUS);
-        self.machine.price_per_cpu() * (IDLE_WEIGHT - BUSY_DISCOUNT * used)
+        self.machine.price_per_cpu() * (IDLE_PRICE_WEIGHT - BUSY_PRICE_DISCOUNT * used)
     }
 }
 
--- a/src/scaling/scale_out.rs
+++ b/src/scaling/scale_out.rs
@@ -10,7 +10,7 @@
 /// Expensive machines are rented only if there is work for this many horizons.
 const EXPENSIVE_HORIZONS: f64 = 2.5;
 /// A machine is rented only if at least this fraction of it would be used; smaller types serve less.
-const MIN_FILL: f64 = 0.5;
+const MIN_USED_FRACTION: f64 = 0.5;
 
 /// Machines of one pool to request from the cloud.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -133,7 +133,7 @@
         // and the loss of a zone should take only its share of the machines.
         let missing = (demand.wanted - demand.present) / zones_left as f64;
         // Smaller types serve a demand that would leave most of this machine unused.
-        let number = if demand.wanted - demand.present >= size.cpus * MIN_FILL {
+        let number = if demand.wanted - demand.present >= size.cpus * MIN_USED_FRACTION {
             (missing / size.cpus).round().max(1.0) as u32
         } else {
             0
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -185,7 +185,7 @@
         self.check_addresses()?;
         self.settings.check_positive_values()?;
         self.settings.state.check_txn_ops()?;
-        self.settings.state.check_next()?;
+        self.settings.state.check_next_limits()?;
         self.settings.check_teams()?;
         self.settings.workers.check_cancel_time()
     }
--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -64,7 +64,7 @@
     }
 
     /// Checks the announced limits.
-    pub(super) fn check_next(&self) -> Result<(), SettingsError> {
+    pub(super) fn check_next_limits(&self) -> Result<(), SettingsError> {
         for (name, limit) in [
             ("state.next.rps", self.next.rps),
             ("state.next.write_rps", self.next.write_rps),
--- a/src/spillover/batch.rs
+++ b/src/spillover/batch.rs
@@ -4,7 +4,7 @@
 use crate::protocol::{Mutation, Precondition, Transaction};
 
 /// Bytes counted for a mutation and its precondition in addition to the value.
-const OVERHEAD_BYTES: usize = 400;
+const MUTATION_OVERHEAD_BYTES: usize = 400;
 
 /// A transaction under construction that stays within the store's limits on mutations and bytes.
 pub(super) struct Batch {
@@ -28,7 +28,7 @@
     ///
     /// The store rejects a transaction that is too large as malformed, and it would be planned again forever.
     pub(super) fn add(&mut self, precondition: Precondition, mutation: Mutation) -> bool {
-        let bytes = self.bytes + mutation.value_bytes() + OVERHEAD_BYTES;
+        let bytes = self.bytes + mutation.value_bytes() + MUTATION_OVERHEAD_BYTES;
         let fits = self.transaction.mutations.is_empty() || bytes <= MAX_TRANSACTION_BYTES;
         if !fits || self.transaction.mutations.len() >= self.max_mutations {
             return false;
--- a/src/spillover/borrowing.rs
+++ b/src/spillover/borrowing.rs
@@ -121,7 +121,7 @@
 
     /// Plans the write that cancels the loans that the lender reported as ended. Their tasks are then stopped
     /// like those of any job in a final state.
-    pub(crate) fn plan_ended_loans(&self) -> Option<Transaction> {
+    pub(crate) fn plan_ended_loan_cancellations(&self) -> Option<Transaction> {
         let mut batch = self.transfer_batch();
         for (job_id, job) in self.replica.transferred_jobs() {
             let name = self.replica.names.jobs.name(job_id);
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -66,13 +66,14 @@
             .retain(|_, until| now < *until);
     }
 
-    /// Plans the leader's next write about transfers: returns first, then ended loans, recalls and new loans.
+    /// Plans the leader's next write about transfers: returns first, then cancellations of
+    /// borrowed jobs whose loans have ended, recalls and new loans.
     pub(crate) fn plan_transfers(&mut self, now: Timestamp) -> Option<(Transaction, WriteIntent)> {
         if !self.handles_transfers() {
             return None;
         }
         self.plan_returns(now)
-            .or_else(|| self.plan_ended_loans())
+            .or_else(|| self.plan_ended_loan_cancellations())
             .or_else(|| self.plan_recalls(now))
             .map(|transaction| (transaction, WriteIntent::default()))
             .or_else(|| self.plan_loans(now))
--- a/src/spillover/load.rs
+++ b/src/spillover/load.rs
@@ -1,6 +1,6 @@
 //! Estimates of this cell's load: how long its jobs wait, and how many CPUs it could borrow jobs for.
 //!
-//! Nothing here changes any state.
+//! All functions only read state.
 
 use super::Controller;
 use crate::clock::Timestamp;
@@ -79,9 +79,9 @@
             if job.status != JobStatus::Pending || !self.spillover.may_bind(job, name, now) {
                 continue;
             }
-            let begun = job.done.len() + self.replica.bound_task_count(job_id);
-            let left = job.spec.task_count.saturating_sub(begun);
-            if left == 0 {
+            let done_or_bound = job.done.len() + self.replica.bound_task_count(job_id);
+            let unbound = job.spec.task_count.saturating_sub(done_or_bound);
+            if unbound == 0 {
                 continue;
             }
             let rank = self.rank(job_id, job);
@@ -89,7 +89,7 @@
             order.push(RankedJob {
                 rank,
                 job_id,
-                job: self.waiting_job(name, job, left, lendable),
+                job: self.waiting_job(name, job, unbound, lendable),
             });
         }
         order.sort_by(|one, other| {
--- a/src/spillover/status_page.rs
+++ b/src/spillover/status_page.rs
@@ -1,4 +1,4 @@
-//! The section about transfers on the status page for operators.
+//! The section about spillover on the status page for operators.
 
 use super::{CellLink, Controller, Spillover};
 use crate::clock::Timestamp;
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -31,7 +31,7 @@
         ) else {
             return Vec::new();
         };
-        // A machine that may accept the token of an earlier holder could start a task that left its queue.
+        // A machine that may still accept an earlier holder's token could start tasks that left its queue.
         let Some(size) = self
             .machine_capacity(machine)
             .filter(|_| runtime.is_fenced_and_alive())
@@ -136,7 +136,7 @@
             return false;
         };
         let needs = needs_of(job);
-        needs.suits(to.machine_type, to.zone, to.spot, &size)
+        needs.allows_machine(to.machine_type, to.zone, to.spot, &size)
             && (!needs.depends_on_other_tasks() || from.zone == to.zone)
     }
 }
--- a/src/stealing/rounds.rs
+++ b/src/stealing/rounds.rs
@@ -10,7 +10,7 @@
 
 /// Steals that a controller sends at the start of a round, per known victim.
 const STEALS_PER_VICTIM: usize = 4;
-/// Most steals that one machine sends at the start of a round.
+/// Maximum number of steals that one machine sends at the start of a round.
 const MAX_STEALS_PER_THIEF: u32 = 16;
 
 /// A controller's state of work stealing: its current round and outgoing messages. It survives a
@@ -18,7 +18,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct WorkStealing {
     round: Option<Round>,
-    next_round: Timestamp,
+    next_round_at: Timestamp,
     /// Messages to be sent with the next peer message to each controller.
     outbox: Vec<(ControllerId, StealMessage)>,
 }
@@ -26,7 +26,7 @@
 impl WorkStealing {
     /// Whether the next round is due.
     fn is_due(&self, now: Timestamp) -> bool {
-        now >= self.next_round
+        now >= self.next_round_at
     }
 
     /// The current round; None before the first.
@@ -166,7 +166,7 @@
             return;
         }
         let period_ms = (self.settings.options.balance_period_s * 1000.0) as u64;
-        self.work_stealing.next_round = now.plus(period_ms);
+        self.work_stealing.next_round_at = now.plus(period_ms);
         self.publish_loads(now, out);
         let own: Vec<MachineId> = self.held.ids().collect();
         let loads = self.fleet_loads(&own, now);
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -54,13 +54,13 @@
     ///
     /// # Errors
     ///
-    /// Fails if the store refuses the read, does not answer within `timeout`, or sends an invalid response.
+    /// Fails if the store refuses the read, does not respond within `timeout`, or sends an invalid response.
     pub async fn read(&self, key: &str, timeout: Duration) -> Result<Option<KeyValue>, StoreError> {
-        let answer = self.get(&format!("/keys/{key}"), timeout).await?;
-        if answer.status == StatusCode::NOT_FOUND {
+        let response = self.get(&format!("/keys/{key}"), timeout).await?;
+        if response.status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        parse(&answer.body).map(Some)
+        parse(&response.body).map(Some)
     }
 
     /// Reads a job from the archive; `None` if it is not archived.
@@ -99,8 +99,8 @@
     /// Fails like [`read`](Self::read).
     pub async fn revision(&self, key: &str, timeout: Duration) -> Result<u64, StoreError> {
         let path = format!("/keys?starts={key}&limit=1");
-        let answer = self.get(&path, timeout).await?;
-        parse::<KeyValuePage>(&answer.body).map(|page| page.revision)
+        let response = self.get(&path, timeout).await?;
+        parse::<KeyValuePage>(&response.body).map(|page| page.revision)
     }
 
     /// Reads every key with a prefix, page by page.
@@ -117,8 +117,8 @@
                 "/keys?starts={prefix}&limit={PAGE_KEYS}{}",
                 after.unwrap_or_default()
             );
-            let answer = self.get(&path, PAGE_TIMEOUT).await?;
-            let page: KeyValuePage = parse(&answer.body)?;
+            let response = self.get(&path, PAGE_TIMEOUT).await?;
+            let page: KeyValuePage = parse(&response.body)?;
             first_revision.get_or_insert(page.revision);
             let more = page.has_next && !page.items.is_empty();
             items.extend(page.items);
@@ -145,25 +145,25 @@
     ) -> Result<WatchResponse, StoreError> {
         let path = format!("/watch?starts={prefix}&after={after}&waitMs={wait_ms}");
         let timeout = Duration::from_millis(wait_ms) + WATCH_MARGIN;
-        let answer = self.get(&path, timeout).await?;
-        parse(&answer.body)
+        let response = self.get(&path, timeout).await?;
+        parse(&response.body)
     }
 
     /// Sends a transaction. It is never retried, because it may have been applied although no response arrived.
     pub async fn commit(&self, transaction: &Transaction, timeout: Duration) -> CommitOutcome {
-        let Some(answer) = self.post("/commit", transaction, timeout).await else {
+        let Some(response) = self.post("/commit", transaction, timeout).await else {
             return CommitOutcome::Unknown;
         };
-        let response = serde_json::from_slice::<CommitResponse>(&answer.body);
-        match answer.status {
-            StatusCode::OK => response.map_or(CommitOutcome::Unknown, |response| {
-                CommitOutcome::Done(response.revision)
+        let parsed = serde_json::from_slice::<CommitResponse>(&response.body);
+        match response.status {
+            StatusCode::OK => parsed.map_or(CommitOutcome::Unknown, |parsed| {
+                CommitOutcome::Done(parsed.revision)
             }),
-            StatusCode::CONFLICT => CommitOutcome::Conflict(response.unwrap_or_default().revision),
+            StatusCode::CONFLICT => CommitOutcome::Conflict(parsed.unwrap_or_default().revision),
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 CommitOutcome::Refused
             }
-            StatusCode::BAD_REQUEST => classify_bad_request(transaction, &answer.body),
+            StatusCode::BAD_REQUEST => classify_bad_request(transaction, &response.body),
             _ => CommitOutcome::Unknown,
         }
     }
@@ -172,8 +172,8 @@
     pub async fn lease(&self, ttl_ms: u64) -> LeaseOutcome {
         let request = LeaseRequest { ttl_ms };
         match self.post("/leases", &request, LEASE_TIMEOUT).await {
-            Some(answer) if answer.status == StatusCode::OK => {
-                match parse::<GrantedLease>(&answer.body) {
+            Some(response) if response.status == StatusCode::OK => {
+                match parse::<GrantedLease>(&response.body) {
                     Ok(granted) => LeaseOutcome::Held(granted.lease_id),
                     Err(_) => LeaseOutcome::Failed,
                 }
@@ -186,8 +186,8 @@
     pub async fn renew(&self, lease_id: u64) -> LeaseOutcome {
         let path = format!("/leases/{lease_id}/extend");
         let empty = serde_json::json!({});
-        let answer = self.post(&path, &empty, LEASE_TIMEOUT).await;
-        match answer.map(|answer| answer.status) {
+        let response = self.post(&path, &empty, LEASE_TIMEOUT).await;
+        match response.map(|response| response.status) {
             Some(StatusCode::OK) => LeaseOutcome::Held(lease_id),
             Some(StatusCode::NOT_FOUND) => LeaseOutcome::Expired,
             _ => LeaseOutcome::Failed,
--- a/src/store/read_index.rs
+++ b/src/store/read_index.rs
@@ -110,7 +110,7 @@
         read_interval: Duration,
         timeout: Duration,
     ) -> ReadResult {
-        let (waiter, answer) = oneshot::channel();
+        let (waiter, result) = oneshot::channel();
         let was_reading = {
             let mut state = self.0.lock();
             state.awaiting_read.push(waiter);
@@ -122,8 +122,8 @@
                 .read_batches(store.clone(), read_interval, timeout);
             actix_rt::spawn(reads);
         }
-        match actix_rt::time::timeout(timeout, answer).await {
-            Ok(Ok(answer)) => answer,
+        match actix_rt::time::timeout(timeout, result).await {
+            Ok(Ok(result)) => result,
             _ => Err(StoreError::Unavailable),
         }
     }
