--- a/src/controller/status_page.rs
+++ b/src/controller/status_page.rs
@@ -70,7 +70,7 @@
         let waiting = self.replica.waiting.jobs.keys();
         waiting
             .map(|&job| {
-                let unfinished = self.replica.open_predecessors(job);
+                let unfinished = self.replica.remaining_predecessors(job);
                 let unfinished = unfinished.map(|predecessor| names.name(predecessor));
                 (names.name(job), unfinished.collect())
             })
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -191,7 +191,7 @@
             tasks: tasks.take(max_tasks).collect(),
             bound_by_zone: HashMap::default(),
             overdue: bindable.overdue,
-            ahead_of_schedule: self.may_bind_early(bindable.job, job),
+            may_bind_early: self.may_bind_early(bindable.job, job),
             beyond_share: false,
         }
     }
--- a/src/scaling/scale_in.rs
+++ b/src/scaling/scale_in.rs
@@ -7,9 +7,9 @@
 use crate::names::{Index, MachineId};
 
 /// Weight of the price of a machine without tasks.
-const IDLE_WEIGHT: f64 = 1.2;
+const IDLE_PRICE_WEIGHT: f64 = 1.2;
 /// Reduction of this weight for a fully used machine.
-const BUSY_DISCOUNT: f64 = 0.2;
+const BUSY_PRICE_DISCOUNT: f64 = 0.2;
 /// Capacity to keep uncordoned, relative to what could run at once.
 const SPARE_FACTOR: f64 = 1.1;
 /// CPUs to keep uncordoned in addition.
@@ -31,7 +31,7 @@
     /// preferred to an idle one even if it costs up to a fifth more.
     fn weighted_price(&self) -> f64 {
         let used = self.used_cpus / self.machine.size.cpus.max(MIN_CPUS);
-        self.machine.price_per_cpu() * (IDLE_WEIGHT - BUSY_DISCOUNT * used)
+        self.machine.price_per_cpu() * (IDLE_PRICE_WEIGHT - BUSY_PRICE_DISCOUNT * used)
     }
 }
 
@@ -89,13 +89,13 @@
     fleet: &[RentedMachine],
     returned: &[MachineId],
 ) -> bool {
-    let stays = |other: &&RentedMachine| {
+    let remains = |other: &&RentedMachine| {
         other.machine != machine.machine && !returned.contains(&other.machine)
     };
     demand.iter().any(|job| {
         job.tasks > 0.0
             && machine.can_run(job)
-            && !fleet.iter().filter(stays).any(|other| other.can_run(job))
+            && !fleet.iter().filter(remains).any(|other| other.can_run(job))
     })
 }
 
@@ -118,7 +118,7 @@
     let wanted = runnable_cpus(demand) * SPARE_FACTOR + SPARE_CPUS;
     let wanted_of_expensive = useful_cpus(demand, params.horizon_s);
     let mut on_demand_wanted = runnable_cpus(&on_demand_only(demand));
-    let prices = fleet.iter().map(|busy| busy.machine.price_per_cpu());
+    let prices = fleet.iter().map(|usage| usage.machine.price_per_cpu());
     let cheapest = prices.fold(f64::INFINITY, f64::min);
     let mut present = 0.0;
     let mut kept: Vec<&RentedMachine> = Vec::new();
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -31,7 +31,7 @@
         ) else {
             return Vec::new();
         };
-        // Only a machine that is known to accept no token but ours cannot start what left its queue.
+        // A machine that may still accept an earlier holder's token could start tasks that left its queue.
         let Some(size) = self
             .machine_capacity(machine)
             .filter(|_| runtime.is_fenced_and_alive())
@@ -136,7 +136,7 @@
             return false;
         };
         let needs = task_needs(job);
-        needs.suits(to.machine_type, to.zone, to.spot, &size)
+        needs.allows_machine(to.machine_type, to.zone, to.spot, &size)
             && (!needs.depends_on_other_tasks() || from.zone == to.zone)
     }
 }
