--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,8 +1,8 @@
 //! Messages of all interfaces, and the only place where names on the wire are defined.
 //!
 //! Each section of `PROTOCOL` has its own file, as have the messages between controllers. A field or variant
-//! with a different name on the wire has a `#[serde(rename)]` attribute; `docs/architecture.md` lists both
-//! names. This module contains no logic. No name, order or format on the wire may change, because workers,
+//! with a different name on the wire has a `#[serde(rename)]` attribute; `docs/outward-names.md` lists
+//! both names. This module contains no logic. No name, order or format on the wire may change, because workers,
 //! users and controllers of earlier versions read and write the same bytes (`tests/compatibility.rs`).
 
 mod cloud;
