--- a/benches/costs.rs
+++ b/benches/costs.rs
@@ -91,26 +91,26 @@
             let Some(holder) = world.holder(&message.machine) else {
                 continue;
             };
-            if let Some(node) = world.controllers[holder].as_mut() {
-                heartbeat.measure(|| node.controller.on_heartbeat(message, now));
+            if let Some(process) = world.controllers[holder].as_mut() {
+                heartbeat.measure(|| process.controller.on_heartbeat(message, now));
             }
         }
         let changes = world.store.events("qb/", before);
         let unix_time_ms = world.now;
-        let Some(node) = world.controllers[leader].as_mut() else {
+        let Some(process) = world.controllers[leader].as_mut() else {
             continue;
         };
         // Applies the changes of this step again, as another controller does.
-        node.controller.replica.revision = before.min(node.controller.replica.revision);
-        replica_update.measure(|| node.controller.on_watch_response(changes, now, now));
-        tick.measure(|| node.controller.tick(now, unix_time_ms));
-        long.measure(|| node.controller.peer_message(MessageLength::Long, now));
-        short.measure(|| node.controller.peer_message(MessageLength::Short, now));
+        process.controller.replica.revision = before.min(process.controller.replica.revision);
+        replica_update.measure(|| process.controller.on_watch_response(changes, now, now));
+        tick.measure(|| process.controller.tick(now, unix_time_ms));
+        long.measure(|| process.controller.peer_message(MessageLength::Long, now));
+        short.measure(|| process.controller.peer_message(MessageLength::Short, now));
         poll.measure(|| {
-            let replica = &node.controller.replica;
+            let replica = &process.controller.replica;
             let job_id = replica.names.jobs.get("wk-000007")?;
             let job = replica.jobs.get(&job_id)?;
-            let count = node.controller.running_task_count(job_id);
+            let count = process.controller.running_task_count(job_id);
             Some(jobs::job_answer(
                 "wk-000007",
                 job.status,
@@ -139,7 +139,7 @@
     for _ in 0..SUBMISSIONS {
         submission.measure(|| match jobs::parse_submission(body.as_bytes()) {
             jobs::ParsedSubmission::Valid(read) => controller.unrunnable_reason(&read.spec),
-            jobs::ParsedSubmission::Invalid(..) => unreachable!("the submission is good"),
+            jobs::ParsedSubmission::Invalid(..) => unreachable!("the submission is valid"),
         });
     }
     println!("a job of 100000 tasks");
--- a/tests/behaviour_digest.rs
+++ b/tests/behaviour_digest.rs
@@ -123,15 +123,15 @@
     scenarios::run(plan).err().unwrap_or_default()
 }
 
-/// The state service accepts only small values and small transactions.
+/// The key-value store accepts only small values and small transactions.
 fn small_values(seed: u64) -> Vec<String> {
     let mut world = World::before_upgrade(seed, 3, 8);
     for controller in 0..world.controllers.len() {
-        restart_as_new(&mut world, controller, 0);
+        upgrade(&mut world, controller, 0);
     }
-    lower_limits(&mut world);
+    enforce_announced_limits(&mut world);
     world.run(10_000);
-    submissions_and_faults(&mut world, seed, Vec::new())
+    run_submissions_and_faults(&mut world, seed, Vec::new())
 }
 
 /// Controllers that write an earlier format of stored values are upgraded one after another.
@@ -144,16 +144,17 @@
         world.start(controller);
     }
     world.run(10_000);
-    submissions_and_faults(&mut world, seed, (0..controllers).collect())
+    run_submissions_and_faults(&mut world, seed, (0..controllers).collect())
 }
 
-/// Enforces the limits that the settings announced.
-fn lower_limits(world: &mut World) {
+/// Makes the store enforce the lower limits that the settings announce.
+fn enforce_announced_limits(world: &mut World) {
     let limits = &world.settings.platform.settings.state;
     world.store.size_limits = Some(((limits.value_kb * 1024.0) as usize, limits.txn_ops));
 }
 
-fn restart_as_new(world: &mut World, controller: usize, away_ms: u64) {
+/// Stops a controller for `away_ms` and restarts it in the current version.
+fn upgrade(world: &mut World, controller: usize, away_ms: u64) {
     world.crash(controller);
     world.run(away_ms);
     world.runs_previous_version[controller] = false;
@@ -161,19 +162,23 @@
 }
 
 /// Submits jobs with and without predecessors, cancels some and injects faults. Meanwhile the controllers
-/// in `to_replace` are upgraded, and after the last one the state service lowers its limits.
-fn submissions_and_faults(world: &mut World, seed: u64, mut to_replace: Vec<usize>) -> Vec<String> {
+/// in `to_upgrade` are upgraded, and after the last one the store lowers its limits.
+fn run_submissions_and_faults(
+    world: &mut World,
+    seed: u64,
+    mut to_upgrade: Vec<usize>,
+) -> Vec<String> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut jobs: Vec<String> = Vec::new();
     for round in 1..=36 {
         if round % 6 == 0
-            && let Some(controller) = to_replace.pop()
+            && let Some(controller) = to_upgrade.pop()
         {
             let away_ms = rng.random_range(200..4000);
-            restart_as_new(world, controller, away_ms);
-            if to_replace.is_empty() {
+            upgrade(world, controller, away_ms);
+            if to_upgrade.is_empty() {
                 world.run(3000);
-                lower_limits(world);
+                enforce_announced_limits(world);
             }
         }
         submit(world, &mut rng, round, &mut jobs);
@@ -246,7 +251,7 @@
         if rng.random_bool(0.3) && world.is_unfinished(job) && !world.store.unavailable {
             world.cancel(job);
         }
-        fault_between_cells(&mut cells, &mut rng);
+        inject_cell_fault(&mut cells, &mut rng);
         cells.run(rng.random_range(200..12_000));
         if rng.random_bool(0.4) {
             cells.heal();
@@ -255,13 +260,14 @@
     cells.heal();
     cells.run(60_000);
     let violations = cells.cells.iter().flat_map(|world| &world.violations);
-    // A launch that was in flight when the end of its job was recorded is allowed.
+    // A launch may be in flight when the end of its job is recorded.
     let violations =
         violations.filter(|violation| !violation.ends_with("is launched after its job is done"));
     violations.chain(&cells.violations).cloned().collect()
 }
 
-fn fault_between_cells(cells: &mut Cells, rng: &mut SmallRng) {
+/// Injects a random fault in or between cells; with a probability of 10%, none.
+fn inject_cell_fault(cells: &mut Cells, rng: &mut SmallRng) {
     let count = cells.cells.len();
     let (cell, other) = (rng.random_range(0..count), rng.random_range(0..count));
     let controller = rng.random_range(0..3usize);
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -271,9 +271,13 @@
         (Some(&["small".to_owned()][..]), true)
     );
     assert_eq!(job("wk-000007").status, JobStatus::Cancelled);
-    let open = job("wk-000398");
+    let unfinished = job("wk-000398");
     assert_eq!(
-        (open.status, open.done.len(), open.ready_ms),
+        (
+            unfinished.status,
+            unfinished.done.len(),
+            unfinished.ready_ms
+        ),
         (JobStatus::Pending, 4, None)
     );
     let bound = replica.bound_task_count(replica.names.jobs.get("wk-000398").expect("known"));
@@ -291,8 +295,8 @@
     let job = |name| replica.names.jobs.get(name).expect("known");
     // The fixture has each key with its longest value of the run, so jobs that waited appear twice.
     let waiting = &replica.waiting.jobs[&job("wk-000414")].record;
-    let needed = ["wk-000412", "wk-000413"];
-    assert_eq!(waiting.predecessors.names(), needed);
+    let predecessors = ["wk-000412", "wk-000413"];
+    assert_eq!(waiting.predecessors.names(), predecessors);
     assert_eq!(
         replica.job_status(job("wk-000415")),
         Some(JobStatus::Cancelled)
@@ -349,7 +353,7 @@
 
 #[test]
 fn the_version_before_dependent_jobs_reads_values_and_messages_of_this_version() {
-    let mut w = World::settled(1, 3, 6);
+    let mut w = World::with_holders(1, 3, 6);
     w.run_ms = 3000;
     let first = w.submit(1, w.spec(9));
     let mut spec = w.spec(3);
@@ -357,7 +361,7 @@
     let second = w.submit_dependent(2, spec, &[&first]);
     let third = w.submit_dependent(3, w.spec(1), &[&second]);
     let fourth = w.submit_dependent(4, w.spec(1), &[&third]);
-    let mut waited = false;
+    let mut has_waited = false;
     for step in 0..400 {
         w.run(100);
         if step == 60 {
@@ -367,8 +371,8 @@
             for item in w.store.list(prefix).0 {
                 let value: Value = item.value.decode().expect("json");
                 assert_readable_as_format_0(&item.key, &value);
-                // A waiting job is never under a key from which that version would bind it.
-                waited |= item.key.starts_with("qb/wait/");
+                // No waiting job is stored under a key from which that version would bind its tasks.
+                has_waited |= item.key.starts_with("qb/wait/");
                 let ignored_prefixes = ["qb/wait/", "qb/format"];
                 if ignored_prefixes.iter().any(|p| item.key.starts_with(p)) {
                     assert!(
@@ -381,15 +385,15 @@
         }
         for i in 0..3 {
             let clock: Timestamp = w.clock(i);
-            let node = w.controllers[i].as_mut().expect("alive");
-            let message = node.controller.peer_message(MessageLength::Long, clock);
+            let process = w.controllers[i].as_mut().expect("alive");
+            let message = process.controller.peer_message(MessageLength::Long, clock);
             let body = rmp_serde::to_vec_named(&message).expect("serializable");
             rmp_serde::from_slice::<format_0::PeerMessage>(&body)
                 .expect("readable by the earlier version");
         }
     }
     assert!(
-        waited && w.is_done(&third),
+        has_waited && w.is_done(&third),
         "a job did not wait or did not finish"
     );
     w.assert_no_violations();
@@ -398,7 +402,7 @@
 #[test]
 fn a_job_rewritten_by_an_earlier_version_is_read_without_its_ready_time() {
     // The earlier version writes a job's value again without the fields that it does not know.
-    let mut record = quillbend::jobs::new_record(World::settled(2, 3, 1).spec(2), 5000);
+    let mut record = quillbend::jobs::new_record(World::with_holders(2, 3, 1).spec(2), 5000);
     record.ready_ms = Some(9000);
     let mut value = serde_json::to_value(&record).expect("json");
     assert_readable_as::<format_0::Job>("qb/job/wk-000001", &value);
--- a/tests/duplicate_execution.rs
+++ b/tests/duplicate_execution.rs
@@ -13,13 +13,13 @@
 fn only_a_task_on_two_machines_is_reported() {
     let separate = [("wk-000001/0", "m-1"), ("wk-000001/1", "m-2")];
     assert_eq!(find_duplicate_execution(separate.into_iter()), None);
-    let planted = [("wk-000001/0", "m-1"), ("wk-000001/0", "m-2")];
+    let duplicate = [("wk-000001/0", "m-1"), ("wk-000001/0", "m-2")];
     let expected = DuplicateExecution {
         task: "wk-000001/0".into(),
         machines: ["m-1".into(), "m-2".into()],
     };
     assert_eq!(
-        find_duplicate_execution(planted.into_iter()),
+        find_duplicate_execution(duplicate.into_iter()),
         Some(expected)
     );
 }
@@ -43,11 +43,11 @@
             }
         }
         w.assert_no_violations();
-        let planted = w.workers[at].tasks[0].task.clone();
+        let duplicate = w.workers[at].tasks[0].task.clone();
         let other = (at + 1) % w.workers.len();
-        w.insert_task(other, &planted);
+        w.insert_task(other, &duplicate);
         w.run(100);
-        assert!(w.violations.iter().any(|b| b.starts_with("ran_twice")));
+        assert!(w.violations.iter().any(|v| v.starts_with("ran_twice")));
     }
 }
 
@@ -127,10 +127,10 @@
     worker.tasks.clear();
     (worker.worker_epoch, worker.sequence) = (worker.worker_epoch + 1, 0);
     let clock = w.clock(holder);
-    let node = w.controllers[holder]
+    let process = w.controllers[holder]
         .as_mut()
         .expect("the controller is running");
-    node.controller.on_heartbeat(copy, clock);
+    process.controller.on_heartbeat(copy, clock);
     // Before the completions are recorded, the block is granted to the same holder again.
     let key = block_of(&w, &machine).0.replace("block", "grant");
     let grant = w.store.value(&key).expect("granted");
@@ -142,14 +142,14 @@
 
 /// Indexes of the machines whose blocks the leader does not hold.
 fn held_by_others(w: &World, leader: usize) -> Vec<usize> {
-    let others = |&at: &usize| w.holder(&w.workers[at].machine.name) != Some(leader);
-    (0..w.workers.len()).filter(others).collect()
+    let is_held_by_another = |&at: &usize| w.holder(&w.workers[at].machine.name) != Some(leader);
+    (0..w.workers.len()).filter(is_held_by_another).collect()
 }
 
-/// Moves a task while the leader's watch hangs, then crashes the victim's holder. Returns whether the
+/// Moves a task while the leader's watch hangs, then crashes the victim's holder. Also returns whether the
 /// leader took over the victim's block.
-fn steal_behind_the_leaders_watch(seed: u64) -> (World, bool) {
-    let mut w = World::settled(seed, 3, 3);
+fn steal_while_the_leaders_watch_hangs(seed: u64) -> (World, bool) {
+    let mut w = World::with_holders(seed, 3, 3);
     w.run(3000);
     w.cloud_up = false;
     let leader = w.leader().expect("there is a leader");
@@ -180,18 +180,18 @@
     });
     w.crash(holder);
     w.run(4500);
-    let held = w
+    let took_over = w
         .controller(leader)
         .replica
         .names
         .machines
         .get(&victim_machine);
-    let held = held.and_then(|m| w.controller(leader).replica.block_and_holder(m));
-    let held = held.is_some_and(|h| h.1.controller == w.controller(leader).own_id);
+    let took_over = took_over.and_then(|m| w.controller(leader).replica.block_and_holder(m));
+    let took_over = took_over.is_some_and(|h| h.1.controller == w.controller(leader).own_id);
     w.workers[victim].disconnected = false;
     w.workers[victim].current_controller = leader;
     w.run(3000);
-    (w, held)
+    (w, took_over)
 }
 
 #[test]
@@ -199,13 +199,13 @@
     // Found by the search (seed 3059): a leader whose watch lagged granted a block to itself. It saw its
     // grant at once, but not the moves that the former holder had committed before, and launched a
     // moved task again on the machine that it had been moved from.
-    let mut taken_over = 0;
+    let mut takeovers = 0;
     for seed in 0..24 {
-        let (w, held) = steal_behind_the_leaders_watch(seed);
-        taken_over += u32::from(held);
+        let (w, took_over) = steal_while_the_leaders_watch_hangs(seed);
+        takeovers += u32::from(took_over);
         w.assert_no_violations();
     }
-    assert!(taken_over >= 2, "{taken_over}");
+    assert!(takeovers >= 2, "only {takeovers} takeovers");
 }
 
 #[test]
@@ -224,11 +224,11 @@
             .expect("a machine runs a task");
         // A task fails, and the heartbeat that reports this is delayed.
         w.workers[at].disconnected = true;
-        let mut late = w.workers[at].heartbeat();
-        late.sequence += 1;
-        late.tasks[0].status = TaskPhase::Ended;
-        late.tasks[0].exit_reason = Some(ExitReason::Error);
-        let task = late.tasks[0].task.clone();
+        let mut delayed = w.workers[at].heartbeat();
+        delayed.sequence += 1;
+        delayed.tasks[0].status = TaskPhase::Ended;
+        delayed.tasks[0].exit_reason = Some(ExitReason::Error);
+        let task = delayed.tasks[0].task.clone();
         // All controllers are down until the worker's epoch has ended.
         (0..3).for_each(|i| w.crash(i));
         w.run(13_000);
@@ -246,7 +246,7 @@
                 .as_mut()
                 .expect("the controller is running")
                 .controller;
-            controller.on_heartbeat(late.clone(), clock);
+            controller.on_heartbeat(delayed.clone(), clock);
         }
         let starts = |w: &World| w.starts.iter().filter(|s| s.1 == task).count();
         let before = starts(&w);
@@ -262,16 +262,16 @@
     // had received none of its heartbeats under the older grant, and did not know of the newer grant,
     // launched tasks that had been moved elsewhere.
     for seed in 0..6 {
-        let mut w = World::settled(seed, 3, 3);
+        let mut w = World::with_holders(seed, 3, 3);
         w.run(3000);
         w.cloud_up = false;
         let leader = w.leader().expect("there is a leader");
         let stale = (0..3)
             .find(|&i| i != leader)
             .expect("there are three controllers");
-        let other = |at: &usize| w.holder(&w.workers[*at].machine.name) != Some(stale);
+        let is_held_by_another = |at: &usize| w.holder(&w.workers[*at].machine.name) != Some(stale);
         let at = (0..3)
-            .find(other)
+            .find(is_held_by_another)
             .expect("another controller holds a machine");
         let machine = w.workers[at].machine.name.clone();
         w.workers[at].disconnected = true;
@@ -280,7 +280,7 @@
         w.run_until(4000, "tasks are bound to the machine", |w| {
             !block_of(w, &machine).1.machines[&machine].queue.is_empty()
         });
-        // A controller is granted the block, then loses its connections to all but the workers.
+        // A controller is granted the block and then loses its connections to the store and its peers.
         let stale_grant = grant_of(&w, stale);
         let (key, _) = block_of(&w, &machine);
         w.store
@@ -315,15 +315,15 @@
         .into_iter()
         .filter_map(|item| w.store.value(&item.key));
     let name = format!("n{i}");
-    let mut mine = values.filter(|v| v["h"] == name.as_str());
-    mine.next().expect("the controller holds a block")
+    let mut own = values.filter(|v| v["h"] == name.as_str());
+    own.next().expect("the controller holds a block")
 }
 
 #[test]
 fn a_binding_in_doubt_is_kept_when_its_retry_is_rejected_as_malformed() {
     // The limits of the service may be lowered between a write and its retry.
     for seed in 0..12 {
-        let mut w = World::settled(seed, 3, 6);
+        let mut w = World::with_holders(seed, 3, 6);
         w.cloud_up = false;
         w.run(3000);
         let leader = w.leader().expect("there is a leader");
@@ -381,12 +381,12 @@
     for seed in 0..4 {
         let (mut w, job) = World::with_running_job(seed, 3, 40_000);
         let leader = w.leader().expect("there is a leader");
-        let i = (leader + 1) % 3;
-        w.links[i].watch_hangs = true;
-        w.links[i].workers_reachable = false;
+        let holder = (leader + 1) % 3;
+        w.links[holder].watch_hangs = true;
+        w.links[holder].workers_reachable = false;
         w.run(18_000);
-        w.links[i].watch_hangs = false;
-        w.links[i].workers_reachable = true;
+        w.links[holder].watch_hangs = false;
+        w.links[holder].workers_reachable = true;
         w.run_until(60_000, "the job is done", |w| w.is_done(&job));
         w.assert_no_violations();
         assert_eq!(w.start_count_of(&job), 12, "running tasks were restarted");
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -57,7 +57,7 @@
 
 #[test]
 fn dependent_jobs_run_in_order_and_each_starts_soon_after_its_predecessor_is_done() {
-    let mut w = World::settled(1, 3, 6);
+    let mut w = World::with_holders(1, 3, 6);
     w.run_ms = 4000;
     let chain = submit_chain(&mut w, 1, 4);
     w.run(2000);
@@ -80,7 +80,7 @@
 
 #[test]
 fn a_job_waits_for_predecessors_of_any_team_and_in_any_state() {
-    let mut w = World::settled(2, 3, 6);
+    let mut w = World::with_holders(2, 3, 6);
     w.run_ms = 3000;
     let done = w.submit(1, w.spec(1));
     w.run_until(20_000, "the job is done", |w| w.is_done(&done));
@@ -89,12 +89,12 @@
     });
     let mut red = w.spec(2);
     red.team = "red".into();
-    let other = w.submit(2, red);
-    let slow = w.submit(3, w.spec(2));
-    w.failing_jobs.insert(slow.clone());
-    let last = w.submit_dependent(4, w.spec(2), &[&done, &other, &slow, &done]);
+    let red_job = w.submit(2, red);
+    let failing = w.submit(3, w.spec(2));
+    w.failing_jobs.insert(failing.clone());
+    let last = w.submit_dependent(4, w.spec(2), &[&done, &red_job, &failing, &done]);
     w.run_until(30_000, "the predecessor of the other team is done", |w| {
-        w.is_done(&other)
+        w.is_done(&red_job)
     });
     w.run(20_000);
     assert_eq!(
@@ -109,33 +109,33 @@
     );
     w.failing_jobs.clear();
     w.run_until(120_000, "the job is done", |w| w.is_done(&last));
-    let after = w.submit_dependent(5, w.spec(1), &[&done, &last]);
+    let later = w.submit_dependent(5, w.spec(1), &[&done, &last]);
     assert!(
-        w.waiting_record(&after).is_none(),
+        w.waiting_record(&later).is_none(),
         "a job whose predecessors are done was stored as waiting"
     );
-    w.run_until(30_000, "the job is done", |w| w.is_done(&after));
+    w.run_until(30_000, "the job is done", |w| w.is_done(&later));
     w.assert_no_violations();
 }
 
 #[test]
 fn a_job_cannot_name_an_unknown_job_or_itself_as_predecessor() {
-    let mut w = World::settled(3, 3, 4);
+    let mut w = World::with_holders(3, 3, 4);
     let known = w.submit(1, w.spec(1));
     w.run(300);
-    let never = "wk-000777".to_owned();
+    let unknown = "wk-000777".to_owned();
     assert_eq!(
-        w.try_submit_dependent(0, 2, w.spec(1), &[known.clone(), never]),
+        w.try_submit_dependent(0, 2, w.spec(1), &[known.clone(), unknown]),
         None
     );
-    let itself = "wk-000002".to_owned();
-    assert_eq!(w.try_submit_dependent(0, 2, w.spec(1), &[itself]), None);
+    let own_name = "wk-000002".to_owned();
+    assert_eq!(w.try_submit_dependent(0, 2, w.spec(1), &[own_name]), None);
     assert!(w.try_submit_dependent(0, 2, w.spec(1), &[known]).is_some());
 }
 
 #[test]
 fn waiting_jobs_use_no_capacity_and_no_quota_and_cause_no_rental() {
-    let mut w = World::settled(4, 3, 4);
+    let mut w = World::with_holders(4, 3, 4);
     w.run_ms = 100_000;
     let first = w.submit(1, w.spec(2));
     let mut large = w.spec(400);
@@ -160,7 +160,7 @@
 /// Whether the first job of a chain is done before an equal job without dependents on a busy fleet. The last
 /// job of the chain has this priority and deadline.
 fn chain_runs_before_independent_job(priority: Priority, due_s: Option<f64>) -> bool {
-    let mut w = World::settled(5, 3, 3);
+    let mut w = World::with_holders(5, 3, 3);
     w.cloud_up = false;
     w.run_ms = 6000;
     let spec = |w: &World, priority: Priority| JobSpec {
@@ -172,17 +172,17 @@
         w.submit(n, spec(&w, Priority::Normal));
     }
     w.run(3000);
-    let alone = w.submit(40, spec(&w, Priority::BestEffort));
+    let independent = w.submit(40, spec(&w, Priority::BestEffort));
     let first = w.submit(41, spec(&w, Priority::BestEffort));
     let second = w.submit_dependent(42, spec(&w, Priority::BestEffort), &[&first]);
     let mut last = spec(&w, priority);
     last.due_s = due_s;
     w.submit_dependent(43, last, &[&second]);
     w.run_until(120_000, "one of the two jobs is done", |w| {
-        w.is_done(&first) || w.is_done(&alone)
+        w.is_done(&first) || w.is_done(&independent)
     });
     w.assert_no_violations();
-    w.is_done(&first) && !w.is_done(&alone)
+    w.is_done(&first) && !w.is_done(&independent)
 }
 
 #[test]
@@ -206,7 +206,7 @@
 fn a_cancellation_cancels_all_dependent_jobs_and_no_others() {
     // The jobs form a diamond with a tail, a wide fan-out, and jobs that do not depend on the cancelled one.
     for (seed, cancelled_at) in [(6, 0), (7, 1)] {
-        let mut w = World::settled(seed, 3, 6);
+        let mut w = World::with_holders(seed, 3, 6);
         w.run_ms = 60_000;
         let top = w.submit(1, w.spec(2));
         let left = w.submit_dependent(2, w.spec(2), &[&top]);
@@ -216,7 +216,7 @@
         let fan: Vec<String> = (6..20)
             .map(|n| w.submit_dependent(n, w.spec(1), &[&left]))
             .collect();
-        let aside = w.submit_dependent(30, w.spec(1), &[&right]);
+        let right_leaf = w.submit_dependent(30, w.spec(1), &[&right]);
         w.run(1500);
         let cancelled_job = [&top, &left][cancelled_at].clone();
         assert!(matches!(
@@ -226,7 +226,7 @@
         let mut cancelled_jobs = vec![cancelled_job.clone(), bottom, tail];
         cancelled_jobs.extend(fan);
         if cancelled_at == 0 {
-            cancelled_jobs.extend([left, right.clone(), aside.clone()]);
+            cancelled_jobs.extend([left, right.clone(), right_leaf.clone()]);
         }
         // The controller that received the cancellation reports all of them as cancelled at once.
         w.run(100);
@@ -236,9 +236,9 @@
         w.run_ms = 3000;
         assert_all_cancelled(&mut w, &cancelled_jobs);
         if cancelled_at == 1 {
-            let named = [right, aside];
+            let unaffected_jobs = [right, right_leaf];
             w.run_until(200_000, "the jobs that do not depend on it are done", |w| {
-                named.iter().all(|j| w.is_done(j))
+                unaffected_jobs.iter().all(|j| w.is_done(j))
             });
         }
         w.assert_no_violations();
@@ -247,7 +247,7 @@
 
 #[test]
 fn a_job_that_depends_on_a_cancelled_one_is_accepted_and_cancelled() {
-    let mut w = World::settled(8, 3, 4);
+    let mut w = World::with_holders(8, 3, 4);
     let first = w.submit(1, w.spec(2));
     let second = w.submit_dependent(2, w.spec(2), &[&first]);
     w.run(500);
@@ -263,16 +263,16 @@
 
 #[test]
 fn a_dependent_job_follows_the_outcome_when_a_cancellation_races_with_the_last_completion() {
-    for order in [true, false] {
+    for wait_for_record in [true, false] {
         for seed in 9..13 {
-            let mut w = World::settled(seed, 3, 4);
+            let mut w = World::with_holders(seed, 3, 4);
             w.run_ms = 4000;
             let first = w.submit(1, w.spec(2));
             let next = w.submit_dependent(2, w.spec(2), &[&first]);
             w.run_until(15_000, "both tasks run", |w| {
                 w.running_task_count_of(&first) == 2
             });
-            if order {
+            if wait_for_record {
                 w.run_until(15_000, "both tasks are recorded as done", |w| {
                     w.done_task_count(&first) == 2
                 });
@@ -298,14 +298,14 @@
 #[test]
 fn a_cancellation_of_a_waiting_job_wins_the_race_with_its_start() {
     for seed in 13..19 {
-        let mut w = World::settled(seed, 3, 4);
+        let mut w = World::with_holders(seed, 3, 4);
         w.run_ms = 3000;
         let first = w.submit(1, w.spec(1));
         let next = w.submit_dependent(2, w.spec(2), &[&first]);
         let last = w.submit_dependent(3, w.spec(2), &[&next]);
         w.run_until(30_000, "the predecessor is done", |w| w.is_done(&first));
         // By seed: the response is lost, the commit is delayed, or there is no fault.
-        let leader = w.leader().expect("a leader");
+        let leader = w.leader().expect("there is a leader");
         w.links[leader].store_fault = [
             StoreFault::LosesResponses,
             StoreFault::DelaysCommits(2500),
@@ -324,7 +324,7 @@
 #[test]
 fn a_submission_conflicts_when_it_races_with_the_end_or_cancellation_of_its_predecessor() {
     for cancelled in [true, false] {
-        let mut w = World::settled(20, 3, 4);
+        let mut w = World::with_holders(20, 3, 4);
         w.run_ms = 3000;
         let first = w.submit(1, w.spec(1));
         w.run(1000);
@@ -366,25 +366,25 @@
 
 #[test]
 fn a_repeated_submission_of_a_waiting_job_changes_nothing() {
-    let mut w = World::settled(21, 3, 4);
+    let mut w = World::with_holders(21, 3, 4);
     w.run_ms = 3000;
     let first = w.submit(1, w.spec(1));
     let second = w.submit_dependent(2, w.spec(1), &[&first]);
     w.run(300);
-    // The repeats name the same predecessor, or are those of a job without predecessors.
+    // One repeat names the same predecessor, the other names none.
     assert_eq!(
         w.try_submit_dependent(1, 2, w.spec(1), std::slice::from_ref(&first)),
         None
     );
     let record = quillbend::jobs::new_record(w.spec(1), w.now);
-    let ordinary = quillbend::jobs::accept_transaction(&second, &record);
+    let independent = quillbend::jobs::accept_transaction(&second, &record);
     assert!(matches!(
-        w.store.commit(&ordinary),
+        w.store.commit(&independent),
         CommitOutcome::Conflict(_)
     ));
     w.run_until(60_000, "the job is done", |w| w.is_done(&second));
     assert!(matches!(
-        w.store.commit(&ordinary),
+        w.store.commit(&independent),
         CommitOutcome::Conflict(_)
     ));
     assert_eq!(w.start_count_of(&second), 1);
@@ -393,22 +393,22 @@
 
 #[test]
 fn a_needed_predecessor_is_not_archived_and_survives_a_restart_of_all_controllers() {
-    let mut w = World::settled(22, 3, 6);
+    let mut w = World::with_holders(22, 3, 6);
     // Finished jobs are archived at once, also while other jobs wait to run.
     w.settings.options.max_final_jobs = 0.0;
     (0..3).for_each(|i| w.start(i));
     w.run(8000);
     w.run_ms = 3000;
-    let aside = w.submit(4, w.spec(1));
+    let unrelated = w.submit(4, w.spec(1));
     let first = w.submit(1, w.spec(1));
-    let slow = w.submit(2, w.spec(1));
-    w.failing_jobs.insert(slow.clone());
-    let last = w.submit_dependent(3, w.spec(2), &[&first, &slow]);
+    let failing = w.submit(2, w.spec(1));
+    w.failing_jobs.insert(failing.clone());
+    let last = w.submit_dependent(3, w.spec(2), &[&first, &failing]);
     w.run_until(20_000, "the job is done", |w| w.is_done(&first));
     w.run(90_000);
     let archived = |w: &World, job: &str| w.store.value(&archive_key(job)).is_some();
     assert!(
-        archived(&w, &aside),
+        archived(&w, &unrelated),
         "a finished job without dependents is not archived"
     );
     assert!(
@@ -434,7 +434,7 @@
 #[test]
 fn a_predecessor_that_an_older_version_archived_is_found_in_the_archive() {
     for status in [JobStatus::Done, JobStatus::Cancelled] {
-        let mut w = World::settled(23, 3, 4);
+        let mut w = World::with_holders(23, 3, 4);
         w.run_ms = 3000;
         let first = w.submit(1, w.spec(1));
         w.failing_jobs.insert(first.clone());
@@ -455,7 +455,7 @@
 #[test]
 fn dependent_jobs_finish_despite_crashes_outages_and_failovers() {
     for seed in 24..28 {
-        let mut w = World::settled(seed, [3, 5][seed as usize % 2], 8);
+        let mut w = World::with_holders(seed, [3, 5][seed as usize % 2], 8);
         w.run_ms = 4000;
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut all = Vec::new();
@@ -475,11 +475,12 @@
         let cancelled_job = all[5].clone();
         let cancelled = w.is_unfinished(&cancelled_job)
             && matches!(w.cancel(&cancelled_job), CommitOutcome::Done(_));
-        let (cancelled_jobs, rest): (Vec<String>, Vec<String>) = all.into_iter().partition(|j| {
-            cancelled && ["wk-000201", "wk-000202", "wk-000203"].contains(&j.as_str())
-        });
+        let (cancelled_jobs, other_jobs): (Vec<String>, Vec<String>) =
+            all.into_iter().partition(|j| {
+                cancelled && ["wk-000201", "wk-000202", "wk-000203"].contains(&j.as_str())
+            });
         w.run_polling(20_000, &cancelled_jobs);
-        w.assert_all_jobs_finish(&rest);
+        w.assert_all_jobs_finish(&other_jobs);
         if cancelled {
             assert_all_cancelled(&mut w, &cancelled_jobs);
         }
@@ -488,16 +489,16 @@
 }
 
 #[test]
-fn answers_after_a_cancellation_are_current_also_during_an_outage_of_the_store() {
+fn answers_after_a_cancellation_are_current_even_during_a_store_outage() {
     for seed in 28..32 {
-        let mut w = World::settled(seed, 3, 6);
+        let mut w = World::with_holders(seed, 3, 6);
         w.run_ms = 20_000;
         let chain = submit_chain(&mut w, 1, 5);
         w.run(4000);
-        let at = seed as usize % 2;
-        let leader = w.leader().expect("a leader");
+        let i = seed as usize % 2;
+        let leader = w.leader().expect("there is a leader");
         assert!(matches!(
-            w.cancel_through(at, &chain[0]),
+            w.cancel_through(i, &chain[0]),
             CommitOutcome::Done(_)
         ));
         w.set_store_outage(true);
@@ -513,18 +514,21 @@
 
 /// The next write by which controller 0 accepts a job with these predecessors. The replica of controller 0
 /// shows the writes made so far.
-fn next_step(w: &World, name: &str, spec: &JobSpec, awaits: &[String]) -> AcceptanceStep {
+fn next_step(w: &World, name: &str, spec: &JobSpec, predecessors: &[String]) -> AcceptanceStep {
     let replica = &w.controller(0).replica;
     let archived = |name: &str| match w.job_record(name).map(|j| j.status) {
         Some(JobStatus::Done) => PredecessorState::Done,
         Some(JobStatus::Cancelled) => PredecessorState::Cancelled,
         _ => PredecessorState::NotInReplica,
     };
-    let known = |name: &String| match replica.predecessor_state(name) {
+    let state = |name: &String| match replica.predecessor_state(name) {
         PredecessorState::NotInReplica => archived(name),
-        shown => shown,
+        in_replica => in_replica,
     };
-    let named: Vec<_> = awaits.iter().map(|a| (a.clone(), known(a))).collect();
+    let named: Vec<_> = predecessors
+        .iter()
+        .map(|name| (name.clone(), state(name)))
+        .collect();
     let stored = replica
         .incomplete_waiting(name)
         .map(|waiting| StoredWaitingJob {
@@ -541,10 +545,10 @@
     let mut w = World::with_platform(seed, 3, 6, &few);
     w.run(8000);
     w.run_ms = 20_000;
-    let awaits: Vec<String> = (1..=20).map(|n| w.submit(n, w.spec(1))).collect();
+    let predecessors: Vec<String> = (1..=20).map(|n| w.submit(n, w.spec(1))).collect();
     w.run(3000);
-    w.register_submission("wk-000099", w.spec(1), &awaits);
-    let step = next_step(&w, "wk-000099", &w.spec(1), &awaits);
+    w.register_submission("wk-000099", w.spec(1), &predecessors);
+    let step = next_step(&w, "wk-000099", &w.spec(1), &predecessors);
     let AcceptanceStep::Incomplete(transaction) = &step else {
         panic!("{step:?}")
     };
@@ -553,12 +557,12 @@
         CommitOutcome::Done(_)
     ));
     w.run(1000);
-    (w, awaits, step)
+    (w, predecessors, step)
 }
 
 #[test]
 fn a_job_with_more_predecessors_than_fit_into_a_transaction_is_accepted_in_several_writes() {
-    let (mut w, awaits, first) = start_incremental_acceptance(32);
+    let (mut w, predecessors, first) = start_incremental_acceptance(32);
     let job = "wk-000099".to_owned();
     for i in 0..3 {
         assert_eq!(
@@ -567,17 +571,17 @@
             "an incomplete job is visible to users"
         );
     }
-    // A predecessor that the job names already and one that it does not name yet are done, and a controller
-    // restarts.
+    // A predecessor that the stored job already names and one that it does not name yet are done, and a
+    // controller restarts.
     w.run_until(40_000, "the first and the last predecessor are done", |w| {
-        w.is_done(&awaits[0]) && w.is_done(&awaits[19])
+        w.is_done(&predecessors[0]) && w.is_done(&predecessors[19])
     });
     w.crash(1);
     w.run(500);
     w.start(1);
     w.run(8000);
     assert_eq!(w.start_count_of(&job), 0, "an incomplete job was started");
-    let last = next_step(&w, &job, &w.spec(1), &awaits);
+    let last = next_step(&w, &job, &w.spec(1), &predecessors);
     let AcceptanceStep::Complete(transaction) = last else {
         panic!("{last:?}")
     };
@@ -593,7 +597,7 @@
     w.run(500);
     assert_eq!(w.poll_status(0, &job), Some(JobStatus::Pending));
     w.run_until(120_000, "all predecessors are done", |w| {
-        awaits.iter().all(|a| w.is_done(a))
+        predecessors.iter().all(|a| w.is_done(a))
     });
     w.run_until(60_000, "its task is recorded as done", |w| {
         w.done_task_count(&job) == 1
@@ -603,9 +607,9 @@
 
 #[test]
 fn an_abandoned_incomplete_job_is_dropped_and_its_predecessors_are_archived() {
-    let (mut w, awaits, first) = start_incremental_acceptance(33);
+    let (mut w, predecessors, first) = start_incremental_acceptance(33);
     w.run_until(200_000, "all predecessors are done", |w| {
-        awaits.iter().all(|a| w.is_done(a))
+        predecessors.iter().all(|a| w.is_done(a))
     });
     let key = waiting_key("wk-000099");
     assert!(w.store.value(&key).is_some());
@@ -614,7 +618,7 @@
     });
     let archived = |w: &World, j: &String| w.store.value(&archive_key(j)).is_some();
     w.run_until(200_000, "its predecessors are archived", |w| {
-        awaits.iter().all(|j| archived(w, j))
+        predecessors.iter().all(|j| archived(w, j))
     });
     let AcceptanceStep::Incomplete(first) = first else {
         panic!("{first:?}")
@@ -626,11 +630,11 @@
 
 #[test]
 fn a_predecessor_cancelled_between_two_writes_of_an_acceptance_cancels_the_job() {
-    let (mut w, awaits, _) = start_incremental_acceptance(34);
+    let (mut w, predecessors, _) = start_incremental_acceptance(34);
     let job = "wk-000099".to_owned();
-    assert!(matches!(w.cancel(&awaits[3]), CommitOutcome::Done(_)));
+    assert!(matches!(w.cancel(&predecessors[3]), CommitOutcome::Done(_)));
     w.run(500);
-    let step = next_step(&w, &job, &w.spec(1), &awaits);
+    let step = next_step(&w, &job, &w.spec(1), &predecessors);
     let AcceptanceStep::Cancelled(transaction) = step else {
         panic!("{step:?}")
     };
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! Runs the program on loopback against fakes of the state service, the cloud and one worker: it starts,
+//! Runs the program on loopback against fakes of the key-value store, the cloud and one worker: it starts,
 //! accepts a job, runs it and reports it as done. Also checks its answers to users and its settings.
 
 mod processes;
@@ -87,15 +87,15 @@
             assert_eq!((status, &v["status"]), (200, &json!("done")), "{repeat}");
         }
     }
-    let never = format!("{jobs}/wk-000100");
-    let gone = format!("{jobs}/{}", completed["ref"].as_str().expect("a job name"));
-    let cancel = |job: &str| format!("{job}/cancel");
+    let unknown_url = format!("{jobs}/wk-000100");
+    let completed_url = format!("{jobs}/{}", completed["ref"].as_str().expect("a job name"));
+    let cancel = |job_url: &str| format!("{job_url}/cancel");
     for (method, url, expected) in [
-        ("GET", never.clone(), (404, Value::Null)),
-        ("POST", cancel(&never), (404, Value::Null)),
+        ("GET", unknown_url.clone(), (404, Value::Null)),
+        ("POST", cancel(&unknown_url), (404, Value::Null)),
         ("POST", cancel(&format!("{jobs}/what")), (404, Value::Null)),
-        ("POST", cancel(&gone), (200, json!("done"))),
-        ("GET", gone, (200, json!("done"))),
+        ("POST", cancel(&completed_url), (200, json!("done"))),
+        ("GET", completed_url, (200, json!("done"))),
     ] {
         let answer = call(method, &url, None).await.expect("a response");
         assert_eq!(
@@ -155,8 +155,8 @@
         let status = answer.1["status"].clone();
         assert_eq!((answer.0, status), expected, "{name} {awaits}");
     }
-    // More unfinished predecessors than one transaction allows preconditions: the submission takes
-    // several writes.
+    // The job has more unfinished predecessors than one transaction may have preconditions, so its
+    // submission takes several writes.
     let mut many = Vec::new();
     for n in 300..346 {
         let name = format!("wk-{n:06}");
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn an_invalid_spillover_file_fails_with_a_one_line_error() {
+fn an_invalid_spillover_file_is_rejected_with_a_one_line_error() {
     let write = |name: &str, text: &str| {
         let id = std::process::id();
         let file = std::env::temp_dir().join(format!("quillbend-spillover-{id}-{name}"));
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn invalid_settings_fail_with_a_one_line_error() {
+fn invalid_settings_are_rejected_with_a_one_line_error() {
     let file = std::env::temp_dir().join(format!("quillbend-bad-{}.toml", std::process::id()));
     std::fs::write(&file, support::PLATFORM.replace("rps = 150.0", "rps = -1"))
         .expect("the file is written");
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -28,33 +28,36 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// Most bytes by which the three controllers together may grow while the job runs.
+/// Most bytes by which the memory use of the three controllers together may grow while the job runs.
 const MAX_GROWTH_BYTES: usize = 3 << 20;
 
 #[test]
 fn memory_does_not_grow_with_the_number_of_unbound_tasks() {
-    let mut w = World::settled(1, 3, 8);
+    let mut w = World::with_holders(1, 3, 8);
     w.cloud_up = false;
     w.run_ms = 1000;
-    let mut giant = w.spec(100_000);
-    (giant.team, giant.cpus, giant.memory_gb) = ("guest".into(), 0.25, 0.1);
-    giant.estimate_s = 1.0;
+    let mut large_job = w.spec(100_000);
+    (large_job.team, large_job.cpus, large_job.memory_gb) = ("guest".into(), 0.25, 0.1);
+    large_job.estimate_s = 1.0;
     w.run(5000);
     w.store.clear_history();
     let before = LIVE_BYTES.load(Ordering::Relaxed);
-    let giant = w.submit(1, giant);
-    let mut largest = 0;
+    let large_job = w.submit(1, large_job);
+    let mut max_growth = 0;
     for _ in 0..30 {
         w.run(2000);
         // The records of the fakes grow with time and are not counted.
         w.store.clear_history();
         w.starts = Vec::new();
-        largest = largest.max(LIVE_BYTES.load(Ordering::Relaxed).saturating_sub(before));
+        max_growth = max_growth.max(LIVE_BYTES.load(Ordering::Relaxed).saturating_sub(before));
     }
     assert!(
-        w.done_task_count(&giant) > 500,
+        w.done_task_count(&large_job) > 500,
         "too few tasks were completed"
     );
-    assert!(largest < MAX_GROWTH_BYTES, "memory grew by {largest} bytes");
+    assert!(
+        max_growth < MAX_GROWTH_BYTES,
+        "memory grew by {max_growth} bytes"
+    );
     w.assert_no_violations();
 }
--- a/tests/mixed_versions.rs
+++ b/tests/mixed_versions.rs
@@ -1,7 +1,7 @@
-//! Rolling upgrades with real processes: an earlier version, built from this repository's history, and
-//! the current one share a store while jobs run, dependent jobs wait and some jobs are cancelled.
+//! Rolling upgrades with real processes: a previous version, built from this repository's history, and the
+//! current one share a store while jobs run, dependent jobs wait and some jobs are cancelled.
 //!
-//! The tests build the earlier versions, so they run only in `.ci/run` and with
+//! The tests build the previous versions, so they run only in `.ci/run` and with
 //! `cargo test --test mixed_versions -- --ignored`.
 
 mod processes;
@@ -23,7 +23,7 @@
 /// Run time of a task, ms.
 const RUN_MS: u64 = 1500;
 /// Period of the workers' heartbeats and of status requests.
-const REPORT_PERIOD: Duration = Duration::from_millis(250);
+const REQUEST_PERIOD: Duration = Duration::from_millis(250);
 /// Time within which a cancellation takes effect (`cancel_s` in the settings).
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(37);
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// Builds an earlier version from the repository's history and returns the path of its binary.
+/// Builds a previous version from the repository's history and returns the path of its binary.
 fn build(commit: &str) -> PathBuf {
     // All versions share one build directory, so that their dependencies are built only once.
     static BUILD_LOCK: Mutex<()> = Mutex::new(());
@@ -88,8 +88,8 @@
 
 /// A cell during an upgrade, with its users and workers.
 struct Fleet {
-    old: PathBuf,
-    new: PathBuf,
+    previous_binary: PathBuf,
+    current_binary: PathBuf,
     external: ExternalServices,
     addresses: Vec<ControllerAddresses>,
     programs: Vec<Option<Program>>,
@@ -101,14 +101,15 @@
 }
 
 impl Fleet {
-    /// Starts all controllers in the old version and all workers, and waits until the controllers are ready.
-    async fn start(old: PathBuf) -> Fleet {
+    /// Starts all workers and all controllers in the previous version, and waits until the controllers are
+    /// ready.
+    async fn start(previous_binary: PathBuf) -> Fleet {
         let machines: Vec<_> = (1..=MACHINES)
             .map(|n| running_machine(&format!("m-{n:06}")))
             .collect();
         let mut fleet = Fleet {
-            old,
-            new: env!("CARGO_BIN_EXE_quillbend").into(),
+            previous_binary,
+            current_binary: env!("CARGO_BIN_EXE_quillbend").into(),
             external: ExternalServices::start(machines.clone()),
             addresses: allocate_addresses(CONTROLLERS),
             programs: (0..CONTROLLERS).map(|_| None).collect(),
@@ -117,7 +118,7 @@
             last_final_answer: HashMap::new(),
         };
         for i in 0..CONTROLLERS {
-            fleet.start_old(i);
+            fleet.start_previous(i);
         }
         for machine in machines {
             let (addresses, log) = (fleet.addresses.clone(), fleet.log.clone());
@@ -125,7 +126,7 @@
                 let mut worker = LoopbackWorker::new(machine, RUN_MS);
                 loop {
                     worker.send_heartbeat(&addresses, &log).await;
-                    actix_web::rt::time::sleep(REPORT_PERIOD).await;
+                    actix_web::rt::time::sleep(REQUEST_PERIOD).await;
                 }
             });
         }
@@ -141,15 +142,15 @@
         self.programs[i] = Some(program);
     }
 
-    fn start_old(&mut self, i: usize) {
-        self.start_program(i, &self.old.clone());
+    fn start_previous(&mut self, i: usize) {
+        self.start_program(i, &self.previous_binary.clone());
     }
 
-    /// Kills a controller and starts it in the new version.
+    /// Kills a controller and restarts it in the current version.
     async fn upgrade(&mut self, i: usize) {
         self.programs[i] = None;
         self.pause(500).await;
-        self.start_program(i, &self.new.clone());
+        self.start_program(i, &self.current_binary.clone());
         self.wait_until_ready(i).await;
     }
 
@@ -165,12 +166,12 @@
         }
     }
 
-    /// Waits while users continue to poll all jobs.
+    /// Waits for `ms` while users continue to poll all jobs.
     async fn pause(&mut self, ms: u64) {
-        let until = Instant::now() + Duration::from_millis(ms);
-        while Instant::now() < until {
+        let deadline = Instant::now() + Duration::from_millis(ms);
+        while Instant::now() < deadline {
             self.poll_all().await;
-            actix_web::rt::time::sleep(REPORT_PERIOD).await;
+            actix_web::rt::time::sleep(REQUEST_PERIOD).await;
         }
     }
 
@@ -181,16 +182,16 @@
             "urgency": "normal", "legs": tasks, "vcpus": 1.0, "gpus": 0.0, "ramGb": 1.0,
             "kit": "img", "sizeGb": 0.1, "samePlace": false, "spread": false, "loaners": true,
             "rideS": 1.5, "waypointS": 0.0, "stowS": 0.0, "awaits": predecessors });
-        let required = predecessors.iter().map(|name| {
-            let tasks = self.accepted.iter().find(|a| a.0 == *name);
-            (name.to_string(), tasks.map_or(0, |a| a.1))
+        let predecessor_tasks = predecessors.iter().map(|name| {
+            let accepted = self.accepted.iter().find(|a| a.0 == *name);
+            (name.to_string(), accepted.map_or(0, |a| a.1))
         });
-        let required = required.collect();
+        let predecessor_tasks = predecessor_tasks.collect();
         self.log
             .lock()
             .expect("lock is not poisoned")
             .predecessors
-            .insert(name.clone(), required);
+            .insert(name.clone(), predecessor_tasks);
         let url = format!("http://{}/api/jobs", self.addresses[i].public);
         let status = call("POST", &url, Some(job)).await.map_or(0, |a| a.0);
         if status == 201 {
@@ -256,7 +257,7 @@
     }
 
     /// Waits until this final state has been reported for all of these jobs.
-    async fn wait_for_final_state(&mut self, jobs: &[&str], state: &str, wait: Duration) {
+    async fn wait_for_final_state(&mut self, jobs: &[&str], state: &str, timeout: Duration) {
         let began = Instant::now();
         loop {
             self.poll_all().await;
@@ -268,11 +269,11 @@
             }
             let waited = began.elapsed();
             assert!(
-                waited < wait,
+                waited < timeout,
                 "{jobs:?} not {state}: {:?}",
                 self.last_final_answer
             );
-            actix_web::rt::time::sleep(REPORT_PERIOD).await;
+            actix_web::rt::time::sleep(REQUEST_PERIOD).await;
         }
     }
 
@@ -304,13 +305,13 @@
 }
 
 /// Upgrades the controllers one after another while jobs run, are submitted and are cancelled. One
-/// controller crashes before its upgrade and restarts in the old version, and one crashes again right
+/// controller crashes before its upgrade and restarts in the previous version, and one crashes again right
 /// after its upgrade.
 fn run_rolling_upgrade(commit: &str, has_dependencies: bool) {
-    let old = build(commit);
+    let previous_binary = build(commit);
     actix_web::rt::System::new().block_on(async move {
-        let mut fleet = Fleet::start(old).await;
-        // Checks the version that runs: only one that supports dependent jobs shows waiting jobs.
+        let mut fleet = Fleet::start(previous_binary).await;
+        // Only a version that supports dependent jobs shows waiting jobs, so this checks which version runs.
         let url = format!("http://{}/status", fleet.addresses[0].internal);
         let page = call("GET", &url, None).await.expect("a status page").1;
         assert_eq!(page["waiting"].is_object(), has_dependencies, "wrong build");
@@ -339,7 +340,7 @@
         // Controller 2 crashes before its upgrade.
         fleet.programs[2] = None;
         fleet.pause(300).await;
-        fleet.start_old(2);
+        fleet.start_previous(2);
         fleet.wait_until_ready(2).await;
         fleet.submit(2, 4, 6, &[]).await;
         fleet.upgrade(1).await;
--- a/tests/network_faults_and_restarts.rs
+++ b/tests/network_faults_and_restarts.rs
@@ -10,14 +10,14 @@
 use quillbend::protocol::{JobStatus, Priority};
 use support::{StoreFault, World};
 
-/// A world with a leader in which every machine has a holder and accepts its commands.
+/// A world in which every machine has a holder and executes its commands.
 fn controllable_world(seed: u64, controllers: usize, machines: usize) -> World {
-    let mut w = World::settled(seed, controllers, machines);
+    let mut w = World::with_holders(seed, controllers, machines);
     w.run(3000);
     w
 }
 
-/// The same with a job of 16 tasks, all of which run, each for `run_ms`.
+/// Like [`controllable_world`], with a job of which all 16 tasks run, each for `run_ms`.
 fn world_with_job(seed: u64, controllers: usize, run_ms: u64) -> (World, String) {
     let mut w = controllable_world(seed, controllers, 6);
     let job = w.start_job(run_ms, 16);
@@ -33,8 +33,8 @@
 
 /// Indices of the machines that have tasks.
 fn machines_with_tasks(w: &World) -> Vec<usize> {
-    let busy = |&i: &usize| !w.workers[i].tasks.is_empty();
-    (0..w.workers.len()).filter(busy).collect()
+    let has_tasks = |&i: &usize| !w.workers[i].tasks.is_empty();
+    (0..w.workers.len()).filter(has_tasks).collect()
 }
 
 #[test]
@@ -49,8 +49,8 @@
     let large = w.submit(1, large);
     let submitted = w.now;
     w.submit_burst(240);
-    let waited_ms = w.starts.iter().find(|s| s.1.starts_with(&large));
-    let waited_ms = waited_ms
+    let first_start = w.starts.iter().find(|s| s.1.starts_with(&large));
+    let waited_ms = first_start
         .map(|s| s.0 - submitted)
         .expect("a task of the job started");
     assert!(waited_ms < 240_000, "the job started after {waited_ms} ms");
@@ -62,9 +62,9 @@
     let mut w = controllable_world(2, 3, 6);
     w.cloud_up = false;
     for n in 1..=20 {
-        let mut burst_jobs = w.spec(40);
-        burst_jobs.priority = Priority::Urgent;
-        w.submit(n, burst_jobs);
+        let mut burst_job = w.spec(40);
+        burst_job.priority = Priority::Urgent;
+        w.submit(n, burst_job);
     }
     w.run(10_000);
     let mut red_job = w.spec(8);
@@ -134,14 +134,14 @@
 
 #[test]
 fn delayed_copies_of_heartbeats_change_nothing() {
-    for (seed, ages) in [
+    for (seed, delays_ms) in [
         (6, vec![700, 2500]),
         (7, vec![5000, 11_000]),
         (8, vec![13_000, 25_000]),
         (9, vec![40_000, 60_000, 300]),
     ] {
         let mut w = controllable_world(seed, 3, 6);
-        w.heartbeat_copy_delays_ms = ages.clone();
+        w.heartbeat_copy_delays_ms = delays_ms.clone();
         w.run_ms = 12_000;
         let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(16))).collect();
         w.run(10_000);
@@ -153,10 +153,10 @@
             "a copied heartbeat caused a new grant"
         );
         // A failover and then a restart of all controllers, with older copies among the new heartbeats.
-        let dead = (w.leader().expect("a leader") + 1) % 3;
-        w.crash(dead);
+        let crashed = (w.leader().expect("there is a leader") + 1) % 3;
+        w.crash(crashed);
         w.run(9000);
-        w.start(dead);
+        w.start(crashed);
         (0..3).for_each(|i| w.crash(i));
         w.run(300);
         (0..3).for_each(|i| w.start(i));
@@ -167,20 +167,20 @@
         assert_eq!(
             w.starts.len(),
             48,
-            "copies delayed by {ages:?} ms lost running tasks"
+            "copies delayed by {delays_ms:?} ms lost running tasks"
         );
     }
 }
 
 #[test]
-fn a_delayed_heartbeat_copy_does_not_readmit_a_machine_that_is_gone() {
+fn a_delayed_heartbeat_copy_does_not_readmit_a_machine_that_disappeared() {
     let (mut w, job) = world_with_job(10, 3, 20_000);
     w.heartbeat_copy_delays_ms = vec![3000, 9000, 16_000, 30_000];
     w.run(4000);
     let at = machines_with_tasks(&w)[0];
-    let gone = w.workers.remove(at).machine.name;
+    let removed = w.workers.remove(at).machine.name;
     // The machine disappears without notice, and the leader that knew it restarts.
-    let leader = w.leader().expect("a leader");
+    let leader = w.leader().expect("machine_id is a leader");
     w.crash(leader);
     w.run(2000);
     w.start(leader);
@@ -189,21 +189,23 @@
     w.assert_no_violations();
     for i in 0..3 {
         let replica = &w.controller(i).replica;
-        let there = replica.names.machines.get(&gone);
-        assert!(!there.is_some_and(|m| replica.machines.contains_key(&m)));
+        let machine_id = replica.names.machines.get(&removed);
+        assert!(!machine_id.is_some_and(|m| replica.machines.contains_key(&m)));
     }
 }
 
 #[test]
-fn repeated_heartbeat_copies_of_a_machine_that_is_gone_do_not_keep_its_tasks_bound() {
+fn repeated_heartbeat_copies_of_a_machine_that_disappeared_do_not_keep_its_tasks_bound() {
     // A new holder whose token the machine has not confirmed first answers such heartbeats, because they
     // may come from a live machine. Later it stops answering, so that any task there ends with the lease.
     let (mut w, job) = world_with_job(31, 3, 20_000);
     w.cloud_up = false;
     let at = machines_with_tasks(&w)[0];
-    let gone = w.workers.remove(at);
-    let copy = gone.heartbeat();
-    let holder = w.holder(&gone.machine.name).expect("a holder");
+    let removed = w.workers.remove(at);
+    let copy = removed.heartbeat();
+    let holder = w
+        .holder(&removed.machine.name)
+        .expect("the machine has a holder");
     w.crash(holder);
     w.run(500);
     w.start(holder);
@@ -211,7 +213,7 @@
     while !w.is_done(&job) {
         assert!(
             w.now < end,
-            "its tasks are still bound to the machine that is gone"
+            "its tasks are still bound to the machine that disappeared"
         );
         w.run(2000);
         for i in 0..3 {
@@ -227,13 +229,13 @@
 fn a_partitioned_controller_loses_its_authority_in_time_and_its_tasks_run_on() {
     for (controllers, leads) in [(3, false), (3, true), (5, false), (5, true)] {
         let (mut w, job) = world_with_job(11, controllers, 60_000);
-        let leader = w.leader().expect("a leader");
+        let leader = w.leader().expect("there is a leader");
         let i = if leads {
             leader
         } else {
             (leader + 1) % controllers
         };
-        let cut = w.now;
+        let isolated_at = w.now;
         w.isolate(i);
         w.run(4000);
         assert!(
@@ -244,7 +246,7 @@
         while w.controller(i).has_authority(Timestamp(w.now)) {
             w.step();
             assert!(
-                (w.now - cut) as f64 <= cancel_ms,
+                (w.now - isolated_at) as f64 <= cancel_ms,
                 "it keeps its authority longer than cancel_s"
             );
         }
@@ -260,7 +262,7 @@
 #[test]
 fn a_job_cancelled_while_a_controller_is_partitioned_stops_in_time() {
     let (mut w, job) = world_with_job(12, 3, 120_000);
-    let i = (w.leader().expect("a leader") + 1) % 3;
+    let i = (w.leader().expect("there is a leader") + 1) % 3;
     w.isolate(i);
     w.run(1000);
     w.cancel(&job);
@@ -281,7 +283,7 @@
         // Writes of the earlier incarnations are committed after the restarts.
         (0..controllers).for_each(|i| w.links[i].store_fault = StoreFault::DelaysCommits(900));
         w.run(500);
-        let leader = w.leader().expect("a leader");
+        let leader = w.leader().expect("there is a leader");
         w.crash(leader);
         w.run(2700);
         // The others are about to elect a leader; now each controller is restarted within 300 ms.
@@ -302,11 +304,11 @@
     let (mut w, job) = world_with_job(16, 3, 15_000);
     let at = machines_with_tasks(&w)[0];
     let machine = w.workers[at].machine.name.clone();
-    let presumed_dead = w.workers[at].tasks.len();
+    let lost_tasks = w.workers[at].tasks.len();
     w.restart_machine(at);
     w.run_until(90_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
-    assert_eq!(w.starts.len(), 16 + presumed_dead);
+    assert_eq!(w.starts.len(), 16 + lost_tasks);
     let again = w.submit(2, w.spec(40));
     w.cloud_up = false;
     let before = w.now;
@@ -353,10 +355,10 @@
 #[test]
 fn the_minority_side_of_a_partition_of_five_does_not_take_the_lead() {
     let mut w = controllable_world(18, 5, 6);
-    let leader = w.leader().expect("a leader");
-    // Two of five controllers reach only each other; all five reach the state store.
-    let two = [(leader + 1) % 5, (leader + 2) % 5];
-    w.partition_group = (0..5).map(|i| u8::from(two.contains(&i))).collect();
+    let leader = w.leader().expect("there is a leader");
+    // Two of five controllers reach only each other; all five reach the key-value store.
+    let minority = [(leader + 1) % 5, (leader + 2) % 5];
+    w.partition_group = (0..5).map(|i| u8::from(minority.contains(&i))).collect();
     let before = w.store.put_count("qb/lead");
     w.run(30_000);
     assert_eq!(
@@ -446,22 +448,22 @@
     let job = w.submit(1, w.spec(16));
     w.run_until(20_000, "all tasks run", |w| w.running_task_count() == 16);
     let south = |w: &World| -> Vec<usize> {
-        let of = |&i: &usize| w.workers[i].machine.zone == "south";
-        (0..w.workers.len()).filter(of).collect()
+        let is_south = |&i: &usize| w.workers[i].machine.zone == "south";
+        (0..w.workers.len()).filter(is_south).collect()
     };
     south(&w)
         .into_iter()
         .for_each(|i| w.workers[i].disconnected = true);
-    let there: Vec<String> = south(&w)
+    let south_machines: Vec<String> = south(&w)
         .into_iter()
         .map(|i| w.workers[i].machine.name.clone())
         .collect();
     w.submit(2, w.spec(200));
     w.run(70_000);
-    let kept = there
+    let kept = south_machines
         .iter()
         .filter(|machine| !w.returned.contains(*machine));
-    assert_eq!(kept.count(), there.len(), "{:?}", w.returned);
+    assert_eq!(kept.count(), south_machines.len(), "{:?}", w.returned);
     w.heal();
     w.run_until(150_000, "the job is done", |w| w.is_done(&job));
     w.assert_no_violations();
@@ -472,14 +474,14 @@
     // A controller with slow responses once had 165 machines returned because they missed its responses.
     let unreachable = |misses: &dyn Fn(usize) -> bool| {
         let mut w = controllable_world(21, 3, 15);
-        let i = (w.leader().expect("a leader") + 1) % 3;
+        let i = (w.leader().expect("there is a leader") + 1) % 3;
         let held = |w: &World, at: &usize| w.holder(&w.workers[*at].machine.name) == Some(i);
-        let mine: Vec<usize> = (0..15).filter(|at| held(&w, at)).collect();
-        assert!(mine.len() > 3, "{mine:?}");
+        let own_machines: Vec<usize> = (0..15).filter(|at| held(&w, at)).collect();
+        assert!(own_machines.len() > 3, "{own_machines:?}");
         let mut now = w.now;
         for round in 1..=4 {
             now += 4200;
-            for (n, &at) in mine.iter().enumerate() {
+            for (n, &at) in own_machines.iter().enumerate() {
                 let mut heartbeat = w.workers[at].heartbeat();
                 // A worker without a response has sent a heartbeat to another controller in between.
                 let step = if misses(n) { 2 } else { 1 };
@@ -510,8 +512,8 @@
 
 #[test]
 fn writes_with_lost_responses_bind_no_task_twice_while_the_watch_lags() {
-    // Once a write of bindings was committed but its response was lost. Its retry failed its preconditions, and
-    // before the watch showed the reason, the same tasks were also bound in other blocks.
+    // Once a write of bindings was committed but its response was lost. The preconditions of its retry failed,
+    // and before the watch showed the reason, the same tasks were also bound in other blocks.
     for seed in 30..33 {
         let mut w = World::with_size(seed, 3, 40);
         w.settings.platform.settings.teams[0].cpus_max = 500.0;
@@ -538,11 +540,12 @@
 
 #[test]
 fn a_task_bound_just_after_a_heartbeat_is_launched_by_the_delayed_acknowledgement() {
-    // Without it, hundreds of newly booted machines stayed idle for half a heartbeat interval.
+    // Without delayed acknowledgements, hundreds of newly booted machines stayed idle for half a heartbeat
+    // interval.
     let mut w = controllable_world(23, 3, 1);
     w.cloud_up = false;
     let machine = w.workers[0].machine.name.clone();
-    let i = w.holder(&machine).expect("a holder");
+    let i = w.holder(&machine).expect("the machine has a holder");
     w.run(6000);
     let clock = w.clock(i);
     w.workers[0].sequence += 1;
@@ -593,7 +596,7 @@
 
 #[test]
 fn no_write_exceeds_the_value_limit_when_blocks_are_full() {
-    // Few blocks with many machines each, a low limit of the value size, and jobs whose tasks end out of order.
+    // There are few blocks with many machines each, the value limit is low, and tasks end out of order.
     let mut w = World::with_size(24, 3, 90);
     w.settings.platform.settings.teams[0].cpus_max = 5000.0;
     w.settings.platform.settings.state.write_rps = 6.0;
@@ -637,18 +640,20 @@
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
     w.run(10_000);
-    let holder = w.holder(&w.workers[0].machine.name).expect("a holder");
-    let mut at = w.now;
+    let holder = w
+        .holder(&w.workers[0].machine.name)
+        .expect("the machine has a holder");
+    let mut now = w.now;
     for _ in 0..8 {
-        at += 6200;
+        now += 6200;
         w.workers[0].sequence += 1;
         let heartbeat = w.workers[0].heartbeat();
         let controller = &mut w.controllers[holder].as_mut().expect("alive").controller;
-        controller.on_heartbeat(heartbeat, Timestamp(at));
+        controller.on_heartbeat(heartbeat, Timestamp(now));
     }
     let controller = &mut w.controllers[holder].as_mut().expect("alive").controller;
     let fleet = controller
-        .peer_message(MessageLength::Long, Timestamp(at))
+        .peer_message(MessageLength::Long, Timestamp(now))
         .fleet
         .expect("a long message");
     let machine = &w.workers[0].machine.name;
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -18,8 +18,8 @@
 
 /// Indices of the machines that run a task.
 fn machines_with_running_tasks(w: &World) -> Vec<usize> {
-    let busy = |&i: &usize| w.workers[i].tasks.iter().any(|t| t.ended.is_none());
-    (0..w.workers.len()).filter(busy).collect()
+    let has_running_task = |&i: &usize| w.workers[i].tasks.iter().any(|t| t.ended.is_none());
+    (0..w.workers.len()).filter(has_running_task).collect()
 }
 
 /// Ends all faults and asserts that the jobs finish without a violated invariant and after exactly this
@@ -44,16 +44,16 @@
             let (mut w, job) = World::with_running_job(seed, controllers, 300_000);
             w.clock_drift[0] = -0.0005;
             w.clock_drift[1] = 0.0005;
-            let leader = w.leader().expect("a leader");
-            let old = if leads {
+            let leader = w.leader().expect("there is a leader");
+            let rejected = if leads {
                 leader
             } else {
                 (leader + 1) % controllers
             };
-            reject_store_requests(&mut w, old);
-            w.links[old].peers_reachable = !without_peers;
+            reject_store_requests(&mut w, rejected);
+            w.links[rejected].peers_reachable = !without_peers;
             w.run(pause);
-            let other = (old + 1) % controllers;
+            let other = (rejected + 1) % controllers;
             assert!(matches!(
                 w.cancel_through(other, &job),
                 CommitOutcome::Done(_)
@@ -76,28 +76,30 @@
 
 #[test]
 fn a_controller_without_the_store_learns_of_cancellations_from_peers_and_stops_only_those_tasks() {
-    let mut w = World::settled(6, 3, 8);
+    let mut w = World::with_holders(6, 3, 8);
     w.run(3000);
     let kept = w.start_job(300_000, 6);
     let mut spec = w.spec(6);
     spec.team = "red".into();
     let cancelled_job = w.submit(2, spec);
     w.run_until(15_000, "all tasks run", |w| w.running_task_count() == 12);
-    let running_there = |w: &World, i: usize| {
+    let running_on = |w: &World, i: usize| {
         let held = w
             .workers
             .iter()
             .filter(|m| w.holder(&m.machine.name) == Some(i));
         let tasks = held.flat_map(|m| m.tasks.iter().map(|t| t.task.clone()));
-        tasks.filter(|l| l.starts_with(&cancelled_job)).count()
+        tasks
+            .filter(|task| task.starts_with(&cancelled_job))
+            .count()
     };
-    let old = (0..3)
-        .max_by_key(|&i| running_there(&w, i))
+    let rejected = (0..3)
+        .max_by_key(|&i| running_on(&w, i))
         .expect("there is a controller");
-    assert!(running_there(&w, old) > 0);
-    reject_store_requests(&mut w, old);
+    assert!(running_on(&w, rejected) > 0);
+    reject_store_requests(&mut w, rejected);
     w.run(2000);
-    let other = (old + 1) % 3;
+    let other = (rejected + 1) % 3;
     w.cancel_through(other, &cancelled_job);
     w.run(200);
     w.set_store_outage(true);
@@ -119,14 +121,14 @@
 fn authority_counts_from_when_a_request_was_sent_not_from_its_response() {
     // A watch or lease renewal that was sent before an outage can receive its response after it.
     let (mut w, _) = World::with_running_job(7, 3, 300_000);
-    let i = (w.leader().expect("a leader") + 1) % 3;
+    let i = (w.leader().expect("there is a leader") + 1) % 3;
     w.set_store_outage(true);
     let sent = w.clock(i);
-    let until = w
+    let authority_until = w
         .controller(i)
         .authority_until()
         .expect("the controller has authority");
-    assert!(until <= Timestamp(sent.0 + w.settings.block_lease_ms()));
+    assert!(authority_until <= Timestamp(sent.0 + w.settings.block_lease_ms()));
     w.run(20_000);
     let (now, revision) = (w.clock(i), w.store.revision());
     let controller = &mut w.controllers[i].as_mut().expect("alive").controller;
@@ -195,7 +197,7 @@
 
 #[test]
 fn jobs_finish_when_a_leader_crashes_while_machines_cannot_reach_its_successor() {
-    for (seed, unreachable) in [(12, true), (13, false)] {
+    for (seed, lose_responses) in [(12, true), (13, false)] {
         let (mut w, job) = World::with_running_job(seed, 3, 60_000);
         let affected: Vec<usize> = machines_with_running_tasks(&w)
             .into_iter()
@@ -203,9 +205,9 @@
             .collect();
         for &at in &affected {
             (w.workers[at].loses_responses, w.workers[at].disconnected) =
-                (unreachable, !unreachable);
+                (lose_responses, !lose_responses);
         }
-        let leader = w.leader().expect("a leader");
+        let leader = w.leader().expect("there is a leader");
         w.crash(leader);
         w.run(9000);
         w.start(leader);
@@ -221,19 +223,19 @@
 
 #[test]
 fn ten_failovers_in_two_minutes_some_during_an_outage_lose_no_job_and_reuse_no_request_id() {
-    for (seed, out) in [(14, false), (15, true)] {
-        let mut w = World::settled(seed, 3, 4);
+    for (seed, with_outage) in [(14, false), (15, true)] {
+        let mut w = World::with_holders(seed, 3, 4);
         w.run_ms = 15_000;
         let jobs: Vec<String> = (1..=3).map(|n| w.submit(n, w.spec(24))).collect();
-        for turn in 0..10 {
+        for round in 0..10 {
             if let Some(leader) = w.leader() {
                 w.crash(leader);
-                if out && turn % 3 == 0 {
+                if with_outage && round % 3 == 0 {
                     w.set_store_outage(true);
                     w.run(5000);
                     w.set_store_outage(false);
                 }
-                w.run(400 + turn * 300);
+                w.run(400 + round * 300);
                 w.start(leader);
             }
             w.run(9000);
@@ -245,7 +247,7 @@
 #[test]
 fn tasks_run_again_once_after_all_controllers_were_down_for_longer_than_a_worker_lease() {
     let (mut w, job) = World::with_running_job(16, 3, 60_000);
-    let also = w.submit(2, w.spec(8));
+    let second = w.submit(2, w.spec(8));
     (0..3).for_each(|i| w.crash(i));
     w.run(14_000);
     assert_eq!(
@@ -253,13 +255,13 @@
         0,
         "tasks run after the workers' leases expired"
     );
-    w.assert_all_jobs_finish(&[job, also]);
+    w.assert_all_jobs_finish(&[job, second]);
     assert_eq!(w.starts.len(), 12 + 12 + 8);
 }
 
 #[test]
 fn jobs_whose_tasks_end_far_apart_finish_across_failovers() {
-    let mut w = World::settled(17, 3, 6);
+    let mut w = World::with_holders(17, 3, 6);
     let mut jobs = Vec::new();
     for n in 1..=5 {
         // The first task ends soon, the others late.
@@ -270,7 +272,7 @@
         jobs.push(job);
     }
     for _ in 0..4 {
-        let leader = w.leader().expect("a leader");
+        let leader = w.leader().expect("there is a leader");
         w.crash(leader);
         w.run_polling(6000, &jobs);
         w.start(leader);
@@ -289,10 +291,11 @@
 
 #[test]
 fn zone_constraints_hold_while_responses_are_lost_and_machines_disappear() {
-    // Tasks whose binding was still being written once did not count, so the others were bound in another zone.
+    // Once tasks whose binding was still being written did not count, so the others were bound in another
+    // zone.
     for seed in 20..26 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut w = World::settled(seed, 3, 24);
+        let mut w = World::with_holders(seed, 3, 24);
         w.settings.platform.settings.teams[0].cpus_max = 90.0;
         (0..3).for_each(|i| w.crash(i));
         (0..3).for_each(|i| w.start(i));
@@ -322,13 +325,13 @@
 fn jobs_finish_or_stay_cancelled_after_a_zone_was_partitioned_for_longer_than_a_lease() {
     for cancelled in [false, true] {
         let (mut w, job) = World::with_running_job(27, 3, 50_000);
-        let inside = (w.leader().expect("a leader") + 1) % 3;
+        let inside = (w.leader().expect("there is a leader") + 1) % 3;
         w.partition_group[inside] = 1;
         w.isolate(inside);
-        let presumed_dead: Vec<usize> = (0..w.workers.len())
+        let south_machines: Vec<usize> = (0..w.workers.len())
             .filter(|&i| w.workers[i].machine.zone == "south")
             .collect();
-        for &at in &presumed_dead {
+        for &at in &south_machines {
             // These workers reach only the controller in their zone.
             w.workers[at].reaches_only = Some(inside);
         }
@@ -350,18 +353,18 @@
     }
 }
 
-// The state store.
+// The key-value store.
 
 #[test]
 fn cancellations_and_answers_hold_while_a_slow_store_rejects_the_leader_and_then_all() {
     for seed in 30..33 {
-        let mut w = World::settled(seed, 3, 6);
+        let mut w = World::with_holders(seed, 3, 6);
         w.run_ms = 20_000;
         let jobs: Vec<String> = (1..=4).map(|n| w.submit(n, w.spec(6))).collect();
         w.run_until(20_000, "12 tasks run", |w| w.running_task_count() >= 12);
         (0..3).for_each(|i| w.links[i].store_fault = StoreFault::Slow(1200));
         w.run_polling(4000, &jobs);
-        let leader = w.leader().expect("a leader");
+        let leader = w.leader().expect("there is a leader");
         reject_store_requests(&mut w, leader);
         w.run_polling(1500, &jobs);
         w.cancel(&jobs[0]);
@@ -382,7 +385,7 @@
     // Controllers crash in between, so that the next leader does not know of the delayed transactions.
     for seed in 33..39 {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut w = World::settled(seed, 3, 8);
+        let mut w = World::with_holders(seed, 3, 8);
         let jobs: Vec<String> = (1..=4).map(|n| w.submit(n, w.spec(12))).collect();
         for _ in 0..8 {
             for i in 0..3 {
@@ -412,13 +415,13 @@
 fn a_job_cancelled_through_a_new_leader_stops_while_the_old_leader_is_partitioned() {
     for (seed, controllers) in [(40, 3), (41, 5)] {
         let (mut w, job) = World::with_running_job(seed, controllers, 200_000);
-        let old = w.leader().expect("a leader");
-        w.isolate(old);
+        let old_leader = w.leader().expect("there is a leader");
+        w.isolate(old_leader);
         w.run_until(20_000, "another controller leads", |w| {
-            w.leader_except(old).is_some()
+            w.leader_except(old_leader).is_some()
         });
-        let new = w.leader_except(old).expect("a leader");
-        w.cancel_through(new, &job);
+        let new_leader = w.leader_except(old_leader).expect("there is a leader");
+        w.cancel_through(new_leader, &job);
         w.run(w.cancel_limit_ms());
         assert_eq!(w.running_task_count_of(&job), 0);
         w.heal();
@@ -434,16 +437,16 @@
     for (seed, controllers, leads) in [(42, 3, true), (43, 3, false), (44, 5, true), (45, 5, false)]
     {
         let (mut w, job) = World::with_running_job(seed, controllers, 60_000);
-        let leader = w.leader().expect("a leader");
-        let old = if leads {
+        let leader = w.leader().expect("there is a leader");
+        let rejected = if leads {
             leader
         } else {
             (leader + 1) % controllers
         };
-        reject_store_requests(&mut w, old);
+        reject_store_requests(&mut w, rejected);
         w.run_until(7000, "other controllers lead and hold every machine", |w| {
-            let held = |m: &support::Worker| w.is_held_by_other_than(old, &m.machine.name);
-            w.leader_except(old).is_some() && w.workers.iter().all(held)
+            let held = |m: &support::Worker| w.is_held_by_other_than(rejected, &m.machine.name);
+            w.leader_except(rejected).is_some() && w.workers.iter().all(held)
         });
         let mut urgent = w.spec(4);
         (urgent.priority, urgent.team) = (Priority::Urgent, "red".into());
@@ -461,7 +464,7 @@
 fn a_leader_that_was_paused_returns_no_machine() {
     // After the pause, the leader has received no heartbeat from any machine for as long as the pause lasted.
     for ms in [14_000, 21_000, 22_500] {
-        let mut w = World::settled(46, 3, 8);
+        let mut w = World::with_holders(46, 3, 8);
         w.run(3000);
         let job = w.start_job(150_000, 16);
         let mut red_job = w.spec(16);
@@ -471,7 +474,7 @@
             w.running_task_count() == 32
         });
         w.run(45_000);
-        let leader = w.leader().expect("a leader");
+        let leader = w.leader().expect("there is a leader");
         // No other controller can take over during the pause.
         (0..3)
             .filter(|&i| i != leader)
@@ -509,12 +512,12 @@
         w.workers[at].disconnected = true;
         w.run(14_000);
         w.workers[at].disconnected = false;
-        let held: Vec<_> = w.workers.iter().map(|m| m.heartbeat()).collect();
-        let leader = w.leader().expect("a leader");
+        let delayed: Vec<_> = w.workers.iter().map(|m| m.heartbeat()).collect();
+        let leader = w.leader().expect("there is a leader");
         w.crash(leader);
         w.run(5000);
         // The heartbeats arrive only after another controller has taken over.
-        for heartbeat in held {
+        for heartbeat in delayed {
             for i in 0..3 {
                 let now = w.clock(i);
                 if let Some(n) = w.controllers[i].as_mut() {
@@ -530,7 +533,7 @@
 #[test]
 fn a_team_at_its_limit_stays_within_it_during_a_failover_with_unreachable_machines() {
     for seed in 55..59 {
-        let mut w = World::settled(seed, 3, 8);
+        let mut w = World::with_holders(seed, 3, 8);
         w.run(2000);
         w.run_ms = 60_000;
         let first = w.submit(1, w.spec(16));
@@ -538,18 +541,18 @@
             w.running_task_count() == 16
         });
         let waiting = w.submit(2, w.spec(16));
-        let out: Vec<usize> = machines_with_running_tasks(&w)
+        let hung: Vec<usize> = machines_with_running_tasks(&w)
             .into_iter()
             .take(3)
             .collect();
-        out.iter().for_each(|&at| w.workers[at].hung = true);
+        hung.iter().for_each(|&at| w.workers[at].hung = true);
         w.run(1500);
-        let leader = w.leader().expect("a leader");
+        let leader = w.leader().expect("there is a leader");
         w.crash(leader);
         w.cancel(&first);
         w.run(8000);
         w.start(leader);
-        out.iter().for_each(|&at| w.workers[at].hung = false);
+        hung.iter().for_each(|&at| w.workers[at].hung = false);
         w.run(4000);
         w.assert_all_jobs_finish(&[waiting]);
     }
@@ -593,11 +596,11 @@
     // The worker ignores a response that takes longer than 4 s. Until then, tasks that the controller regards
     // as launched must neither move nor count as unstarted.
     for seed in 62..66 {
-        let mut w = World::settled(seed, 3, 6);
+        let mut w = World::with_holders(seed, 3, 6);
         w.run_ms = 10_000;
         let jobs: Vec<String> = (1..=2).map(|n| w.submit(n, w.spec(20))).collect();
-        for turn in 0..6 {
-            let i = (w.leader().unwrap_or(0) + turn) % 3;
+        for round in 0..6 {
+            let i = (w.leader().unwrap_or(0) + round) % 3;
             // First responses are lost, then the workers cannot reach the controller.
             w.workers.iter_mut().for_each(|m| m.loses_responses = true);
             w.run(900);
@@ -617,7 +620,7 @@
 fn answers_are_consistent_when_a_cancellation_races_with_the_end_of_the_last_task() {
     let (mut done, mut cancelled) = (0, 0);
     for seed in 0..24 {
-        let mut w = World::settled(70, 3, 3);
+        let mut w = World::with_holders(70, 3, 3);
         w.run_ms = 3000;
         let job = w.submit(1, w.spec(2));
         w.run_until(15_000, "both tasks run", |w| w.running_task_count() == 2);
@@ -663,7 +666,7 @@
 
 #[test]
 fn jobs_of_every_priority_finish_when_demand_exceeds_capacity() {
-    let mut w = World::settled(71, 3, 4);
+    let mut w = World::with_holders(71, 3, 4);
     w.cloud_up = false;
     w.run_ms = 5000;
     let mut jobs = Vec::new();
@@ -684,7 +687,7 @@
 #[test]
 fn a_job_that_fits_no_present_machine_does_not_hold_up_other_jobs() {
     // Once only the job that had waited longest was placed ahead of the others, even if no machine fitted it.
-    let mut w = World::settled(72, 3, 4);
+    let mut w = World::with_holders(72, 3, 4);
     w.cloud_up = false;
     let mut unplaceable_job = w.spec(4);
     unplaceable_job.machine_types = Some(vec!["large".into()]);
@@ -696,8 +699,8 @@
     let late = w.submit(2, late);
     let submitted = w.now;
     w.submit_burst(150);
-    let waited_ms = w.starts.iter().find(|s| s.1.starts_with(&late));
-    let waited_ms = waited_ms
+    let first_start = w.starts.iter().find(|s| s.1.starts_with(&late));
+    let waited_ms = first_start
         .map(|s| s.0 - submitted)
         .expect("a task of the job started");
     assert!(waited_ms < 120_000, "the job started after {waited_ms} ms");
@@ -710,13 +713,13 @@
     for seed in 0..16 {
         let controllers = [3, 5][seed as usize % 2];
         let mut rng = SmallRng::seed_from_u64(900 + seed);
-        let mut w = World::settled(900 + seed, controllers, 8);
+        let mut w = World::with_holders(900 + seed, controllers, 8);
         w.clock_drift[0] = -0.0005;
         w.clock_drift[1] = 0.0005;
         if seed % 3 == 0 {
             w.heartbeat_copy_delays_ms = vec![2500, 14_000];
         }
-        let mut open: Vec<String> = Vec::new();
+        let mut not_cancelled: Vec<String> = Vec::new();
         let mut all: Vec<String> = Vec::new();
         for n in 1..=14 {
             if n <= 6 {
@@ -726,7 +729,7 @@
                 w.run_ms = rng.random_range(3000..40_000);
                 let job = w.submit(n, spec);
                 all.push(job.clone());
-                open.push(job);
+                not_cancelled.push(job);
             }
             let i = rng.random_range(0..controllers);
             let at = rng.random_range(0..w.workers.len().max(1));
@@ -749,8 +752,8 @@
                 _ => {}
             }
             w.run_polling(rng.random_range(100..6000), &all);
-            if rng.random_bool(0.2) && !open.is_empty() {
-                let job = open.swap_remove(rng.random_range(0..open.len()));
+            if rng.random_bool(0.2) && !not_cancelled.is_empty() {
+                let job = not_cancelled.swap_remove(rng.random_range(0..not_cancelled.len()));
                 if w.job_record(&job)
                     .is_some_and(|j| j.status == JobStatus::Pending)
                 {
@@ -762,7 +765,7 @@
                 w.heal();
             }
         }
-        w.assert_all_jobs_finish(&open);
+        w.assert_all_jobs_finish(&not_cancelled);
         w.run_polling(10_000, &all);
         w.assert_no_violations();
     }
@@ -803,7 +806,7 @@
     w.run(4500);
     (0..3).for_each(|i| w.start(i));
     let grants = w.store.put_count("qb/grant/");
-    w.run_until(10_000, "the first grants", |w| {
+    w.run_until(10_000, "the first grants are written", |w| {
         w.store.put_count("qb/grant/") > grants
     });
     let blocks = w.store.put_count("qb/block/");
--- a/tests/overload_and_stalls.rs
+++ b/tests/overload_and_stalls.rs
@@ -19,7 +19,7 @@
 fn a_team_without_guarantee_or_limit_uses_idle_machines_and_yields_to_others() {
     // The settings give the team's limit as 0, which means no limit. It was once read as a limit, and the
     // team's jobs were refused as ones that can never run.
-    let mut w = World::settled(1, 3, 4);
+    let mut w = World::with_holders(1, 3, 4);
     w.cloud_up = false;
     w.run_ms = 6000;
     let mut guest_job = w.spec(3000);
@@ -49,7 +49,7 @@
 
 #[test]
 fn many_single_task_jobs_stay_within_the_write_limit_and_are_archived() {
-    let mut w = World::settled(2, 3, 8);
+    let mut w = World::with_holders(2, 3, 8);
     w.cloud_up = false;
     w.run_ms = 15_000;
     let mut small_jobs = Vec::new();
@@ -70,16 +70,16 @@
         small_jobs.iter().all(|j| w.is_done(j))
     });
     w.run(30_000);
-    let writes = (w.store.write_count - writes_before) as f64 / 100.0;
+    let writes_per_s = (w.store.write_count - writes_before) as f64 / 100.0;
     let limit = w.settings.platform.settings.state.write_rps;
     assert!(
-        writes < limit,
-        "{writes} writes per second, the limit is {limit}"
+        writes_per_s < limit,
+        "{writes_per_s} writes per second, the limit is {limit}"
     );
-    let left = w.store.list("qb/job/").0.len();
+    let kept = w.store.list("qb/job/").0.len();
     assert!(
-        left < 150,
-        "{left} finished jobs are still in every replica"
+        kept < 150,
+        "{kept} finished jobs are still in every replica"
     );
     w.assert_no_violations();
 }
@@ -88,7 +88,7 @@
 fn large_tasks_do_not_move_back_and_forth_between_machines() {
     // A large task that moves to a thief can overload it, so that the task would be stolen back
     // (see the design document).
-    let mut w = World::settled(3, 3, 6);
+    let mut w = World::with_holders(3, 3, 6);
     w.settings.options.queue_max_wait_s = 60.0;
     (0..3).for_each(|i| w.crash(i));
     (0..3).for_each(|i| w.start(i));
@@ -112,16 +112,16 @@
 
 #[test]
 fn a_job_whose_tasks_always_fail_does_not_delay_others_and_stops_when_cancelled() {
-    let mut w = World::settled(4, 3, 6);
+    let mut w = World::with_holders(4, 3, 6);
     w.cloud_up = false;
     w.run_ms = 2000;
     let failing_job = w.submit(1, w.spec(12));
     w.failing_jobs.insert(failing_job.clone());
     w.run(40_000);
     let before = w.start_count_of(&failing_job);
-    let good: Vec<String> = (2..=5).map(|n| w.submit(n, w.spec(10))).collect();
+    let other_jobs: Vec<String> = (2..=5).map(|n| w.submit(n, w.spec(10))).collect();
     w.run_until(40_000, "the other jobs are done", |w| {
-        good.iter().all(|j| w.is_done(j))
+        other_jobs.iter().all(|j| w.is_done(j))
     });
     w.run(60_000);
     let attempts = w.start_count_of(&failing_job) - before;
@@ -150,10 +150,10 @@
     // and responses are all out of date.
     for (seed, controllers) in [(5, 3), (6, 5)] {
         for ms in [1500, 3000, 6000, 13_000, 24_000, 40_000] {
-            for who in 0..3 {
+            for selection in 0..3 {
                 let (mut w, job) = World::with_running_job(seed, controllers, 30_000);
-                let leader = w.leader().expect("a leader");
-                let paused = match who {
+                let leader = w.leader().expect("there is a leader");
+                let paused = match selection {
                     0 => vec![leader],
                     1 => vec![(leader + 1) % controllers],
                     _ => vec![leader, (leader + 1) % controllers],
@@ -181,20 +181,23 @@
 
 #[test]
 fn machines_that_boot_late_or_never_are_replaced_and_returned() {
-    for never in [false, true] {
-        let mut w = World::settled(7, 3, 0);
-        w.boot_delay_ms = Some(if never { u64::MAX / 4 } else { 120_000 });
+    for never_boot in [false, true] {
+        let mut w = World::with_holders(7, 3, 0);
+        w.boot_delay_ms = Some(if never_boot { u64::MAX / 4 } else { 120_000 });
         w.run_ms = 8000;
         let job = w.submit(1, w.spec(8));
         w.run_until(30_000, "machines are rented", |w| !w.workers.is_empty());
-        let first: Vec<String> = w.workers.iter().map(|m| m.machine.name.clone()).collect();
+        let late_machines: Vec<String> = w.workers.iter().map(|m| m.machine.name.clone()).collect();
         w.run(5000);
         w.boot_delay_ms = None;
         w.run_until(90_000, "the job is done on other machines", |w| {
             w.is_done(&job)
         });
         w.run(200_000);
-        let kept = w.workers.iter().filter(|m| first.contains(&m.machine.name));
+        let kept = w
+            .workers
+            .iter()
+            .filter(|m| late_machines.contains(&m.machine.name));
         assert_eq!(kept.count(), 0, "late machines were not returned");
         w.assert_no_violations();
     }
@@ -204,7 +207,7 @@
 fn observed_boot_times_shorten_the_wait_for_a_machine_that_never_boots() {
     // With the catalog's boot time alone, the machine would be kept and charged for 3.5 times that time
     // plus 20 s.
-    let mut w = World::settled(8, 3, 0);
+    let mut w = World::with_holders(8, 3, 0);
     w.run_ms = 60_000;
     let mut spec = w.spec(16);
     (spec.team, spec.estimate_s) = ("guest".into(), 60.0);
--- a/tests/processes/mod.rs
+++ b/tests/processes/mod.rs
@@ -1,5 +1,5 @@
-//! Runs the program as child processes on loopback, against fakes of the state service, the cloud and
-//! the workers that serve or call it over HTTP.
+//! Runs the program as child processes on loopback. Fakes of the key-value store and the cloud serve it over
+//! HTTP, and fake workers send it heartbeats.
 
 #![allow(dead_code)]
 
@@ -26,7 +26,7 @@
 
 /// Workers' lease in the settings, ms.
 const LEASE_MS: u64 = 12_000;
-/// Longest wait for a response.
+/// Time after which a request without a response is given up.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Time since the first call, ms.
@@ -65,11 +65,11 @@
 }
 
 async fn lease(s: StoreData, body: web::Json<Value>) -> HttpResponse {
-    let life = body["lifeMs"].as_u64().unwrap_or(1000);
+    let duration_ms = body["lifeMs"].as_u64().unwrap_or(1000);
     let lease_id = s
         .lock()
         .expect("lock is not poisoned")
-        .grant_lease(life, elapsed_ms());
+        .grant_lease(duration_ms, elapsed_ms());
     HttpResponse::Ok().json(json!({ "permit": lease_id }))
 }
 
@@ -86,15 +86,15 @@
 
 async fn watch(s: StoreData, q: web::Query<HashMap<String, String>>) -> HttpResponse {
     let number = |key: &str| q.get(key).and_then(|v| v.parse::<u64>().ok()).unwrap_or(0);
-    let until = elapsed_ms() + number("waitMs");
+    let deadline = elapsed_ms() + number("waitMs");
     loop {
-        let list = {
+        let response = {
             let mut s = s.lock().expect("lock is not poisoned");
             s.advance_to(elapsed_ms());
             s.events(q.get("starts").map_or("", String::as_str), number("after"))
         };
-        if !list.events.is_empty() || elapsed_ms() >= until {
-            return HttpResponse::Ok().json(list);
+        if !response.events.is_empty() || elapsed_ms() >= deadline {
+            return HttpResponse::Ok().json(response);
         }
         actix_web::rt::time::sleep(Duration::from_millis(10)).await;
     }
@@ -129,7 +129,7 @@
     }
 }
 
-/// Fakes of the state service and the cloud, served at one address.
+/// Fakes of the key-value store and the cloud, served at one address.
 pub struct ExternalServices {
     pub address: SocketAddr,
     pub store: Arc<Mutex<FakeStore>>,
@@ -171,14 +171,15 @@
         }
     }
 
+    /// Stops the server without waiting for open connections.
     pub async fn stop(self) {
         self.server.stop(false).await;
     }
 }
 
 fn free_port() -> u16 {
-    let l = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    l.local_addr().expect("a local address").port()
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    listener.local_addr().expect("a local address").port()
 }
 
 /// Addresses on which a controller listens.
@@ -270,8 +271,8 @@
         let _ = self.child.kill();
         let _ = self.child.wait();
         let mut log = String::new();
-        if let Some(mut err) = self.child.stderr.take() {
-            let _ = err.read_to_string(&mut log);
+        if let Some(mut stderr) = self.child.stderr.take() {
+            let _ = stderr.read_to_string(&mut log);
         }
         log
     }
@@ -284,7 +285,7 @@
     }
 }
 
-/// Sends a request and returns status and body; None if there is no response in time.
+/// Sends a request and returns the HTTP status and the body; None if there is no response in time.
 pub async fn call(method: &str, url: &str, body: Option<Value>) -> Option<(u16, Value)> {
     let http = awc::Client::default();
     let request = match method {
@@ -292,13 +293,13 @@
         _ => http.get(url),
     };
     let request = request.timeout(RESPONSE_TIMEOUT);
-    let answer = match body {
+    let response = match body {
         Some(body) => request.send_json(&body).await,
         None => request.send().await,
     };
-    let mut answer = answer.ok()?;
-    let status = answer.status().as_u16();
-    Some((status, answer.json().await.unwrap_or(Value::Null)))
+    let mut response = response.ok()?;
+    let status = response.status().as_u16();
+    Some((status, response.json().await.unwrap_or(Value::Null)))
 }
 
 /// Events on all workers, with the invariants that they violated.
@@ -477,20 +478,20 @@
         if already_launched {
             return;
         }
-        let refused = self
+        let is_in_use = self
             .tasks
             .iter()
             .any(|t| t.task.task == task && t.task.status != TaskPhase::Ended);
-        if !refused {
+        if !is_in_use {
             log.record_start(&task, &self.machine.name);
         }
-        // Results are kept: a task that completed before ends at once when it is launched again.
-        let left = if log.done.contains(&task) {
+        // Results are kept: a task that has completed once ends at once when it is launched again.
+        let remaining_ms = if log.done.contains(&task) {
             0
         } else {
             self.run_ms
         };
-        let (status, reason) = match refused {
+        let (status, reason) = match is_in_use {
             true => (TaskPhase::Ended, Some(ExitReason::InUse)),
             false => (TaskPhase::Running, None),
         };
@@ -502,7 +503,7 @@
                 exit_reason: reason,
                 saved: None,
             },
-            ends_ms: elapsed_ms() + left,
+            ends_ms: elapsed_ms() + remaining_ms,
         });
     }
 
--- a/tests/spillover.rs
+++ b/tests/spillover.rs
@@ -19,19 +19,19 @@
 const NORTH: usize = 1;
 const WEST: usize = 2;
 
-/// Cells of which the east is saturated and the others idle; returns the jobs of the east as well.
+/// Cells of which the east is saturated and the others are idle, and the jobs of the east.
 fn saturated_cells(seed: u64, machines: &[usize]) -> (Cells, Vec<String>) {
     let mut c = Cells::new(seed, machines);
     let jobs = c.submit_many(EAST, 12, 4);
     (c, jobs)
 }
 
-/// The same after the first loans have started in the north.
+/// Two cells like [`saturated_cells`], after the first loans have started in the north.
 fn lending_cells(seed: u64) -> (Cells, Vec<String>) {
     lending_cells_with_run_ms(seed, 8000)
 }
 
-/// The same with tasks that run for `run_ms` in the north.
+/// Like [`lending_cells`], with tasks that run for `run_ms` in the north.
 fn lending_cells_with_run_ms(seed: u64, run_ms: u64) -> (Cells, Vec<String>) {
     let (mut c, jobs) = saturated_cells(seed, &[2, 6]);
     c.cells[NORTH].run_ms = run_ms;
@@ -42,20 +42,20 @@
 }
 
 #[test]
-fn jobs_of_a_saturated_cell_run_in_another_and_finish_at_home() {
+fn jobs_of_a_saturated_cell_run_in_another_and_finish_at_the_lender() {
     let (mut c, jobs) = saturated_cells(1, &[2, 6]);
     c.run_until(60_000, "all jobs are done", |c| {
         jobs.iter().all(|j| c.cells[EAST].is_done(j))
     });
-    let (home, away) = (
+    let (in_east, in_north) = (
         c.start_count_in(EAST, &jobs),
         c.start_count_in(NORTH, &jobs),
     );
     assert!(
-        home >= 8 && away >= 8,
-        "{home} tasks started at home, {away} in the other cell"
+        in_east >= 8 && in_north >= 8,
+        "{in_east} tasks started in the east, {in_north} in the north"
     );
-    assert_eq!(home + away, 48, "a task did not start exactly once");
+    assert_eq!(in_east + in_north, 48, "a task did not start exactly once");
     // The borrower archives the loans once the lender knows that they have ended.
     let north_jobs = c.submit_many(NORTH, 6, 4);
     c.run_until(60_000, "the borrower has archived the loans", |c| {
@@ -70,7 +70,7 @@
 
 #[test]
 fn without_spillover_settings_no_job_is_lent_and_no_request_is_sent() {
-    let mut w = World::settled(1, 3, 2);
+    let mut w = World::with_holders(1, 3, 2);
     (1..13).for_each(|n| {
         w.submit(n, w.spec(4));
     });
@@ -107,16 +107,16 @@
     c.assert_no_violations();
 }
 
-/// The write that marks jobs as lent is committed late and its response is lost. If capacity becomes free at
-/// home before the replica shows that write, no task of these jobs may be bound.
+/// The write that marks jobs as lent is committed late and its response is lost. If the lender has free
+/// capacity before its replica shows that write, no task of these jobs may be bound.
 #[test]
-fn a_job_with_an_uncertain_loan_write_is_not_bound_at_home() {
+fn a_job_whose_loan_write_is_in_doubt_is_not_bound_by_the_lender() {
     let (mut c, jobs) = saturated_cells(60, &[2, 6]);
     c.cells[EAST].loan_write_delay_ms = Some(7000);
     c.run_until(20_000, "a write that lends jobs is delayed", |c| {
         c.cells[EAST].store.has_delayed_loan_write()
     });
-    // Running tasks end until the last jobs would be bound at home. Tasks that start now run for 30 s.
+    // Running tasks end until the lender would bind the last jobs. Tasks that start now run for 30 s.
     c.cells[EAST].run_ms = 30_000;
     for _ in 0..8 {
         if c.start_count_in(EAST, &jobs[8..]) == 0 {
@@ -135,11 +135,11 @@
 /// long after its loans were returned to the lender.
 #[test]
 fn a_disconnected_borrower_loses_its_loans_and_no_task_runs_twice() {
-    for (seed, silent_ms) in [(3, 5000), (4, 20_000), (5, 32_000), (6, 90_000)] {
+    for (seed, disconnected_ms) in [(3, 5000), (4, 20_000), (5, 32_000), (6, 90_000)] {
         let (mut c, jobs) = lending_cells_with_run_ms(seed, 60_000);
         c.disconnect(NORTH);
-        c.run(silent_ms);
-        if silent_ms > 60_000 {
+        c.run(disconnected_ms);
+        if disconnected_ms > 60_000 {
             assert_eq!(
                 c.lent_jobs(EAST),
                 Vec::<String>::new(),
@@ -219,11 +219,11 @@
 
 #[test]
 fn a_cancellation_ends_a_loan_in_the_other_cell_in_time() {
-    for (seed, wait_ms, silent) in [(24, 0, false), (25, 3000, false), (26, 3000, true)] {
+    for (seed, wait_ms, disconnected) in [(24, 0, false), (25, 3000, false), (26, 3000, true)] {
         let (mut c, jobs) = lending_cells(seed);
         c.cells[NORTH].run_ms = 90_000;
         c.run(wait_ms);
-        if silent {
+        if disconnected {
             c.disconnect(NORTH);
         }
         let lent = c.lent_jobs(EAST);
@@ -240,8 +240,8 @@
                 .status;
             assert_eq!(state, JobStatus::Cancelled);
         }
-        let rest: Vec<String> = jobs.into_iter().filter(|j| !lent.contains(j)).collect();
-        c.assert_all_jobs_finish(EAST, &rest);
+        let other_jobs: Vec<String> = jobs.into_iter().filter(|j| !lent.contains(j)).collect();
+        c.assert_all_jobs_finish(EAST, &other_jobs);
     }
 }
 
@@ -258,8 +258,8 @@
             }
         }
         c.run(40_000);
-        let over = |job: &String| !c.cells[EAST].is_unfinished(job);
-        assert!(lent.iter().all(over));
+        let is_final = |job: &String| !c.cells[EAST].is_unfinished(job);
+        assert!(lent.iter().all(is_final));
         c.heal();
         c.run_until(120_000, "all jobs of the east are done or cancelled", |c| {
             jobs.iter().all(|job| !c.cells[EAST].is_unfinished(job))
@@ -271,14 +271,18 @@
 #[test]
 fn a_controller_that_cannot_reach_the_lender_receives_confirmations_from_its_peers() {
     let (mut c, jobs) = lending_cells_with_run_ms(40, 30_000);
-    let leader = c.cells[NORTH].leader().expect("a leader");
-    let refusing = (0..3).find(|&i| i != leader).expect("another controller");
-    c.unreachable_controllers.insert((NORTH, refusing));
+    let leader = c.cells[NORTH].leader().expect("there is a leader");
+    let unreachable = (0..3).find(|&i| i != leader).expect("another controller");
+    c.unreachable_controllers.insert((NORTH, unreachable));
     c.run(14_000);
     // Tasks on its machines run on, because its peers relay the confirmations to it.
-    let held = |m: &&support::Worker| c.cells[NORTH].holder(&m.machine.name) == Some(refusing);
-    let busy = c.cells[NORTH].workers.iter().filter(held);
-    assert!(busy.flat_map(|m| &m.tasks).any(|t| t.ended.is_none()));
+    let held = |m: &&support::Worker| c.cells[NORTH].holder(&m.machine.name) == Some(unreachable);
+    let own_machines = c.cells[NORTH].workers.iter().filter(held);
+    assert!(
+        own_machines
+            .flat_map(|m| &m.tasks)
+            .any(|t| t.ended.is_none())
+    );
     c.assert_all_jobs_finish(EAST, &jobs);
 }
 
@@ -287,10 +291,10 @@
     for (seed, (from, to)) in [(41, (EAST, NORTH)), (42, (NORTH, EAST))] {
         let (mut c, jobs) = lending_cells(seed);
         c.cell_links[from][to] = CellLink::Disconnected;
-        // Free capacity at home would be another reason to recall the loans; there is none.
+        // Long tasks use all capacity of the lender: free capacity would also be a reason to recall the loans.
         c.cells[EAST].run_ms = 60_000;
         let more = c.submit_many(EAST, 6, 4);
-        // The lease, the time without a response, and the time that a recall takes.
+        // This covers the lease, the time without a response, and the time that a recall takes.
         c.run(50_000);
         assert_eq!(c.lent_jobs(EAST), Vec::<String>::new());
         c.cells[EAST].run_ms = 8000;
@@ -314,7 +318,7 @@
 #[test]
 fn confirmations_by_a_controller_with_a_stale_replica_do_not_delay_a_cancellation() {
     let (mut c, _) = lending_cells_with_run_ms(48, 90_000);
-    let leader = c.cells[EAST].leader().expect("a leader");
+    let leader = c.cells[EAST].leader().expect("there is a leader");
     c.unreachable_controllers.insert((EAST, leader));
     for i in (0..3).filter(|&i| i != leader) {
         c.cells[EAST].isolate(i);
@@ -380,8 +384,8 @@
         60_000,
         "every remaining loan has started in the north",
         |c| {
-            let begun = |job: &String| c.cells[NORTH].start_count_of(job) > 0;
-            c.lent_jobs(EAST).iter().all(begun)
+            let has_started = |job: &String| c.cells[NORTH].start_count_of(job) > 0;
+            c.lent_jobs(EAST).iter().all(has_started)
         },
     );
     assert!(
@@ -394,24 +398,24 @@
 #[test]
 fn a_borrowed_job_is_not_lent_to_a_third_cell() {
     let mut c = Cells::new(52, &[2, 2, 6]);
-    let east = c.submit_many(EAST, 12, 4);
-    let north = c.submit_many(NORTH, 12, 4);
+    let east_jobs = c.submit_many(EAST, 12, 4);
+    let north_jobs = c.submit_many(NORTH, 12, 4);
     c.run(25_000);
-    assert!(c.start_count_in(WEST, &east) + c.start_count_in(WEST, &north) > 0);
-    let marks = |cell: usize| c.cells[cell].store.list("qb/job/").0;
-    for item in marks(NORTH).into_iter().chain(marks(WEST)) {
+    assert!(c.start_count_in(WEST, &east_jobs) + c.start_count_in(WEST, &north_jobs) > 0);
+    let stored_jobs = |cell: usize| c.cells[cell].store.list("qb/job/").0;
+    for item in stored_jobs(NORTH).into_iter().chain(stored_jobs(WEST)) {
         let job: JobRecord = item.value.decode().expect("a job record");
         let name = &item.key["qb/job/".len()..];
-        if east.iter().any(|j| j == name) {
+        if east_jobs.iter().any(|j| j == name) {
             assert!(matches!(
                 job.transfer.as_deref(),
                 Some(Transfer::Borrowed(_))
             ));
         }
     }
-    c.assert_all_jobs_finish(EAST, &east);
+    c.assert_all_jobs_finish(EAST, &east_jobs);
     c.run_until(120_000, "all jobs are done", |c| {
-        north.iter().all(|j| c.cells[NORTH].is_done(j))
+        north_jobs.iter().all(|j| c.cells[NORTH].is_done(j))
     });
 }
 
@@ -459,18 +463,18 @@
     let lent = c.lent_jobs(EAST).into_iter().find(|job| runs(&c, job));
     let job = lent.expect("a task of a loan runs");
     let record = c.cells[EAST].job_record(&job).expect("the job is stored");
-    let Some(Transfer::Lent(mark)) = record.transfer.as_deref().cloned() else {
+    let Some(Transfer::Lent(lent_to)) = record.transfer.as_deref().cloned() else {
         panic!("the job is not lent");
     };
     let offer = Offer {
         loan: LoanId {
             job: job.clone(),
-            token: mark.token,
+            token: lent_to.token,
         },
         spec: c.cells[EAST].spec(4),
         age_ms: 0,
         ready_age_ms: None,
-        terms: mark.terms,
+        terms: lent_to.terms,
     };
     let request = quillbend::spillover::CellRequest {
         version: VERSION,
@@ -478,7 +482,7 @@
         body: RequestBody::Offer(vec![offer]),
     };
     let decision = |c: &mut Cells| {
-        let leader = c.cells[NORTH].leader().expect("a leader");
+        let leader = c.cells[NORTH].leader().expect("there is a leader");
         match c.cells[NORTH].handle_cell_request(leader, &request) {
             CellResponse::Offers(answers) => answers[0].decision,
             other => panic!("{other:?}"),
@@ -507,15 +511,16 @@
 #[test]
 fn requests_from_unknown_cells_or_versions_are_refused_and_counted() {
     let mut c = Cells::new(54, &[2, 2]);
-    let node = c.cells[NORTH].controllers[0].as_mut().expect("alive");
+    let process = c.cells[NORTH].controllers[0].as_mut().expect("alive");
     let request = |version: u32, from: &str| quillbend::spillover::CellRequest {
         version,
         from: from.into(),
         body: RequestBody::Status,
     };
-    let refused = |why| Some(CellResponse::Refused(why));
+    let refused = |reason| Some(CellResponse::Refused(reason));
     let mut refuse = |version, from: &str| {
-        node.controller
+        process
+            .controller
             .refuse_cell_request(&request(version, from), None)
     };
     assert_eq!(
@@ -532,13 +537,15 @@
         refused(RequestRefusal::Version)
     );
     assert_eq!(refuse(VERSION, "east"), None);
-    let page = node.controller.status_page(quillbend::clock::Timestamp(0));
+    let page = process
+        .controller
+        .status_page(quillbend::clock::Timestamp(0));
     assert_eq!(page["spillover"]["counters"]["rejected"], 4);
 }
 
-/// Plays random faults of all kinds in and between three cells.
+/// Runs three cells with random faults of all kinds in and between them.
 #[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
-fn play_random_faults(seed: u64) -> Result<(), Vec<String>> {
+fn run_random_faults(seed: u64) -> Result<(), Vec<String>> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut c = Cells::new(seed, &[2, 5, 4]);
     if rng.random_bool(0.5) {
@@ -560,7 +567,7 @@
                 c.cells[cell].cancel(&job);
             }
         }
-        inject_fault(&mut c, &mut rng);
+        inject_cell_fault(&mut c, &mut rng);
         c.run(rng.random_range(200..12_000));
         if rng.random_bool(0.25) {
             c.heal();
@@ -571,32 +578,35 @@
         .iter_mut()
         .for_each(|w| w.cloud_has_no_capacity = false);
     c.run(250_000);
-    let late = c
+    let all = c
         .cells
         .iter()
         .flat_map(|w| w.violations.iter())
         .chain(&c.violations);
-    // A launch that was in flight when the job's end was recorded violates no invariant.
-    let mut violations: Vec<String> = late
-        .filter(|b| !b.ends_with("is launched after its job is done"))
+    // A launch may be in flight when the end of its job is recorded.
+    let mut violations: Vec<String> = all
+        .filter(|v| !v.ends_with("is launched after its job is done"))
         .cloned()
         .collect();
-    let open = jobs
+    let unfinished = jobs
         .iter()
         .filter(|(cell, job)| c.cells[*cell].is_unfinished(job));
-    violations.extend(open.map(|(cell, job)| {
-        let home = &c.cells[*cell];
+    violations.extend(unfinished.map(|(cell, job)| {
+        let lender = &c.cells[*cell];
         let value =
-            serde_json::to_string(&home.job_record(job)).expect("the record is serializable");
-        let (done, running) = (home.done_task_count(job), home.running_task_count_of(job));
-        let away: Vec<_> = c
+            serde_json::to_string(&lender.job_record(job)).expect("the record is serializable");
+        let (done, running) = (
+            lender.done_task_count(job),
+            lender.running_task_count_of(job),
+        );
+        let statuses: Vec<_> = c
             .cells
             .iter()
             .map(|w| w.job_record(job).map(|j| j.status))
             .collect();
         format!(
-            "{job} of cell {cell} is unfinished: {done} tasks done, {running} run at home, \
-             status in each cell {away:?}, {value}"
+            "{job} of cell {cell} is unfinished: {done} tasks done, {running} run there, \
+             status in each cell {statuses:?}, {value}"
         )
     }));
     match violations.is_empty() {
@@ -605,27 +615,28 @@
     }
 }
 
-fn inject_fault(c: &mut Cells, rng: &mut SmallRng) {
+/// Injects a random fault in or between cells.
+fn inject_cell_fault(c: &mut Cells, rng: &mut SmallRng) {
     let cells = c.cells.len();
     let (cell, other) = (rng.random_range(0..cells), rng.random_range(0..cells));
-    let node = rng.random_range(0..3usize);
+    let i = rng.random_range(0..3usize);
     let ms = rng.random_range(500..40_000);
     match rng.random_range(0..13) {
-        0 => c.cells[cell].crash(node),
-        1 => (0..3).for_each(|i| c.cells[cell].crash(i)),
+        0 => c.cells[cell].crash(i),
+        1 => (0..3).for_each(|n| c.cells[cell].crash(n)),
         2 => c.cells[cell].set_store_outage(true),
-        3 => c.cells[cell].pause(node, ms),
-        4 => (0..3).for_each(|i| c.cells[cell].pause(i, ms)),
-        5 => c.cells[cell].links[node].store_fault = StoreFault::Intermittent,
-        6 => c.cells[cell].links[node].store_fault = StoreFault::DelaysCommits(ms.min(12_000)),
-        7 => c.cells[cell].isolate(node),
+        3 => c.cells[cell].pause(i, ms),
+        4 => (0..3).for_each(|n| c.cells[cell].pause(n, ms)),
+        5 => c.cells[cell].links[i].store_fault = StoreFault::Intermittent,
+        6 => c.cells[cell].links[i].store_fault = StoreFault::DelaysCommits(ms.min(12_000)),
+        7 => c.cells[cell].isolate(i),
         8 => c.disconnect(cell),
         9 => c.cell_links[cell][other] = CellLink::Disconnected,
         10 => c.cell_links[cell][other] = CellLink::LosesResponses,
         11 => c.cell_links[cell][other] = CellLink::Delayed(ms),
         _ => {
-            c.unreachable_controllers.insert((cell, node));
-            if let Some(worker) = c.cells[cell].workers.get_mut(node) {
+            c.unreachable_controllers.insert((cell, i));
+            if let Some(worker) = c.cells[cell].workers.get_mut(i) {
                 worker.hung = true;
             }
         }
@@ -634,11 +645,11 @@
 
 /// With seed 2064, a loan ended and was made again under another token while a peer still reported its end as
 /// a cancellation, so that its tasks were bound and unbound forever. With seed 4344, a task ran in two cells
-/// because it was bound at home while the response to the write that lent its job was missing.
+/// because the lender bound it while the response to the write that lent its job was missing.
 #[test]
 fn random_faults_between_cells_violate_no_invariant() {
     for seed in [0, 1, 2, 3, 2064, 4344] {
-        if let Err(violations) = play_random_faults(seed) {
+        if let Err(violations) = run_random_faults(seed) {
             panic!("seed {seed}:\n{}", violations.join("\n"));
         }
     }
@@ -647,28 +658,29 @@
 #[test]
 #[ignore = "a search that is run by hand"]
 fn search_between_cells() {
-    support::search::search(play_random_faults);
+    support::search::search(run_random_faults);
 }
 
 /// Waiting times and punctuality of a stream of jobs.
-struct StreamStats {
+struct JobStreamStats {
     waits_s: Vec<f64>,
     /// Share of the jobs that were done within the deadline, 0 to 1.
     share_in_time: f64,
 }
 
-impl StreamStats {
-    fn wait_s(&self, part: f64) -> f64 {
+impl JobStreamStats {
+    /// Quantile of the waiting times, s.
+    fn wait_quantile_s(&self, quantile: f64) -> f64 {
         let mut sorted = self.waits_s.clone();
         sorted.sort_by(f64::total_cmp);
-        sorted[((sorted.len() - 1) as f64 * part) as usize]
+        sorted[((sorted.len() - 1) as f64 * quantile) as usize]
     }
 }
 
-/// Plays a stream of jobs in the east and a lighter one in the north. Returns the statistics of both, the
+/// Runs a stream of jobs in the east and a lighter one in the north. Returns the statistics of both, the
 /// number of writes to both stores, and the number of requests between the cells.
 #[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
-fn play_stream(seed: u64, lend: bool) -> (StreamStats, StreamStats, u64, u64) {
+fn run_job_streams(seed: u64, lend: bool) -> (JobStreamStats, JobStreamStats, u64, u64) {
     const DUE_MS: u64 = 45_000;
     let mut c = Cells::new(seed, &[4, 6]);
     if !lend {
@@ -711,7 +723,7 @@
             (first.expect("a task of the job started") - at) as f64 / 1000.0
         };
         let in_time = jobs_of_cell().filter(|(j, done)| done.is_some_and(|d| d - j.2 <= DUE_MS));
-        StreamStats {
+        JobStreamStats {
             waits_s: jobs_of_cell().map(|(j, _)| wait_s(&j.1, j.2)).collect(),
             share_in_time: in_time.count() as f64 / jobs_of_cell().count() as f64,
         }
@@ -738,35 +750,36 @@
 fn measure_spillover() {
     for lend in [false, true] {
         for seed in 1..4 {
-            let (east, north, writes, requests) = play_stream(seed, lend);
+            let (east, north, writes, requests) = run_job_streams(seed, lend);
             println!(
                 "lend {lend} seed {seed}: east waits p50 {:.1} p90 {:.1} in time {:.2}; north p50 {:.1} \
                  p90 {:.1} in time {:.2}; {writes} writes, {requests} requests",
-                east.wait_s(0.5),
-                east.wait_s(0.9),
+                east.wait_quantile_s(0.5),
+                east.wait_quantile_s(0.9),
                 east.share_in_time,
-                north.wait_s(0.5),
-                north.wait_s(0.9),
+                north.wait_quantile_s(0.5),
+                north.wait_quantile_s(0.9),
                 north.share_in_time
             );
         }
     }
     for seed in 1..6 {
         let (mut c, jobs) = lending_cells_with_run_ms(seed, 60_000);
-        let away: Vec<String> = c.lent_jobs(EAST);
+        let lent: Vec<String> = c.lent_jobs(EAST);
         c.disconnect(NORTH);
-        let cut = c.now();
-        c.run_until(120_000, "a task of a loan starts at home", |c| {
-            away.iter().any(|j| c.cells[EAST].start_count_of(j) > 0)
+        let disconnected_at = c.now();
+        c.run_until(120_000, "a task of a loan starts at the lender", |c| {
+            lent.iter().any(|j| c.cells[EAST].start_count_of(j) > 0)
         });
-        let first = (c.now() - cut) as f64 / 1000.0;
+        let first = (c.now() - disconnected_at) as f64 / 1000.0;
         c.run_until(120_000, "all loans are returned", |c| {
             c.lent_jobs(EAST).is_empty()
         });
         println!(
-            "seed {seed}: {} loans of a silent cell, the first restarts after {first:.1} s, all home after {:.1} s",
-            away.len(),
-            (c.now() - cut) as f64 / 1000.0
+            "seed {seed}: {} loans of a disconnected cell, the first restarts after {first:.1} s, \
+             all returned after {:.1} s",
+            lent.len(),
+            (c.now() - disconnected_at) as f64 / 1000.0
         );
         c.assert_all_jobs_finish(EAST, &jobs);
     }
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -26,9 +26,13 @@
 
 /// A request that is in flight.
 struct Request {
+    /// Simulated time of its arrival, ms.
     at: u64,
+    /// Sending cell.
     from: usize,
-    node: usize,
+    /// Sending controller of that cell.
+    sender: usize,
+    /// Receiving cell and controller.
     to: (usize, usize),
     call: CellCall,
     sent_at: Timestamp,
@@ -64,8 +68,8 @@
             "<cell name=\"{}\" worker-lease-s=\"12\">",
             CELL_NAMES[other]
         );
-        for node in 0..controllers {
-            text += &format!("<controller>{}</controller>", address(other, node));
+        for i in 0..controllers {
+            text += &format!("<controller>{}</controller>", address(other, i));
         }
         text += "</cell>";
     }
@@ -73,8 +77,8 @@
 }
 
 /// Address of a controller for other controllers.
-pub fn address(cell: usize, node: usize) -> String {
-    format!("10.0.{cell}.{node}:8081")
+pub fn address(cell: usize, i: usize) -> String {
+    format!("10.0.{cell}.{i}:8081")
 }
 
 /// Indexes of the cell and the controller with this address.
@@ -95,7 +99,7 @@
 }
 
 impl FakeStore {
-    /// Whether a delayed transaction that marks a job as lent is still to be committed.
+    /// Whether a transaction that marks a job as lent is delayed and not committed yet.
     pub fn has_delayed_loan_write(&self) -> bool {
         self.delayed_commits
             .iter()
@@ -139,7 +143,7 @@
         self.cells[0].now
     }
 
-    /// Submits a job to a cell. All cells know its specification for their checks.
+    /// Submits a job to a cell and registers its specification in all cells for their checks.
     pub fn submit(&mut self, cell: usize, tasks: u32) -> String {
         self.last_job_number += 1;
         let spec = self.cells[cell].spec(tasks);
@@ -153,7 +157,7 @@
         (0..jobs).map(|_| self.submit(cell, tasks)).collect()
     }
 
-    /// Advances all cells by `ms`.
+    /// Advances all cells and their network by `ms`.
     pub fn run(&mut self, ms: u64) {
         let end = self.now() + ms;
         while self.now() < end {
@@ -185,7 +189,7 @@
         self.cell_links
             .iter_mut()
             .flatten()
-            .for_each(|w| *w = CellLink::Open);
+            .for_each(|link| *link = CellLink::Open);
         self.unreachable_controllers.clear();
     }
 
@@ -194,7 +198,7 @@
         self.cells.iter().for_each(World::assert_no_violations);
     }
 
-    /// Whether a cell's state service shows a job as lent.
+    /// Whether a cell's store shows a job as lent.
     pub fn is_lent(&self, cell: usize, job: &str) -> bool {
         let lent = |job: JobRecord| matches!(job.transfer.as_deref(), Some(Transfer::Lent(_)));
         self.cells[cell].job_record(job).is_some_and(lent)
@@ -249,8 +253,8 @@
     pub fn step(&mut self) {
         for cell in 0..self.cells.len() {
             self.cells[cell].step();
-            for (node, call) in std::mem::take(&mut self.cells[cell].outgoing_cell_requests) {
-                self.send(cell, node, call);
+            for (sender, call) in std::mem::take(&mut self.cells[cell].outgoing_cell_requests) {
+                self.send(cell, sender, call);
             }
         }
         let now = self.now();
@@ -265,10 +269,10 @@
         clippy::needless_pass_by_value,
         reason = "the call is consumed, as by a network"
     )]
-    fn send(&mut self, from: usize, node: usize, call: CellCall) {
+    fn send(&mut self, from: usize, sender: usize, call: CellCall) {
         let to = parse_address(&call.address).expect("the address of a simulated controller");
         self.sent_request_count += u64::from(to.0 != from);
-        let sent_at = self.cells[from].clock(node);
+        let sent_at = self.cells[from].clock(sender);
         let link = match from == to.0 {
             true => CellLink::Open,
             false => self.cell_links[from][to.0],
@@ -279,11 +283,11 @@
             0
         };
         let disconnected = link == CellLink::Disconnected
-            || (from != to.0 && self.unreachable_controllers.contains(&(from, node)));
+            || (from != to.0 && self.unreachable_controllers.contains(&(from, sender)));
         let request = |at: u64, awaits_response: bool| Request {
             at,
             from,
-            node,
+            sender,
             to,
             call: call.clone(),
             sent_at,
@@ -300,10 +304,10 @@
             }
         }
         let request_copy_delays_ms = self.request_copy_delays_ms.iter().copied();
-        let late = request_copy_delays_ms
+        let late_arrivals = request_copy_delays_ms
             .chain((delay > 0).then_some(delay))
             .filter(|_| !disconnected);
-        let late: Vec<Request> = late.map(|ms| request(now + ms, false)).collect();
+        let late: Vec<Request> = late_arrivals.map(|ms| request(now + ms, false)).collect();
         self.requests_in_flight.extend(late);
     }
 
@@ -312,29 +316,30 @@
         reason = "the request is consumed, as by a network"
     )]
     fn deliver(&mut self, request: Request) {
-        let (cell, node) = request.to;
+        let (cell, receiver) = request.to;
         let world = &mut self.cells[cell];
-        let unreachable = world.is_paused(node)
-            || (request.from != cell && self.unreachable_controllers.contains(&(cell, node)))
-            || world.controllers[node].is_none();
-        let answer = (!unreachable).then(|| world.handle_cell_request(node, &request.call.request));
+        let unreachable = world.is_paused(receiver)
+            || (request.from != cell && self.unreachable_controllers.contains(&(cell, receiver)))
+            || world.controllers[receiver].is_none();
+        let response =
+            (!unreachable).then(|| world.handle_cell_request(receiver, &request.call.request));
         if request.awaits_response {
-            self.deliver_response(&request, answer);
+            self.deliver_response(&request, response);
         }
     }
 
-    fn deliver_response(&mut self, request: &Request, answer: Option<CellResponse>) {
+    fn deliver_response(&mut self, request: &Request, response: Option<CellResponse>) {
         let world = &mut self.cells[request.from];
-        let now = world.clock(request.node);
+        let now = world.clock(request.sender);
         let response_arrives = match request.from == request.to.0 {
             true => true,
             false => self.cell_links[request.to.0][request.from] != CellLink::Disconnected,
         };
-        if let Some(node) = &mut world.controllers[request.node] {
-            let controller = &mut node.controller;
+        if let Some(process) = &mut world.controllers[request.sender] {
+            let controller = &mut process.controller;
             controller.on_cell_response(
                 &request.call,
-                answer.filter(|_| response_arrives),
+                response.filter(|_| response_arrives),
                 request.sent_at,
                 now,
             );
@@ -357,8 +362,8 @@
         let present = self.cells.iter().zip(&names).flat_map(|(world, names)| {
             let workers = world.workers.iter().zip(names);
             workers.flat_map(|(worker, name)| {
-                let on = worker.tasks.iter().filter(|t| t.is_on_machine());
-                on.map(move |t| (t.task.as_str(), name.as_str()))
+                let on_machine = worker.tasks.iter().filter(|t| t.is_on_machine());
+                on_machine.map(move |t| (t.task.as_str(), name.as_str()))
             })
         });
         if let Some(duplicate) = occupancy::find_duplicate_execution(present) {
@@ -367,9 +372,10 @@
         }
         for origin in &self.cells {
             for (job, at) in &origin.cancelled_at {
-                let late = self.now() > at + origin.cancel_limit_ms();
-                let runs = late && self.cells.iter().any(|w| w.running_task_count_of(job) > 0);
-                if runs {
+                let is_late = self.now() > at + origin.cancel_limit_ms();
+                let still_runs =
+                    is_late && self.cells.iter().any(|w| w.running_task_count_of(job) > 0);
+                if still_runs {
                     self.violations.push(format!("ran_cancelled: {job}"));
                 }
             }
@@ -378,32 +384,31 @@
 }
 
 impl World {
-    /// Makes the specification of a job known to the checks of a cell that may borrow it.
+    /// Registers the specification of a job for the checks of a cell that may borrow it.
     pub fn register_spec(&mut self, number: u32, spec: &JobSpec) {
         self.specs.insert(format!("wk-{number:06}"), spec.clone());
     }
 
     /// Handles a request of another cell like the HTTP handler of a controller.
-    pub fn handle_cell_request(&mut self, node: usize, request: &CellRequest) -> CellResponse {
-        let now = self.clock(node);
-        let mut process = self.controllers[node]
+    pub fn handle_cell_request(&mut self, i: usize, request: &CellRequest) -> CellResponse {
+        let now = self.clock(i);
+        let mut process = self.controllers[i]
             .take()
             .expect("the controller is running");
         let controller = &mut process.controller;
-        let answer = match (controller.refuse_cell_request(request, None), &request.body) {
+        let response = match (controller.refuse_cell_request(request, None), &request.body) {
             (Some(refusal), _) => refusal,
             (None, RequestBody::Offer(offers)) if controller.leads().is_some() => {
-                let answers = offers.iter().map(|offer| OfferResponse {
+                let responses = offers.iter().map(|offer| OfferResponse {
                     loan: offer.loan.clone(),
-                    decision: self.decide_offer(node, controller, &request.from, offer),
+                    decision: self.decide_offer(i, controller, &request.from, offer),
                 });
-                CellResponse::Offers(answers.collect())
+                CellResponse::Offers(responses.collect())
             }
             (None, body) => {
                 if let RequestBody::Confirm { loans, .. } = body {
                     for transaction in controller.plan_loan_ends(&request.from, loans, now) {
-                        if let CommitOutcome::Done(revision) =
-                            self.commit_for_cell(node, &transaction)
+                        if let CommitOutcome::Done(revision) = self.commit_for_cell(i, &transaction)
                         {
                             controller.on_loan_end(&transaction, revision);
                         }
@@ -412,19 +417,19 @@
                 controller.respond_to_cell(request, now)
             }
         };
-        self.controllers[node] = Some(process);
-        digest::cell_answer(self.origin(node), &answer);
-        answer
+        self.controllers[i] = Some(process);
+        digest::cell_response(self.origin(i), &response);
+        response
     }
 
     fn decide_offer(
         &mut self,
-        node: usize,
+        i: usize,
         controller: &mut Controller,
         from: &str,
         offer: &quillbend_spillover::message::Offer<JobSpec>,
     ) -> OfferDecision {
-        let now = self.clock(node);
+        let now = self.clock(i);
         let mut archived = None;
         for _ in 0..2 {
             let plan = controller.plan_offer(from, offer, archived.as_ref(), now);
@@ -435,7 +440,7 @@
                     decision,
                 } => (transaction, decision),
             };
-            match self.commit_for_cell(node, &transaction) {
+            match self.commit_for_cell(i, &transaction) {
                 CommitOutcome::Done(revision) => {
                     controller.replica.apply_own_commit(&transaction, revision);
                     return decision;
@@ -455,10 +460,10 @@
     }
 
     /// Commits a transaction of a request handler, subject to the controller's store fault.
-    fn commit_for_cell(&mut self, node: usize, transaction: &Transaction) -> CommitOutcome {
-        digest::transaction(self.origin(node), transaction);
-        self.check_transaction_size(node, transaction);
-        match self.link(node).store_fault {
+    fn commit_for_cell(&mut self, i: usize, transaction: &Transaction) -> CommitOutcome {
+        digest::transaction(self.origin(i), transaction);
+        self.check_transaction_size(i, transaction);
+        match self.link(i).store_fault {
             StoreFault::None | StoreFault::Slow(_) => self.store.commit(transaction),
             StoreFault::LosesResponses => {
                 self.store.commit(transaction);
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -8,7 +8,8 @@
 use quillbend::leadership::RentalOutcome;
 
 impl World {
-    /// Injects one of six faults into a controller.
+    /// Injects a fault into a controller or its connections. `kind` is 0 to 4; kind 2 is one of two
+    /// store faults at random.
     pub fn inject_fault(&mut self, i: usize, kind: u32, rng: &mut SmallRng) {
         match kind {
             0 => self.crash(i),
@@ -20,7 +21,7 @@
         }
     }
 
-    /// Time of a controller's monotonic clock, which drifts.
+    /// Time of a controller's monotonic clock, drift included.
     pub fn clock(&self, i: usize) -> Timestamp {
         let passed = (self.now - START_MS) as f64 * (1.0 + self.clock_drift[i]);
         Timestamp(START_MS + passed as u64)
@@ -28,15 +29,15 @@
 
     /// Starts a controller process with an empty replica and a new incarnation.
     pub fn start(&mut self, i: usize) {
-        let mut s = match self.runs_previous_version[i] {
+        let mut settings = match self.runs_previous_version[i] {
             true => self.previous_settings.clone(),
             false => self.settings.clone(),
         };
         let names: Vec<String> = (0..self.controllers.len())
             .map(|n| format!("n{n}"))
             .collect();
-        s.platform.host_name = names[i].clone();
-        s.platform.peers = names
+        settings.platform.host_name = names[i].clone();
+        settings.platform.peers = names
             .iter()
             .filter(|n| **n != names[i])
             .map(|n| quillbend::settings::PeerAddress {
@@ -48,17 +49,17 @@
                 ),
             })
             .collect();
-        let mut controller = Controller::new(s, self.rng.random());
+        let mut controller = Controller::new(settings, self.rng.random());
         if self.runs_previous_version[i] {
             controller.run_as_format(self.previous_format);
         }
-        let node = ControllerProcess {
+        let process = ControllerProcess {
             controller,
             paused_until: 0,
             next_watch_at: 0,
             replica_loaded: false,
         };
-        self.controllers[i] = Some(node);
+        self.controllers[i] = Some(process);
     }
 
     /// Ends a controller process at once.
@@ -78,7 +79,7 @@
         self.leader_among(0..self.controllers.len())
     }
 
-    /// The leader, without regard to a former leader that has not noticed its replacement.
+    /// The leader, ignoring a former leader `old` that may not have noticed its replacement.
     pub fn leader_except(&self, old: usize) -> Option<usize> {
         self.leader_among((0..self.controllers.len()).filter(|&i| i != old))
     }
@@ -114,22 +115,23 @@
             let Some(n) = &self.controllers[i] else {
                 return false;
             };
-            let v = &n.controller.replica;
-            v.names
+            let replica = &n.controller.replica;
+            replica
+                .names
                 .machines
                 .get(machine)
-                .and_then(|m| v.block_and_holder(m))
+                .and_then(|m| replica.block_and_holder(m))
                 .is_some_and(|h| h.1.controller == n.controller.own_id)
                 && n.controller.has_authority(self.clock(i))
         })
     }
 
-    /// Starts or ends an outage of the state service for all controllers.
-    pub fn set_store_outage(&mut self, out: bool) {
-        self.store.unavailable = out;
+    /// Starts or ends an outage of the store for all controllers.
+    pub fn set_store_outage(&mut self, unavailable: bool) {
+        self.store.unavailable = unavailable;
     }
 
-    /// Pauses a controller for `ms`. Requests to it get no response meanwhile.
+    /// Pauses a controller for `ms`. Requests to it get no response in the meantime.
     pub fn pause(&mut self, i: usize, ms: u64) {
         if let Some(n) = &mut self.controllers[i] {
             n.paused_until = self.now + ms;
@@ -137,11 +139,11 @@
     }
 
     pub(super) fn is_paused(&self, i: usize) -> bool {
-        let node = self.controllers[i].as_ref();
-        node.is_some_and(|n| self.now < n.paused_until)
+        let process = self.controllers[i].as_ref();
+        process.is_some_and(|p| self.now < p.paused_until)
     }
 
-    /// Connections of a controller, an outage of the state service included.
+    /// Connections of a controller, an outage of the store included.
     pub(super) fn link(&self, i: usize) -> Link {
         match self.store.unavailable {
             true => Link {
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Disconnects a controller from the state service and its peers, but not from its workers.
+    /// Disconnects a controller from the store and its peers, but not from its workers.
     pub fn isolate(&mut self, i: usize) {
         self.links[i].store_fault = StoreFault::RejectsRequests;
         self.links[i].watch_hangs = true;
@@ -165,50 +167,57 @@
         tracing::debug_span!("controller", i, now = self.now)
     }
 
+    /// Delivers watch events to a controller, then executes its effects. After each commit the controller
+    /// ticks again.
     pub(super) fn step_controller(&mut self, i: usize) {
-        let Some(mut node) = self.controllers[i].take() else {
+        let Some(mut process) = self.controllers[i].take() else {
             return;
         };
         let _span = self.log_span(i).entered();
         let now = self.clock(i);
         let link = self.link(i);
-        let late = match link.store_fault {
+        let watch_delay_ms = match link.store_fault {
             StoreFault::None | StoreFault::Intermittent => Some(0),
             StoreFault::Slow(ms) => Some(ms),
             _ => None,
         };
-        // After a pause, timers fire before the first responses arrive.
-        let waking = node.paused_until > 0 && self.now < node.paused_until + 400;
-        let due = self.now >= node.next_watch_at && !link.watch_hangs && !waking;
-        if let Some(late) = late.filter(|_| due) {
-            if node.replica_loaded {
-                let after = node.controller.replica.revision;
-                let list = match late {
+        // After a pause, timers fire before the first watch response arrives.
+        let has_just_resumed = process.paused_until > 0 && self.now < process.paused_until + 400;
+        let due = self.now >= process.next_watch_at && !link.watch_hangs && !has_just_resumed;
+        if let Some(delay_ms) = watch_delay_ms.filter(|_| due) {
+            if process.replica_loaded {
+                let after = process.controller.replica.revision;
+                let response = match delay_ms {
                     0 => self.store.events("qb/", after),
-                    late => self.store.events_by("qb/", after, self.now - late),
+                    delay => self
+                        .store
+                        .events_committed_by("qb/", after, self.now - delay),
                 };
-                // A late response shows the state at the time when the watch was opened.
-                let sent = Timestamp(now.0.saturating_sub(late));
-                node.controller.on_watch_response(list, sent, now);
+                // A delayed response shows the store as of the time when the request was sent.
+                let sent = Timestamp(now.0.saturating_sub(delay_ms));
+                process.controller.on_watch_response(response, sent, now);
             } else {
                 let (items, revision) = self.store.list("qb/");
-                node.controller
+                process
+                    .controller
                     .on_replica_read(items, revision, revision, now, now);
-                node.replica_loaded = true;
+                process.replica_loaded = true;
             }
         }
-        let mut todo = node.controller.tick(now, self.now);
+        let mut effects = process.controller.tick(now, self.now);
         let mut rounds = 0;
-        while let Some(effect) = todo.pop() {
-            let done = self.execute_effect(i, &mut node.controller, effect);
+        while let Some(effect) = effects.pop() {
+            let committed = self.execute_effect(i, &mut process.controller, effect);
             rounds += 1;
-            if done && rounds < 20 {
-                todo.extend(node.controller.tick(now, self.now));
+            if committed && rounds < 20 {
+                effects.extend(process.controller.tick(now, self.now));
             }
         }
-        self.controllers[i] = Some(node);
+        self.controllers[i] = Some(process);
     }
 
+    /// Executes an effect of a controller. Returns whether the controller received the confirmation of a
+    /// commit.
     #[expect(
         clippy::too_many_lines,
         reason = "one match with an arm for each effect"
@@ -248,23 +257,23 @@
                 else {
                     return false;
                 };
-                let apart = self.partition_group[i] != self.partition_group[j];
-                if apart
+                let partitioned = self.partition_group[i] != self.partition_group[j];
+                if partitioned
                     || self.is_paused(j)
                     || !self.links[i].peers_reachable
                     || !self.links[j].peers_reachable
                 {
                     return false;
                 }
-                for &age in &self.peer_message_copy_delays_ms {
+                for &delay_ms in &self.peer_message_copy_delays_ms {
                     self.delayed_peer_messages
-                        .push((self.now + age, j, (*message).clone()));
+                        .push((self.now + delay_ms, j, (*message).clone()));
                 }
-                let (theirs, origin) = (self.clock(j), self.origin(j));
+                let (peer_clock, origin) = (self.clock(j), self.origin(j));
                 if let Some(peer) = self.controllers[j].as_mut() {
-                    let answer = peer.controller.respond_to_peer(*message, theirs);
-                    digest::peer_answer(origin, &answer);
-                    controller.on_peer_message(answer, now);
+                    let response = peer.controller.respond_to_peer(*message, peer_clock);
+                    digest::peer_response(origin, &response);
+                    controller.on_peer_message(response, now);
                 }
             }
             Effect::ReadCatalog if self.cloud_up => controller.on_catalog(catalog()),
@@ -316,6 +325,8 @@
         false
     }
 
+    /// Commits a transaction of a controller, subject to its store fault. Returns whether the controller
+    /// received the confirmation.
     pub(super) fn commit(
         &mut self,
         i: usize,
@@ -363,8 +374,8 @@
         matches!(outcome, CommitOutcome::Done(_))
     }
 
-    /// Checks that a transaction is within the limits of the service, which would reject it as malformed
-    /// on every retry.
+    /// Checks that a transaction is within the limits of the store, which would reject it as malformed on
+    /// every retry.
     pub(super) fn check_transaction_size(&mut self, i: usize, transaction: &Transaction) {
         let settings = match self.runs_previous_version[i] {
             true => &self.previous_settings,
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -35,16 +35,16 @@
     LeaseRequest = 2,
     LeaseRenewal = 3,
     PeerMessage = 4,
-    PeerAnswer = 5,
-    HeartbeatAnswer = 6,
+    PeerResponse = 5,
+    HeartbeatResponse = 6,
     UserAnswer = 7,
-    RentRequest = 8,
+    RentalRequest = 8,
     ReturnRequest = 9,
     CatalogRequest = 10,
     MachineListRequest = 11,
     ArchiveRequest = 12,
     CellRequest = 13,
-    CellAnswer = 14,
+    CellResponse = 14,
 }
 
 /// Simulated time of a message and the controller that sends it.
@@ -166,7 +166,7 @@
         Effect::ReadCatalog => (MessageKind::CatalogRequest, Vec::new()),
         Effect::ListMachines => (MessageKind::MachineListRequest, Vec::new()),
         Effect::ReadArchive(jobs) => (MessageKind::ArchiveRequest, json(jobs)),
-        Effect::RentMachines(rental) => (MessageKind::RentRequest, json(rental)),
+        Effect::RentMachines(rental) => (MessageKind::RentalRequest, json(rental)),
         Effect::ReturnMachines(machines) => {
             let machines = machines.clone();
             (MessageKind::ReturnRequest, json(&MachineNames { machines }))
@@ -187,31 +187,31 @@
 }
 
 /// Records a controller's response to a peer.
-pub(super) fn peer_answer(origin: Origin, answer: &PeerMessage) {
+pub(super) fn peer_response(origin: Origin, response: &PeerMessage) {
     if is_recording() {
-        record_message(origin, MessageKind::PeerAnswer, &addressed("", answer));
+        record_message(origin, MessageKind::PeerResponse, &addressed("", response));
     }
 }
 
 /// Records a controller's response to another cell.
-pub(super) fn cell_answer(origin: Origin, answer: &CellResponse) {
+pub(super) fn cell_response(origin: Origin, response: &CellResponse) {
     if is_recording() {
-        record_message(origin, MessageKind::CellAnswer, &addressed("", answer));
+        record_message(origin, MessageKind::CellResponse, &addressed("", response));
     }
 }
 
 /// Records a controller's response to a heartbeat: the HTTP status and the body.
-pub(super) fn heartbeat_answer(origin: Origin, machine: &str, reply: &HeartbeatResponse) {
+pub(super) fn heartbeat_response(origin: Origin, machine: &str, response: &HeartbeatResponse) {
     if !is_recording() {
         return;
     }
-    let (status, body) = match reply {
+    let (status, body) = match response {
         HeartbeatResponse::HeartbeatAck(ack) => (200, json(ack)),
         HeartbeatResponse::Redirect(controller) => (421, json(controller)),
         HeartbeatResponse::Unconfirmed | HeartbeatResponse::Unavailable => (503, Vec::new()),
     };
     let message = [format!("{machine} {status} ").as_bytes(), &body].concat();
-    record_message(origin, MessageKind::HeartbeatAnswer, &message);
+    record_message(origin, MessageKind::HeartbeatResponse, &message);
 }
 
 impl World {
@@ -230,11 +230,11 @@
             return;
         }
         let jobs: BTreeSet<&String> = self.specs.keys().collect();
-        for (controller, node) in self.controllers.iter().enumerate() {
-            let Some(node) = node else {
+        for (controller, process) in self.controllers.iter().enumerate() {
+            let Some(process) = process else {
                 continue;
             };
-            let replica = &node.controller.replica;
+            let replica = &process.controller.replica;
             for job in &jobs {
                 let known = replica.names.jobs.get(job.as_str());
                 let Some((index, status)) =
@@ -243,8 +243,12 @@
                     continue;
                 };
                 let done = replica.jobs.get(&index).map_or(0, |job| job.done.len());
-                let answer =
-                    jobs::job_answer(job, status, done, node.controller.running_task_count(index));
+                let answer = jobs::job_answer(
+                    job,
+                    status,
+                    done,
+                    process.controller.running_task_count(index),
+                );
                 record_message(
                     self.origin(controller),
                     MessageKind::UserAnswer,
--- a/tests/support/invariants.rs
+++ b/tests/support/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants of the simulation, checked against the machines, the state service and the answers to users.
+//! Invariants of the simulation, checked against the machines, the store and the answers to users.
 
 use super::{HashMap, Task, World, job_key, job_of, occupancy};
 
@@ -8,7 +8,7 @@
         (self.settings.platform.settings.workers.cancel_s * 1000.0) as u64
     }
 
-    /// Checks that no task is on two machines, whether or not they are reachable.
+    /// Checks that no task is on two machines, reachable or not.
     pub(super) fn check_duplicate_executions(&mut self) {
         self.check_duplicate_executions_among(|_| true);
     }
@@ -20,8 +20,8 @@
 
     fn check_duplicate_executions_among(&mut self, is_checked: impl Fn(&str) -> bool) {
         let present = self.workers.iter().flat_map(|w| {
-            let on = w.tasks.iter().filter(|t| t.is_on_machine());
-            on.map(|t| (t.task.as_str(), w.machine.name.as_str()))
+            let on_machine = w.tasks.iter().filter(|t| t.is_on_machine());
+            on_machine.map(|t| (t.task.as_str(), w.machine.name.as_str()))
         });
         let present = present.filter(|(task, _)| is_checked(task));
         if let Some(duplicate) = occupancy::find_duplicate_execution(present) {
@@ -53,8 +53,8 @@
         let not_allowed = spec
             .machine_types
             .as_ref()
-            .is_some_and(|f| !f.contains(&machine.machine_type))
-            || spec.zone.as_ref().is_some_and(|y| *y != machine.zone)
+            .is_some_and(|types| !types.contains(&machine.machine_type))
+            || spec.zone.as_ref().is_some_and(|zone| *zone != machine.zone)
             || (machine.spot && !spec.spot)
             || (spec.one_zone && tasks_in_zone(false) > 0)
             || (spec.spread && tasks_in_zone(true) > spec.task_count.div_ceil(2) as usize);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Checks that tasks of cancelled jobs are gone from every machine in time, including hung machines.
+    /// Checks that tasks of cancelled jobs end in time on every machine, including hung ones.
     pub(super) fn check_cancelled(&mut self) {
         let cancel_ms = self.cancel_limit_ms();
         for w in &self.workers {
@@ -77,9 +77,9 @@
                 if let Some(at) = cancelled.or_else(|| self.predecessor_cancelled_at(job))
                     && self.now > at + cancel_ms
                 {
-                    let late = self.now - at;
+                    let late_ms = self.now - at;
                     let what = format!(
-                        "ran_cancelled: {} on {} after {late}",
+                        "ran_cancelled: {} on {} after {late_ms}",
                         t.task, w.machine.name
                     );
                     self.violations.push(what);
@@ -112,10 +112,10 @@
             }
         }
         for t in &self.settings.platform.settings.teams {
-            let now = used.get(&t.name).copied().unwrap_or(0.0);
-            if now > t.cpus_max + 1e-6 {
+            let used_cpus = used.get(&t.name).copied().unwrap_or(0.0);
+            if used_cpus > t.cpus_max + 1e-6 {
                 self.violations
-                    .push(format!("quota: {} uses {now}", t.name));
+                    .push(format!("quota: {} uses {used_cpus}", t.name));
             }
         }
     }
--- a/tests/support/machines.rs
+++ b/tests/support/machines.rs
@@ -8,7 +8,7 @@
 impl World {
     /// Number of tasks of a job that have been launched and have not ended.
     pub fn running_task_count_of(&self, job: &str) -> usize {
-        let tasks = self.workers.iter().flat_map(|w| &w.tasks);
+        let tasks = self.workers.iter().flat_map(|worker| &worker.tasks);
         let of_job = |t: &&Task| job_of(&t.task) == job;
         tasks.filter(of_job).filter(|t| t.ended.is_none()).count()
     }
@@ -19,7 +19,7 @@
         self.starts.iter().filter(of_job).count()
     }
 
-    /// Adds a machine whose worker starts after `boot_ms`, and returns its name.
+    /// Adds a machine whose worker starts after `boot_ms`, and returns the machine's name.
     pub(super) fn add_machine(
         &mut self,
         machine_type: &str,
@@ -54,21 +54,25 @@
             loses_responses: false,
             hung: false,
             reaches_only: None,
-            fails_tasks: false,
+            is_faulty: false,
             reclaim_s: None,
         });
         name
     }
 
-    /// Restarts a machine: its worker starts in epoch 1 again and all of its tasks are gone.
+    /// Restarts a machine: its worker starts in epoch 1 again and its tasks end without a report.
     pub fn restart_machine(&mut self, at: usize) {
-        let w = &mut self.workers[at];
-        tracing::debug!(now = self.now, machine = w.machine.name, "worker restarts");
-        (w.worker_epoch, w.sequence, w.token) = (1, 0, 0);
-        w.tasks.clear();
-        w.pending_ack = None;
-        w.last_acked_at = self.now;
-        w.next_heartbeat_at = self.now + 200;
+        let worker = &mut self.workers[at];
+        tracing::debug!(
+            now = self.now,
+            machine = worker.machine.name,
+            "worker restarts"
+        );
+        (worker.worker_epoch, worker.sequence, worker.token) = (1, 0, 0);
+        worker.tasks.clear();
+        worker.pending_ack = None;
+        worker.last_acked_at = self.now;
+        worker.next_heartbeat_at = self.now + 200;
     }
 
     #[expect(
@@ -76,28 +80,28 @@
         reason = "a worker's step in the order of the protocol"
     )]
     pub(super) fn step_worker(&mut self, at: usize) {
-        // The worker's clock is as slow as the settings allow, which makes its lease the longest.
+        // The worker's clock is as slow as the settings allow, so its lease lasts as long as possible.
         let workers = &self.settings.platform.settings.workers;
         let lease_s = workers.lease_s * 1.0005;
-        let report_ms = (workers.heartbeat_s * 1000.0) as u64;
-        let (now, lease) = (self.now, (lease_s * 1000.0) as u64);
-        let w = &mut self.workers[at];
-        if now < w.up_at {
+        let heartbeat_period_ms = (workers.heartbeat_s * 1000.0) as u64;
+        let (now, lease_ms) = (self.now, (lease_s * 1000.0) as u64);
+        let worker = &mut self.workers[at];
+        if now < worker.up_at {
             return;
         }
-        if now > w.last_acked_at + lease {
-            w.worker_epoch += 1;
-            w.sequence = 0;
-            w.tasks.clear();
-            w.last_acked_at = now;
+        if now > worker.last_acked_at + lease_ms {
+            worker.worker_epoch += 1;
+            worker.sequence = 0;
+            worker.tasks.clear();
+            worker.last_acked_at = now;
         }
-        if w.hung {
+        if worker.hung {
             // A worker that resumes within its lease continues its tasks.
             return;
         }
         let mut changed = false;
         let mut started: Vec<String> = Vec::new();
-        for t in w.tasks.iter_mut().filter(|t| t.ended.is_none()) {
+        for t in worker.tasks.iter_mut().filter(|t| t.ended.is_none()) {
             if t.fetch_ms > 0 {
                 t.fetch_ms = t.fetch_ms.saturating_sub(100);
                 if t.fetch_ms == 0 {
@@ -117,7 +121,7 @@
             t.left_ms = t.left_ms.saturating_sub(100);
             if t.left_ms == 0 {
                 let job = job_of(&t.task);
-                let fails = w.fails_tasks || self.failing_jobs.contains(job);
+                let fails = worker.is_faulty || self.failing_jobs.contains(job);
                 if !fails {
                     self.completed.insert(t.task.clone());
                 }
@@ -132,58 +136,63 @@
         for task in started {
             self.record_start(at, task);
         }
-        let w = &mut self.workers[at];
-        if let Some((sent, until, node)) = w.pending_ack {
-            // A worker has one heartbeat in flight at a time and still waits for this response.
-            let (machine, number) = (w.machine.name.clone(), (w.worker_epoch, w.sequence));
-            let (clock, origin) = (self.clock(node), self.origin(node));
-            let reached = self.links[node].workers_reachable && !self.workers[at].disconnected;
-            if self.is_paused(node) {
+        let worker = &mut self.workers[at];
+        if let Some((sent, due_at, i)) = worker.pending_ack {
+            // A worker has only one heartbeat in flight: it waits for this response first.
+            let (machine, number) = (
+                worker.machine.name.clone(),
+                (worker.worker_epoch, worker.sequence),
+            );
+            let (clock, origin) = (self.clock(i), self.origin(i));
+            let is_connected = self.links[i].workers_reachable && !self.workers[at].disconnected;
+            if self.is_paused(i) {
                 if now > sent + 4000 {
                     self.handle_missing_response(at, sent);
                 }
                 return;
             }
-            let Some(controller) = self.controllers[node].as_mut().map(|n| &mut n.controller)
-            else {
+            let Some(controller) = self.controllers[i].as_mut().map(|n| &mut n.controller) else {
                 self.handle_missing_response(at, sent);
                 return;
             };
             let machines_with_due_acks = controller.woken_machines();
             self.machines_with_due_acks.extend(machines_with_due_acks);
-            if now < until && !self.machines_with_due_acks.remove(&machine) {
+            if now < due_at && !self.machines_with_due_acks.remove(&machine) {
                 return;
             }
-            let _span = tracing::debug_span!("controller", node, now).entered();
-            let reply = controller.release_ack(&machine, number, clock);
-            digest::heartbeat_answer(origin, &machine, &reply);
-            match reached {
-                true => self.handle_response(at, reply, sent),
+            let _span = tracing::debug_span!("controller", node = i, now).entered();
+            let response = controller.release_ack(&machine, number, clock);
+            digest::heartbeat_response(origin, &machine, &response);
+            match is_connected {
+                true => self.handle_response(at, response, sent),
                 false => self.handle_missing_response(at, sent),
             }
             return;
         }
-        if (now < w.next_heartbeat_at && !changed) || now < w.silent_until || w.disconnected {
+        if (now < worker.next_heartbeat_at && !changed)
+            || now < worker.silent_until
+            || worker.disconnected
+        {
             return;
         }
-        w.next_heartbeat_at = now + report_ms;
-        w.sequence += 1;
-        let heartbeat = w.heartbeat();
-        let node = w.current_controller;
+        worker.next_heartbeat_at = now + heartbeat_period_ms;
+        worker.sequence += 1;
+        let heartbeat = worker.heartbeat();
+        let i = worker.current_controller;
         tracing::debug!(
             now,
-            node,
+            node = i,
             machine = heartbeat.machine,
             token = heartbeat.token,
             worker_epoch = heartbeat.worker_epoch,
             sequence = heartbeat.sequence,
             "sends a heartbeat"
         );
-        let reaches = w.reaches_only.is_none_or(|o| o == node);
-        for &age in &self.heartbeat_copy_delays_ms {
+        let can_reach = worker.reaches_only.is_none_or(|o| o == i);
+        for &delay_ms in &self.heartbeat_copy_delays_ms {
             let to = self.rng.random_range(0..self.controllers.len());
             self.delayed_heartbeats
-                .push((now + age, to, heartbeat.clone()));
+                .push((now + delay_ms, to, heartbeat.clone()));
         }
         if self.replays_heartbeats_to_next_leader
             && self.rng.random_bool(0.3)
@@ -191,45 +200,45 @@
         {
             self.heartbeats_to_replay.push(heartbeat.clone());
         }
-        if self.is_paused(node) {
+        if self.is_paused(i) {
             // The controller receives the heartbeat when it resumes, after the worker stopped waiting.
-            self.delayed_heartbeats.push((now + 100, node, heartbeat));
+            self.delayed_heartbeats.push((now + 100, i, heartbeat));
             self.handle_missing_response(at, now);
             return;
         }
-        let _span = self.log_span(node).entered();
-        let (clock, origin) = (self.clock(node), self.origin(node));
+        let _span = self.log_span(i).entered();
+        let (clock, origin) = (self.clock(i), self.origin(i));
         let (machine, number) = (
             heartbeat.machine.clone(),
             (heartbeat.worker_epoch, heartbeat.sequence),
         );
-        let store_refuses = self.link(node).store_fault == StoreFault::RejectsRequests;
-        let reply = match (
-            &mut self.controllers[node],
-            self.links[node].workers_reachable && reaches,
+        let store_rejects = self.link(i).store_fault == StoreFault::RejectsRequests;
+        let response = match (
+            &mut self.controllers[i],
+            self.links[i].workers_reachable && can_reach,
         ) {
-            (Some(n), true) => {
-                let reply = n.controller.on_heartbeat(heartbeat.clone(), clock);
-                // The HTTP handler confirms it by a read of the state service.
-                let current = n.controller.replica.revision >= self.store.revision;
-                let reply = match reply {
-                    HeartbeatResponse::Unconfirmed if current && !store_refuses => {
-                        n.controller.on_confirmed_heartbeat(heartbeat, clock)
+            (Some(process), true) => {
+                let answer = process.controller.on_heartbeat(heartbeat.clone(), clock);
+                // Like the HTTP handler, this confirms the heartbeat by a read of the store.
+                let is_current = process.controller.replica.revision >= self.store.revision;
+                let answer = match answer {
+                    HeartbeatResponse::Unconfirmed if is_current && !store_rejects => {
+                        process.controller.on_confirmed_heartbeat(heartbeat, clock)
                     }
-                    reply => reply,
+                    answer => answer,
                 };
                 let has_no_commands =
-                    matches!(&reply, HeartbeatResponse::HeartbeatAck(o) if o.commands.is_empty());
-                let delay_ms =
-                    has_no_commands.then(|| n.controller.delay_ack(&machine, number, clock));
-                if let Some(ms) = delay_ms.flatten()
+                    matches!(&answer, HeartbeatResponse::HeartbeatAck(o) if o.commands.is_empty());
+                let ack_delay_ms =
+                    has_no_commands.then(|| process.controller.delay_ack(&machine, number, clock));
+                if let Some(ms) = ack_delay_ms.flatten()
                     && !self.workers[at].loses_responses
                 {
-                    self.workers[at].pending_ack = Some((now, now + ms, node));
+                    self.workers[at].pending_ack = Some((now, now + ms, i));
                     return;
                 }
-                digest::heartbeat_answer(origin, &machine, &reply);
-                reply
+                digest::heartbeat_response(origin, &machine, &answer);
+                answer
             }
             _ => HeartbeatResponse::Unavailable,
         };
@@ -237,47 +246,49 @@
             self.handle_missing_response(at, now);
             return;
         }
-        self.handle_response(at, reply, now);
+        self.handle_response(at, response, now);
     }
 
     /// Handles a heartbeat that got no response: the worker switches to the next controller.
     pub(super) fn handle_missing_response(&mut self, at: usize, sent: u64) {
         let controllers = self.controllers.len();
-        let w = &mut self.workers[at];
-        w.pending_ack = None;
-        w.current_controller = (w.current_controller + 1) % controllers;
-        w.next_heartbeat_at = sent + 5000;
-        w.silent_until = w.next_heartbeat_at;
+        let worker = &mut self.workers[at];
+        worker.pending_ack = None;
+        worker.current_controller = (worker.current_controller + 1) % controllers;
+        worker.next_heartbeat_at = sent + 5000;
+        worker.silent_until = worker.next_heartbeat_at;
     }
 
     /// Handles the response to the heartbeat that was sent at `sent`.
-    pub(super) fn handle_response(&mut self, at: usize, reply: HeartbeatResponse, sent: u64) {
+    pub(super) fn handle_response(&mut self, at: usize, response: HeartbeatResponse, sent: u64) {
         let now = self.now;
-        let w = &mut self.workers[at];
-        w.pending_ack = None;
-        match reply {
-            HeartbeatResponse::HeartbeatAck(o) if o.token >= w.token => {
-                if o.token > w.token {
-                    w.next_heartbeat_at = now + 500;
+        let worker = &mut self.workers[at];
+        worker.pending_ack = None;
+        match response {
+            HeartbeatResponse::HeartbeatAck(o) if o.token >= worker.token => {
+                if o.token > worker.token {
+                    worker.next_heartbeat_at = now + 500;
                 }
-                w.token = o.token;
-                w.last_acked_at = sent;
+                worker.token = o.token;
+                worker.last_acked_at = sent;
                 self.execute_commands(at, o.commands);
             }
             HeartbeatResponse::HeartbeatAck(_) => {}
             HeartbeatResponse::Redirect(Some(to)) => {
-                w.current_controller = controller_index(&to).unwrap_or(0);
-                w.next_heartbeat_at = now + 100;
+                worker.current_controller = controller_index(&to).unwrap_or(0);
+                worker.next_heartbeat_at = now + 100;
             }
             HeartbeatResponse::Redirect(None)
             | HeartbeatResponse::Unavailable
             | HeartbeatResponse::Unconfirmed => {
-                w.current_controller = (w.current_controller + 1) % self.controllers.len();
-                w.next_heartbeat_at = now + 1000;
+                worker.current_controller =
+                    (worker.current_controller + 1) % self.controllers.len();
+                worker.next_heartbeat_at = now + 1000;
             }
         }
     }
 
+    /// Executes the commands of an ack in their order.
     pub(super) fn execute_commands(&mut self, at: usize, commands: Vec<Command>) {
         for command in commands {
             match command {
@@ -294,8 +305,9 @@
                     }
                 }
                 Command::Clear { task, attempt } => {
-                    let w = &mut self.workers[at];
-                    w.tasks
+                    let worker = &mut self.workers[at];
+                    worker
+                        .tasks
                         .retain(|t| !(t.task == task && t.attempt == attempt && t.ended.is_some()));
                 }
             }
@@ -309,7 +321,7 @@
         if tasks.iter().any(|t| same_task(t) && t.attempt == attempt) {
             return;
         }
-        let refused = if tasks.iter().any(|t| same_task(t) && t.ended.is_none()) {
+        let rejection = if tasks.iter().any(|t| same_task(t) && t.ended.is_none()) {
             Some(ExitReason::InUse)
         } else if !self.has_free_cpus(at, &task) {
             Some(ExitReason::Full)
@@ -332,9 +344,9 @@
             fetch_ms,
             left_ms,
             save_ms: None,
-            ended: refused,
+            ended: rejection,
         });
-        if refused.is_none() && fetch_ms == 0 {
+        if rejection.is_none() && fetch_ms == 0 {
             self.record_start(at, task);
         }
     }
@@ -353,15 +365,15 @@
 
     /// Whether a machine has enough free CPUs for a task. Tasks that fetch their image count as running.
     pub(super) fn has_free_cpus(&self, at: usize, task: &str) -> bool {
-        let w = &self.workers[at];
+        let worker = &self.workers[at];
         let cpus = |task: &str| self.specs.get(job_of(task)).map_or(0.0, |s| s.cpus);
-        let open = w.tasks.iter().filter(|t| t.ended.is_none());
-        let used: f64 = open.map(|t| cpus(&t.task)).sum();
+        let not_ended = worker.tasks.iter().filter(|t| t.ended.is_none());
+        let used: f64 = not_ended.map(|t| cpus(&t.task)).sum();
         let machine_types = catalog().machine_types;
         let machine_type = machine_types
             .iter()
-            .find(|f| f.name == w.machine.machine_type);
-        machine_type.is_none_or(|f| used + cpus(task) <= f.cpus + 1e-6)
+            .find(|m| m.name == worker.machine.machine_type);
+        machine_type.is_none_or(|m| used + cpus(task) <= m.cpus + 1e-6)
     }
 
     /// Records the start of a task whose image is fetched, and checks the invariants of its start.
@@ -371,7 +383,7 @@
         let job = job_of(&task);
         self.check_placement(at, job);
         let predecessors = self.predecessors.get(job).into_iter().flatten();
-        if let Some(unfinished) = predecessors.clone().find(|a| !self.is_done(a)) {
+        if let Some(unfinished) = predecessors.clone().find(|job| !self.is_done(job)) {
             let what = format!("too_early: {task} starts before {unfinished} is done");
             self.violations.push(what);
         }
@@ -380,7 +392,7 @@
 
     /// Number of tasks that have been launched and have not ended.
     pub fn running_task_count(&self) -> usize {
-        let tasks = self.workers.iter().flat_map(|w| &w.tasks);
+        let tasks = self.workers.iter().flat_map(|worker| &worker.tasks);
         tasks.filter(|t| t.ended.is_none()).count()
     }
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! Deterministic simulation of several controllers on a fake clock with seeded random numbers. The
-//! state service, the cloud, the workers and the network are in-memory fakes.
+//! key-value store, the cloud, the workers and the network are in-memory fakes.
 #![allow(dead_code, reason = "each test program uses a part of this module")]
 
 use quillbend::clock::Timestamp;
@@ -33,7 +33,7 @@
 pub use store::FakeStore;
 pub use worker::{Task, Worker};
 
-/// Fault of the state service as one controller sees it.
+/// Fault of the key-value store as one controller sees it.
 #[derive(Clone, Copy, PartialEq)]
 pub enum StoreFault {
     None,
@@ -75,7 +75,7 @@
     workers_reachable: true,
 };
 
-/// The simulated cell: controllers, workers, state service, cloud and users, and the state of all checks.
+/// The simulated cell: controllers, workers, store, cloud and users, and the state of all checks.
 pub struct World {
     /// Simulated time, ms.
     pub now: u64,
@@ -100,15 +100,17 @@
     pub save_ms: u64,
     /// The cloud's machine lists are out of date by half of this to twice this time; 0 if they are current.
     pub list_lag_ms: u64,
-    /// Former machine lists of the cloud, each with its time.
+    /// Earlier machine lists of the cloud, each with its time.
     cloud_list_history: VecDeque<(u64, Vec<CloudMachine>)>,
     /// Specifications of all submitted jobs, by name.
     specs: HashMap<String, JobSpec>,
-    /// Completed tasks. Their results are kept, so a repeated start ends once its image is fetched.
+    /// Completed tasks. Their results are kept, so a task that is launched again ends soon after its image
+    /// is fetched.
     completed: BTreeSet<String>,
     /// Whether copies of some heartbeats are kept and delivered after a change of the leader.
     pub replays_heartbeats_to_next_leader: bool,
     heartbeats_to_replay: Vec<Heartbeat>,
+    /// Leader when kept heartbeats were last delivered.
     last_leader: Option<usize>,
     /// All starts of tasks: time, task, machine.
     pub starts: Vec<(u64, String, String)>,
@@ -116,6 +118,7 @@
     pub violations: Vec<String>,
     /// Names of the machines that were returned to the cloud.
     pub returned: BTreeSet<String>,
+    /// Number of the last job that [`World::submit_burst`] submitted.
     last_burst_job: u32,
     /// Jobs whose tasks fail on every machine.
     pub failing_jobs: BTreeSet<String>,
@@ -141,7 +144,7 @@
     /// Delays after which copies of each message between controllers arrive, ms.
     pub peer_message_copy_delays_ms: Vec<u64>,
     delayed_peer_messages: Vec<(u64, usize, PeerMessage)>,
-    /// Side of a network partition that each controller is on. Different sides cannot communicate.
+    /// Network partition that each controller is in. Controllers in different ones cannot communicate.
     pub partition_group: Vec<u8>,
     delayed_heartbeats: Vec<(u64, usize, Heartbeat)>,
     /// Machines whose delayed acks are due, because there are commands for them.
@@ -156,7 +159,7 @@
 /// The platform's settings that the tests use.
 pub const PLATFORM: &str = include_str!("platform.toml");
 
-/// Limits of the state service that the settings announce for the time after an upgrade.
+/// Limits of the store that the settings announce for the time after an upgrade.
 pub const ANNOUNCED_LIMITS: &str =
     "[settings.state.next]\nvalue_kb = 1.5\ntxn_ops = 4\nwrite_rps = 18.0\n";
 
@@ -175,7 +178,7 @@
     }
 
     /// Creates a cell in which all controllers run the previous version and the settings announce the
-    /// limits that the state service will have after the upgrade.
+    /// limits that the store will have after the upgrade.
     pub fn before_upgrade(seed: u64, controllers: usize, machines: usize) -> World {
         let platform = PLATFORM.replace(
             "txn_ops = 12\n",
@@ -260,7 +263,7 @@
     }
 
     /// Creates a cell and runs it until there is a leader and every machine has a holder.
-    pub fn settled(seed: u64, controllers: usize, machines: usize) -> World {
+    pub fn with_holders(seed: u64, controllers: usize, machines: usize) -> World {
         let mut w = World::with_size(seed, controllers, machines);
         w.run_until(5000, "there is a leader", |w| w.leader().is_some());
         w.run_until(8000, "every machine has a holder", |w| {
@@ -271,10 +274,10 @@
         w
     }
 
-    /// Creates a settled cell in which all 12 tasks of a job run for `run_ms` each. Tasks that are
-    /// launched later run for 8 s.
+    /// Creates a cell like [`World::with_holders`] in which all 12 tasks of a job run, each for `run_ms`.
+    /// Tasks that are launched later run for 8 s.
     pub fn with_running_job(seed: u64, controllers: usize, run_ms: u64) -> (World, String) {
-        let mut w = World::settled(seed, controllers, 8);
+        let mut w = World::with_holders(seed, controllers, 8);
         w.run(3000);
         let job = w.start_job(run_ms, 12);
         w.run_ms = 8000;
@@ -332,22 +335,22 @@
                 self.step_controller(i);
             }
         }
-        for w in 0..self.workers.len() {
-            self.step_worker(w);
+        for at in 0..self.workers.len() {
+            self.step_worker(at);
         }
         let paused: Vec<bool> = (0..self.controllers.len())
             .map(|i| self.is_paused(i))
             .collect();
-        let due = |at: u64, node: usize| at <= self.now && !paused[node];
+        let is_due = |at: u64, i: usize| at <= self.now && !paused[i];
         let due_messages: Vec<_> = self
             .delayed_peer_messages
-            .extract_if(.., |n| due(n.0, n.1))
+            .extract_if(.., |m| is_due(m.0, m.1))
             .collect();
-        let due = self.delayed_heartbeats.extract_if(.., |r| due(r.0, r.1));
-        for (_, node, heartbeat) in due.collect::<Vec<_>>() {
-            let _span = self.log_span(node).entered();
-            let (clock, origin) = (self.clock(node), self.origin(node));
-            if let Some(n) = self.controllers[node].as_mut() {
+        let due_heartbeats = self.delayed_heartbeats.extract_if(.., |h| is_due(h.0, h.1));
+        for (_, i, heartbeat) in due_heartbeats.collect::<Vec<_>>() {
+            let _span = self.log_span(i).entered();
+            let (clock, origin) = (self.clock(i), self.origin(i));
+            if let Some(process) = self.controllers[i].as_mut() {
                 tracing::debug!(
                     machine = heartbeat.machine,
                     token = heartbeat.token,
@@ -357,22 +360,22 @@
                 );
                 // The response to a copy is discarded.
                 let machine = heartbeat.machine.clone();
-                let reply = n.controller.on_heartbeat(heartbeat, clock);
-                digest::heartbeat_answer(origin, &machine, &reply);
+                let response = process.controller.on_heartbeat(heartbeat, clock);
+                digest::heartbeat_response(origin, &machine, &response);
             }
         }
-        for (_, node, message) in due_messages {
-            let (clock, origin) = (self.clock(node), self.origin(node));
-            if let Some(n) = self.controllers[node].as_mut() {
-                let answer = n.controller.respond_to_peer(message, clock);
-                digest::peer_answer(origin, &answer);
+        for (_, i, message) in due_messages {
+            let (clock, origin) = (self.clock(i), self.origin(i));
+            if let Some(process) = self.controllers[i].as_mut() {
+                let response = process.controller.respond_to_peer(message, clock);
+                digest::peer_response(origin, &response);
             }
         }
         self.digest_user_answers();
         self.check_invariants();
     }
 
-    /// Delivers the kept copies of heartbeats to all controllers once the leader has changed.
+    /// Delivers the kept copies of heartbeats to all controllers after each change of the leader.
     fn replay_heartbeats(&mut self) {
         if !self.replays_heartbeats_to_next_leader {
             return;
@@ -383,10 +386,10 @@
         }
         self.last_leader = leader;
         for heartbeat in std::mem::take(&mut self.heartbeats_to_replay) {
-            let after = self.rng.random_range(100..6000);
-            for node in 0..self.controllers.len() {
+            let delay_ms = self.rng.random_range(100..6000);
+            for i in 0..self.controllers.len() {
                 self.delayed_heartbeats
-                    .push((self.now + after, node, heartbeat.clone()));
+                    .push((self.now + delay_ms, i, heartbeat.clone()));
             }
         }
     }
--- a/tests/support/occupancy.rs
+++ b/tests/support/occupancy.rs
@@ -12,7 +12,7 @@
 
 /// Finds the first task that is on two machines. `present` lists each task that is on a machine now,
 /// with the machine's name, whether or not the machine is reachable. A task is on a machine from when
-/// its image is fetched until it exits, is killed or the machine is gone.
+/// its image is fetched until it exits, is killed or the machine disappears.
 pub fn find_duplicate_execution<'a>(
     present: impl Iterator<Item = (&'a str, &'a str)>,
 ) -> Option<DuplicateExecution> {
--- a/tests/support/scenarios.rs
+++ b/tests/support/scenarios.rs
@@ -5,7 +5,7 @@
 /// Size and limits of a deployment.
 struct Deployment {
     controllers: usize,
-    report_s: f64,
+    heartbeat_s: f64,
     lease_s: f64,
     cancel_s: f64,
     value_kb: f64,
@@ -16,7 +16,7 @@
 const DEPLOYMENTS: [Deployment; 4] = [
     Deployment {
         controllers: 3,
-        report_s: 2.0,
+        heartbeat_s: 2.0,
         lease_s: 12.0,
         cancel_s: 37.0,
         value_kb: 4.0,
@@ -24,7 +24,7 @@
     },
     Deployment {
         controllers: 3,
-        report_s: 3.0,
+        heartbeat_s: 3.0,
         lease_s: 19.0,
         cancel_s: 49.0,
         value_kb: 32.0,
@@ -32,7 +32,7 @@
     },
     Deployment {
         controllers: 5,
-        report_s: 5.0,
+        heartbeat_s: 5.0,
         lease_s: 26.5,
         cancel_s: 51.5,
         value_kb: 4.0,
@@ -40,7 +40,7 @@
     },
     Deployment {
         controllers: 3,
-        report_s: 5.0,
+        heartbeat_s: 5.0,
         lease_s: 26.5,
         cancel_s: 56.5,
         value_kb: 32.0,
@@ -107,7 +107,7 @@
 pub struct ScenarioPlan {
     pub seed: u64,
     pub machines: usize,
-    /// Number of faults.
+    /// Number of injected faults.
     pub faults: usize,
     /// Whether machines may restart under the same name.
     pub restarts: bool,
@@ -121,28 +121,28 @@
     /// Submitted jobs that have not been picked for cancellation.
     cancellation_candidates: Vec<String>,
     submitted: u32,
-    /// Injected events, from which a shorter test can be derived after a failure.
+    /// Cancellations and faults with their times, from which a shorter test can be derived after a failure.
     log: Vec<(u64, String)>,
 }
 
 /// Result of a scenario, which is the same for every run of one plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScenarioResult {
-    /// Revision of the state service at the end.
+    /// Revision of the store at the end.
     pub revision: u64,
     /// All starts of tasks: time, task, machine.
     pub starts: Vec<(u64, String, String)>,
 }
 
-/// Runs a scenario. On failure, returns the violated invariants and the events before them.
+/// Runs a scenario. On failure, returns the plan, some violated invariants and the events before them.
 pub fn run(plan: ScenarioPlan) -> Result<ScenarioResult, Vec<String>> {
     let mut scenario = Scenario::new(plan);
     for _ in 0..plan.faults {
         scenario.submit_random_jobs();
         scenario.maybe_cancel_job();
         scenario.inject_fault();
-        let pause = scenario.rng.random_range(100..6000);
-        scenario.world.run(pause);
+        let pause_ms = scenario.rng.random_range(100..6000);
+        scenario.world.run(pause_ms);
         if scenario.rng.random_bool(0.3) {
             scenario.log_event("heal".into());
             scenario.world.heal();
@@ -171,7 +171,7 @@
         let platform = PLATFORM
             .replace(
                 "report_s = 2.0",
-                &format!("report_s = {:?}", deployment.report_s),
+                &format!("report_s = {:?}", deployment.heartbeat_s),
             )
             .replace(
                 "lease_s = 12.0",
@@ -306,7 +306,7 @@
                 Fault::MachinesDisconnected => worker.disconnected = true,
                 Fault::MachinesLoseResponses => worker.loses_responses = true,
                 Fault::MachinesHang => worker.hung = true,
-                Fault::MachinesFailTasks => worker.fails_tasks = true,
+                Fault::MachinesFailTasks => worker.is_faulty = true,
                 Fault::SpotNotice => worker.reclaim_s = Some(20.0),
                 Fault::MachinesRestart => world.restart_machine(at),
                 _ => {
@@ -348,7 +348,7 @@
             }
             Fault::CloudDown => world.cloud_up = false,
             _ => world.workers.iter_mut().for_each(|w| {
-                (w.reaches_only, w.fails_tasks, w.reclaim_s) = (None, false, None);
+                (w.reaches_only, w.is_faulty, w.reclaim_s) = (None, false, None);
             }),
         }
     }
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! In-memory fake of the state service: a key-value store with revisions, leases and watches.
+//! In-memory fake of the key-value store, with revisions, leases and watches.
 
 use quillbend::controller::CommitOutcome;
 use quillbend::protocol::{Json, KeyValue, Mutation, Transaction, WatchEvent, WatchResponse};
@@ -10,7 +10,7 @@
     lease_id: Option<u64>,
 }
 
-/// The fake state service.
+/// The fake key-value store.
 #[derive(Default)]
 pub struct FakeStore {
     keys: BTreeMap<String, Key>,
@@ -18,10 +18,11 @@
     pub(super) history: Vec<WatchEvent>,
     /// Duration and end of each lease, ms.
     pub(super) leases: BTreeMap<u64, (u64, u64)>,
-    pub(super) next_lease: u64,
+    /// Id of the newest lease.
+    pub(super) last_lease_id: u64,
     /// Transactions to be committed later, each with its time.
     pub(super) delayed_commits: Vec<(u64, Transaction)>,
-    /// The service is out of reach for all controllers, and leases do not expire.
+    /// No controller can reach the store, and leases do not expire.
     pub unavailable: bool,
     /// Revision of the store at each time.
     pub(super) revision_history: Vec<(u64, u64)>,
@@ -29,7 +30,7 @@
     pub write_count: u64,
     /// Largest value in bytes and most mutations per transaction; None means no limits.
     pub size_limits: Option<(usize, usize)>,
-    /// Mutations accepted per second, and the budget that is left now.
+    /// Mutations accepted per second, and how many may be committed now; None means no limit.
     pub write_budget: Option<(f64, f64)>,
     /// Number of transactions rejected because they exceeded `size_limits`.
     pub too_large_count: u64,
@@ -49,17 +50,18 @@
             return CommitOutcome::Malformed;
         }
         if let Some((_, left)) = &mut self.write_budget {
-            let changes = transaction.mutations.len() as f64;
-            if *left < changes {
+            let mutations = transaction.mutations.len() as f64;
+            if *left < mutations {
                 return CommitOutcome::Refused;
             }
-            *left -= changes;
+            *left -= mutations;
         }
         for c in &transaction.mutations {
             if let Mutation::Put {
-                lease_id: Some(p), ..
+                lease_id: Some(lease_id),
+                ..
             } = c
-                && !self.leases.contains_key(p)
+                && !self.leases.contains_key(lease_id)
             {
                 return CommitOutcome::NoLease;
             }
@@ -124,11 +126,11 @@
 
     /// Number of puts to keys with this prefix.
     pub fn put_count(&self, prefix: &str) -> usize {
-        let of = |n: &&WatchEvent| n.put.as_ref().is_some_and(|k| k.starts_with(prefix));
-        self.history.iter().filter(of).count()
+        let has_prefix = |n: &&WatchEvent| n.put.as_ref().is_some_and(|k| k.starts_with(prefix));
+        self.history.iter().filter(has_prefix).count()
     }
 
-    /// Drops the history of changes. Every watch must have delivered them.
+    /// Drops the history of changes to free memory. Every watch must have delivered them.
     pub fn clear_history(&mut self) {
         self.history = Vec::new();
         self.revision_history = Vec::new();
@@ -151,10 +153,12 @@
         self.keys.get(key).and_then(|k| k.value.decode().ok())
     }
 
+    /// Revision of the last change of a key; 0 if it does not exist.
     pub fn mod_revision(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |k| k.mod_revision)
     }
 
+    /// All items with this key prefix, and the revision.
     pub fn list(&self, prefix: &str) -> (Vec<KeyValue>, u64) {
         let items = self.keys.iter().filter(|(k, _)| k.starts_with(prefix));
         let items = items.map(|(k, key)| KeyValue {
@@ -165,8 +169,9 @@
         (items.collect(), self.revision)
     }
 
+    /// Changes after revision `after` to keys with this prefix.
     pub fn events(&self, prefix: &str, after: u64) -> WatchResponse {
-        let of = |n: &&WatchEvent| {
+        let is_watched = |n: &&WatchEvent| {
             n.mod_revision > after
                 && n.put
                     .as_ref()
@@ -175,15 +180,16 @@
         };
         WatchResponse {
             revision: self.revision,
-            events: self.history.iter().filter(of).cloned().collect(),
+            events: self.history.iter().filter(is_watched).cloned().collect(),
         }
     }
 
+    /// Grants a lease that expires `duration_ms` after `now` and returns its id.
     pub fn grant_lease(&mut self, duration_ms: u64, now: u64) -> u64 {
-        self.next_lease += 1;
+        self.last_lease_id += 1;
         self.leases
-            .insert(self.next_lease, (duration_ms, now + duration_ms));
-        self.next_lease
+            .insert(self.last_lease_id, (duration_ms, now + duration_ms));
+        self.last_lease_id
     }
 
     /// Renews a lease; false if it has expired.
@@ -197,20 +203,20 @@
         }
     }
 
-    /// Changes after revision `after` that had been committed by this time.
-    pub fn events_by(&self, prefix: &str, after: u64, moment: u64) -> WatchResponse {
-        let at = self.revision_history.partition_point(|m| m.0 <= moment);
-        let revision = self.revision_history[..at]
+    /// Changes after revision `after` to keys with this prefix that had been committed at `time_ms`.
+    pub fn events_committed_by(&self, prefix: &str, after: u64, time_ms: u64) -> WatchResponse {
+        let count = self.revision_history.partition_point(|m| m.0 <= time_ms);
+        let revision = self.revision_history[..count]
             .last()
             .map_or(0, |m| m.1)
             .max(after);
-        let mut list = self.events(prefix, after);
-        list.events.retain(|n| n.mod_revision <= revision);
-        list.revision = revision;
-        list
+        let mut response = self.events(prefix, after);
+        response.events.retain(|n| n.mod_revision <= revision);
+        response.revision = revision;
+        response
     }
 
-    /// Advances the clock: commits due delayed transactions and expires leases.
+    /// Advances the clock: commits delayed transactions that are due and expires leases.
     pub fn advance_to(&mut self, now: u64) {
         self.revision_history.push((now, self.revision));
         if let Some((rate, left)) = &mut self.write_budget {
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -7,13 +7,14 @@
 };
 
 impl World {
-    /// Submits eight urgent tasks per second, more than a team's quota allows to run, for some seconds.
+    /// For some seconds, submits a job of eight urgent tasks per second, more than the team's quota allows
+    /// to run.
     pub fn submit_burst(&mut self, seconds: u32) {
         for _ in 0..seconds {
             self.last_burst_job += 1;
-            let mut urgent = self.spec(8);
-            urgent.priority = Priority::Urgent;
-            self.submit(self.last_burst_job, urgent);
+            let mut spec = self.spec(8);
+            spec.priority = Priority::Urgent;
+            self.submit(self.last_burst_job, spec);
             self.run(1000);
         }
     }
@@ -41,7 +42,7 @@
         job
     }
 
-    /// Specification of an ordinary job with this many tasks.
+    /// Specification of a batch job of team blue with this many tasks of one CPU.
     pub fn spec(&self, task_count: u32) -> JobSpec {
         JobSpec {
             class: "nightly".into(),
@@ -96,18 +97,18 @@
         {
             return None;
         }
-        let known_states = predecessors.iter().map(|a| {
-            let shown = controller.replica.predecessor_state(a);
-            let archived = || match self.job_record(a).map(|j| j.status) {
+        let known_states = predecessors.iter().map(|predecessor| {
+            let in_replica = controller.replica.predecessor_state(predecessor);
+            let archived = || match self.job_record(predecessor).map(|j| j.status) {
                 Some(JobStatus::Done) => PredecessorState::Done,
                 Some(JobStatus::Cancelled) => PredecessorState::Cancelled,
                 _ => PredecessorState::NotInReplica,
             };
-            let known = match shown {
+            let known = match in_replica {
                 PredecessorState::NotInReplica => archived(),
-                shown => shown,
+                in_replica => in_replica,
             };
-            (a.clone(), known)
+            (predecessor.clone(), known)
         });
         let registered_spec = spec.clone();
         let record = jobs::new_record(spec, self.now);
@@ -121,8 +122,9 @@
         let CommitOutcome::Done(revision) = self.store.commit(&transaction) else {
             return None;
         };
-        if let Some(node) = &mut self.controllers[i] {
-            node.controller
+        if let Some(process) = &mut self.controllers[i] {
+            process
+                .controller
                 .replica
                 .apply_own_commit(&transaction, revision);
         }
@@ -159,11 +161,11 @@
     /// Earliest time at which a direct or transitive predecessor of a job was cancelled.
     pub(super) fn predecessor_cancelled_at(&self, name: &str) -> Option<u64> {
         let predecessors = self.predecessors.get(name)?;
-        let since = predecessors.iter().filter_map(|a| {
-            let own = self.cancelled_at.get(a).copied();
-            own.or_else(|| self.predecessor_cancelled_at(a))
+        let times = predecessors.iter().filter_map(|predecessor| {
+            let own = self.cancelled_at.get(predecessor).copied();
+            own.or_else(|| self.predecessor_cancelled_at(predecessor))
         });
-        since.min()
+        times.min()
     }
 
     /// Stored value of a job that waits for its predecessors.
@@ -171,11 +173,12 @@
         serde_json::from_value(self.store.value(&waiting_key(name))?).ok()
     }
 
-    /// Cancels a job. Controllers learn of it from their watch.
+    /// Cancels a job. Controllers receive the change through their watches.
     pub fn cancel(&mut self, name: &str) -> CommitOutcome {
         self.commit_cancellation(name).1
     }
 
+    /// Commits the cancellation of a job. Returns the transaction and its outcome.
     pub(super) fn commit_cancellation(&mut self, name: &str) -> (Transaction, CommitOutcome) {
         let transaction = match self.waiting_record(name) {
             Some(record) => {
@@ -220,12 +223,12 @@
         if replica.revision < self.store.revision() {
             return None;
         }
-        let known = replica
+        let in_replica = replica
             .names
             .jobs
             .get(name)
             .and_then(|job_id| replica.job_status(job_id));
-        let status = match known {
+        let status = match in_replica {
             Some(status) => status,
             None => self.job_record(name)?.status,
         };
@@ -242,7 +245,7 @@
     }
 
     /// Checks that a reported final state never changes and that a job is reported as done only when all
-    /// of its tasks are.
+    /// of its tasks are recorded as done.
     pub(super) fn check_status_answer(&mut self, name: &str, status: JobStatus) {
         if let Some(before) = self.last_final_answer.get(name).filter(|b| **b != status) {
             self.violations
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -8,10 +8,11 @@
     pub attempt: u64,
     /// Time until the image is fetched, ms.
     pub fetch_ms: u64,
-    /// Run time left after the image is fetched, ms.
+    /// Remaining run time, which counts down once the image is fetched, ms.
     pub left_ms: u64,
     /// Time until the progress is saved, ms; set when the task is stopped.
     pub save_ms: Option<u64>,
+    /// Why the task ended; None while it fetches, runs or saves.
     pub ended: Option<ExitReason>,
 }
 
@@ -49,6 +50,7 @@
 /// A simulated machine with its worker.
 pub struct Worker {
     pub machine: CloudMachine,
+    /// When the machine has booted; before that, the worker does nothing.
     pub up_at: u64,
     pub worker_epoch: u64,
     pub sequence: u64,
@@ -57,7 +59,7 @@
     /// Controller to which the worker sends its heartbeats.
     pub current_controller: usize,
     pub(super) next_heartbeat_at: u64,
-    /// No heartbeat is sent before this time, because the worker waits for a response.
+    /// No heartbeat is sent before this time, when the wait for a missing response ends.
     pub(super) silent_until: u64,
     /// When the last acknowledged heartbeat was sent.
     pub(super) last_acked_at: u64,
@@ -71,8 +73,8 @@
     pub hung: bool,
     /// The only controller that the worker can reach, if set.
     pub reaches_only: Option<usize>,
-    /// All tasks that end on this machine fail.
-    pub fails_tasks: bool,
+    /// Every task that ends on this machine ends with an error.
+    pub is_faulty: bool,
     /// Announced time until the cloud reclaims the machine, s.
     pub reclaim_s: Option<f64>,
 }
