--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,6 +1,6 @@
 //! Tests of rolling upgrades: two versions run side by side on the same data, and the store lowers its limits
-//! afterwards. The old version is this code, restricted to the stored formats and the behaviour of the old
-//! version; the bench runs the real one.
+//! afterwards. The previous version is this code, restricted to the stored formats and the behaviour of that
+//! version; the test bench runs the real one.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use rand::{Rng, SeedableRng};
 use support::{StoreFault, World};
 
-/// Stops a controller for `away_ms` and restarts it in the new version.
+/// Stops a controller for `away_ms` and restarts it in the current version.
 fn upgrade(w: &mut World, i: usize, away_ms: u64) {
     w.crash(i);
     w.run(away_ms);
@@ -26,11 +26,11 @@
     w.store.size_limits = Some(((limits.value_kb * 1024.0) as usize, limits.txn_ops));
 }
 
-/// A world of controllers in the old version with a leader, in which every machine has a holder.
-fn settled_before_upgrade(seed: u64, controllers: usize, machines: usize) -> World {
+/// A world of controllers in the previous version with a leader, in which every machine has a holder.
+fn before_upgrade_with_holders(seed: u64, controllers: usize, machines: usize) -> World {
     let mut w = World::before_upgrade(seed, controllers, machines);
     w.run_until(5000, "there is a leader", |w| w.leader().is_some());
-    w.run_until(8000, "every machine is held", |w| {
+    w.run_until(8000, "every machine has a holder", |w| {
         w.workers
             .iter()
             .all(|m| w.holder(&m.machine.name).is_some())
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn dependent_jobs_are_accepted_once_no_controller_of_an_old_version_is_alive() {
-    let mut w = settled_before_upgrade(1, 3, 6);
+fn dependent_jobs_are_accepted_once_no_controller_of_the_previous_version_is_alive() {
+    let mut w = before_upgrade_with_holders(1, 3, 6);
     w.run_ms = 60_000;
     let first = w.submit(1, w.spec(2));
     w.run(500);
@@ -57,7 +57,7 @@
     });
     w.run(300);
     let second = w.submit_dependent(2, w.spec(1), &[&first]);
-    // A controller that runs the old version again for a while does not revert the recorded format.
+    // A controller that runs the previous version again for a while does not revert the recorded format.
     w.crash(1);
     w.runs_previous_version[1] = true;
     w.start(1);
@@ -72,14 +72,14 @@
 
 #[test]
 fn a_new_deployment_accepts_dependent_jobs_at_once_and_an_incomplete_upgrade_accepts_them_later() {
-    let mut w = World::settled(2, 3, 4);
+    let mut w = World::with_holders(2, 3, 4);
     w.crash(2);
     let first = w.submit(1, w.spec(1));
     let before = w.now;
     w.submit_dependent(2, w.spec(1), &[&first]);
     assert!(w.now - before < 1000);
     // In an upgrade, one controller never restarts.
-    let mut w = settled_before_upgrade(3, 3, 4);
+    let mut w = before_upgrade_with_holders(3, 3, 4);
     w.crash(2);
     for i in 0..2 {
         upgrade(&mut w, i, 1000);
@@ -90,7 +90,7 @@
     assert_eq!(
         w.try_submit_dependent(0, 2, w.spec(1), &[first]),
         None,
-        "the missing controller may restart in the old version"
+        "the missing controller may restart in the previous version"
     );
     w.run_until(120_000, "the format is recorded", |w| {
         w.store.value(FORMAT_KEY).is_some()
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn waiting_jobs_are_kept_during_a_return_to_the_old_version_and_start_after_it() {
+fn waiting_jobs_are_kept_during_a_rollback_to_the_previous_version_and_start_after_it() {
     let mut w = World::before_upgrade(4, 3, 6);
     w.runs_previous_version = vec![false; 3];
     (0..3).for_each(|i| w.start(i));
@@ -107,7 +107,7 @@
     w.run_ms = 3000;
     let first = w.submit(1, w.spec(1));
     let second = w.submit_dependent(2, w.spec(2), &[&first]);
-    // All controllers run the old version again, which does not read the waiting job.
+    // All controllers run the previous version again, which does not read the waiting job.
     for i in 0..3 {
         w.crash(i);
         w.runs_previous_version[i] = true;
@@ -127,15 +127,15 @@
 fn running_and_new_jobs_finish_during_a_rolling_upgrade() {
     for seed in 5..8 {
         let controllers = [3, 5][seed as usize % 2];
-        let mut w = settled_before_upgrade(seed, controllers, 8);
+        let mut w = before_upgrade_with_holders(seed, controllers, 8);
         w.run(2000);
         let long = w.start_job(60_000, 10);
         w.run_ms = 6000;
         let mut jobs = vec![long];
         for i in 0..controllers {
-            let mut red = w.spec(5);
-            red.team = "red".into();
-            jobs.push(w.submit(10 + i as u32, red));
+            let mut red_job = w.spec(5);
+            red_job.team = "red".into();
+            jobs.push(w.submit(10 + i as u32, red_job));
             upgrade(&mut w, i, 2000);
             w.run(3000);
         }
@@ -153,7 +153,7 @@
 #[test]
 fn blocks_larger_than_the_new_limit_are_split_and_their_tasks_run_on() {
     // Many jobs of one small task each make the values of blocks large.
-    let mut w = settled_before_upgrade(8, 3, 30);
+    let mut w = before_upgrade_with_holders(8, 3, 30);
     w.cloud_up = false;
     w.run_ms = 120_000;
     let mut jobs = Vec::new();
@@ -166,25 +166,26 @@
     w.run_until(60_000, "all 460 tasks run", |w| {
         w.running_task_count() == 460
     });
-    let most = w.settings.max_value_bytes();
+    let limit = w.settings.max_value_bytes();
     let largest = |w: &World| {
         let blocks = w.store.list("qb/block/").0;
         blocks.iter().map(|b| b.value.size()).max().unwrap_or(0)
     };
     assert!(
-        largest(&w) > most,
+        largest(&w) > limit,
         "the largest block has {} bytes: no block exceeds the limit",
         largest(&w)
     );
     let running = w.running_task_count();
-    // At first only the holders run the new version, and an old leader grants the blocks that they split.
-    let leader = w.leader().expect("a leader");
+    // At first only the holders run the current version, and a leader on the previous version grants the
+    // blocks that they split.
+    let leader = w.leader().expect("there is a leader");
     for i in (0..3).filter(|i| *i != leader) {
         upgrade(&mut w, i, 800);
     }
     w.run(4000);
     upgrade(&mut w, leader, 800);
-    w.run_until(15_000, "all blocks fit", |w| largest(w) <= most);
+    w.run_until(15_000, "all blocks fit", |w| largest(w) <= limit);
     enforce_announced_limits(&mut w);
     assert!(
         w.running_task_count() + 60 > running,
@@ -208,7 +209,7 @@
 
 /// A world of two controllers of this version, one of which leads, and one controller that reads no format
 /// after format 2; with a job of 900 small tasks and machines for half of them.
-fn large_job_with_an_older_controller(max_written_format: f64) -> (World, String) {
+fn large_job_with_a_controller_on_the_previous_version(max_written_format: f64) -> (World, String) {
     let mut w = World::before_upgrade(9, 3, 30);
     w.settings.options.max_written_format = max_written_format;
     w.previous_format = DEPENDENCIES_FORMAT;
@@ -238,7 +239,7 @@
 
 #[test]
 fn small_blocks_are_merged_and_tasks_on_their_machines_run_on() {
-    let mut w = settled_before_upgrade(12, 3, 130);
+    let mut w = before_upgrade_with_holders(12, 3, 130);
     w.cloud_up = false;
     // The announced write rate is too low for this many blocks.
     w.settings.platform.settings.state.write_rps = 8.0;
@@ -268,7 +269,7 @@
 
 #[test]
 fn machines_keep_their_tasks_when_their_block_is_merged_into_one_with_a_higher_token() {
-    let mut w = settled_before_upgrade(15, 3, 130);
+    let mut w = before_upgrade_with_holders(15, 3, 130);
     w.cloud_up = false;
     w.run_ms = 200_000;
     w.settings.platform.settings.state.write_rps = 8.0;
@@ -280,18 +281,18 @@
         upgrade(&mut w, i, 500);
         w.run(2000);
     }
-    // The last controller of the old version does not restart. Its blocks are granted again, under higher
-    // tokens than those of the other blocks, before any block may be merged.
+    // The last controller of the previous version does not restart. Its blocks are granted again, under
+    // higher tokens than those of the other blocks, before any block may be merged.
     w.crash(2);
     let before = used_block_count(&w);
     w.run(30_000);
     assert_eq!(
         used_block_count(&w),
         before,
-        "blocks were merged although the old version may be back"
+        "blocks were merged although the previous version may be back"
     );
     w.run_until(90_000, "blocks are merged", |w| used_block_count(w) <= 6);
-    // This is longer than a worker's lease: if workers ignored acknowledgements, their tasks would have ended.
+    // This exceeds a worker's lease: if workers ignored acknowledgements, their tasks would have ended.
     w.run(20_000);
     assert_eq!(w.running_task_count(), 200, "a running task was lost");
     assert_eq!(w.starts.len(), 200, "a task was started twice");
@@ -302,12 +303,12 @@
 
 /// The most tasks that run at once within the next 20 s.
 fn max_running_tasks(w: &mut World) -> usize {
-    let mut most = 0;
+    let mut max_running = 0;
     for _ in 0..200 {
         w.run(100);
-        most = most.max(w.running_task_count());
+        max_running = max_running.max(w.running_task_count());
     }
-    most
+    max_running
 }
 
 /// Whether a job's done tasks are stored as a bitmap.
@@ -318,7 +319,7 @@
 
 #[test]
 fn a_large_job_uses_the_whole_fleet_once_every_controller_reads_bitmaps() {
-    let (mut w, job) = large_job_with_an_older_controller(3.0);
+    let (mut w, job) = large_job_with_a_controller_on_the_previous_version(3.0);
     // Values within the announced limits have room for only so many ranges of done tasks.
     let few = max_running_tasks(&mut w);
     assert!((100..160).contains(&few), "{few}");
@@ -338,8 +339,8 @@
 }
 
 #[test]
-fn operators_can_hold_the_format_back_and_return_to_the_older_version() {
-    let (mut w, job) = large_job_with_an_older_controller(2.0);
+fn operators_can_hold_the_format_back_and_roll_back_to_the_previous_version() {
+    let (mut w, job) = large_job_with_a_controller_on_the_previous_version(2.0);
     upgrade(&mut w, 2, 500);
     let few = max_running_tasks(&mut w);
     assert!((100..160).contains(&few), "{few}");
@@ -361,7 +362,7 @@
 #[test]
 fn jobs_with_values_above_the_new_limit_finish_or_can_be_cancelled() {
     for cancelled in [false, true] {
-        let mut w = settled_before_upgrade(10, 3, 4);
+        let mut w = before_upgrade_with_holders(10, 3, 4);
         w.run_ms = 3000;
         let mut spec = w.spec(4);
         let machine_types = (0..120).map(|n| format!("a-type-that-is-no-longer-sold-{n}"));
@@ -423,10 +424,10 @@
                 None => w.submit(n + 1, spec),
             };
             jobs.push(job);
-            let at = rng.random_range(0..3);
+            let i = rng.random_range(0..3);
             match rng.random_range(0..8) {
-                0 => w.crash(at),
-                1 => w.links[at].store_fault = StoreFault::Intermittent,
+                0 => w.crash(i),
+                1 => w.links[i].store_fault = StoreFault::Intermittent,
                 2 => w.heal(),
                 _ => {}
             }
@@ -445,9 +446,9 @@
 fn random_faults_during_an_upgrade_with_dependent_jobs_violate_no_invariant() {
     for seed in 20..28 {
         let controllers = [3, 5][seed as usize % 2];
-        let mut w = settled_before_upgrade(seed, controllers, 10);
+        let mut w = before_upgrade_with_holders(seed, controllers, 10);
         if seed % 4 < 2 {
-            // The older version is the one that already supports dependent jobs.
+            // The previous version is one that already supports dependent jobs.
             w.previous_format = DEPENDENCIES_FORMAT;
             (0..controllers).for_each(|i| w.start(i));
             w.run(3000);
@@ -471,13 +472,13 @@
                 spec.priority = Priority::Urgent;
             }
             spec.team = ["blue", "red"][n as usize % 2].into();
-            let named: Vec<String> = (0..rng.random_range(0..3))
+            let predecessors: Vec<String> = (0..rng.random_range(0..3))
                 .filter_map(|_| jobs.get(rng.random_range(0..jobs.len().max(1))).cloned())
                 .collect();
-            let at = rng.random_range(0..controllers);
-            let accepted = match named.is_empty() {
+            let i = rng.random_range(0..controllers);
+            let accepted = match predecessors.is_empty() {
                 true => Some(w.submit(n + 1, spec)),
-                false => w.try_submit_dependent(at, n + 1, spec, &named),
+                false => w.try_submit_dependent(i, n + 1, spec, &predecessors),
             };
             if let Some(job) = accepted {
                 jobs.push(job);
@@ -489,13 +490,13 @@
                 w.cancel(&job);
                 cancelled_jobs.push(job);
             }
-            let at = rng.random_range(0..controllers);
+            let i = rng.random_range(0..controllers);
             match rng.random_range(0..10) {
-                // A controller that crashes before its upgrade restarts in the old version.
-                0 => w.crash(at),
-                1 => w.links[at].store_fault = StoreFault::Intermittent,
-                2 => w.links[at].peers_reachable = false,
-                3 => w.pause(at, rng.random_range(500..5000)),
+                // A controller that crashes before its upgrade restarts in the previous version.
+                0 => w.crash(i),
+                1 => w.links[i].store_fault = StoreFault::Intermittent,
+                2 => w.links[i].peers_reachable = false,
+                3 => w.pause(i, rng.random_range(500..5000)),
                 4 | 5 => w.heal(),
                 _ => {}
             }
@@ -507,12 +508,12 @@
             upgrade(&mut w, i, 500);
         }
         enforce_announced_limits(&mut w);
-        let ended = |w: &World, j: &String| {
+        let is_final = |w: &World, j: &String| {
             w.job_record(j)
                 .is_some_and(|r| r.status != JobStatus::Pending)
         };
         w.run_until(300_000, "all jobs have their final state", |w| {
-            jobs.iter().all(|j| ended(w, j))
+            jobs.iter().all(|j| is_final(w, j))
         });
         let polled_jobs = jobs.clone();
         w.run_polling(5000, &polled_jobs);
@@ -523,7 +524,7 @@
 
 #[test]
 fn a_version_older_than_the_stored_format_does_nothing_and_reports_it() {
-    let mut w = World::settled(13, 3, 4);
+    let mut w = World::with_holders(13, 3, 4);
     w.run_ms = 3000;
     let before = w.submit(1, w.spec(2));
     w.run_until(20_000, "the job is done", |w| w.is_done(&before));
@@ -549,12 +550,12 @@
 
 #[test]
 fn an_unreadable_value_is_kept_and_shown_on_the_status_page() {
-    let mut w = World::settled(14, 3, 4);
+    let mut w = World::with_holders(14, 3, 4);
     w.run_ms = 3000;
     let unreadable_job = w.submit(1, w.spec(2));
     let other = w.submit(2, w.spec(2));
     let unknown = serde_json::json!({ "s": "of a later version", "st": "pending" });
-    // The tasks of the unreadable job end. Recording that must not keep other completions from being recorded.
+    // The tasks of the unreadable job end. Recording this must not keep other completions from being recorded.
     w.run_until(20_000, "all tasks run", |w| w.running_task_count() == 4);
     w.store.overwrite(&job_key(&unreadable_job), &unknown);
     w.run_until(20_000, "the other job is done", |w| w.is_done(&other));
