--- a/tests/behaviour_digest.rs
+++ b/tests/behaviour_digest.rs
@@ -260,7 +260,7 @@
     cells.heal();
     cells.run(60_000);
     let violations = cells.cells.iter().flat_map(|world| &world.violations);
-    // A launch may be in flight when the end of its job is recorded.
+    // A launch that is in flight when the end of its job is recorded violates no invariant.
     let violations =
         violations.filter(|violation| !violation.ends_with("is launched after its job is done"));
     violations.chain(&cells.violations).cloned().collect()
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -394,7 +394,7 @@
 #[test]
 fn a_needed_predecessor_is_not_archived_and_survives_a_restart_of_all_controllers() {
     let mut w = World::with_holders(22, 3, 6);
-    // Finished jobs are archived at once, also while other jobs wait to run.
+    // Finished jobs are archived at once, even while other jobs wait to run.
     w.settings.options.max_final_jobs = 0.0;
     (0..3).for_each(|i| w.start(i));
     w.run(8000);
--- a/tests/network_faults_and_restarts.rs
+++ b/tests/network_faults_and_restarts.rs
@@ -180,7 +180,7 @@
     let at = machines_with_tasks(&w)[0];
     let removed = w.workers.remove(at).machine.name;
     // The machine disappears without notice, and the leader that knew it restarts.
-    let leader = w.leader().expect("machine_id is a leader");
+    let leader = w.leader().expect("there is a leader");
     w.crash(leader);
     w.run(2000);
     w.start(leader);
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -211,7 +211,8 @@
         w.crash(leader);
         w.run(9000);
         w.start(leader);
-        // Within their lease the machines run on, whatever was decided in the meantime.
+        // The machines are reachable again within their lease, so their tasks run on, whatever controllers
+        // decided in the meantime.
         affected.iter().for_each(|&at| {
             w.workers[at].loses_responses = false;
             w.workers[at].disconnected = false;
@@ -639,7 +640,7 @@
                 w.poll_status(i, &job);
             }
         }
-        // The stored record makes a repeated submission fail, also after the job was archived.
+        // The stored record makes a repeated submission fail, even after the job was archived.
         let again = quillbend::jobs::new_record(w.spec(2), w.now);
         let again = w
             .store
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -479,7 +479,7 @@
 }
 
 #[test]
-fn a_machine_on_which_every_task_ends_with_an_error_is_quarantined_and_replaced() {
+fn a_faulty_machine_is_quarantined_and_replaced() {
     let mut w = world_with_holders(18, 6);
     let first = w.submit(1, w.spec(16));
     w.run_until(60_000, "the job is done", |w| w.is_done(&first));
@@ -495,7 +495,7 @@
 }
 
 #[test]
-fn a_job_whose_tasks_end_with_an_error_on_every_machine_does_not_quarantine_the_fleet() {
+fn a_failing_job_does_not_quarantine_the_fleet() {
     let mut w = world_with_holders(19, 4);
     w.workers.iter_mut().for_each(|m| m.is_faulty = true);
     w.submit(1, w.spec(2));
--- a/tests/spillover.rs
+++ b/tests/spillover.rs
@@ -583,7 +583,7 @@
         .iter()
         .flat_map(|w| w.violations.iter())
         .chain(&c.violations);
-    // A launch may be in flight when the end of its job is recorded.
+    // A launch that is in flight when the end of its job is recorded violates no invariant.
     let mut violations: Vec<String> = all
         .filter(|v| !v.ends_with("is launched after its job is done"))
         .cloned()
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -79,9 +79,9 @@
         self.leader_among(0..self.controllers.len())
     }
 
-    /// The leader, ignoring a former leader `old` that may not have noticed its replacement.
-    pub fn leader_except(&self, old: usize) -> Option<usize> {
-        self.leader_among((0..self.controllers.len()).filter(|&i| i != old))
+    /// The leader, ignoring a former leader that may not have noticed its replacement.
+    pub fn leader_except(&self, former_leader: usize) -> Option<usize> {
+        self.leader_among((0..self.controllers.len()).filter(|&i| i != former_leader))
     }
 
     pub(super) fn leader_among(
@@ -95,9 +95,9 @@
         })
     }
 
-    /// Whether a controller other than `old` holds this machine.
-    pub fn is_held_by_other_than(&self, old: usize, machine: &str) -> bool {
-        let others = (0..self.controllers.len()).filter(|&i| i != old);
+    /// Whether a controller other than `excluded` holds this machine.
+    pub fn is_held_by_other_than(&self, excluded: usize, machine: &str) -> bool {
+        let others = (0..self.controllers.len()).filter(|&i| i != excluded);
         self.holder_among(others, machine).is_some()
     }
 
--- a/tests/support/machines.rs
+++ b/tests/support/machines.rs
@@ -121,11 +121,11 @@
             t.left_ms = t.left_ms.saturating_sub(100);
             if t.left_ms == 0 {
                 let job = job_of(&t.task);
-                let fails = worker.is_faulty || self.failing_jobs.contains(job);
-                if !fails {
+                let failed = worker.is_faulty || self.failing_jobs.contains(job);
+                if !failed {
                     self.completed.insert(t.task.clone());
                 }
-                t.ended = Some(if fails {
+                t.ended = Some(if failed {
                     ExitReason::Error
                 } else {
                     ExitReason::Done
--- a/tests/support/scenarios.rs
+++ b/tests/support/scenarios.rs
@@ -134,7 +134,8 @@
     pub starts: Vec<(u64, String, String)>,
 }
 
-/// Runs a scenario. On failure, returns the plan, some violated invariants and the events before them.
+/// Runs a scenario. On failure, returns the plan, the first violated invariants and the events before
+/// them.
 pub fn run(plan: ScenarioPlan) -> Result<ScenarioResult, Vec<String>> {
     let mut scenario = Scenario::new(plan);
     for _ in 0..plan.faults {
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Changes after revision `after` to keys with this prefix that had been committed at `time_ms`.
+    /// Changes after revision `after` to keys with this prefix that had been committed by `time_ms`.
     pub fn events_committed_by(&self, prefix: &str, after: u64, time_ms: u64) -> WatchResponse {
         let count = self.revision_history.partition_point(|m| m.0 <= time_ms);
         let revision = self.revision_history[..count]
