--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,4 +1,5 @@
-//! Failover of the leader with 4,000 machines, the largest fleet in use.
+//! Failover of the leader with 4,000 machines, the largest fleet in use. Every machine must have a holder
+//! again before its worker's lease expires, so that no running task is restarted.
 
 mod support;
 
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,4 +1,5 @@
-//! Memory use of controllers while a job of 100,000 tasks runs, measured by counting live allocations.
+//! Memory use of controllers while a job of 100,000 tasks runs, measured by counting live allocations. It
+//! would grow with the job if controllers kept data for each task that is not bound.
 
 mod support;
 
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -1,5 +1,5 @@
 //! Short tests with several controllers, one for each step of the safety argument in `docs/design.md` that a
-//! fault could break.
+//! fault could break: crashes, lost connections, lost responses, delayed commits and faulty machines.
 
 mod support;
 
--- a/tests/search.rs
+++ b/tests/search.rs
@@ -1,4 +1,5 @@
-//! Scenarios with random faults on many machines, and a search for seeds that violate an invariant.
+//! Scenarios in which random faults overlap on many machines, and a search for seeds that violate an
+//! invariant.
 
 mod support;
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,6 +1,7 @@
 //! Tests of rolling upgrades: two versions run side by side on the same data, and the store lowers its limits
 //! afterwards. The previous version is this code, restricted to the stored formats and the behaviour of that
-//! version; the test bench runs the real one.
+//! version; the test bench runs the real one. The tests guard against data that one of the versions cannot
+//! read and against transactions above the new limits.
 
 mod support;
 
