--- a/src/controller/blocks/upkeep.rs
+++ b/src/controller/blocks/upkeep.rs
@@ -8,9 +8,10 @@
 use crate::replica::{BlockId, Replica};
 use std::collections::BTreeSet;
 
-/// Number of blocks without a valid grant from which batched writes yield to grants.
+/// Batched writes yield to grants once at least this many blocks have no valid grant.
 const MANY_UNGRANTED_BLOCKS: usize = 4;
-/// Maximum time for which they yield, ms, since there may be nobody who can grant anything.
+/// Maximum time for which batched writes yield to grants, ms, since there may be no leader that
+/// can grant blocks.
 const MAX_GRANT_PRIORITY_MS: u64 = 6000;
 /// Interval between two merges by one controller, ms. Each merge costs two changes, and the moved
 /// machines must first report the fencing token of their new block.
--- a/src/controller/candidacy.rs
+++ b/src/controller/candidacy.rs
@@ -36,25 +36,25 @@
 /// Evidence that another controller no longer leads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct PeerLeader {
-    /// Its key is missing or shows another incarnation than the one that leads.
+    /// The leader's key is missing or shows another incarnation than the one that leads.
     replaced: bool,
-    /// It is unreachable from here and from other controllers.
+    /// The leader is unreachable from this controller and from others.
     silent: bool,
-    /// It cannot reach the store, while this controller can.
+    /// The leader cannot reach the store, while this controller can.
     without_store: bool,
-    /// It reports another incarnation than the one that leads.
+    /// The leader reports another incarnation than the one that leads.
     restarted: bool,
     /// Number of reachable controllers that precede this one, that is, have lower names.
     rank: u64,
 }
 
 impl PeerLeader {
-    /// Whether it no longer leads, or will soon lose the leadership.
+    /// Whether the leader no longer leads, or will soon lose the leadership.
     fn has_failed(self) -> bool {
         self.replaced || self.silent || self.without_store
     }
 
-    /// Whether this controller may have to replace it.
+    /// Whether this controller may have to replace the leader.
     fn is_suspect(self) -> bool {
         self.has_failed() || self.restarted
     }
--- a/src/controller/heartbeat/classify.rs
+++ b/src/controller/heartbeat/classify.rs
@@ -16,22 +16,23 @@
 /// Whether the replica has caught up with the key-value store since a heartbeat arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Confirmation {
-    /// It has caught up.
+    /// The replica has caught up.
     Done,
-    /// It may still lag behind.
+    /// The replica may still lag behind.
     Outstanding,
 }
 
 /// How a heartbeat is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum HeartbeatAction {
-    /// It is a stale copy, or must not be acknowledged.
+    /// The heartbeat is a stale copy, or must not be acknowledged.
     Ignore,
-    /// It may show that a machine which was presumed dead has recovered.
+    /// The heartbeat may show that a machine which was presumed dead has recovered.
     Readmit,
-    /// It counts only if this controller still holds the machine, so the replica must catch up first.
+    /// The heartbeat counts only if this controller still holds the machine, so the replica must catch up
+    /// first.
     ConfirmFirst,
-    /// It is acknowledged, with commands.
+    /// The heartbeat is acknowledged, with commands.
     Acknowledge,
 }
 
@@ -96,8 +97,8 @@
     }
 }
 
-/// Whether a heartbeat without our token comes from a restarted worker: an earlier one was seen, and the
-/// numbers rise over time.
+/// Whether a heartbeat without our token comes from a restarted worker: an earlier heartbeat without our
+/// token was received, and the heartbeat numbers have risen since then.
 fn worker_restarted(runtime: &mut MachineRuntime, heartbeat: &Heartbeat, now: Timestamp) -> bool {
     let number = HeartbeatNumber::of(heartbeat);
     match runtime.restart_baseline {
--- a/src/controller/heartbeat/reachability.rs
+++ b/src/controller/heartbeat/reachability.rs
@@ -15,7 +15,8 @@
 /// Number of consecutive acks missed, or received, after which a machine counts as unreachable, or reachable
 /// again.
 const CONSECUTIVE_ACK_THRESHOLD: u32 = 3;
-/// Time after a stall of this controller during which its acks may have been late, ms.
+/// Time after a stall of this controller for which it is assumed to be the cause of missing acks, because its
+/// acks may have been late, ms.
 const ACKS_LATE_AFTER_STALL_MS: u64 = 15_000;
 /// This controller is assumed to be the cause if more than one in this many of its machines misses acks.
 const LATE_MACHINES_DIVISOR: usize = 10;
--- a/src/controller/held_machines/runtime.rs
+++ b/src/controller/held_machines/runtime.rs
@@ -92,8 +92,8 @@
     pub(in crate::controller) received_acks: u32,
     /// Since when acks do not reach the machine although its heartbeats arrive.
     pub(in crate::controller) unreachable_since: Option<Timestamp>,
-    /// Number and arrival of a heartbeat without our token after one that showed it, with which later ones
-    /// are compared. It is a late copy or comes from a restarted worker.
+    /// Number and arrival time of a heartbeat that lacked our token although an earlier one showed it. Such a
+    /// heartbeat is a late copy or comes from a restarted worker; comparing later ones with it tells which.
     pub(in crate::controller) restart_baseline: Option<(HeartbeatNumber, Timestamp)>,
     /// Whether the ack to the newest heartbeat is delayed until a task is bound.
     pub(in crate::controller) ack_delayed: bool,
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -303,7 +303,8 @@
         self.membership.is_store_reachable(now)
     }
 
-    /// Whether the store recently rejected a write for its budget.
+    /// Whether the store recently rejected a write because its budget was exhausted, it was unavailable or
+    /// the lease of the write had expired.
     pub(crate) fn store_refused_recently(&self, now: Timestamp) -> bool {
         self.writes.refused_within(STORE_REFUSAL_RECENT_MS, now)
     }
--- a/src/controller/writes/mod.rs
+++ b/src/controller/writes/mod.rs
@@ -61,9 +61,11 @@
     awaited_revisions: HashMap<WriteKind, u64>,
     /// Revision that the replica must reach before any write is planned.
     required_revision: u64,
-    /// When the store last rejected a write because its budget was exhausted.
+    /// When the store last rejected a write because its budget was exhausted, it was unavailable or
+    /// the lease of the write had expired.
     refused_at: Option<Timestamp>,
-    /// When a user's write was last rejected for that reason.
+    /// When the store last rejected a user's write because its budget was exhausted or it was
+    /// unavailable.
     user_refused_at: Option<Timestamp>,
 }
 
@@ -127,8 +129,8 @@
             && schedule.is_none_or(|schedule| now >= schedule.not_before)
     }
 
-    /// Like [`Self::may_plan`], for writes that others wait for and that need not wait for the
-    /// regular time.
+    /// Like [`Self::may_plan`], for a write that other work is waiting for: it may be planned before
+    /// its regular time.
     pub(crate) fn may_plan_urgent(
         &self,
         write_kind: WriteKind,
@@ -204,12 +206,14 @@
             .insert(write_kind, WriteSchedule::uniform(not_before));
     }
 
-    /// Whether the store rejected a write for its budget within the last `window_ms`.
+    /// Whether, within the last `window_ms`, the store rejected a write because its budget was
+    /// exhausted, it was unavailable or the lease of the write had expired.
     pub(crate) fn refused_within(&self, window_ms: u64, now: Timestamp) -> bool {
         self.refused_at.is_some_and(|at| now.since(at) < window_ms)
     }
 
-    /// Whether a user's write was rejected for the store's budget within the last `window_ms`.
+    /// Whether, within the last `window_ms`, the store rejected a user's write because its budget was
+    /// exhausted or it was unavailable.
     pub(crate) fn user_refused_within(&self, window_ms: u64, now: Timestamp) -> bool {
         self.user_refused_at
             .is_some_and(|at| now.since(at) < window_ms)
--- a/src/controller/writes/pacing.rs
+++ b/src/controller/writes/pacing.rs
@@ -193,7 +193,8 @@
         basic_ms / self.writes.pace.factor() / 1000.0
     }
 
-    /// Handles the rejection of a user's write because the write budget was exhausted.
+    /// Handles the rejection of a user's write because the write budget was exhausted or the store was
+    /// unavailable.
     pub fn on_user_write_refused(&mut self, now: Timestamp) {
         self.writes.user_refused_at = Some(now);
     }
--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -14,9 +14,9 @@
 pub struct OwnUrgency {
     /// Priority given by the user.
     pub priority: Priority,
-    /// Time by which it should be done, milliseconds since the epoch; None without a deadline.
+    /// Time by which the job should be done, milliseconds since the epoch; None without a deadline.
     pub due_ms: Option<i64>,
-    /// Estimated duration once it is ready, milliseconds.
+    /// Estimated duration of the job from the time at which it is ready, milliseconds.
     pub duration_ms: i64,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl InheritedUrgency {
-    /// The higher priority and the earlier start of both.
+    /// The higher priority and the earlier start of `self` and `other`.
     fn combine(self, other: InheritedUrgency) -> InheritedUrgency {
         let start_by_ms = match (self.start_by_ms, other.start_by_ms) {
             (Some(a), Some(b)) => Some(a.min(b)),
--- a/src/leadership/unreachable_holders.rs
+++ b/src/leadership/unreachable_holders.rs
@@ -20,9 +20,9 @@
 /// Machines of one block that send heartbeats to controllers that do not hold it.
 struct UnansweredMachines {
     total: usize,
-    /// The highest number of them that send heartbeats to the same controller.
+    /// Number of the machines that send heartbeats to `main_receiver`.
     max_at_one_controller: usize,
-    /// That controller.
+    /// The controller that receives heartbeats from the largest number of the machines.
     main_receiver: ControllerId,
 }
 
--- a/src/placement/resources.rs
+++ b/src/placement/resources.rs
@@ -52,7 +52,7 @@
         remaining
     }
 
-    /// The minimum of each resource.
+    /// The smaller amount of each resource in `self` and `other`.
     pub(super) fn min(self, other: Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
--- a/src/records/block_text.rs
+++ b/src/records/block_text.rs
@@ -21,13 +21,13 @@
 /// the same zone.
 #[derive(Serialize, Deserialize)]
 struct PackedBlock {
-    /// Kinds in full; absent in the dense encoding.
+    /// Machine kinds in full; absent in the dense encoding.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     plain_kinds: Option<Vec<MachineKind>>,
     /// Names of machine types and zones, for the dense encoding.
     #[serde(rename = "n", default, skip_serializing_if = "String::is_empty")]
     kind_names: String,
-    /// Kinds in the dense encoding: indices of their type and zone in `kind_names`.
+    /// Machine kinds in the dense encoding: indices of their type and zone in `kind_names`.
     #[serde(rename = "c", default, skip_serializing_if = "String::is_empty")]
     dense_kinds: String,
     /// Names of the jobs.
@@ -201,7 +201,8 @@
     u64::from_str_radix(text, BASE).ok()
 }
 
-/// Writes kinds densely: the names of types and zones, and the kinds as indices into these names.
+/// Writes machine kinds in the dense encoding. Returns the names of their types and zones, and the kinds as
+/// indices into these names.
 fn write_kinds(kinds: &[MachineKind]) -> (String, String) {
     let mut names: Vec<String> = Vec::new();
     let mut index_of = |name: &String| match names.iter().position(|listed| listed == name) {
--- a/src/replica/job.rs
+++ b/src/replica/job.rs
@@ -57,7 +57,8 @@
         let task_count = self.spec.task_count as usize;
         let digits = self.spec.task_count.max(1).ilog10() as usize + 1;
         let range_bytes = 2 * digits + 2;
-        // The longest possible text repeats two done tasks and an open one up to the last task.
+        // The list of done ranges is longest if two done tasks and one open task alternate up to the last
+        // task.
         match range_bytes * task_count.div_ceil(3) <= available_bytes {
             true => task_count,
             // There is one more range than gaps.
--- a/src/spillover/borrowers.rs
+++ b/src/spillover/borrowers.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Offers for the loans to a cell on which it has not decided yet.
+    /// Offers for the loans to the given cell that it has not yet accepted, refused or declined.
     fn unconfirmed_offers(&self, cell_index: usize) -> Vec<Offer<JobSpec>> {
         let cell_name = &self.spillover.settings.cells[cell_index].name;
         let age_ms = |since_ms: u64| self.unix_time_ms.saturating_sub(since_ms);
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -199,7 +199,8 @@
     }
 
     /// Whether a job may be lent: it is pending and not transferred, none of its tasks is done or in a block, no
-    /// newer write to it is known, and no other job depends on it. Bindings in flight are the caller's check.
+    /// newer write to it is known, and no other job depends on it. Bindings in flight must be checked by the
+    /// caller.
     pub(super) fn is_lendable(&self, job_id: JobId, job: &Job) -> bool {
         job.status == JobStatus::Pending
             && job.transfer.is_none()
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -91,8 +91,8 @@
         found
     }
 
-    /// Reads the store's revision. The response contains the first key with the prefix `key`, whose value
-    /// should be short.
+    /// Reads the store's revision, by listing at most one key with the prefix `key`. The value of that key
+    /// should be short, because the response contains it.
     ///
     /// # Errors
     ///
--- a/tests/behaviour_digest.rs
+++ b/tests/behaviour_digest.rs
@@ -21,7 +21,7 @@
 /// Number of scenarios that run at once unless `DIGEST_THREADS` is set.
 const DEFAULT_THREADS: u64 = 3;
 
-/// A kind of scenario.
+/// Scenarios that differ only in their seeds.
 struct ScenarioKind {
     name: &'static str,
     seeds: std::ops::Range<u64>,
