--- a/src/controller/archive_queries.rs
+++ b/src/controller/archive_queries.rs
@@ -1,7 +1,7 @@
 //! Archive queries for predecessors that left the watched keys too early.
 //!
 //! An older version that leads briefly does not know of jobs with predecessors, and archives the
-//! predecessors while others still need them.
+//! predecessors while their dependents still need them.
 
 use super::{Controller, Effect};
 use crate::clock::Timestamp;
--- a/src/controller/candidacy.rs
+++ b/src/controller/candidacy.rs
@@ -14,8 +14,8 @@
 use crate::replica::{Holder, LEADER_KEY};
 use tracing::info;
 
-/// Grace period for a leader that reports another incarnation, ms: the reported incarnation and its
-/// key may disagree for a message or two.
+/// Grace period for a leader that reports another incarnation, ms: the reported incarnation and the
+/// one in the leader's key may disagree for a message or two.
 const RESTARTED_LEADER_GRACE_MS: u64 = 1500;
 /// Delay for each candidate that precedes this controller, ms.
 const RANK_DELAY_MS: u64 = 600;
@@ -68,7 +68,7 @@
 }
 
 /// Decides whether to take the leadership. `suspect_ms` is the time for which another leader has
-/// been continuously suspect; `None` if it is not.
+/// been continuously suspect; `None` if there is no suspect leader.
 fn candidacy(leader: LeaderStatus, suspect_ms: Option<u64>) -> Candidacy {
     let campaign = match leader {
         LeaderStatus::None => true,
--- a/src/controller/completions/done_lists.rs
+++ b/src/controller/completions/done_lists.rs
@@ -91,7 +91,7 @@
     pub(crate) fn done_tasks_mutation(&self, job_id: JobId, more: &RangeSet) -> Option<Mutation> {
         let job = self.replica.jobs.get(&job_id)?;
         let name = self.replica.names.jobs.name(job_id);
-        // The precondition would always fail, and with it everything else in the transaction.
+        // The precondition on this key would always fail, and with it everything else in the transaction.
         if self.replica.is_unreadable(name) {
             return None;
         }
--- a/src/controller/completions/moves.rs
+++ b/src/controller/completions/moves.rs
@@ -8,12 +8,12 @@
 
 /// Decision on a planned move.
 enum MoveDecision {
-    /// It waits for a later write, because it leaves another block or the block that it enters cannot be
-    /// written now.
+    /// The move waits for a later write, because it leaves another block or the block that it enters cannot
+    /// be written now.
     Defer,
-    /// It is cancelled, because its machines or bindings have changed since it was planned.
+    /// The move is cancelled, because its machines or bindings have changed since it was planned.
     Cancel,
-    /// It is written with this transaction, into this block.
+    /// The move is written with this transaction, into this block.
     Write(BlockId),
 }
 
--- a/src/controller/completions/pending.rs
+++ b/src/controller/completions/pending.rs
@@ -15,7 +15,7 @@
 pub(crate) struct Completion {
     /// The binding that leaves the queue: the task with its attempt.
     pub(crate) binding: Binding,
-    /// Reason why it leaves the queue.
+    /// Reason why the binding leaves the queue.
     pub(crate) outcome: TaskOutcome,
 }
 
--- a/src/controller/completions/presumed_dead.rs
+++ b/src/controller/completions/presumed_dead.rs
@@ -11,8 +11,8 @@
 use tracing::warn;
 
 impl Controller {
-    /// Marks machines as presumed dead that were silent for longer than their worker's lease, and frees the
-    /// bindings of all such machines.
+    /// Marks machines that were silent for longer than their worker's lease as presumed dead, and frees the
+    /// bindings of all machines presumed dead.
     pub(crate) fn handle_presumed_dead(&mut self, now: Timestamp) {
         let newly_dead: Vec<MachineId> = self
             .held
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -1,4 +1,4 @@
-//! Requests of the controller to the runtime, and the results that it returns.
+//! Requests of the controller to the runtime, and its answers to heartbeats.
 //!
 //! These are plain values without logic.
 
@@ -76,8 +76,8 @@
     HeartbeatAck(HeartbeatAck),
     /// Status 421, with the name of a more suitable controller if one is known.
     Redirect(Option<String>),
-    /// Not decided yet: to be passed to [`Controller::on_confirmed_heartbeat`] once the replica
-    /// shows everything that was written before the heartbeat arrived.
+    /// Not decided yet: the heartbeat is to be passed to [`Controller::on_confirmed_heartbeat`]
+    /// once the replica shows everything that was written before the heartbeat arrived.
     ///
     /// [`Controller::on_confirmed_heartbeat`]: super::Controller::on_confirmed_heartbeat
     Unconfirmed,
--- a/src/controller/formats.rs
+++ b/src/controller/formats.rs
@@ -5,7 +5,7 @@
 //! older version joins later.
 //!
 //! Jobs with unfinished predecessors are stored under keys that versions before [`DEPENDENCIES_FORMAT`]
-//! do not read. Such a version never starts one too early, but it answers 404 to the job's user; so
+//! do not read. Such a version never starts these jobs too early, but it answers 404 to their users; so
 //! no such job is accepted while a controller is known to run one of these versions. Done tasks are
 //! written as a bitmap only once [`DENSE_FORMAT`](crate::records::DENSE_FORMAT) is recorded.
 
@@ -19,7 +19,7 @@
 use tracing::{error, info};
 
 /// Time for which a controller of an older version that disappeared holds back newer formats, ms.
-/// It may come back in any version; one that stays away does not block the upgrade forever.
+/// The controller may come back in any version, but does not block the upgrade forever if it stays away.
 const OLDER_VERSION_MEMORY_MS: u64 = 60_000;
 
 /// A controller that was seen to read an older format than this one.
@@ -141,7 +141,7 @@
     }
 
     /// Whether jobs with unfinished predecessors may be accepted. Once all controllers were seen to
-    /// read them this stays true, even if an older version returns briefly.
+    /// read such jobs this stays true, even if an older version returns briefly.
     pub fn accepts_dependent_jobs(&self, now: Timestamp) -> bool {
         self.formats.own_format() >= DEPENDENCIES_FORMAT
             && (self.replica.format >= DEPENDENCIES_FORMAT
--- a/src/controller/heartbeat/admission.rs
+++ b/src/controller/heartbeat/admission.rs
@@ -49,7 +49,7 @@
         Some((machine_id, grant))
     }
 
-    /// The other controller to which the machine's block has been granted since, as reported by a peer.
+    /// The other controller to which the machine's block has since been granted, as reported by a peer.
     fn later_holder(&self, machine_id: MachineId) -> Option<ControllerId> {
         let block = self.replica.machines.get(&machine_id)?.block;
         let holder = self.peers.reported_holder(block)?;
--- a/src/controller/heartbeat/delayed.rs
+++ b/src/controller/heartbeat/delayed.rs
@@ -1,9 +1,9 @@
 //! Acks that are delayed until a task is bound to an idle machine.
 //!
 //! An idle machine sends its next heartbeat only after a whole interval, and a task bound just after a
-//! heartbeat would wait for the next one. Its ack is therefore delayed for part of the interval (PROTOCOL:
-//! workers wait 4 s). It is a full ack all the same; the worker's lease counts from when it
-//! sent the heartbeat.
+//! heartbeat would wait for the next one. The ack is therefore delayed for part of the interval (PROTOCOL:
+//! workers wait 4 s). A delayed ack is a full ack: the worker's lease counts from when
+//! the worker sent the heartbeat.
 
 use super::launch::QueueMode;
 use crate::clock::Timestamp;
--- a/src/controller/heartbeat/launch.rs
+++ b/src/controller/heartbeat/launch.rs
@@ -13,9 +13,9 @@
 /// How the bindings that are not started yet are handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum QueueMode {
-    /// They are started while the machine has free resources.
+    /// The bindings are started while the machine has free resources.
     Start,
-    /// They are freed, because the machine is cordoned, being reclaimed, quarantined or unreachable.
+    /// The bindings are freed, because the machine is cordoned, being reclaimed, quarantined or unreachable.
     Drain,
 }
 
@@ -30,12 +30,12 @@
 
 /// Decision on one binding.
 enum QueueDecision {
-    /// It stays in the queue: its task is on the machine, has ended, is being moved, or may not be started
-    /// yet.
+    /// The binding stays in the queue: its task is on the machine, has ended, is being moved, or may not be
+    /// started yet.
     Keep,
-    /// It is freed and not started here.
+    /// The binding is freed and not started here.
     Free,
-    /// It is started if the machine has these resources free.
+    /// The binding is started if the machine has these resources free.
     Start(Resources),
 }
 
--- a/src/controller/heartbeat/reachability.rs
+++ b/src/controller/heartbeat/reachability.rs
@@ -27,11 +27,11 @@
 /// What a heartbeat shows about the ack to the previous heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AckEvidence {
-    /// The worker received it.
+    /// The worker received the ack.
     Received,
-    /// The worker did not receive it. The value is the number of missed acks that this counts as.
+    /// The worker did not receive the ack. The value is the number of missed acks that this counts as.
     Missed(u32),
-    /// The heartbeat does not show whether the worker received it.
+    /// The heartbeat does not show whether the worker received the ack.
     Unclear,
 }
 
--- a/src/controller/heartbeat/reconcile.rs
+++ b/src/controller/heartbeat/reconcile.rs
@@ -18,8 +18,9 @@
 pub(super) struct ReportedTask<'a> {
     /// The task as reported.
     pub(super) status: &'a TaskStatus,
-    /// Its binding in the queue. `None` if the queue does not list this attempt, because its completion is
-    /// recorded or it was replaced by another attempt. In both cases no decision here depends on it any more.
+    /// The task's binding in the queue. `None` if the queue does not list this attempt, because its
+    /// completion is recorded or it was replaced by another attempt. In both cases no decision here depends
+    /// on it any more.
     pub(super) binding: Option<Binding>,
     /// When the task was first reported as running, if the queue lists it.
     pub(super) running_since: Option<Timestamp>,
@@ -126,7 +127,7 @@
     }
 }
 
-/// Completion of a listed task, if it has ended and the heartbeat confirms how.
+/// Completion of a listed task, if it has ended and the heartbeat confirms how it ended.
 ///
 /// Any outcome but success is accepted only if it was reported under our fencing token and the heartbeat
 /// lists no other live attempt of the task. Otherwise a stale copy from an earlier epoch could report an
--- a/src/controller/heartbeat/stops.rs
+++ b/src/controller/heartbeat/stops.rs
@@ -8,7 +8,7 @@
 use crate::replica::{Binding, Job, Machine};
 use quillbend_spillover::confirmation::Permission;
 
-/// Grace period of a task that is stopped at once, without saving a checkpoint.
+/// Grace period of a task that is stopped at once, without saving a checkpoint, seconds.
 const NO_GRACE_S: f64 = 0.0;
 /// Added to a job's checkpoint time to give the grace period of a task that is stopped, seconds.
 const GRACE_MARGIN_S: f64 = 5.0;
@@ -69,7 +69,7 @@
             } else if saves_checkpoints {
                 Some(job.spec.save_s.max(until_reclaim_s))
             } else {
-                // It cannot finish in time, so it is stopped now and can be started elsewhere.
+                // The task cannot finish in time, so it is stopped now and can be started elsewhere.
                 (remaining_s > until_reclaim_s * RECLAIM_TOO_LATE_FACTOR).then_some(NO_GRACE_S)
             }
         } else if machine.preempted.contains(&binding) {
--- a/src/controller/held_machines/runtime.rs
+++ b/src/controller/held_machines/runtime.rs
@@ -171,13 +171,13 @@
 /// Health of a machine, as its holder sees it; decides whether it can be used.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MachineHealth {
-    /// Time since its last heartbeat to its current holder, ms; `None` before the first one.
+    /// Time since the machine's last heartbeat to its current holder, ms; `None` before the first one.
     pub(crate) since_last_heartbeat_ms: Option<u64>,
     /// Whether the worker has adopted its holder's token and receives the acks.
     pub(crate) is_controllable: bool,
     /// Whether the cloud has announced that it will reclaim the machine.
     pub(crate) being_reclaimed: bool,
-    /// Whether its tasks fail, or acks have not reached it for a whole lease.
+    /// Whether the machine's tasks fail, or acks have not reached it for a whole lease.
     pub(crate) quarantined: bool,
     /// Whether its worker has restarted under the current grant.
     pub(crate) worker_restarted: bool,
--- a/src/controller/held_machines/unowned.rs
+++ b/src/controller/held_machines/unowned.rs
@@ -29,8 +29,8 @@
     last_seen: Timestamp,
     /// Number of the newest heartbeat. Copies of older ones do not count.
     newest_heartbeat: HeartbeatNumber,
-    /// Revision of the grant of its block at that time, 0 without a grant. The series restarts when it
-    /// changes.
+    /// Revision of the grant of the machine's block at the last heartbeat, 0 without a grant. A new series
+    /// starts when this revision changes.
     grant_revision: u64,
     machine_type: String,
     zone: String,
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[must_use]
 enum LeaseGranted {
-    /// It is the first lease of this process.
+    /// The lease is the first one of this process.
     First,
     /// An earlier lease was lost, which ended the incarnation that held it.
     NewIncarnation,
@@ -279,15 +279,15 @@
         self.is_own_grant(grant) && self.replica.revision >= grant.mod_revision
     }
 
-    /// Whether this controller has up-to-date state after any pause of its event loop. It draws no
-    /// conclusions before.
+    /// Whether this controller has up-to-date state after any pause of its event loop. Until then it
+    /// draws no conclusions.
     pub(crate) fn caught_up_after_pause(&self, now: Timestamp) -> bool {
         let listen_ms = (self.settings.options.peers_period_ms * 2.0) as u64;
         let confirmed = self.membership.replica_confirmed_at();
         self.pauses.caught_up(confirmed, listen_ms, now)
     }
 
-    /// Upper bound of the replica's age, ms: every older change is included. `None` until the
+    /// Upper bound of the replica's age, ms: the replica includes every older change. `None` until the
     /// replica is consistent.
     pub(crate) fn replica_age_ms(&self, now: Timestamp) -> Option<u64> {
         let consistent = self.replica.synced && self.writes.is_consistent(self.replica.revision);
--- a/src/controller/metrics.rs
+++ b/src/controller/metrics.rs
@@ -37,7 +37,8 @@
     pub conflicts: u64,
     /// Transactions that remained unanswered.
     pub unanswered: u64,
-    /// Transactions rejected because the budget was exhausted or the store was unavailable.
+    /// Transactions rejected because the budget was exhausted, the store was unavailable, their lease had
+    /// expired or they were malformed.
     pub refused: u64,
     /// Machines presumed dead.
     #[serde(rename = "lost_machines")]
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -98,7 +98,7 @@
     pub(crate) spillover: Spillover,
 }
 
-/// Times at which work is due that no event triggers.
+/// Times at which work that no event triggers is due.
 #[derive(Debug, Default)]
 pub(crate) struct Schedule {
     /// When the catalog is read next.
--- a/src/controller/peers/mod.rs
+++ b/src/controller/peers/mod.rs
@@ -29,7 +29,7 @@
 const STORE_REFUSAL_PATIENCE_MS: u64 = 2000;
 /// Tolerance for the message ages that peers report, which may be too low by this much, ms.
 const REPORTED_AGE_TOLERANCE_MS: u64 = 300;
-/// Maximum age of the messages that show whether the peers reach the store either, ms.
+/// Maximum age of the messages from which it is concluded that no peer reaches the store either, ms.
 const READINESS_MESSAGE_AGE_MS: u64 = 3000;
 /// One in this many periodic messages lists all machines to all peers.
 const LONG_MESSAGE_PERIOD: u32 = 4;
@@ -141,8 +141,8 @@
     }
 
     /// Time after the start before this controller considers others unreachable, ms. Short, because
-    /// after a restart of all controllers most of the workers' lease is used up, and suspecting one
-    /// that starts later costs only a change of holders.
+    /// after a restart of all controllers most of the workers' lease is used up, and suspecting a
+    /// controller that starts later costs only a change of holders.
     pub(crate) fn startup_grace_ms(&self) -> u64 {
         self.timing.startup_grace_ms
     }
@@ -180,8 +180,8 @@
                 .is_some_and(|reported| reported != incarnation)
     }
 
-    /// Whether at least half of the other reachable controllers, and at least one, do not reach a
-    /// peer either.
+    /// Whether at least half of the other reachable controllers, and at least one, receive no messages
+    /// from a peer either.
     ///
     /// Prevents a controller that is cut off from its peers but reaches the store from taking over
     /// everything from healthy peers. If the controllers that miss the peer are no majority of all,
@@ -311,7 +311,7 @@
         self.last_load_seen.insert(controller_id, now);
     }
 
-    /// Drops reported grants that the replica shows in the meantime.
+    /// Drops reported grants that the replica now shows.
     pub(super) fn drop_confirmed_grants(&mut self, grants: &HashMap<BlockId, Holder>) {
         self.reported_grants.retain(|block, reported| {
             grants
@@ -328,7 +328,7 @@
         }
     }
 
-    /// Drops a reported cancellation that the replica shows in the meantime.
+    /// Drops a reported cancellation that the replica now shows.
     fn forget_reported_cancellation(&mut self, job: JobId) {
         self.reported_cancellations.remove(&job);
     }
--- a/src/controller/peers/state.rs
+++ b/src/controller/peers/state.rs
@@ -22,7 +22,7 @@
 /// Last reported state of a peer.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PeerState {
-    /// When its last message arrived.
+    /// When the peer's last message arrived.
     pub(super) last_message_at: Option<Timestamp>,
     /// The incarnation that sent the last message.
     pub(super) incarnation: Option<Incarnation>,
--- a/src/controller/replica_changes.rs
+++ b/src/controller/replica_changes.rs
@@ -62,8 +62,8 @@
         }
         self.drop_machines_without_block(changes.removed_machines);
         let early_grants = self.update_blocks(changes.blocks, now);
-        // Processed again with the next change, until the watch has reached the revisions of their
-        // grants.
+        // These blocks are processed again with the next change, until the watch has reached the
+        // revisions of their grants.
         self.replica.changes.blocks.extend(early_grants);
     }
 
--- a/src/controller/writes/commits.rs
+++ b/src/controller/writes/commits.rs
@@ -85,7 +85,7 @@
             revision, "commit conflict: a precondition failed"
         );
         self.writes.awaited_revisions.insert(write_kind, revision);
-        // An unanswered copy may have moved or bound the tasks or placed the machines. Until the
+        // An unanswered copy of the write may have moved or bound its tasks or placed its machines. Until the
         // replica shows whether it did, these tasks and machines are not moved, bound or placed
         // elsewhere. Other blocks need not wait for the failed precondition.
         let condition = ResolutionCondition::RevisionReached(revision);
@@ -103,7 +103,7 @@
         };
         self.counters.refused += 1;
         if write.in_doubt {
-            // The limits may have been lowered after an unanswered copy was applied.
+            // The store's limits may have been lowered after an unanswered copy of the write was applied.
             let condition = ResolutionCondition::WatchOpenedSince(now);
             self.writes.in_doubt.add(condition, write.intent);
         } else {
--- a/src/controller/writes/mod.rs
+++ b/src/controller/writes/mod.rs
@@ -62,7 +62,8 @@
     /// Revision that the replica must reach before any write is planned.
     required_revision: u64,
     /// When the store last rejected a write because its budget was exhausted, it was unavailable or
-    /// the lease of the write had expired.
+    /// the lease of the write had expired. Resends of writes in doubt do not count if they are
+    /// rejected for the first two reasons.
     refused_at: Option<Timestamp>,
     /// When the store last rejected a user's write because its budget was exhausted or it was
     /// unavailable.
@@ -115,7 +116,7 @@
         self.in_flight.contains_key(&write_kind)
     }
 
-    /// Whether a write of this kind is in flight of which an unanswered copy may have been applied.
+    /// Whether a write of this kind is in flight and an unanswered copy of it may have been applied.
     fn is_in_doubt(&self, write_kind: WriteKind) -> bool {
         let write = self.in_flight.get(&write_kind);
         write.is_some_and(|write| write.in_doubt)
@@ -227,7 +228,7 @@
         self.writes.may_plan(write_kind, revision, now)
     }
 
-    /// Whether a write of this kind that others wait for may be planned now; see
+    /// Whether a write of this kind that other work is waiting for may be planned now; see
     /// [`WritePipeline::may_plan_urgent`].
     pub(crate) fn may_plan_urgent(&self, write_kind: WriteKind, now: Timestamp) -> bool {
         let revision = self.replica.revision;
--- a/src/controller/writes/pacing.rs
+++ b/src/controller/writes/pacing.rs
@@ -15,7 +15,7 @@
 
 /// Time for which batched writes are slowed down after a user's write was rejected, ms.
 const USER_REFUSED_SLOWDOWN_MS: u64 = 1500;
-/// Pace factor during that time.
+/// Pace factor during this slowdown.
 const USER_REFUSED_PACE_FACTOR: f64 = 0.7;
 
 /// Interval at which the budget use is measured, ms.
@@ -44,7 +44,7 @@
 pub(crate) struct WriteSchedule {
     /// Earliest time of a regular write.
     pub not_before: Timestamp,
-    /// Earliest time of a write that others wait for.
+    /// Earliest time of a write that other work is waiting for.
     pub urgent_not_before: Timestamp,
 }
 
@@ -66,7 +66,7 @@
 pub(crate) struct WritePace {
     /// Start of the current measuring interval.
     interval_start: Timestamp,
-    /// Changes shown by the watch since then.
+    /// Changes shown by the watch since `interval_start`.
     changes_seen: u64,
     /// Moving average of the changes per second of all controllers.
     changes_per_s: f64,
@@ -149,8 +149,8 @@
         self.writes.pace.adjust(budget_per_s, refused, now);
     }
 
-    /// Schedules the next batched write of a kind after one with this number of changes; what
-    /// happens until then is batched.
+    /// Schedules the next batched write of a kind after one with this number of changes;
+    /// completions and edits that arise until then are batched.
     pub(super) fn schedule_next_write(
         &mut self,
         write_kind: WriteKind,
