--- a/src/dependencies.rs
+++ b/src/dependencies.rs
@@ -2,8 +2,8 @@
 //!
 //! Owns the dependency graph and no other state of jobs; the replica decides which jobs are done or
 //! cancelled. The graph contains the waiting jobs and their predecessors. Users submit a chain from
-//! its first job to its last, so the urgency of a new job is propagated to its predecessors only as
-//! far as it changes theirs.
+//! its first job to its last, so the urgency of a new job is propagated back along its predecessors,
+//! but no further than it changes their urgency.
 
 use crate::collections::{HashMap, HashSet};
 use crate::names::JobId;
@@ -141,7 +141,8 @@
         })
     }
 
-    /// Recomputes the inherited urgency of these jobs, and of their predecessors as far as it changes.
+    /// Recomputes the inherited urgency of these jobs, and that of the predecessors of each job whose
+    /// inherited urgency changes.
     fn propagate(&mut self, mut changed: Vec<JobId>) {
         while let Some(job) = changed.pop() {
             let dependents = self.dependents.get(&job).into_iter().flatten();
--- a/src/leadership/archiving.rs
+++ b/src/leadership/archiving.rs
@@ -39,8 +39,9 @@
 }
 
 impl Controller {
-    /// Records the final state of jobs whose tasks are all done. Blocks show that first, and a done
-    /// task stays done. The job's own key decides between this write and a cancellation.
+    /// Records the final state of jobs whose tasks are all done. Done tasks first appear in the
+    /// blocks, and a done task stays done. The job's own key decides between this write and a
+    /// cancellation.
     pub(super) fn plan_finished_jobs(&self) -> Option<Transaction> {
         let max_jobs = self.settings.platform.settings.state.txn_ops;
         let reported = self.reported_done();
@@ -143,8 +144,8 @@
             let name = self.replica.names.jobs.name(archivable.job);
             let mutation = put(&archive_key(name), &archivable.record, None);
             if mutation.value_bytes() > value_bytes {
-                // Written under a higher size limit. The job stays where it is because its value
-                // can no longer be written anywhere.
+                // The job was written under a higher size limit. It stays under its watched key,
+                // because its value is now too large to be written anywhere.
                 continue;
             }
             bytes += mutation.value_bytes();
--- a/src/leadership/binding.rs
+++ b/src/leadership/binding.rs
@@ -27,7 +27,7 @@
 const MAX_TASKS_PER_JOB: usize = 128;
 /// Maximum number of tasks that a starved job gets when it is served first.
 const MAX_STARVED_TASKS: usize = 16;
-/// A starved job that is served first gets its task count divided by this number.
+/// A starved job that is served first gets at most one in this many of its tasks, but at least one.
 const STARVED_TASKS_DIVISOR: usize = 8;
 /// Maximum task count of a job in a dependency chain whose tasks are bound before the regular write
 /// time of a block.
@@ -145,8 +145,8 @@
             };
             let mut candidate_job = self.candidate_job(bindable, job, &taken, max_tasks);
             if candidate_job.needs.depends_on_other_tasks() {
-                // Zones are counted for only one candidate per job, so such jobs are not split by
-                // share.
+                // Zones are counted for only one candidate per job, so a job whose tasks depend on
+                // each other's zones is not split by share.
                 let all = bound_by_zone.get_or_insert_with(|| self.bound_tasks_by_zone());
                 candidate_job.bound_by_zone = all.remove(&bindable.job).unwrap_or_default();
             } else {
--- a/src/leadership/binding/bindable_jobs.rs
+++ b/src/leadership/binding/bindable_jobs.rs
@@ -60,7 +60,7 @@
 
 /// The jobs that may be bound now.
 pub(super) struct BindableJobs {
-    /// All of them, in serving order.
+    /// All jobs that may be bound now, in serving order.
     pub in_order: Vec<BindableJob>,
     /// The starved job that is served first in this plan, if any.
     pub starved: Option<JobId>,
@@ -101,7 +101,8 @@
             {
                 continue;
             }
-            // A job that is blocked by its team's limit would not benefit from more machines.
+            // A job that is blocked by its team's limit would not benefit from being served first
+            // or from more machines.
             let within_limit = team_room
                 .get(&job.team)
                 .is_some_and(|room| job.task_resources().cpus <= room.cpus + RESOURCE_TOLERANCE);
@@ -131,7 +132,8 @@
         BindableJobs::sorted(jobs, starved.map(|first| first.job))
     }
 
-    /// Whether some task of a job may be bound now, with `in_flight` of them being bound already.
+    /// Whether some task of a job may be bound now, while bindings of `in_flight` tasks are in
+    /// flight.
     fn has_bindable_tasks(&self, job_id: JobId, job: &Job, in_flight: u32, now: Timestamp) -> bool {
         let name = self.replica.names.jobs.name(job_id);
         let begun = self.replica.bound_task_count(job_id) + in_flight + job.done.len();
--- a/src/leadership/block_edits.rs
+++ b/src/leadership/block_edits.rs
@@ -71,8 +71,8 @@
         self.may_plan(WriteKind::BlockEdit(id), now) && !self.writes.writes_block(id)
     }
 
-    /// Whether the leader may write a block before its regular write time, for work that others
-    /// wait for.
+    /// Whether the leader may write a block before its regular write time, to bind tasks of small
+    /// jobs in dependency chains.
     fn is_writable_early(&self, id: BlockId, now: Timestamp) -> bool {
         self.may_plan_urgent(WriteKind::BlockEdit(id), now) && !self.writes.writes_block(id)
     }
@@ -185,8 +185,8 @@
     /// its bindings, only some are written.
     fn write_bindings(&mut self, plan: &BindPlan, now: Timestamp, out: &mut Vec<Effect>) {
         for (id, bindings) in self.bindings_by_block(plan) {
-            // The plan contains only permitted bindings for blocks outside their regular write
-            // time.
+            // For a block whose regular write time is not due, the plan contains only bindings that
+            // may be written early.
             let writable_early = !bindings.is_empty() && self.is_writable_early(id, now);
             if writable_early || self.is_writable(id, now) {
                 self.bind_in_block(id, bindings, &plan.preemptions, now, out);
--- a/src/leadership/block_sizes.rs
+++ b/src/leadership/block_sizes.rs
@@ -10,8 +10,8 @@
     /// Number of blocks to create before further machines are added to existing blocks: one per
     /// controller.
     pub min_blocks: usize,
-    /// Number of blocks that can together be written twice a second. More are created only if the
-    /// values of the others have no room.
+    /// Number of blocks that can together be written twice a second. More blocks are created only
+    /// if the values of the existing ones have no room.
     pub target_blocks: usize,
     /// Number of machines up to which a block is filled while there are fewer than `target_blocks`.
     pub machines_per_block: usize,
@@ -70,8 +70,9 @@
         size.machines += 1;
     }
 
-    /// The block for a machine with `expected_bytes`: the smallest that may be written now, or a
-    /// new one. `None` if all suitable blocks have a write in flight.
+    /// The block for a machine with `expected_bytes`: the smallest that may be written now, or an
+    /// empty or new one. `None` if there are `min_blocks` blocks or more with machines and none of
+    /// them may be written now.
     pub(super) fn choose_block(
         &self,
         expected_bytes: usize,
--- a/src/leadership/candidate_machines.rs
+++ b/src/leadership/candidate_machines.rs
@@ -12,7 +12,7 @@
 /// A machine is expensive if its price exceeds this many times that of the cheapest machine.
 /// Expensive machines should not be held for a single task.
 const EXPENSIVE_MACHINE_FACTOR: f64 = 4.0;
-/// Prices are compared only while at least one in this many CPUs is cheap.
+/// Machines count as expensive only while more than one in this many CPUs of the fleet is cheap.
 const MAX_CPUS_PER_CHEAP_CPU: f64 = 4.0;
 /// Number of heartbeat intervals, plus a margin in ms, within which a machine must have sent a
 /// heartbeat to get tasks.
@@ -27,7 +27,7 @@
 }
 
 impl CheapestPrices {
-    /// Prices in comparison with which no machine is expensive.
+    /// Infinite prices, so that no machine counts as expensive.
     const UNKNOWN: Self = Self {
         per_cpu: f64::INFINITY,
         machine: f64::INFINITY,
--- a/src/leadership/cloud_inventory.rs
+++ b/src/leadership/cloud_inventory.rs
@@ -119,8 +119,8 @@
                     shown.insert(machine_id);
                     self.record_listed(machine_id, &machine, now);
                 }
-                // Rented by an earlier leader, or shown by a delayed list. It is either used or
-                // returned later.
+                // The machine is in no block: it was rented by an earlier leader, or the list is
+                // delayed. It is used or returned later.
                 None => {
                     let new = NewMachine {
                         machine_type: machine.machine_type,
--- a/src/leadership/grants.rs
+++ b/src/leadership/grants.rs
@@ -116,8 +116,8 @@
 struct HolderFaults {
     /// Controllers seen for long enough in another incarnation than the one in their grants.
     restarted: HashSet<ControllerId>,
-    /// Blocks whose holder does not answer its workers, with the controller that receives their
-    /// heartbeats.
+    /// Blocks whose holder does not answer its workers, with the controller that receives
+    /// heartbeats from the largest number of these workers.
     unreachable: HashMap<BlockId, ControllerId>,
 }
 
--- a/src/leadership/job_order.rs
+++ b/src/leadership/job_order.rs
@@ -11,7 +11,7 @@
 
 /// Maximum number of seconds by which a small job counts as due earlier.
 const SMALL_JOB_BONUS_S: f64 = 60.0;
-/// Slack of a job without any deadline at its submission, seconds.
+/// Slack of a job without any deadline at the time it becomes ready, seconds.
 const NO_DEADLINE_SLACK_S: f64 = 1e5;
 /// Delay up to which a job with a deadline still counts as in time, seconds.
 const LATE_TOLERANCE_S: f64 = 10.0;
@@ -63,8 +63,8 @@
 
 impl JobOrder<'_> {
     /// Seconds until the rest of a job must be started to be done in time, if one of its tasks
-    /// takes `run_s`. A job without its own deadline uses the time from the operators' objectives
-    /// for its class.
+    /// takes `run_s`. A job without a deadline of its own or of its dependents uses the time from
+    /// the operators' objectives for its class.
     pub(crate) fn slack(&self, job_id: JobId, job: &Job, run_s: f64) -> Slack {
         let team_cpus = self.team_cpus(job);
         let left_tasks = f64::from(job.spec.task_count.saturating_sub(job.done.len()));
@@ -76,18 +76,19 @@
                 small_job_bonus_s: 0.0,
             };
         };
-        // Under overload, strict earliest-deadline-first order makes every job a little late. Cheap
-        // jobs are worth saving first, so small jobs count as due earlier, by up to a minute.
+        // Under overload, strict earliest-deadline-first order makes every job a little late. Small
+        // jobs are the cheapest to finish in time, so they count as due earlier, by up to a minute.
         Slack {
             left_s: due_in_s - rest_s,
             small_job_bonus_s: SMALL_JOB_BONUS_S * (-work / (team_cpus * 10.0)).exp(),
         }
     }
 
-    /// Seconds until a job is due: by its own deadline, by that of its dependents, or by the
-    /// objective of its class.
+    /// Seconds until a job is due: by its own deadline or that of its dependents, whichever is
+    /// earlier, or without either by the objective of its class.
     fn due_in_s(&self, job_id: JobId, job: &Job) -> Option<f64> {
-        // The deadline counts from the submission, everything else from when the job became ready.
+        // The job's own deadline counts from its submission, the objective of its class from when
+        // the job became ready.
         let own = job.spec.due_s.map(|due| due - self.age_s(job.submitted_ms));
         let dependents = self.dependents_due_in_s(job_id);
         match (own, dependents) {
@@ -157,8 +158,9 @@
         Rank { tier, order_s }
     }
 
-    /// Seconds by which a job may miss its deadline before it counts as late: up to the largest
-    /// multiple of the deadline that the operators' objectives still measure.
+    /// Seconds by which a job may miss its deadline before it counts as late: it may take up to the
+    /// largest multiple of its deadline that the operators' objectives for its class measure, plus
+    /// a tolerance.
     fn tolerated_delay_s(&self, job: &Job) -> f64 {
         let objectives = self.settings.objectives.iter();
         let of_class = objectives.filter(|objective| objective.class == job.spec.class);
--- a/src/leadership/job_order/tests.rs
+++ b/src/leadership/job_order/tests.rs
@@ -9,8 +9,8 @@
 
 const SUBMITTED_MS: u64 = 1_700_000_000_000;
 
-/// Creates a controller whose clock is `seconds` after `SUBMITTED_MS`, and a job that was submitted
-/// then and became ready 100 s later.
+/// Creates a job that was submitted at `SUBMITTED_MS` and became ready 100 s later, and a controller
+/// whose clock is `seconds` after `SUBMITTED_MS`.
 fn controller_and_job_at(seconds: u64, due_s: Option<f64>) -> (Controller, Job) {
     let ParsedSubmission::Valid(submission) = parse_submission(VALID_SUBMISSION.as_bytes()) else {
         panic!("the submission is valid")
--- a/src/leadership/machine_placement.rs
+++ b/src/leadership/machine_placement.rs
@@ -62,7 +62,7 @@
 
     /// Distributes new machines over blocks. Creates at least one block per controller, then more
     /// as the fleet grows, up to the number that can be written twice a second together, and beyond
-    /// that only if the values have no room.
+    /// that only if the values of existing blocks have no room.
     pub(super) fn place_machines(&mut self, edits: &mut PlannedEdits, now: Timestamp) {
         if self.leadership.inventory.to_place().is_empty() {
             return;
--- a/src/leadership/machines.rs
+++ b/src/leadership/machines.rs
@@ -179,8 +179,8 @@
             || (evidence.missing_from_lists && silent_ms > self.settings.worker_expiry_ms())
     }
 
-    /// Whether a machine that has never sent a heartbeat is presumed dead: it has taken far longer
-    /// to start than usual.
+    /// Whether a machine that has never sent a heartbeat is presumed dead: it is missing from the
+    /// cloud's lists or has taken far longer to start than usual.
     fn is_presumed_dead_before_start(
         &self,
         machine_id: MachineId,
--- a/src/leadership/mod.rs
+++ b/src/leadership/mod.rs
@@ -62,7 +62,7 @@
     rental_requests: RentalRequests,
     scale_in: ScaleIn,
     binding_schedule: BindingSchedule,
-    /// Change counter of the replica when no waiting job was ready.
+    /// Change counter of the replica at the last check that found no waiting job ready.
     none_ready_at_change: Option<u64>,
     next_observation: Timestamp,
     next_archive: Timestamp,
@@ -111,7 +111,7 @@
         if self.may_plan(WriteKind::LeaderWrite, now)
             && let Some((mut transaction, intent)) = self.plan_leader_write(now)
         {
-            // Rejects the write if another controller has become leader in the meantime.
+            // The store rejects the write if another controller has become leader in the meantime.
             transaction
                 .preconditions
                 .push(self.precondition(LEADER_KEY));
--- a/src/leadership/observations.rs
+++ b/src/leadership/observations.rs
@@ -29,7 +29,8 @@
 }
 
 impl ZoneReachability {
-    /// Machines of one zone that become silent together are partitioned, not dead.
+    /// Whether most machines of the zone are silent. Machines of one zone that become silent together
+    /// are partitioned, not dead.
     fn is_partitioned(self) -> bool {
         self.machines >= MIN_MACHINES_FOR_PARTITION && self.silent * 2 > self.machines
     }
--- a/src/leadership/preemption.rs
+++ b/src/leadership/preemption.rs
@@ -17,7 +17,8 @@
 const MAX_PREEMPTORS: usize = 30;
 /// Maximum slack of a job for which tasks may be preempted, seconds.
 const MAX_PREEMPTOR_SLACK_S: f64 = 60.0;
-/// Fraction of the CPUs of all preemptible tasks that one plan may preempt.
+/// Fraction of the CPUs of all preemptible tasks that one plan may preempt, if that is more than
+/// the option `preempt_cpus` allows.
 const MAX_PREEMPTED_FRACTION: f64 = 0.1;
 /// Tasks with an expected run time of this or more are never preempted, seconds. Long tasks
 /// determine when all work is done, so they run to completion.
@@ -44,8 +45,9 @@
         self.candidate.needs.resources.cpus.max(MIN_TASK_CPUS)
     }
 
-    /// Whether a task may be preempted for this job. The victim's job must have clearly more slack,
-    /// or be too late to meet its deadline, so that tasks do not preempt each other in turn.
+    /// Whether a task may be preempted for this job. The victim's job must have a lower priority
+    /// and either clearly more slack or no chance to meet its deadline, so that tasks do not preempt
+    /// each other in turn.
     fn may_preempt(&self, victim: &Victim) -> bool {
         let least_slack_s = self.slack_s.max(0.0) + SLACK_MARGIN_S + 0.5 * victim.run_s;
         victim.priority > self.priority
@@ -71,8 +73,8 @@
 }
 
 impl CpusBeingFreed {
-    /// CPUs that must still be freed for a job whose team may use `team_cpus` more. Uses up the
-    /// CPUs that are being freed.
+    /// CPUs that must still be freed for a job whose team may use `team_cpus` more. CPUs being freed
+    /// that this job will use no longer count for later jobs.
     fn missing_cpus(&mut self, job: &Preemptor, team_cpus: f64, shortage: Shortage) -> f64 {
         let wanted = job.candidate.tasks.len() as f64 * job.task_cpus();
         let being_freed = match shortage {
@@ -133,8 +135,8 @@
     }
 
     /// Selects tasks to preempt for urgent jobs that found no room. Victims have a lower priority
-    /// and save checkpoints. They belong to the same team if the team's limit is the shortage, and
-    /// to any team if the machines are full.
+    /// and save checkpoints. They belong to the urgent job's team if that team's limit is the
+    /// shortage, and to any team if the machines are full.
     fn plan_preemptions(
         &self,
         candidate_jobs: &[CandidateJob],
--- a/src/leadership/renting.rs
+++ b/src/leadership/renting.rs
@@ -23,8 +23,8 @@
 const REVIEW_INTERVAL_MS: u64 = 500;
 /// Delay of the next comparison after an unconfirmed return, ms.
 const REVIEW_AFTER_FAILED_RETURN_MS: u64 = 1000;
-/// Bounds of the interval between lists, seconds. Within them it is the lag of lists, because
-/// requesting them more often shows nothing newer.
+/// Bounds of the interval between list requests, seconds. Within these bounds the interval is the
+/// lag of lists, because more frequent requests show nothing newer.
 const MIN_LIST_INTERVAL_S: f64 = 2.0;
 const MAX_LIST_INTERVAL_S: f64 = 10.0;
 /// Maximum number of rental requests per comparison.
@@ -39,7 +39,7 @@
 /// A machine with tasks is drained only if they are expected to run for longer than this, seconds;
 /// otherwise it soon becomes empty by itself.
 const CONSOLIDATION_MIN_LEFT_S: f64 = 30.0;
-/// Minimum used CPUs that a machine's load is divided by.
+/// Lower bound for a machine's used CPUs when its load is divided by them.
 const MIN_USED_CPUS: f64 = 0.1;
 
 /// Result of a rental request.
@@ -122,7 +122,7 @@
         })
     }
 
-    /// The pool that a rental requests; `None` if its names are not known here.
+    /// The pool that a rental requests; `None` if its machine type or zone is not known here.
     fn pool_of(&self, request: &RentalRequest) -> Option<CapacityPool> {
         let names = &self.replica.names;
         Some(CapacityPool {
@@ -314,7 +314,7 @@
     }
 
     /// Handles the response to a return request. The machines are gone only if the cloud has
-    /// `confirmed` it.
+    /// `confirmed` the return.
     pub fn on_returned(&mut self, machines: &[String], confirmed: bool, now: Timestamp) {
         self.leadership.rental_requests.complete_return_request();
         if self.leads().is_none() {
--- a/src/leadership/start_times/tests.rs
+++ b/src/leadership/start_times/tests.rs
@@ -16,11 +16,12 @@
 
 #[test]
 fn observed_starts_decide_how_long_a_start_may_take() {
-    // Starts take as long as the catalog's boot time or less: twice the boot time.
+    // While starts take at most the catalog's boot time, the limit is twice the boot time.
     assert_eq!(start_times(&[1.0, 2.0, 18.0, 20.0]).overdue_s(20.0), 40.0);
-    // Most starts take longer than the boot time: twice the usual start time.
+    // When the usual start takes longer than the boot time, the limit is twice the usual start time.
     assert_eq!(start_times(&[30.0, 31.0, 33.0, 35.0]).overdue_s(20.0), 70.0);
-    // One slow start among many has no effect; several have one, up to the limit without samples.
+    // One slow start among many has no effect; several raise the limit, at most to the limit
+    // without samples.
     let mut many = vec![20.0; 20];
     many.push(80.0);
     assert_eq!(start_times(&many).overdue_s(20.0), 40.0);
--- a/src/leadership/unreachable_holders.rs
+++ b/src/leadership/unreachable_holders.rs
@@ -28,7 +28,8 @@
 
 impl Controller {
     /// Blocks whose holder does not answer its workers, so that their machines send heartbeats to
-    /// other controllers, with the controller that receives most of them.
+    /// other controllers, with the controller that receives heartbeats from the largest number of
+    /// these machines.
     ///
     /// A single machine out of many is no evidence against its holder: a machine that receives no
     /// answers at all tries every controller, whichever holds its block.
--- a/src/placement/candidates.rs
+++ b/src/placement/candidates.rs
@@ -26,7 +26,7 @@
     pub fetch_gb_per_s: f64,
     /// Images known to be on the machine.
     pub cached_images: HashSet<ImageId>,
-    /// Whether its price per CPU is far above that of the cheap machines, which are most of the fleet.
+    /// Whether its price or its price per CPU is far above the cheapest in the fleet.
     pub expensive: bool,
     /// Whether it accepts only tasks of overdue jobs.
     pub cordoned: bool,
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -9,7 +9,7 @@
 use rand::seq::index;
 use std::cmp::Ordering;
 
-/// Machines reserved for one job that found no machine with free resources.
+/// Maximum number of machines reserved for one job that found no machine with free resources.
 const RESERVED_PER_JOB: usize = 4;
 /// Maximum number of machines reserved in all. Bounds the cost on large fleets: each waiting job scans all
 /// machines.
@@ -56,9 +56,9 @@
     let mut planner = Planner::new(machines, smallest_request(jobs), limits, rng);
     let mut waiting_teams: HashSet<TeamId> = HashSet::default();
     for job in jobs {
-        // A team's quota becomes free in small amounts. It is kept for the first job that waits for
-        // it: otherwise smaller tasks of later jobs would use every amount, and a task that needs
-        // two CPUs would never start.
+        // A team's quota becomes free in small amounts. The free quota is kept for the first job that
+        // waits for it: otherwise smaller tasks of later jobs would use each amount as it becomes
+        // free, and a task that needs two CPUs would never start.
         if waiting_teams.contains(&job.team) {
             continue;
         }
@@ -86,9 +86,9 @@
 }
 
 impl FailedSearch {
-    /// Whether this failure implies that a job's tasks find no machine either. Jobs
-    /// that are overdue or may bind early can use more machines, so their failures apply to other
-    /// jobs, but not the reverse.
+    /// Whether this failure implies that a job's tasks find no machine either. Jobs that are overdue
+    /// or may bind early can use more machines, so their failures apply to all other jobs, but
+    /// failures of other jobs do not apply to them.
     fn rules_out(&self, job: &CandidateJob) -> bool {
         (self.overdue || !job.overdue)
             && (self.may_bind_early || !job.may_bind_early)
@@ -204,8 +204,8 @@
     }
 
     /// Reserves for a waiting job the machines that are expected to have resources for its tasks
-    /// first. On a full fleet later jobs' tasks of one CPU would otherwise use every CPU that
-    /// becomes free, and a task of two would never start.
+    /// first. Otherwise, on a full fleet, later jobs' tasks that need one CPU would use every CPU that
+    /// becomes free, and a task that needs two would never start.
     fn reserve_machines(&mut self, job: &CandidateJob) {
         let reserved = self.reserved.iter().filter(|reserved| **reserved).count();
         let available = RESERVED_PER_JOB
--- a/src/ranges/bitmap.rs
+++ b/src/ranges/bitmap.rs
@@ -14,11 +14,11 @@
 const MAX_PREFIX_BYTES: usize = 12;
 /// Tasks in a group of three bytes, which base64 encodes as four characters.
 const TASKS_PER_GROUP: usize = 24;
-/// Base64 characters of such a group.
+/// Base64 characters that encode one group of three bytes.
 const CHARACTERS_PER_GROUP: usize = 4;
 
 /// Number of tasks, counted from the first missing one, whose bitmap is guaranteed to fit into the
-/// given number of bytes, whichever of them are in the set.
+/// given number of bytes, whichever of the tasks are in the set.
 pub fn tasks_that_fit(bytes: usize) -> usize {
     bytes.saturating_sub(MAX_PREFIX_BYTES) / CHARACTERS_PER_GROUP * TASKS_PER_GROUP
 }
--- a/src/ranges/text.rs
+++ b/src/ranges/text.rs
@@ -43,7 +43,8 @@
     /// The text as a list of ranges or as a bitmap, whichever is shorter.
     pub fn shortest_text(&self) -> String {
         let bits = self.end().saturating_sub(self.first_missing()) as usize;
-        // Most sets have few ranges; these skip building a bitmap, which has 6 tasks per character.
+        // A bitmap has 6 tasks per character. For most sets, which have few ranges, that is no
+        // shorter than the list, so no bitmap is built.
         if bits.div_ceil(6) >= self.text_len() {
             return self.to_string();
         }
--- a/src/scaling/scale_in.rs
+++ b/src/scaling/scale_in.rs
@@ -8,13 +8,13 @@
 
 /// Weight of the price of a machine without tasks.
 const IDLE_PRICE_WEIGHT: f64 = 1.2;
-/// Reduction of this weight for a fully used machine.
+/// Reduction of `IDLE_PRICE_WEIGHT` for a fully used machine.
 const BUSY_PRICE_DISCOUNT: f64 = 0.2;
-/// Capacity to keep uncordoned, relative to what could run at once.
+/// CPUs to keep uncordoned, as a multiple of the CPUs that all runnable tasks would use.
 const SPARE_FACTOR: f64 = 1.1;
-/// CPUs to keep uncordoned in addition.
+/// CPUs to keep uncordoned beyond that multiple.
 const SPARE_CPUS: f64 = 2.0;
-/// A demand of fewer CPUs counts as none.
+/// A demand of at most this many CPUs counts as none.
 const NEGLIGIBLE_CPUS: f64 = 1e-6;
 
 /// A running machine with the CPUs that its bound tasks use.
--- a/src/scaling/scale_out.rs
+++ b/src/scaling/scale_out.rs
@@ -9,7 +9,8 @@
 
 /// Expensive machines are rented only if there is work for this many horizons.
 const EXPENSIVE_HORIZONS: f64 = 2.5;
-/// A machine is rented only if at least this fraction of it would be used; smaller types serve less.
+/// A machine is rented only if at least this fraction of it would be used; smaller types serve
+/// smaller demands.
 const MIN_USED_FRACTION: f64 = 0.5;
 
 /// Machines of one pool to request from the cloud.
@@ -106,7 +107,7 @@
 struct PoolDemand {
     /// CPUs worth renting for the demand.
     wanted: f64,
-    /// CPUs, rented or planned, that serve the same demand.
+    /// CPUs, rented or planned, that can serve the demand.
     present: f64,
 }
 
@@ -129,8 +130,8 @@
         zones_left: usize,
     ) {
         let demand = self.pool_demand(pool, &size, horizon_s);
-        // Spread over the zones that may be requested, because the cloud does not publish capacity
-        // and the loss of a zone should take only its share of the machines.
+        // The missing CPUs are spread over the zones that may be requested, because the cloud does
+        // not publish capacity and the loss of a zone should take only its share of the machines.
         let missing = (demand.wanted - demand.present) / zones_left as f64;
         // Smaller types serve a demand that would leave most of this machine unused.
         let number = if demand.wanted - demand.present >= size.cpus * MIN_USED_FRACTION {
@@ -162,7 +163,8 @@
         if pool.spot {
             return PoolDemand { wanted, present };
         }
-        // The larger shortage counts: of all demand, or of that for on-demand machines only.
+        // The larger shortage counts: that of all demand, or that of demand that may not run on spot
+        // machines.
         let on_demand_wanted = useful_cpus(&on_demand_only(&served), self.params.horizon_s);
         let on_demand_missing = on_demand_wanted - self.on_demand_cpus();
         PoolDemand {
@@ -193,8 +195,8 @@
             + planned.map(PlannedRental::cpus).sum::<f64>()
     }
 
-    /// The cheapest machine for the first waiting job that can run on no machine. Its demand may be
-    /// too small to round up to a machine.
+    /// The cheapest machine for the first waiting job that can run on no machine of the fleet. The
+    /// demand of such a job may be too small to round up to a machine.
     fn rental_for_unserved_job(
         &self,
         offers: &[Offer],
--- a/src/stealing/moves.rs
+++ b/src/stealing/moves.rs
@@ -15,7 +15,7 @@
 const MIN_CPUS: f64 = 1e-6;
 
 impl Controller {
-    /// Whether a machine has unused CPUs beyond those of all tasks in its queue.
+    /// Whether all tasks in a machine's queue together leave enough of its CPUs unused to steal tasks.
     pub(super) fn has_free_cpus(&self, machine_id: MachineId) -> bool {
         let machine = self.replica.machines.get(&machine_id);
         let size = machine.and_then(|machine| self.machine_capacity(machine));
--- a/src/stealing/rounds.rs
+++ b/src/stealing/rounds.rs
@@ -8,7 +8,7 @@
 use crate::protocol::StealMessage;
 use crate::replica::Binding;
 
-/// Steals that a controller sends at the start of a round, per known victim.
+/// Maximum number of steals that a controller sends at the start of a round, per known victim.
 const STEALS_PER_VICTIM: usize = 4;
 /// Maximum number of steals that one machine sends at the start of a round.
 const MAX_STEALS_PER_THIEF: u32 = 16;
@@ -176,7 +176,8 @@
         };
         let mut round = Round::new(&loads.machines, &thresholds);
         let mut messages = self.assign_roles(&mut round, &own, &loads, &thresholds);
-        // Own machines without packs are no victims; those of peers may have some.
+        // Machines held here that have no packs are not victims. Which of the peers' machines have
+        // packs is not known here.
         let packs = &round.packs;
         round.victims.retain(|victim| {
             packs.contains_key(&victim.machine_id) || !self.held.contains(victim.machine_id)
