--- a/src/http/cells.rs
+++ b/src/http/cells.rs
@@ -16,7 +16,7 @@
     CellResponse, LoanReport, Offer, OfferDecision, OfferResponse, RejectionReason, RequestBody,
 };
 
-/// Maximum attempts at deciding an offer; the second one follows a read of the archive.
+/// Maximum attempts at deciding an offer; the second attempt follows a read of the archive.
 const MAX_OFFER_ATTEMPTS: usize = 2;
 
 /// `POST /cell`: handles a request from another cell, or one relayed by a controller of this cell.
--- a/src/http/dependent_submission.rs
+++ b/src/http/dependent_submission.rs
@@ -134,8 +134,8 @@
 }
 
 impl ApiState {
-    /// Accepts a job with predecessors. Their state is at least as new as the request, and a change in
-    /// between fails the preconditions of the transaction.
+    /// Accepts a job with predecessors. The states read for them are at least as new as the request, and a
+    /// change of a predecessor before the commit fails the transaction's preconditions.
     pub(super) async fn submit_dependent(&self, job: NewJob) -> HttpResponse {
         let deadline = Instant::now() + ACCEPTANCE_TIMEOUT;
         let mut attempts = 0;
--- a/src/jobs/dependent.rs
+++ b/src/jobs/dependent.rs
@@ -101,8 +101,8 @@
     Ok(names)
 }
 
-/// Maximum number of unfinished predecessors in one transaction. Each needs one precondition, besides those
-/// that the job's own keys are absent.
+/// Maximum number of unfinished predecessors in one transaction. Each needs one precondition, in
+/// addition to those that require the job's own keys to be absent.
 pub fn max_unfinished_predecessors(settings: &Settings) -> usize {
     let preconditions = settings.platform.settings.state.txn_ops * PRECONDITIONS_PER_MUTATION;
     preconditions.saturating_sub(absence_preconditions("").len())
--- a/src/jobs/incremental.rs
+++ b/src/jobs/incremental.rs
@@ -2,9 +2,9 @@
 //!
 //! The value of the waiting job is written several times. Each write adds predecessors, with preconditions
 //! on their keys. Predecessors are not archived once they are listed, so a replica that has the value also
-//! has all predecessors in it. Until the last write the job is *incomplete*: its acceptance has not been
-//! confirmed to the user, lookups do not find it, and it never becomes ready. The leader deletes incomplete
-//! jobs whose users have given up.
+//! has all predecessors that it lists. Until the last write the job is *incomplete*: its acceptance has not
+//! been confirmed to the user, lookups do not find it, and it never becomes ready. The leader deletes
+//! incomplete jobs whose users have given up.
 //!
 //! Performs no I/O. The write that completes a job must never be planned before the value lists every
 //! unfinished predecessor.
--- a/src/protocol/json.rs
+++ b/src/protocol/json.rs
@@ -9,8 +9,8 @@
 pub struct Json(Arc<RawValue>);
 
 impl Json {
-    /// Serializes `value`; yields `null` if that fails. It cannot fail for records, which are plain data with
-    /// string keys.
+    /// Serializes `value`; yields `null` if serialization fails, which cannot happen for records: they are
+    /// plain data with string keys.
     pub fn encode(value: &impl Serialize) -> Json {
         let raw = serde_json::value::to_raw_value(value);
         Json(raw.unwrap_or_else(|_| RawValue::NULL.to_owned()).into())
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -99,7 +99,7 @@
     /// Milliseconds since the borrower last confirmed the loan to the sender.
     #[serde(rename = "age_ms")]
     pub since_confirmed_ms: u64,
-    /// Whether any task of the job was bound to a machine at that time.
+    /// Whether any task of the job was bound to a machine when the borrower last confirmed the loan.
     pub bound: bool,
 }
 
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -94,7 +94,7 @@
     /// Specification of the job.
     #[serde(flatten)]
     pub spec: JobSpec,
-    /// Jobs that must be done before any task of this one starts. Parsed separately, because its errors
+    /// Jobs that must be done before any task of this job starts. Parsed separately, because its errors
     /// differ from those of the other fields.
     #[serde(skip)]
     pub predecessors: Vec<String>,
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -136,7 +136,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatAck {
     /// The sender's fencing token. A worker ignores an ack whose token is lower than the highest one that
-    /// it has seen; such an ack does not renew its lease either.
+    /// it has seen; such an ack does not renew the worker's lease either.
     #[serde(rename = "baton")]
     pub token: u64,
     /// Commands in execution order.
--- a/src/records/job.rs
+++ b/src/records/job.rs
@@ -58,9 +58,9 @@
 impl JobRecord {
     /// Reduces the value of a job in a final state to `max_bytes`, as far as possible.
     ///
-    /// The limit may have been higher when the job was accepted. Without this, the store would refuse to
-    /// cancel, complete or archive a job with a larger value. The placement constraints of such a job are no
-    /// longer needed, and its done tasks are only displayed.
+    /// The limit may have been higher when the job was accepted. Unless the value is reduced, the store would
+    /// refuse to cancel, complete or archive a job with a larger value. The placement constraints of such a
+    /// job are no longer needed, and its done tasks are only displayed.
     pub fn shrink_if_final(&mut self, max_bytes: usize) {
         let is_final = self.status != JobStatus::Pending;
         let too_large = |record: &Self| Json::encode(record).size() > max_bytes;
@@ -83,7 +83,7 @@
     /// Specification as submitted.
     #[serde(rename = "s")]
     pub spec: JobSpec,
-    /// State: pending or cancelled. A job is also cancelled if one that it depends on is.
+    /// State: pending or cancelled. A job is also cancelled if a job that it depends on is cancelled.
     #[serde(rename = "st")]
     pub status: JobStatus,
     /// Wall-clock time of the submission, milliseconds since the Unix epoch.
--- a/src/records/names.rs
+++ b/src/records/names.rs
@@ -1,4 +1,5 @@
-//! Front-coded text form of lists of names: the length of the prefix shared with the previous name is one digit.
+//! Front-coded text form of lists of names: the length of the prefix shared with the previous name is
+//! written as one digit.
 
 use crate::ranges::write_number;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error as _};
--- a/src/replica/block_values.rs
+++ b/src/replica/block_values.rs
@@ -1,7 +1,7 @@
 //! Conversion between blocks of the replica and their stored values.
 //!
 //! A stored value refers to jobs and kinds of machines by their index in tables, and stores attempts
-//! relative to the lowest one.
+//! relative to the block's lowest attempt.
 
 use super::{Binding, BlockEdit, NameTables, Replica, TaskId};
 use crate::collections::HashMap;
@@ -106,7 +106,8 @@
 
     /// The done tasks that a block has to list: those of pending jobs that the jobs' own keys do not list.
     ///
-    /// The tasks of a job that is in a final state or archived are no longer needed. Neither can be undone.
+    /// The tasks of a job that is in a final state or archived are no longer needed, and a job never leaves
+    /// these states.
     fn unrecorded_done(&self, edit: &BlockEdit) -> Vec<(JobId, RangeSet)> {
         let unrecorded = |(job_id, tasks): &(JobId, RangeSet)| {
             let job = self.jobs.get(job_id)?;
--- a/src/replica/job.rs
+++ b/src/replica/job.rs
@@ -45,8 +45,8 @@
 }
 
 impl Job {
-    /// Maximum number of open tasks below the highest bound one. Within it, the ranges of done tasks fit
-    /// into a value of `value_bytes` in whatever order the tasks end.
+    /// Maximum number of open tasks below the highest bound one. Within this limit, the ranges of done tasks
+    /// fit into a value of `value_bytes` in whatever order the tasks end.
     ///
     /// Each gap between done tasks adds one range to the text: at most two numbers and two separators.
     /// The limit depends on the number of digits of the job's own task numbers: one limit for all jobs, for
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Exclusive upper bound of the task numbers that may be open. Within it, the done tasks fit into a
-    /// value of `value_bytes` in whatever order the tasks end.
+    /// Exclusive upper bound of the task numbers that may be open. Below this bound, the done tasks fit
+    /// into a value of `value_bytes` in whatever order the tasks end.
     ///
     /// Tasks are bound in ascending order, so a bitmap spans the tasks from the first one that is not done
     /// to the highest open one.
--- a/src/replica/job_index.rs
+++ b/src/replica/job_index.rs
@@ -22,7 +22,7 @@
 /// Index of jobs by state, with their bound and done tasks.
 #[derive(Debug, Default)]
 pub(super) struct JobIndex {
-    /// Number of queues that list each task. It exceeds one only between two related changes.
+    /// Number of queues that list each task; more than one only between two related changes.
     bound: HashMap<JobId, BTreeMap<u32, u8>>,
     /// Jobs that are lent to another cell or borrowed from one.
     transferred: BTreeSet<JobId>,
--- a/src/replica/tests.rs
+++ b/src/replica/tests.rs
@@ -96,7 +96,7 @@
 
 #[test]
 fn full_read_keeps_own_commits_made_after_it_began() {
-    // Reverting them would show a task as unbound that this controller had just bound.
+    // Reverting the own commits would show a task as unbound that this controller had just bound.
     let mut replica = Replica::default();
     let (lead, grant) = (LEADER_KEY.to_owned(), grant_key(BlockId(0)));
     let owner = |incarnation: u64| serde_json::json!({ "h": "n0", "b": incarnation });
--- a/src/replica/waiting.rs
+++ b/src/replica/waiting.rs
@@ -1,6 +1,6 @@
 //! Jobs of the replica that wait for predecessors.
 //!
-//! They are stored under a separate prefix, which scheduling ignores in every version. A waiting job therefore
+//! Their keys have a separate prefix, which scheduling ignores in every version. A waiting job therefore
 //! uses no capacity, has no position in the job order and counts towards no limit, whatever version the leader
 //! runs.
 
@@ -19,7 +19,7 @@
     pub mod_revision: u64,
     /// Its stored value. It may not show yet that the job was cancelled together with a predecessor.
     pub record: Arc<WaitingRecord>,
-    /// Whether the job, or one that it depends on, was cancelled.
+    /// Whether the job, or a job that it depends on, was cancelled.
     pub cancelled: bool,
 }
 
@@ -105,7 +105,7 @@
         self.jobs.contains_key(&job) || self.waiting.jobs.contains_key(&job)
     }
 
-    /// Whether a job, or one that it depends on, was cancelled.
+    /// Whether a job, or a job that it depends on, was cancelled.
     fn is_cancelled(&self, job: JobId) -> bool {
         let status = self.jobs.get(&job).map(|job| job.status);
         let archived = || self.waiting.archived_statuses.get(&job).copied();
@@ -114,16 +114,16 @@
             || status.or_else(archived) == Some(JobStatus::Cancelled)
     }
 
-    /// Whether a job is recorded as done in its own key, which is final. It is not enough that all of its
-    /// tasks are done, because a cancellation may still be written to that key first.
+    /// Whether a job is recorded as done in its own key; this state is final. That all of its tasks are
+    /// done is not enough, because a cancellation may still be written to that key first.
     fn is_recorded_done(&self, job: JobId) -> bool {
         let status = self.jobs.get(&job).map(|job| job.status);
         let archived = || self.waiting.archived_statuses.get(&job).copied();
         status.or_else(archived) == Some(JobStatus::Done)
     }
 
-    /// Marks all direct and indirect dependents of a cancelled job as cancelled. This takes effect before it
-    /// is written to the store: every replica derives it from the cancellation itself.
+    /// Marks all direct and indirect dependents of a cancelled job as cancelled. This takes effect before
+    /// their own keys change in the store: every replica derives it from the cancellation of `job`.
     pub(super) fn cancel_dependents(&mut self, job: JobId) {
         for dependent in self.dependencies.transitive_dependents(job) {
             if let Some(waiting) = self.waiting.jobs.get_mut(&dependent) {
--- a/src/runtime/cloud_client.rs
+++ b/src/runtime/cloud_client.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tracing::error;
 
-/// Timeout for a response of the cloud, and again for its body.
+/// Timeout for the head of a response of the cloud, and separately for its body.
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(3);
 /// Maximum size of the catalog or of a page of machines, bytes.
 const MAX_READ_BODY_BYTES: usize = 16 << 20;
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Returns machines to the cloud. The result is whether the cloud confirmed it.
+    /// Returns machines to the cloud. The result is whether the cloud confirmed the return.
     pub(super) async fn return_machines(self, machines: Vec<String>) -> bool {
         let url = format!("{}/machines/return", self.base_url);
         let response = self.post(url, &MachineNames { machines }).await;
--- a/src/runtime/effects.rs
+++ b/src/runtime/effects.rs
@@ -60,7 +60,7 @@
         }));
     }
 
-    /// Renews the lease. A renewal counts from when the request is sent.
+    /// Renews the lease. The renewed lease counts from when the request is sent.
     fn renew_lease(&self, lease_id: u64, ctx: &mut Context<Self>) {
         let (store, sent_at) = (self.store.clone(), self.now());
         let request = async move { store.renew(lease_id).await };
--- a/src/settings/durations.rs
+++ b/src/settings/durations.rs
@@ -57,8 +57,8 @@
         interval_ms as u64 + self.max_ack_delay_ms() + HEARTBEAT_DELAY_MS
     }
 
-    /// How long the ack to a machine without tasks is delayed while waiting for one, ms: three fifths of the
-    /// heartbeat interval, but at least a second less than a worker waits for it.
+    /// Maximum time for which the ack to a machine without tasks is delayed until a task is bound to it, ms:
+    /// three fifths of the heartbeat interval, but at least a second less than a worker waits for it.
     pub fn max_ack_delay_ms(&self) -> u64 {
         ((self.platform.settings.workers.heartbeat_s * 600.0) as u64).min(MAX_ACK_DELAY_MS)
     }
@@ -81,8 +81,9 @@
         (self.platform.settings.state.value_kb * 1024.0) as usize - VALUE_MARGIN_BYTES
     }
 
-    /// Maximum number of unfinished tasks of one job below its highest bound task. It guarantees that the
-    /// ranges of done tasks fit into the job's value.
+    /// Number of unfinished tasks below the highest bound task of any job for which the ranges of done tasks
+    /// fit into the job's value. Only submission uses it, to reserve space; binding uses the limit of each job
+    /// ([`Job::max_open_tasks`](crate::replica::Job::max_open_tasks)).
     pub fn max_open_tasks(&self) -> usize {
         let for_ranges = self.max_value_bytes().saturating_sub(JOB_BASE_BYTES);
         (for_ranges / MAX_DONE_RANGE_BYTES).clamp(16, 5000)
--- a/src/settings/options.rs
+++ b/src/settings/options.rs
@@ -79,7 +79,7 @@
     queue_job_share: "queues/share" = 0.03 in 0.001..=1.0;
     /// CPUs of running tasks that may be preempted at once for tasks of a higher priority.
     preempt_cpus: "queues/evict-cpus" = 24.0 in 0.0..=10000.0;
-    /// Seconds of queued work for each CPU that the fleet is sized for.
+    /// Seconds of queued work per CPU for which the fleet is sized.
     fleet_horizon_s: "fleet/horizon-s" = 45.0 in 1.0..=3600.0;
     /// Seconds for which a machine is idle before it is returned.
     fleet_idle_s: "fleet/idle-s" = 8.0 in 0.0..=3600.0;
@@ -151,7 +151,7 @@
     }
 }
 
-/// Reads the text of every setting in the file, by path; an element without text has an empty one.
+/// Reads the text of every setting in the file, by path; an element without text yields an empty string.
 fn parse_values(text: &str) -> Result<HashMap<String, String>, SettingsError> {
     let mut reader = Reader::from_str(text);
     let mut values = OptionValues::default();
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -54,8 +54,8 @@
 impl Team {
     /// Replaces a limit of 0 by infinity.
     ///
-    /// Guest teams without a guarantee have a limit of 0. Without this, all their jobs were refused as
-    /// unrunnable, although they may use unused capacity.
+    /// Guest teams without a guarantee have a limit of 0. When it was applied literally, all their jobs were
+    /// refused as unrunnable, although they may use unused capacity.
     fn treat_zero_as_unlimited(&mut self) {
         for limit in [&mut self.cpus_max, &mut self.gpus_max] {
             if *limit <= 0.0 {
--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -1,6 +1,6 @@
 //! Limits of the key-value store, current and announced (DEPLOY, `settings.state`).
 //!
-//! From its start, a controller observes the smaller of the two.
+//! From its start, a controller observes the smaller of the current and the announced value of each limit.
 
 use super::SettingsError;
 use serde::Deserialize;
@@ -46,7 +46,7 @@
     /// Replaces each limit by the smaller of the current and the announced one.
     ///
     /// A limit can be lowered between two writes, so a controller never writes anything that the store would
-    /// refuse under either of them.
+    /// refuse under either limit.
     pub(super) fn apply_next_limits(&mut self) {
         let next = &self.next;
         let smaller = |now: f64, next: Option<f64>| next.map_or(now, |next| now.min(next));
--- a/src/store/read_index.rs
+++ b/src/store/read_index.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Share of the store's request budget that these reads of all controllers may use.
+/// Share of the store's request budget that linearizable reads of all controllers together may use.
 const REQUEST_SHARE: f64 = 0.15;
 /// Maximum number of attempts of a read while the request budget is exhausted.
 const MAX_READ_ATTEMPTS: u32 = 3;
