--- a/crates/spillover/src/confirmation.rs
+++ b/crates/spillover/src/confirmation.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 
 /// Time for which a controller that has just started, or just learned of a loan, waits for its first
-/// confirmation before it stops running tasks, ms. Until then it does not acknowledge heartbeats of the machines
-/// concerned, so the leases of their workers are not renewed.
+/// confirmation before it stops the loan's running tasks, ms. Until then it does not acknowledge heartbeats
+/// of machines that run any of them, so the leases of their workers are not renewed.
 const FIRST_CONFIRMATION_TIMEOUT_MS: u64 = 3000;
 
 /// What a controller may do with the tasks of a loan.
@@ -62,7 +62,7 @@
         self.loans.insert(loan.job.clone(), new_loan);
     }
 
-    /// Keeps only the loans whose jobs the replica shows as borrowed, as determined by `is_borrowed`.
+    /// Keeps only the loans whose job names `is_borrowed` accepts: those that the replica shows as borrowed.
     pub fn retain(&mut self, is_borrowed: impl Fn(&str) -> bool) {
         self.loans.retain(|job, _| is_borrowed(job));
     }
--- a/crates/spillover/src/endpoint_selector.rs
+++ b/crates/spillover/src/endpoint_selector.rs
@@ -51,7 +51,7 @@
         self.last_answered_sent_at = self.last_answered_sent_at.max(Some(sent_at));
     }
 
-    /// Completes a request without an answer, or with one from a controller that cannot serve it. The next
+    /// Completes a request that got no answer, or was answered by a controller that cannot serve it. The next
     /// request goes to the next controller, after a pause.
     pub fn on_failure(&mut self, now: u64, pause_ms: u64) {
         self.in_flight = false;
--- a/crates/spillover/src/message.rs
+++ b/crates/spillover/src/message.rs
@@ -44,7 +44,8 @@
     Offer(Vec<Offer<Spec>>),
     /// A borrower reports on its loans and asks whether they are active.
     Confirm {
-        /// The lender. A controller of the borrower's own cell responds with its own confirmations.
+        /// Name of the lending cell. If the request is relayed, the receiving controller of the borrower's
+        /// cell responds with the confirmations that it has from that cell.
         origin: String,
         /// Reports on all loans from this lender.
         loans: Vec<LoanReport>,
@@ -157,7 +158,7 @@
     /// The job can never run in this cell.
     #[error("the job can never run here")]
     NeverRuns,
-    /// The cell has no capacity, or lends jobs of the same class itself.
+    /// The cell has no capacity, or itself lends jobs of this job's class.
     #[error("no room")]
     NoRoom,
     /// This cell already has a job of this name from a user or another cell.
@@ -215,7 +216,7 @@
     pub teams: Vec<TeamLimit>,
     /// Its machine types, sorted by name.
     pub machine_types: Vec<MachineType>,
-    /// Classes of jobs that the cell lends itself; it does not borrow jobs of these classes.
+    /// Classes of jobs that the cell itself lends; it does not borrow jobs of these classes.
     pub lent_classes: Vec<String>,
 }
 
--- a/crates/spillover/src/policy.rs
+++ b/crates/spillover/src/policy.rs
@@ -6,19 +6,19 @@
 use crate::settings::PolicySettings;
 use std::collections::BTreeMap;
 
-/// Minimum CPUs that a task counts for.
+/// Minimum CPUs counted for each task, even if the task requires fewer.
 const MIN_TASK_CPUS: f64 = 0.01;
 /// Amount by which sums of sizes may exceed a limit, because they are rounded.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// A job with waiting tasks. Lists of these are in the order in which the lender serves them.
+/// A job with waiting tasks. Lists of waiting jobs are in the order in which the lender serves them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WaitingJob {
     /// Name of the job.
     pub name: String,
     /// Job class. A cell does not borrow jobs of a class that it lends itself.
     pub class: String,
-    /// Name of the team that it belongs to.
+    /// Name of the team that the job belongs to.
     pub team: String,
     /// Number of waiting tasks.
     pub tasks: u32,
@@ -26,7 +26,7 @@
     pub task: TaskNeeds,
     /// Expected run time of a task, seconds.
     pub run_s: f64,
-    /// Size of its image, GB.
+    /// Size of the job's image, GB.
     pub image_gb: f64,
     /// Names of the allowed machine types; None allows any.
     pub machine_types: Option<Vec<String>>,
@@ -98,8 +98,8 @@
 /// Predicts how long each job waits in the lending cell, seconds: the longer of the waits for the fleet and for
 /// its team's limit.
 ///
-/// Free CPUs are assigned in the order of the jobs. A job that gets none waits until all work that is bound or
-/// ahead of it is done, at the rate of the whole fleet or of its team's whole limit.
+/// Free CPUs are assigned in the order of the jobs. A job that gets none of them waits until all work bound
+/// or ahead of it is done, at the rate of the whole fleet or of its team's whole limit.
 pub fn predict_waits(local: &LocalLoad, jobs: &[WaitingJob]) -> Vec<f64> {
     let mut fleet = Queue::new(local.fleet_cpus, local.free_cpus, local.bound_s);
     let mut teams: BTreeMap<&str, Queue> = local
@@ -289,11 +289,12 @@
 /// The lender's information about an active loan.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoanActivity {
-    /// Milliseconds since the borrower's last report on it, or since it was lent if there was none.
+    /// Milliseconds since the borrower's last report on the loan; if none, since the job was lent.
     pub since_last_report_ms: u64,
-    /// Whether the borrower ever reported on it, which shows that the loan arrived.
+    /// Whether the borrower ever reported on the loan, which shows that the offer arrived.
     pub was_reported: bool,
-    /// Milliseconds since the borrower last reported any bound task of it, or since it was lent if it never did.
+    /// Milliseconds since the borrower last reported a bound task of the loan, or since the job was lent if
+    /// the borrower never did.
     pub idle_ms: u64,
 }
 
@@ -302,7 +303,7 @@
 pub enum RecallReason {
     /// The borrower has not reported on the loan for too long.
     Silent,
-    /// The borrower has no task of it bound, and the lending cell has capacity for the job.
+    /// The borrower has no task of the loan bound, and the lending cell has capacity for the job.
     RoomAtHome,
 }
 
--- a/crates/spillover/src/settings.rs
+++ b/crates/spillover/src/settings.rs
@@ -56,7 +56,7 @@
     CancelTime {
         /// Name of the cell.
         cell: String,
-        /// Sum of both leases with the allowances for clock drift and delivery, seconds.
+        /// Sum of the leases of loan and workers and the allowances for clock drift and delivery, seconds.
         sum_s: f64,
         /// Time limit of a cancellation, seconds.
         cancel_s: f64,
--- a/crates/spillover/src/terms.rs
+++ b/crates/spillover/src/terms.rs
@@ -21,8 +21,8 @@
     /// the end of the loan.
     ///
     /// Every confirmation was made from a replica older than that record. Grant holders in the borrowing
-    /// cell act on it for at most the lease; the workers that they acknowledge until then stop their tasks
-    /// when their own leases expire.
+    /// cell act on a confirmation for at most the loan's lease; the workers whose heartbeats they acknowledge
+    /// until then stop their tasks when the workers' leases expire.
     pub fn tasks_stopped_after_ms(&self) -> u64 {
         let sum = (self.lease_ms + self.worker_lease_ms) as f64;
         (sum * (1.0 + MAX_CLOCK_DRIFT_RATIO)).ceil() as u64 + DELIVERY_MARGIN_MS
--- a/crates/spillover/tests/decisions.rs
+++ b/crates/spillover/tests/decisions.rs
@@ -327,7 +327,7 @@
         .cell_by_name("brest")
         .expect("cell in the settings");
     assert!(brest.allows_source("10.0.2.7".parse().expect("valid IP address")));
-    // 10 s and 12 s, plus clock drift and delivery margin.
+    // The loan's lease of 10 s and the workers' lease of 12 s, plus clock drift and delivery margin.
     assert_eq!(settings.loan_terms(rennes).tasks_stopped_after_ms(), 24_022);
 }
 
--- a/src/spillover/borrowing.rs
+++ b/src/spillover/borrowing.rs
@@ -12,11 +12,12 @@
 use quillbend_spillover::confirmation::Permission;
 use quillbend_spillover::message::{CellResponse, LoanId, LoanReport, Progress, RequestBody};
 
-/// Interval between requests while nothing is borrowed, ms. They show that the lender is reachable.
+/// Interval between requests for confirmation while nothing is borrowed, ms. These requests show whether the
+/// lender is reachable.
 const IDLE_REQUEST_PERIOD_MS: u64 = 5000;
-/// Delay after a failed request, ms.
+/// Delay after a failed request for confirmation, ms.
 const RETRY_DELAY_MS: u64 = 400;
-/// Delay after a failed request while nothing is borrowed, ms.
+/// Delay after a failed request for confirmation while nothing is borrowed, ms.
 const IDLE_RETRY_DELAY_MS: u64 = 2500;
 
 impl Controller {
@@ -143,8 +144,8 @@
         batch.finish()
     }
 
-    /// Whether transfers allow a job to be archived, which removes it from the watched keys. The lender of a
-    /// borrowed job must have recorded its end first.
+    /// Whether transfers allow a job to be archived, which removes it from the watched keys. A borrowed
+    /// job may be archived only after its lender has recorded the end of the loan.
     pub(crate) fn may_archive(&self, job_id: JobId, job: &Job) -> bool {
         let name = self.replica.names.jobs.name(job_id);
         job.borrowed_from().is_none_or(|transfer| {
--- a/src/spillover/lending.rs
+++ b/src/spillover/lending.rs
@@ -27,7 +27,7 @@
 struct DueReturn {
     job_id: JobId,
     cell: String,
-    /// True if it is taken back because all leases have expired, false if because the borrower refused it.
+    /// Whether all leases have expired; if false, the job is taken back because the borrower refused it.
     expired: bool,
 }
 
--- a/src/spillover/mod.rs
+++ b/src/spillover/mod.rs
@@ -1,4 +1,4 @@
-//! Spillover between cells: a controller lends waiting jobs to other cells and runs jobs of theirs.
+//! Spillover between cells: a controller lends waiting jobs to other cells and runs jobs that they lend.
 //!
 //! The pure decisions are in the crate `quillbend-spillover`; this module connects them to the replica, the
 //! transactions and the machines, and owns the in-memory state about loans and other cells. Invariant: a task
@@ -47,7 +47,7 @@
 pub struct CellCall {
     /// Address of the controller.
     pub address: String,
-    /// Body to send.
+    /// The request to send.
     pub request: CellRequest,
     /// Index of the other cell in the settings.
     pub cell_index: usize,
@@ -80,15 +80,16 @@
 /// State of the connection to another cell.
 #[derive(Debug)]
 struct CellLink {
-    /// Its controllers, for requests for confirmation.
+    /// Selects the other cell's controller that receives the next request for confirmation.
     lender: EndpointSelector,
-    /// The controllers of this cell, which relay their confirmations of its loans.
+    /// Selects the controller of this cell that is asked for its confirmations of the other cell's loans.
     relay: EndpointSelector,
-    /// Its controllers, for status requests and offers, which only its leader answers.
+    /// Selects the other cell's controller that receives the next status request or offers, which only the
+    /// leader there answers.
     borrower: EndpointSelector,
-    /// Its latest status, with the time of arrival.
+    /// Latest status of the other cell, with the time of arrival.
     status: Option<(CellStatus, Timestamp)>,
-    /// CPUs of the jobs lent to it since that status arrived.
+    /// CPUs of the jobs lent to the other cell since its latest status arrived.
     promised_cpus: f64,
 }
 
@@ -143,7 +144,7 @@
     pub(crate) finished: u64,
     /// Loans borrowed.
     pub(crate) borrowed: u64,
-    /// Offers refused or deferred.
+    /// Offers whose refusal was recorded.
     pub(crate) refused: u64,
     /// Requests refused for an unknown cell, another message version or a source network that is not allowed.
     pub(crate) rejected: u64,
@@ -248,7 +249,7 @@
             && self.replica.format >= SPILLOVER_FORMAT
     }
 
-    /// Whether spillover is configured, or the replica still holds loans from when it was.
+    /// Whether spillover is configured, or the replica still holds loans from a time when it was.
     fn handles_transfers(&self) -> bool {
         self.spillover.is_enabled() || self.replica.has_transfers()
     }
--- a/src/spillover/offers.rs
+++ b/src/spillover/offers.rs
@@ -34,7 +34,7 @@
     Write {
         /// The transaction to commit.
         transaction: Transaction,
-        /// The decision that it records.
+        /// The decision that the transaction records.
         decision: OfferDecision,
     },
     /// Respond with this decision; nothing has to be written.
@@ -122,7 +122,8 @@
         }
     }
 
-    /// The revision of a borrowed job by this name that is in a final state and has no task in any queue.
+    /// Modification revision of the borrowed job of this name; None unless the job is in a final state and no
+    /// queue lists any of its tasks.
     fn ended_loan_revision(&self, name: &str) -> Option<u64> {
         let (job_id, job) = self.replica.job_by_name(name)?;
         let has_ended = job.borrowed_from().is_some()
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Whether this cell has no capacity for even one task of a job, or lends jobs of the same class itself.
+    /// Whether this cell has no capacity for even one task of a job, or itself lends jobs of its class.
     fn lacks_capacity_for(&self, spec: &JobSpec, now: Timestamp) -> bool {
         let status = self.cell_status(now);
         let team = status.teams.iter().find(|team| team.name == spec.team);
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Counts a decision about an offer, after it was recorded if that was necessary.
+    /// Counts a decision about an offer that has been recorded. Other decisions are not counted.
     pub fn on_offer_decided(&mut self, offer: &Offer<JobSpec>, decision: OfferDecision) {
         let job = &offer.loan.job;
         match decision {
--- a/src/spillover/serving.rs
+++ b/src/spillover/serving.rs
@@ -48,8 +48,8 @@
         Some(CellResponse::Refused(refusal))
     }
 
-    /// Records a borrower's reports and plans one transaction for each loan that they end. Its precondition
-    /// is the revision of the job's key in the replica, so only the first recorded end takes effect.
+    /// Records a borrower's reports and plans one transaction for each loan that they end. The precondition
+    /// of each is the revision of the job's key in the replica, so only the first recorded end takes effect.
     pub fn plan_loan_ends(
         &mut self,
         from: &str,
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -1,10 +1,10 @@
 //! Tests that this version reads values and messages of earlier versions, and that earlier versions which may
 //! still run read those of this version.
 //!
-//! The fixtures were written by the earlier versions: for every kind of key the value with the most content
-//! of a short run, and one message between controllers. The fixtures of format 0 come from the version before
+//! The fixtures were written by the earlier versions. They hold the longest value of a short run for every
+//! kind of key, and one message between controllers. The fixtures of format 0 come from the version before
 //! dependent jobs (b96ac05), those of format 2 from the version that `production` names (11d1251). The types
-//! below are copies of those with which the version before dependent jobs reads.
+//! below are copies of those with which the version before dependent jobs reads values and messages.
 
 mod support;
 
@@ -23,7 +23,7 @@
     use serde::Deserialize;
     use std::collections::BTreeMap;
 
-    /// Prefixes of the keys that it reads; it ignores all others.
+    /// Prefixes of the keys that the version before dependent jobs reads; it ignores all other keys.
     pub const KEY_PREFIXES: [&str; 5] =
         ["qb/node/", "qb/grant/", "qb/block/", "qb/job/", "qb/load/"];
 
@@ -371,7 +371,7 @@
             for item in w.store.list(prefix).0 {
                 let value: Value = item.value.decode().expect("json");
                 assert_readable_as_format_0(&item.key, &value);
-                // No waiting job is stored under a key from which that version would bind its tasks.
+                // No waiting job is stored under a key from which the earlier version would bind its tasks.
                 has_waited |= item.key.starts_with("qb/wait/");
                 let ignored_prefixes = ["qb/wait/", "qb/format"];
                 if ignored_prefixes.iter().any(|p| item.key.starts_with(p)) {
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -228,7 +228,7 @@
         if cancelled_at == 0 {
             cancelled_jobs.extend([left, right.clone(), right_leaf.clone()]);
         }
-        // The controller that received the cancellation reports all of them as cancelled at once.
+        // The controller that received the cancellation reports all of these jobs as cancelled at once.
         w.run(100);
         for job in &cancelled_jobs {
             assert_eq!(w.poll_status(0, job), Some(JobStatus::Cancelled), "{job}");
@@ -253,7 +253,8 @@
     w.run(500);
     w.cancel(&first);
     w.run(500);
-    // Its predecessor was cancelled together with the first job. Later both are archived.
+    // The predecessor of the third job was cancelled together with the first job. By the time the fourth job
+    // is submitted, both are archived.
     let third = w.submit_dependent(3, w.spec(2), &[&second]);
     assert_all_cancelled(&mut w, &[first.clone(), second.clone(), third]);
     let fourth = w.submit_dependent(4, w.spec(2), &[&second]);
@@ -371,7 +372,7 @@
     let first = w.submit(1, w.spec(1));
     let second = w.submit_dependent(2, w.spec(1), &[&first]);
     w.run(300);
-    // One repeat names the same predecessor, the other names none.
+    // One repeated submission names the same predecessor, the other names none.
     assert_eq!(
         w.try_submit_dependent(1, 2, w.spec(1), std::slice::from_ref(&first)),
         None
--- a/tests/network_faults_and_restarts.rs
+++ b/tests/network_faults_and_restarts.rs
@@ -196,7 +196,7 @@
 
 #[test]
 fn repeated_heartbeat_copies_of_a_machine_that_disappeared_do_not_keep_its_tasks_bound() {
-    // A new holder whose token the machine has not confirmed first answers such heartbeats, because they
+    // A new holder whose token the machine has not confirmed first answers copied heartbeats, because they
     // may come from a live machine. Later it stops answering, so that any task there ends with the lease.
     let (mut w, job) = world_with_job(31, 3, 20_000);
     w.cloud_up = false;
@@ -286,7 +286,7 @@
         let leader = w.leader().expect("there is a leader");
         w.crash(leader);
         w.run(2700);
-        // The others are about to elect a leader; now each controller is restarted within 300 ms.
+        // The other controllers are about to elect a leader; now each controller is restarted within 300 ms.
         w.start(leader);
         for i in 0..controllers {
             w.crash(i);
@@ -323,7 +323,7 @@
 
 #[test]
 fn the_block_of_a_restarted_worker_is_granted_again_only_once() {
-    // The leader once granted the block repeatedly until it next checked when each grant had been made.
+    // The leader once repeated the grant until it next checked the times at which grants had been made.
     for seed in 0..4 {
         let (mut w, _) = world_with_job(40 + seed, 3, 30_000);
         w.run(5000);
@@ -441,8 +441,8 @@
 
 #[test]
 fn machines_of_a_disconnected_zone_are_not_returned_at_once() {
-    // Once such machines were reachable again after 70 s, with warm caches, but had been returned after
-    // 38 s, and the machines rented in their place had not been reachable either.
+    // Once the machines of such a zone were reachable again after 70 s, with warm caches, but had been
+    // returned after 38 s, and the machines rented in their place had not been reachable either.
     let mut w = controllable_world(20, 3, 10);
     w.run_ms = 30_000;
     let job = w.submit(1, w.spec(16));
@@ -483,7 +483,7 @@
             now += 4200;
             for (n, &at) in own_machines.iter().enumerate() {
                 let mut heartbeat = w.workers[at].heartbeat();
-                // A worker without a response has sent a heartbeat to another controller in between.
+                // A worker that got no response has sent a heartbeat to another controller in between.
                 let step = if misses(n) { 2 } else { 1 };
                 heartbeat.sequence += round * step;
                 let at = if misses(n) { now } else { w.now + round * 1000 };
@@ -575,7 +575,7 @@
         2,
         "{job}"
     );
-    // A task launched this way counts as started until a newer heartbeat reports it.
+    // A task launched by a delayed acknowledgement counts as started until a newer heartbeat reports it.
     assert_eq!(commands(controller.release_ack(&machine, number, clock)), 0);
     assert_eq!(controller.delay_ack(&machine, number, clock), None);
     // An acknowledgement of a heartbeat that is not the newest, or under a grant that was lost, launches
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -292,8 +292,8 @@
 
 #[test]
 fn zone_constraints_hold_while_responses_are_lost_and_machines_disappear() {
-    // Once tasks whose binding was still being written did not count, so the others were bound in another
-    // zone.
+    // Once tasks whose binding was still being written did not count, so other tasks of the job were bound in
+    // another zone.
     for seed in 20..26 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut w = World::with_holders(seed, 3, 24);
@@ -433,8 +433,8 @@
 
 #[test]
 fn a_controller_that_alone_is_rejected_by_the_store_is_replaced_within_seconds() {
-    // Once no task was bound until that controller's lease expired, and tasks bound to its machines were not
-    // started before then.
+    // Once no task was bound until the rejected controller's lease expired, and tasks bound to its machines
+    // were not started before then.
     for (seed, controllers, leads) in [(42, 3, true), (43, 3, false), (44, 5, true), (45, 5, false)]
     {
         let (mut w, job) = World::with_running_job(seed, controllers, 60_000);
@@ -687,7 +687,8 @@
 
 #[test]
 fn a_job_that_fits_no_present_machine_does_not_hold_up_other_jobs() {
-    // Once only the job that had waited longest was placed ahead of the others, even if no machine fitted it.
+    // Once only the job that had waited longest was placed ahead of the others; if no machine fitted it, no
+    // job was.
     let mut w = World::with_holders(72, 3, 4);
     w.cloud_up = false;
     let mut unplaceable_job = w.spec(4);
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -152,7 +152,8 @@
 
 #[test]
 fn a_leader_that_restarts_without_the_store_is_replaced() {
-    // Its peers receive its messages, and its keys last for a whole lease, but its earlier incarnation ended.
+    // Peers still receive the leader's messages, and its keys last for a whole lease, but the incarnation
+    // that was elected has ended.
     let (mut w, job) = world_with_job(24, 9, 40_000, 16);
     let leader = w.leader().expect("there is a leader");
     w.links[leader].store_fault = StoreFault::RejectsRequests;
@@ -169,7 +170,7 @@
 fn delayed_writes_of_an_old_leader_have_no_effect_after_a_failover() {
     let mut w = world_with_holders(9, 6);
     let old_leader = w.leader().expect("there is a leader");
-    // Its writes are committed 20 s late. In the meantime it loses the connections to its peers and is
+    // The old leader's writes are committed 20 s late. Meanwhile it loses the connections to its peers and is
     // replaced.
     w.links[old_leader].store_fault = StoreFault::DelaysCommits(20_000);
     w.links[old_leader].peers_reachable = false;
@@ -269,7 +270,7 @@
     w.cloud_up = false;
     (0..3).for_each(|i| w.crash(i));
     w.run(1000);
-    // The store does not have the catalog either.
+    // The catalog of machine types is missing from the store too.
     w.store.delete_externally("qb/catalog");
     (0..3).for_each(|i| w.start(i));
     w.run(8000);
@@ -464,7 +465,7 @@
 #[test]
 fn a_change_of_holders_returns_no_machine() {
     // Just after a grant, the holder has received no heartbeat from its machines. The leader once
-    // presumed those that were rented long ago dead and returned them with all their running tasks.
+    // presumed machines rented long ago to be dead and returned them with all their running tasks.
     let (mut w, _) = world_with_job(25, 9, 200_000, 16);
     w.run(50_000);
     let other = (w.leader().expect("there is a leader") + 1) % 3;
--- a/tests/spillover.rs
+++ b/tests/spillover.rs
@@ -159,7 +159,7 @@
 fn a_loan_that_finished_during_a_disconnection_counts_until_its_job_is_returned() {
     let (mut c, jobs) = lending_cells(7);
     c.disconnect(NORTH);
-    // Further jobs of its own make the borrower archive finished ones.
+    // Jobs that the borrower's own users submit make it archive finished jobs.
     c.submit_many(NORTH, 4, 2);
     // Tasks of 8 s end within the lease of 10 s.
     c.run_until(15_000, "a loan is done in the north", |c| {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -144,7 +144,8 @@
     /// Delays after which copies of each message between controllers arrive, ms.
     pub peer_message_copy_delays_ms: Vec<u64>,
     delayed_peer_messages: Vec<(u64, usize, PeerMessage)>,
-    /// Network partition that each controller is in. Controllers in different ones cannot communicate.
+    /// Network partition that each controller is in. Controllers in different partitions cannot
+    /// communicate.
     pub partition_group: Vec<u8>,
     delayed_heartbeats: Vec<(u64, usize, Heartbeat)>,
     /// Machines whose delayed acks are due, because there are commands for them.
@@ -152,7 +153,7 @@
     /// Machines rented by each rental request, so that a repeated request is idempotent.
     machines_by_request: HashMap<String, Vec<String>>,
     rng: SmallRng,
-    /// Machines created so far; numbers the next one.
+    /// Number of machines created so far, from which the next one is named.
     machine_count: u32,
 }
 
